--- /dev/null
+++ b/tests/test_stored_files.py
@@ -0,0 +1,456 @@
+"""Files that an earlier version left behind (`tests/stored/`) are read to the values that it had written.
+
+Each test works on a copy. Values are compared by position, so that a field may be renamed but not moved. Where the
+program goes on writing to what it has read, that is done too, and all of it is read once more.
+"""
+
+from __future__ import annotations
+
+import shutil
+import time
+from collections.abc import Iterator
+from math import inf
+from pathlib import Path
+from typing import Any
+
+import duckdb
+import pytest
+
+from gingervane import interface as api
+from gingervane.audit import records
+from gingervane.coordinator import clock, intent_log
+from gingervane.coordinator.intent_log import IntentLog
+from gingervane.coordinator.intents import Do, Entry, Intents, Limits, State
+from gingervane.lab.figures import compare, table
+from gingervane.lab.store import Run, RunStore
+from gingervane.membership import listfile
+from gingervane.membership.durable import Snapshot
+from gingervane.membership.merge import Fence, Merge
+from gingervane.membership.store import NewerVersion
+from gingervane.membership.view import Member, View
+
+STORED = Path(__file__).parent / "stored"
+
+# As the fixtures were written; see `make_fixtures.py`.
+BOOT = "0d6f3a52-8a1c-4a53-9b1e-fixture00001"
+UNIX = 1_764_600_000.0
+BOOT_SECONDS = 5_000.0
+OFFSET = -1_764_599_000.0
+
+
+@pytest.fixture
+def stored(tmp_path: Path) -> Path:
+    """A copy of all fixtures."""
+    copy = tmp_path / "stored"
+    shutil.copytree(STORED, copy)
+    return copy
+
+
+@pytest.fixture
+def same_boot(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The machine has not been restarted since the fixtures were written: 90 s ago by the boot's clock."""
+    monkeypatch.setattr(clock, "boot_id", lambda: BOOT)
+    monkeypatch.setattr(clock, "seconds", lambda: BOOT_SECONDS + 90.0)
+
+
+# ---- the membership snapshot
+
+MEMBERS: list[tuple[Any, ...]] = [
+    (1, "grid1", ("127.0.0.1", 9001), 0, 0, "ready", 512.5, 41),
+    (2, "grid2", ("127.0.0.1", 9002), 1, 1, "draining", 640.0, 42),
+    (3, "grid3", ("::1", 9003), 2, 2, "gone", None, 43),
+    (4, "grid4", ("grid4.example", 9004), 0, 3, "ready", None, 0),
+]
+MERGE_STATE: dict[str, Any] = {
+    "now": 1000.0,
+    "last": {"consul": 40.5, "file": 96.0},
+    "index": {"consul": 9, "file": 0},
+    "servers": {
+        "1": {
+            "entries": {
+                "consul": [
+                    1,
+                    "grid1",
+                    ["127.0.0.1", 9001],
+                    0,
+                    0,
+                    "ready",
+                    512.5,
+                    100.0,
+                    40.0,
+                    True,
+                    41,
+                    None,
+                ],
+                "file": [1, "grid1", ["127.0.0.1", 9001], 0, 0, "ready", 512.5, 96.0, None, False, 41, None],
+            },
+            "away": False,
+            "ready_in": -1000.0,
+            "returns": [],
+        },
+        "2": {
+            "entries": {
+                "consul": [
+                    2,
+                    "grid2",
+                    ["127.0.0.1", 9002],
+                    1,
+                    1,
+                    "draining",
+                    640.0,
+                    100.0,
+                    40.0,
+                    False,
+                    42,
+                    None,
+                ],
+                "file": [
+                    2,
+                    "grid2",
+                    ["127.0.0.1", 9002],
+                    1,
+                    1,
+                    "draining",
+                    640.0,
+                    96.0,
+                    None,
+                    False,
+                    42,
+                    None,
+                ],
+            },
+            "away": False,
+            "ready_in": -1000.0,
+            "returns": [],
+        },
+        "3": {
+            "entries": {
+                "consul": [3, "grid3", ["::1", 9003], 2, 2, "gone", None, 100.0, None, False, 43, None]
+            },
+            "away": True,
+            "ready_in": -1000.0,
+            "returns": [],
+        },
+        "4": {
+            "entries": {
+                "consul": [
+                    4,
+                    "grid4",
+                    ["grid4.example", 9004],
+                    0,
+                    3,
+                    "ready",
+                    None,
+                    100.0,
+                    None,
+                    False,
+                    0,
+                    None,
+                ]
+            },
+            "away": False,
+            "ready_in": -1000.0,
+            "returns": [],
+        },
+    },
+}
+VIEW_STATE = {"started": {"1": 1764599512.5, "2": 1764599640.0}, "gone": [3, 4]}
+
+
+def plain(members: tuple[Member, ...]) -> list[tuple[Any, ...]]:
+    """Members by position, states as they are stored."""
+    return [(*member[:5], member[5].value, *member[6:]) for member in members]
+
+
+def made(rows: list[tuple[Any, ...]]) -> tuple[Member, ...]:
+    """Members of such rows."""
+    return tuple(Member._make((*row[:5], api.ReplicaState(row[5]), *row[6:])) for row in rows)
+
+
+def test_the_snapshot_of_version_3_is_read_whole(stored: Path, same_boot: None) -> None:
+    snapshot = Snapshot(stored / "membership" / "snapshot-v3", 77.0, 3, 4)
+    kept = snapshot.load()
+    assert kept is not None
+    members, age, offset, merge, view = kept
+    assert plain(members) == MEMBERS and (age, offset) == (90.0, OFFSET)
+    assert merge == MERGE_STATE and view == VIEW_STATE
+    snapshot.close()
+
+
+def test_a_snapshot_of_another_boot_is_dated_by_the_wall_clock(
+    stored: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    monkeypatch.setattr(clock, "boot_id", lambda: "another boot")
+    monkeypatch.setattr(time, "time", lambda: UNIX + 30.0)
+    snapshot = Snapshot(stored / "membership" / "snapshot-v3", OFFSET + 2.0, 3, 4)
+    kept = snapshot.load()
+    assert kept is not None and kept[1:3] == (30.0, OFFSET + 2.0)
+    assert [member[6] for member in kept[0]] == [514.5, 642.0, None, None]
+    snapshot.close()
+
+
+@pytest.mark.parametrize("version", [1, 2])
+def test_snapshots_of_older_versions_are_read(
+    stored: Path, monkeypatch: pytest.MonkeyPatch, version: int
+) -> None:
+    """They have no index of an entry, no boot, and the first of them no state of the merge."""
+    monkeypatch.setattr(time, "time", lambda: UNIX + 30.0)
+    path = stored / "membership" / f"snapshot-v{version}"
+    snapshot = Snapshot(path, OFFSET, 3, 4)
+    kept = snapshot.load()
+    assert kept is not None
+    members, age, offset, merge, view = kept
+    assert plain(members) == [(*row[:7], 0) for row in MEMBERS] and (age, offset) == (30.0, OFFSET)
+    assert view is None and (merge is None) == (version == 1)
+    if merge is not None:
+        restored = Merge(("consul", "file"), Fence())
+        restored.restore(merge, 1000.0, 0.0)
+        state = as_json(restored.dump(1000.0))
+        assert state["servers"]["1"]["entries"]["consul"] == [
+            *[1, "grid1", ["127.0.0.1", 9001], 0, 0, "ready", 512.5, 100.0, 40.0, True, 0, None]
+        ]
+        assert state["index"] == {"consul": 0, "file": 0}
+    snapshot.save(members, merge, view)
+    again = snapshot.load()
+    assert again is not None and plain(again[0]) == plain(members) and again[3:] == (merge, view)
+    assert path.read_bytes().startswith(b"gingervane-kept 3 ")
+    snapshot.close()
+
+
+def test_states_of_the_snapshot_are_taken_up_and_go_on(stored: Path, same_boot: None) -> None:
+    snapshot = Snapshot(stored / "membership" / "snapshot-v3", 77.0, 3, 4)
+    kept = snapshot.load()
+    assert kept is not None and kept[3] is not None and kept[4] is not None
+    merge, view = Merge(("consul", "file"), Fence()), View()
+    merge.restore(kept[3], 1000.0, 0.0)
+    view.restore(kept[4], kept[0], OFFSET)
+    assert as_json(merge.dump(1000.0)) == MERGE_STATE and view.dump(OFFSET) == VIEW_STATE
+    merge.restore(kept[3], 1000.0, 16.0)
+    later = merge.dump(1000.0)
+    assert later["last"] == {"consul": 56.5, "file": 112.0}
+    believed = merge.view(1000.0).servers
+    assert {n: known[0][5].value for n, known in believed.items()} == {
+        1: "ready",
+        2: "draining",
+        3: "gone",
+        4: "ready",
+    }
+    snapshot.save(kept[0], later, kept[4])
+    again = snapshot.load()
+    assert again is not None and plain(again[0]) == MEMBERS and again[3:] == (as_json(later), kept[4])
+    snapshot.close()
+
+
+def as_json(state: Any) -> Any:
+    """With tuples as the lists that they are read back as."""
+    if isinstance(state, dict):
+        return {key: as_json(value) for key, value in state.items()}
+    return [as_json(value) for value in state] if isinstance(state, list | tuple) else state
+
+
+def test_the_same_snapshot_is_written_to_the_same_bytes(
+    stored: Path, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """An earlier version that is put back reads what a later one has written."""
+    monkeypatch.setattr(clock, "moment", lambda: (BOOT, BOOT_SECONDS))
+    monkeypatch.setattr(time, "time", lambda: UNIX)
+    members = made(MEMBERS)
+    snapshot = Snapshot(tmp_path / "new", OFFSET, 3, 4)
+    snapshot.save(members, MERGE_STATE, VIEW_STATE)
+    snapshot.close()
+    assert (tmp_path / "new").read_bytes() == (stored / "membership" / "snapshot-v3").read_bytes()
+
+
+def test_a_snapshot_of_a_later_version_is_set_aside(stored: Path) -> None:
+    path = stored / "membership" / "snapshot-v3"
+    later = path.read_bytes().replace(b"gingervane-kept 3 ", b"gingervane-kept 4 ", 1)
+    path.write_bytes(later)
+    snapshot = Snapshot(path, OFFSET, 3, 4)
+    with pytest.raises(NewerVersion):
+        snapshot.load()
+    snapshot.save(made(MEMBERS))
+    assert path.with_name("snapshot-v3.v4").read_bytes() == later
+    assert path.with_name("snapshot-v3.lock").exists()
+    snapshot.close()
+
+
+# ---- the server list
+
+
+def test_the_list_file_is_read_to_the_same_members(stored: Path) -> None:
+    text = (stored / "membership" / "servers.toml").read_text()
+    nodes, coordinators = listfile.parse(text, ("hall-a", "hall-b"), 4, OFFSET, 2)
+    assert plain(nodes) == [
+        (1, "grid1", ("127.0.0.1", 9001), 0, 0, "ready", 512.5, 0),
+        (2, "2", ("::1", 9002), 1, 3, "draining", None, 0),
+        (9223372036854775807, "grid3", ("grid3.example", 65535), 1, 1, "gone", 0.0, 0),
+    ]
+    assert plain(coordinators) == [(0, "c0", ("127.0.0.1", 8000), 0, 1, "ready", None, 0)]
+
+
+# ---- the intent log
+
+INTENTS: dict[str, tuple[Any, ...]] = {
+    "cos/plain": ("open", "00ff", 101, 4000.25, 4000.25, None),
+    "cos/done": ("done", "11ee", 102, 4001.0, 4001.5, {"share": 0.667}),
+    "cos/idle": ("idle", "22dd", 103, 4002.0, 4002.5, None),
+    "cos/unknown": ("unknown", "33cc", 104, 4003.0, 4003.5, None),
+    "cos/sk\u00f8yte \u2603": ("done", "44bb", 4503599627370496, 4004.0, 4004.5, {"share": 1.0}),
+}
+
+
+def by_position(entries: dict[str, Entry]) -> dict[str, tuple[Any, ...]]:
+    return {key: (entry[0].value, *entry[1:]) for key, entry in entries.items()}
+
+
+def opened(folder: Path) -> Iterator[tuple[IntentLog, Any]]:
+    """The log and what its start has read; closed afterwards."""
+    log = IntentLog(folder, 3600.0, lambda: 4_100.0)
+    yield log, log.recover()
+    log.close()
+
+
+def test_the_intent_log_is_read_and_goes_on(stored: Path, same_boot: None) -> None:
+    folder = stored / "intents"
+    for log, (entries, faults, count) in opened(folder):
+        assert by_position(entries) == INTENTS and list(entries) == list(INTENTS)
+        assert faults == [] and count == 6
+        log.intend("cos/new", Entry(State.OPEN, "55aa", 105, 4_090.0, 4_090.0))
+        log.note("cos/plain", Entry(State.DONE, "00ff", 101, 4_000.25, 4_091.0, {"share": 1.0}))
+    assert [path.name for path in sorted(folder.iterdir())] == [
+        "intents-00000001.log",
+        "intents-00000002.log",
+        "intents-00000003.log",
+    ]
+    for _, (entries, faults, count) in opened(folder):
+        assert faults == [] and count == 8
+        assert by_position(entries) == INTENTS | {
+            "cos/plain": ("done", "00ff", 101, 4000.25, 4091.0, {"share": 1.0}),
+            "cos/new": ("open", "55aa", 105, 4090.0, 4090.0, None),
+        }
+
+
+def test_a_torn_end_of_the_intent_log_is_cut_off(stored: Path, same_boot: None) -> None:
+    folder = stored / "intents-torn"
+    whole = {key: value for key, value in INTENTS.items() if value[1] != "44bb"}
+    for _ in range(2):  # the second time there is nothing to cut
+        for _, (entries, faults, count) in opened(folder):
+            assert by_position(entries) == whole and faults == [] and count == 5
+
+
+def test_intents_of_another_boot_are_out_of_their_window(
+    stored: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    monkeypatch.setattr(clock, "boot_id", lambda: "another boot")
+    for _, (entries, faults, _) in opened(stored / "intents"):
+        assert faults == []
+        assert by_position(entries) == {
+            key: (*value[:3], -inf, 4100.0, value[5]) for key, value in INTENTS.items()
+        }
+
+
+def test_what_a_restart_makes_of_the_kept_intents(stored: Path, same_boot: None) -> None:
+    """Done: the same answer again. Idle: as new, its version kept. Open or unknown: may have run."""
+    known = Intents(Limits(window=10.0, margin=0.5, keep=3600.0))
+    for _, (entries, _, _) in opened(stored / "intents"):
+        for key, entry in entries.items():
+            known.restore(key, entry)
+    assert known.begin("cos/done", "11ee", 900, 4_005.0) == (Do.ANSWER, 102, 0.0, {"share": 0.667})
+    assert known.begin("cos/done", "00", 900, 4_005.0)[0] is Do.MISMATCH
+    assert known.begin("cos/idle", "22dd", 900, 4_005.0)[:3] == (Do.SEND, 103, 4_014.5)
+    assert known.begin("cos/unknown", "33cc", 900, 4_005.0)[:3] == (Do.SEND, 104, 4_012.5)
+    assert known.begin("cos/plain", "00ff", 900, 4_050.0)[:2] == (Do.TOO_LATE, 101)
+
+
+def test_the_same_intents_are_written_to_the_same_bytes(stored: Path) -> None:
+    """An earlier version that is put back reads what a later one has written."""
+    written = intent_log.boot_record(BOOT) + b"".join(
+        intent_log.pack(key, Entry(State(row[0]), *row[1:])) for key, row in list(INTENTS.items())[2:]
+    )
+    assert written == (stored / "intents" / "intents-00000002.log").read_bytes()
+
+
+# ---- the runs of the lab
+
+LATENCY = {"look": {"count": 3, "p50": 2.0, "p99": 300.0}, "scan": {"count": 1, "p50": 6.0, "p99": 20.0}}
+REPORT = {"kept": True, "attempts": 12, "parts": 8, "latency_ms": LATENCY}
+HISTOGRAM = "HISTFAAAACh4nJNpmSzMwMDAwQABTFCaEUQoH3ZjsP8AERBmusvJtJaPCQBtXwVn"
+RUNS: list[tuple[Any, ...]] = [
+    ("one", '{"a": 1}', 1, "emulator", "v1", "", True, 10.0, 7.5, 8.0, 1.5, REPORT, {}),
+    ("one", '{"a": 1}', 2, "sockets", "v1", "", False, 9.0, 0.0, 0.0, 2.5, REPORT, {"look": HISTOGRAM}),
+    ("one", '{"a": 2}', 1, "emulator", "v2", "it's broken", False, 0.0, 0.0, 0.0, 0.0, {}, {}),
+    ("two", "{}", 7, "emulator", "v2", "", True, 4.0, 4.0, 4.0, 0.25, REPORT, {"look": HISTOGRAM}),
+]
+
+
+@pytest.fixture
+def kept_runs(stored: Path) -> Path:
+    """A file of runs with the table of an earlier version, made by its own SQL."""
+    path = stored / "runs.duckdb"
+    database = duckdb.connect(str(path))
+    database.execute((stored / "runs.sql").read_text())
+    database.close()
+    return path
+
+
+def test_kept_runs_are_read_and_added_to(kept_runs: Path) -> None:
+    store = RunStore(kept_runs)
+    assert [tuple(run) for run in store.runs("one", version="v1")] == RUNS[:2]
+    assert [tuple(run) for run in store.runs("one")] == RUNS[2:3], "of the version that was put last"
+    assert [tuple(run) for run in store.runs("one", "sockets")] == RUNS[1:2]
+    assert [tuple(run) for run in store.runs("two")] == RUNS[3:]
+    assert store.done("one", "emulator", "v1") == {('{"a": 1}', 1)}
+    assert store.done("one", "emulator", "v2") == set(), "it had an error"
+    store.put(Run._make((*RUNS[2][:5], "", *RUNS[2][6:])))
+    store.put(Run._make(("one", '{"a": 3}', *RUNS[3][2:])))
+    store.close()
+    store = RunStore(kept_runs)
+    assert store.done("one", "emulator", "v2") == {('{"a": 2}', 1), ('{"a": 3}', 7)}
+    assert [tuple(run) for run in store.runs("one", version="v1")] == RUNS[:2]
+    assert [run.share for run in store.runs("one", version="v1")] == [0.9375, 1.0]
+    store.close()
+
+
+def test_the_table_of_runs_is_made_as_it_was(tmp_path: Path, kept_runs: Path) -> None:
+    """An earlier version that is put back finds its own table and columns."""
+    RunStore(tmp_path / "new.duckdb").close()
+    found = []
+    for path in (tmp_path / "new.duckdb", kept_runs):
+        database = duckdb.connect(str(path))
+        found.append(database.execute("SELECT table_name, sql FROM duckdb_tables()").fetchall())
+        database.close()
+    assert found[0] == found[1] and len(found[0]) == 1
+
+
+def test_kept_runs_are_reported_and_compared(kept_runs: Path) -> None:
+    store = RunStore(kept_runs)
+    runs = store.runs("one", version="v1")
+    store.close()
+    assert table(runs).count("\n") >= 2
+    shares, attempts, median, tail = compare(runs, runs)
+    assert shares[1:4] == (2, 0.96875, 0.96875)
+    assert attempts[1:4] == (2, 1.5, 1.5) and median[1:4] == (2, 3.0, 3.0) and tail[1:4] == (2, 230.0, 230.0)
+
+
+# ---- the records of a day
+
+
+def test_the_records_of_a_day_are_read_and_linked(stored: Path) -> None:
+    day = records.load(stored / "day")
+    assert day.facts["name"] == "small" and day.began() == 9.5
+    assert day.torn == 1, "a line was cut off as its process was killed"
+    assert day.bodies == b"reply" and day.exchanged == {"tap-0.jsonl": 333 + 258 + 42}
+    (send,) = day.sends
+    assert (send.t, send.coordinator, send.tap, send.node, send.near) == (10.2, 0, "tap-0.jsonl", 0, 40001)
+    assert [tuple(part) for part in send.parts] == [(1000, "t001")]
+    assert send.took == {"t": 10.25, "kind": "taken", "node": 0, "call": 1, "peer": 40001}
+    assert day.ends == {(0, 1): {"t": 10.3, "kind": "done", "node": 0, "call": 1}}
+    (tried,) = day.tries
+    assert (tried["read"], tried["tap"], tried["replies"]) == (10.15, "tap-0.jsonl", [10.45])
+    assert [demand["names"] for demand in day.demands] == [["t001"]]
+    assert day.catalogue is not None
+    changes, told = day.catalogue
+    assert {node: [tuple(change) for change in found] for node, found in changes.items()} == {
+        0: [(9.1, 5, False), (10.7, 6, True)]
+    }
+    assert dict(told) == {"tap-0.jsonl": [(10.8, 6)]}
