--- a/tests/test_pinned_forms.py
+++ b/tests/test_pinned_forms.py
@@ -7,6 +7,12 @@
 from __future__ import annotations
 
 import json
+import re
+import signal
+import struct
+import subprocess
+import sys
+import tomllib
 from collections.abc import Iterator, Mapping
 from math import inf
 from pathlib import Path
@@ -18,9 +24,15 @@
 from gingervane import startup
 from gingervane.cli.main import main
 from gingervane.daemon import settings
+from gingervane.fronts.client import Client
 from gingervane.lab import scenario
+from gingervane.lab.embedded import ZONES, config_table
 from gingervane.lab.scenario import Scenario
+from gingervane.lab.tables import toml
 from gingervane.node import config as node_config
+from gingervane.standins.node import Grid, Recorder
+from gingervane.wire.remote_read import Match, Matcher, Query
+from platform_standins import PATIENCE, ROOT
 
 # ---- the daemon's settings
 
@@ -679,3 +691,94 @@
     del at[last]
     with pytest.raises(node_config.ConfigError, match=key.removeprefix("settings.")):
         read_node(tmp_path, table)
+
+
+# ---- programs, from outside
+
+
+def test_a_daemon_as_whoever_starts_it_sees_it(tmp_path: Path) -> None:
+    """Its line on standard output, its end, and what it and its nodes record of one query."""
+    recorder = Recorder(tmp_path / "nodes.jsonl")
+    grid = Grid(3, 3, ZONES, recorder=recorder)
+    (tmp_path / "servers.toml").write_text(grid.list_text())
+    config, tap = tmp_path / "c.toml", tmp_path / "tap.jsonl"
+    config.write_text(toml(config_table(grid, tmp_path / "servers.toml", ZONES[0])))
+    program = subprocess.Popen(
+        [sys.executable, "-m", "gingervane.cli.main", "serve", "--config", str(config), "--tap", str(tap)],
+        stdout=subprocess.PIPE,
+        text=True,
+        cwd=ROOT,
+    )
+    assert program.stdout is not None
+    found = re.fullmatch(r"listening on 127\.0\.0\.1:([0-9]+)\n", program.stdout.readline())
+    assert found
+    client = Client(("127.0.0.1", int(found[1])))
+    query = Query(0, 60_000, (Matcher(Match.EQUAL, "tile", "t000"),))
+    assert client.read([query], {}, PATIENCE).status == 200
+    client.close()
+    program.send_signal(signal.SIGTERM)
+    assert program.wait(PATIENCE) == 0
+    program.stdout.close()
+    grid.stop()
+    recorder.close()
+    assert keys_of(tap) == {
+        "request": ["t", "kind", "near", "far"],
+        "call": ["t", "kind", "near", "far", "data"],
+        "got": ["t", "kind", "near", "far", "bytes"],
+        "reply": ["t", "kind", "near", "far", "status"],
+    }
+    assert keys_of(tmp_path / "nodes.jsonl") == {
+        "taken": ["t", "kind", "node", "call", "peer", "asked"],
+        "done": ["t", "kind", "node", "call"],
+    }
+
+
+def keys_of(path: Path) -> dict[str, list[str]]:
+    """The keys of each kind of record in a file."""
+    records = [json.loads(line) for line in path.read_text().splitlines()]
+    return {record["kind"]: list(record) for record in records}
+
+
+@pytest.mark.parametrize(
+    ("command", "what"),
+    [
+        (["gingervane.cli.main", "serve", "--config", "none.toml"], "none.toml: "),
+        (["gingervane.cli.main", "check-config", "none.toml"], "none.toml: "),
+        (["gingervane.cli.main", "rehearse", "none", "--out", "none"], "none: "),
+        (["gingervane.cli.main", "lab", "report", "none", "--out", "none"], "none: "),
+        (["gingervane.node"], "gingervane: NODE_CONFIG "),
+        (["gingervane.benchlink"], "gingervane: batch 9, byte 21: "),
+    ],
+)
+def test_programs_that_cannot_start_end_with_2_and_a_line(
+    tmp_path: Path, command: list[str], what: str
+) -> None:
+    done = subprocess.run(
+        [sys.executable, "-m", *command],
+        input=struct.pack("<dIIIB", 1.0, 21, 1, 9, 99),
+        capture_output=True,
+        cwd=tmp_path,
+        env={"PYTHONPATH": str(ROOT)},
+    )
+    said = done.stderr.decode()
+    assert done.returncode == 2 and not done.stdout
+    assert said.startswith(what) and said.count("\n") == 1
+
+
+def test_a_node_takes_its_configuration_s_name_from_the_environment(tmp_path: Path) -> None:
+    done = subprocess.run(
+        [sys.executable, "-m", "gingervane.node"],
+        capture_output=True,
+        cwd=tmp_path,
+        env={"PYTHONPATH": str(ROOT), "NODE_CONFIG": "none.json", "GINGERVANE_TRACE": "trace.jsonl"},
+    )
+    assert done.returncode == 2 and done.stderr.startswith(b"gingervane: none.json: ")
+    assert (tmp_path / "trace.jsonl").read_bytes() == b""
+
+
+def test_commands_that_the_platform_runs() -> None:
+    deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
+    assert sorted(deploy) == ["build", "node", "packages", "policy", "run", "sim"]
+    assert deploy["run"].endswith(" -m gingervane.node")
+    assert deploy["sim"].endswith(" -m gingervane.benchlink")
+    assert all((ROOT / path).exists() for path in [*deploy["policy"], *deploy["node"]])
