--- a/tests/test_pinned_forms.py
+++ b/tests/test_pinned_forms.py
@@ -25,7 +25,7 @@
 from gingervane.cli.main import main
 from gingervane.daemon import settings
 from gingervane.fronts.client import Client
-from gingervane.lab import scenario
+from gingervane.lab import experiment, scenario
 from gingervane.lab.embedded import ZONES, config_table
 from gingervane.lab.scenario import Scenario
 from gingervane.lab.tables import toml
@@ -429,6 +429,34 @@
     ]
 
 
+# ---- experiments of the lab
+
+
+def test_every_key_of_an_experiment_and_what_it_is_if_left_out(tmp_path: Path) -> None:
+    path = tmp_path / "e.toml"
+    path.write_text('name = "e"\nscenario = "bad-day"\n')
+    found, _, _ = experiment.load(str(path))
+    assert found.model_dump(mode="json") == {
+        "name": "e",
+        "scenario": "bad-day",
+        "expect": "",
+        "seeds": 5,
+        "vary": {},
+    }
+    path.write_text('name = "e"\nscenario = "bad-day"\nseeds = [3, 9]\n[vary]\n"nodes.width" = [1, 2]\n')
+    found, _, _ = experiment.load(str(path))
+    assert found.all_seeds() == (3, 9) and found.cells() == [{"nodes.width": 1}, {"nodes.width": 2}]
+    path.write_text('name = "e"\nscenario = "bad-day"\nseedsx = 1\n')
+    with pytest.raises(settings.SettingsError) as caught:
+        experiment.load(str(path))
+    assert str(caught.value) == f"{path}: seedsx: not a known key; is seeds meant?"
+
+
+@pytest.mark.parametrize("name", ["copies", "list-delay", "retry-storm"])
+def test_experiments_that_ship(name: str) -> None:
+    assert experiment.load(name)[0].name == name
+
+
 # ---- the command line
 
 COMMANDS = {
