--- a/tests/recordings/driver_codec.py
+++ b/tests/recordings/driver_codec.py
@@ -251,6 +251,7 @@
         self.errands: list[t.Errand] = []
         self._exchanges: dict[int, RecordedExchange] = {}
         self._observed: list[Any] = []
+        self._finals: list[tuple[t.Final, list[Any]]] = []  # as they were when they were given
 
     # ---- what a sender does
 
@@ -309,6 +310,8 @@
             (api.EndReason, counts.reasons),
         ):
             by_name.append([[encode_member_or_value(kind, key), count] for key, count in found.items()])
+        changed = sum(self._final_form(final) != form for final, form in self._finals)
+        assert not changed, "final answers that changed after they were given"
         return [totals, by_name, [self._settled_number(settled) for settled in self.driver.abandon()]]
 
     # ---- forms of what has an identity
@@ -355,6 +358,12 @@
         return encode(effect)
 
     def _final(self, final: t.Final) -> list[Any]:
+        """The form of a final answer, which is kept to see that it does not change later."""
+        form = self._final_form(final)
+        self._finals.append((final, form))
+        return form
+
+    def _final_form(self, final: t.Final) -> list[Any]:
         """The reason goes to the client, so that its text is pinned."""
         form: list[Any] = [type_index(t.Final), *(encode(item) for item in field_values(final))]
         form[1 + [field.name for field in fields(final)].index("why")] = encode_text(final.why, True)
--- a/tests/recordings/driver_tools.py
+++ b/tests/recordings/driver_tools.py
@@ -20,7 +20,7 @@
 from gingervane.coordinator.standstill import Standstill
 from gingervane.coordinator.starts import StartClock
 from gingervane.coordinator.timers import HeapTimers, WheelTimers
-from recordings.driver_codec import RAISED, decode, encode
+from recordings.driver_codec import RAISED, RecordedExchange, decode, encode
 
 
 class Clock:
@@ -88,6 +88,15 @@
         return endings.refused(semantics, proven_idle, overloaded)
 
 
+class Late(NamedTuple):
+    """A call that was decided at some time."""
+
+    decided_at: float
+
+    def is_late(self, now: float) -> bool:
+        return t.Call(1, 1, ("~1", 1), RecordedExchange(1), [], 9.0, decided_at=self.decided_at).is_late(now)
+
+
 class Tool(NamedTuple):
     """How a helper is made, and what is called on it; append only."""
 
@@ -119,8 +128,9 @@
             Admitting.held,
         ),
     ),
+    Tool(Late, (Late.is_late,)),
 )
-STARTS, PROOFS, RESERVE, WHEEL, HEAP, HOLDING, STANDSTILL, ADVICE, ADMITTING = range(len(TOOLS))
+STARTS, PROOFS, RESERVE, WHEEL, HEAP, HOLDING, STANDSTILL, ADVICE, ADMITTING, LATE = range(len(TOOLS))
 
 
 class Use:
@@ -151,7 +161,10 @@
 def record_tools() -> list[Any]:
     """All uses: `[tool, what it is made of, [call, arguments, result]...]` each."""
     return [
-        *(_starts(ahead, step) for ahead, step in product((0.0, -20.0, 3600.0), (0.0, -50.0, 0.05, 40.0))),
+        *(
+            _starts(ahead, step)
+            for ahead, step in product((0.0, -20.0, 3600.0), (0.0, -50.0, -1.0, 0.05, 40.0))
+        ),
         _proofs(),
         _reserve(),
         _timers(WHEEL, 0.005),
@@ -160,6 +173,7 @@
         _standstills(),
         _advice(),
         _admission(),
+        _late(),
     ]
 
 
@@ -182,6 +196,13 @@
     return use.form
 
 
+def _late() -> list[Any]:
+    use = _Recorder(LATE, 0.0)
+    for now in (-1.0, 0.0, t.HAND_OVER - 1e-9, t.HAND_OVER, t.HAND_OVER + 1e-9, 1.0):
+        use(0, now)
+    return use.form
+
+
 def _proofs() -> list[Any]:
     use = _Recorder(PROOFS)
     for phase, wrote, timed_out in product(endings.Phase, (0, 1, 900), (False, True)):
--- a/tests/recordings/record_driver.py
+++ b/tests/recordings/record_driver.py
@@ -36,7 +36,7 @@
 TURN = 0.0003  # seconds between two turns, at least
 SENDER_DELAY = 0.0004  # seconds from a call's start until a sender takes it
 STUCK = 0.08  # seconds that a call waits for a sender that is late
-MOST_BATCHES = 350
+MOST_BATCHES = 310
 SAFE, KEYED, UNSAFE = api.Semantics.SAFE, api.Semantics.KEYED, api.Semantics.UNSAFE
 READY, DRAINING, GONE = api.ReplicaState.READY, api.ReplicaState.DRAINING, api.ReplicaState.GONE
 FULL, DELTA, CACHED, FAILED = (
@@ -78,6 +78,8 @@
     piecemeal: float = 0.0  # only the first errand leaves
     late_replies: float = 0.3  # a call that was called off is reported all the same
     leavers: float = 0.0
+    early_stamps: float = 0.0  # an ending stamped before its attempt was sent
+    listed_with_news: float = 0.0  # a list comes as the driver has endings of its own to tell
     repeats: float = 0.1
     granted: float = 0.0  # parts with a bound on runs
     second_parts: int | None = None
@@ -135,6 +137,9 @@
             self._stand_still()
             while self._due and self._due[0][0] <= self.now:
                 heapq.heappop(self._due)[2]()
+            if self.session.driver.next_due() == -inf and self.chance(self.scenario.listed_with_news):
+                state = self.random.choice((READY, DRAINING, GONE))
+                self.put(listed(DELTA, *in_state(state, self.random.randrange(len(ROWS)))))
             self._turn()
         return [self.settings, self.scenario.seed, None, self.batches, self.session.closing()]
 
@@ -257,7 +262,8 @@
             return
         when = self.now + seconds
         why = "" if outcome is api.Outcome.OK else f"~{self.random.randrange(3)}"
-        self.at(when, lambda: self._end(errand, outcome, round(when, 4), why))
+        stamp = round(when - 60.0 if self.chance(scenario.early_stamps) else when, 4)
+        self.at(when, lambda: self._end(errand, outcome, stamp, why))
 
     def _end(self, number: int, outcome: api.Outcome, ended_at: float, why: str) -> None:
         if number in self._withdrawn and not self.chance(self.scenario.late_replies):
@@ -340,7 +346,14 @@
         Scenario("second-step-empty", second, 16, second_parts=0, queries=10),
         Scenario("shares", shares, 17, tails=0.3, client_times=(0.08, 0.5), queries=60, failures=FAILURES),
         Scenario("short-at-deadline", patient, 20, failures=full, client_times=(0.5,), queries=20),
-        Scenario("granted", meanings._replace(classes=hedged(meanings)), 18, granted=0.6, failures=FAILURES),
+        Scenario(
+            "granted",
+            meanings._replace(classes=hedged(meanings)),
+            18,
+            granted=0.6,
+            failures=FAILURES,
+            listed_with_news=0.5,
+        ),
         Scenario("stuck", SETTINGS, 19, stuck=0.5, piecemeal=0.3, tails=0.3, leavers=0.2, queries=60),
     ]
 
@@ -377,7 +390,7 @@
     )
     broken = {2: api.Outcome.CONNECT_FAILED, 4: api.Outcome.RESET}
     return [
-        Scenario("membership", SETTINGS, 21, queries=60, gap=0.035, tails=0.2, stuck=0.4, timed=churn),
+        Scenario("membership", SETTINGS, 21, queries=50, gap=0.035, tails=0.2, stuck=0.4, timed=churn),
         Scenario(
             "membership-asked", asking, 22, timed=churn, first_list=(listed(FAILED),), failures=FAILURES
         ),
@@ -401,7 +414,12 @@
         query_class(aim=0.5, deadline=2.0, semantics=KEYED, window=0.5),
     )
     shutdown = ((0.5, (t.Shutdown(),)), (0.9, (t.Shutdown(), t.Left(3))))
+    uncancelled = meanings._replace(may_cancel=False)
     return [
+        Scenario(
+            "deadlines-no-cancel", uncancelled, 36, queries=20, latency=0.4, client_times=(0.05, 0.3, 0.45)
+        ),
+        Scenario("news", meanings, 37, leavers=0.4, latency=0.08, early_stamps=0.1, listed_with_news=0.5),
         Scenario("leavers", meanings, 31, leavers=0.5, latency=0.1, tails=0.2, queries=60),
         Scenario(
             "shutdown", meanings, 32, gap=0.02, latency=0.2, timed=shutdown, refused_starts=0.1, stuck=0.2
@@ -440,7 +458,16 @@
         [],
         [api.Send(3, 0, 1002.0), api.Cancel(3, 0), api.Fail(2)],
     ]
+    second = classes(query_class(aim=0.5, deadline=2.0, least=0.5, second=1))
+    false_second: list[list[api.Action]] = [
+        [],
+        [api.Send(1, 0, 1002.0), api.Send(2, 1, 1002.0)],
+        [api.Answer(1, False)],
+        [api.Send(3, 2, 1002.0)],
+        [api.Answer(1, True)],
+    ]
     return {
+        "scripted-false-second": _scripted(second, false_second, 1),
         "scripted-unstated": _scripted(half, unstated),
         "scripted": _scripted(SETTINGS, everything),
         "scripted-false-whole": _scripted(half, false_whole),
@@ -448,22 +475,25 @@
     }
 
 
-def _scripted(settings: api.Settings, actions: list[list[api.Action]]) -> list[Any]:
+def _scripted(
+    settings: api.Settings, actions: list[list[api.Action]], second_parts: int | None = None
+) -> list[Any]:
     """One query of two parts, of which the first is answered and then again."""
     encoded, script = codec.encode(settings), [codec.encode(batch) for batch in actions]
     session = Session(encoded, 0, script)
     parts = t.PartPlan(0, 0.5, 101), t.PartPlan(1, 0.5, 102)
     plan = t.QueryPlan(0, 1002.0, parts, RecordedExchange(1))
-    arrived = codec.encode_input(t.Arrived(1, plan, RecordedSettled(1)))
+    arrived = codec.encode_input(t.Arrived(1, plan, RecordedSettled(1)), second_parts)
     other = codec.encode_input(t.Arrived(2, plan, RecordedSettled(2)))
     good = codec.encode_input(t.Ended(1, 0, api.Outcome.OK, 1000.4, 101))
     never = codec.encode_input(t.Ended(2, 0, api.Outcome.NEVER_SENT, 1000.4, None, "~1"))
+    again = codec.encode_input(t.Ended(3, 0, api.Outcome.OK, 1000.55, 103))
     turns: list[tuple[float, list[Any]]] = [
         (1000.0, [codec.encode_input(listed(FULL, *ROWS))]),
         (1000.1, [arrived]),
         (1000.4, [good, good]),
         (1000.5, [codec.encode_input(t.Heard(3, b"\7"))]),
-        (1000.6, [other, never]),
+        (1000.6, [other, never, again]),
         (1000.8, []),
         (1000.9, [codec.encode_input(t.Left(2)), codec.encode_input(t.Shutdown())]),
     ]
--- a/tests/test_recorded_driver.py
+++ b/tests/test_recorded_driver.py
@@ -18,7 +18,7 @@
 FIXTURES = sorted(set(codec.DIRECTORY.glob("driver-*.json.gz")) - {TOOLS_FIXTURE})
 
 # What the recordings hold at least; an emptied or missing fixture falls short of it.
-LEAST_RECORDINGS, LEAST_BATCHES, LEAST_TOOL_CALLS = 36, 8000, 2000
+LEAST_RECORDINGS, LEAST_BATCHES, LEAST_TOOL_CALLS = 39, 8000, 2000
 LEAST_INPUTS = {t.Arrived: 1200, t.Ended: 2000, t.Left: 40, t.Listed: 50, t.Shutdown: 4, t.Heard: 24}
 LEAST_EFFECTS = {
     t.Start: 2000,
