--- /dev/null
+++ b/tests/recordings/untaken.py
@@ -0,0 +1,46 @@
+"""Which lines of some files a run does not take."""
+
+from __future__ import annotations
+
+import sys
+from collections.abc import Callable, Sequence
+from inspect import CO_NEWLOCALS
+from pathlib import Path
+from types import CodeType, FrameType
+from typing import Any
+
+
+def untaken_lines(watched: Sequence[Path], run: Callable[[], None]) -> dict[Path, list[int]]:
+    """Lines within functions of the watched files that `run` does not take."""
+    names = {str(path) for path in watched}
+    taken: set[tuple[str, int]] = set()
+
+    def trace(frame: FrameType, event: str, argument: Any) -> Any:
+        name = frame.f_code.co_filename
+        if name not in names:
+            return None
+        taken.add((name, frame.f_lineno))
+        return trace
+
+    sys.settrace(trace)
+    try:
+        run()
+    finally:
+        sys.settrace(None)
+    return {path: sorted(_lines(path) - {n for found, n in taken if found == str(path)}) for path in watched}
+
+
+def _lines(path: Path) -> set[int]:
+    """Lines that functions of a file hold."""
+    found: set[int] = set()
+
+    def walk(code: CodeType, inside: bool) -> None:
+        if inside:
+            found.update(line for _, _, line in code.co_lines() if line and line != code.co_firstlineno)
+        for constant in code.co_consts:
+            if isinstance(constant, CodeType):
+                # The body of a class runs as it is imported; only what its functions hold is of interest.
+                walk(constant, bool(constant.co_flags & CO_NEWLOCALS))
+
+    walk(compile(path.read_text(), str(path), "exec"), False)
+    return found
