--- /dev/null
+++ b/tests/recordings/record_driver.py
@@ -0,0 +1,312 @@
+"""Makes the fixtures `driver-*.json.gz`: runs of the query driver against a small simulated host.
+
+Run it only to record a behaviour that was changed on purpose; the test replays what is on disk:
+
+    PYTHONPATH=.:tests python -m recordings.record_driver            # write the fixtures
+    PYTHONPATH=.:tests python -m recordings.record_driver --lines    # print lines that the runs do not take
+
+Measured with `--lines`, within functions: every line of driver.py, timers.py, endings.py, reserve.py, holders.py,
+standstill.py and advice.py is taken. Not taken: in starts.py the one that forgets the oldest of more than 8192
+starts (it would need a large fixture), in types.py the body of `BadReply`, which the driver never sees. Of
+policy.py, which has recordings of its own, the lines that keep counts short after a long time and a few others.
+"""
+
+from __future__ import annotations
+
+import sys
+from collections import Counter
+from pathlib import Path
+from typing import Any
+
+from gingervane import interface as api
+from gingervane.coordinator import types as t
+from hosts import query_class, replica
+from recordings import driver_codec as codec
+from recordings.driver_codec import RecordedExchange, RecordedSettled, Session
+from recordings.driver_host import (
+    CACHED,
+    DELTA,
+    DRAINING,
+    FAILED,
+    FULL,
+    GONE,
+    READY,
+    ROWS,
+    SETTINGS,
+    START,
+    Host,
+    Scenario,
+    in_state,
+    listed,
+)
+from recordings.driver_tools import record_tools
+from recordings.untaken import untaken_lines
+
+KEYED, UNSAFE = api.Semantics.KEYED, api.Semantics.UNSAFE
+COORDINATOR = Path(t.__file__).parent
+WATCHED = (
+    *(COORDINATOR / f"{name}.py" for name in ("driver", "types", "timers", "starts", "endings", "reserve")),
+    *(COORDINATOR / f"{name}.py" for name in ("holders", "standstill", "advice")),
+    COORDINATOR.parent / "policy.py",
+    COORDINATOR.parent / "shares.py",
+)
+FAILURES = {
+    api.Outcome.ERROR: 0.06,
+    api.Outcome.REJECTED: 0.06,
+    api.Outcome.CONNECT_FAILED: 0.06,
+    api.Outcome.RESET: 0.06,
+    api.Outcome.NEVER_SENT: 0.06,
+    api.Outcome.TIMED_OUT: 0.03,
+}
+
+
+def classes(*kinds: api.QueryClass) -> api.Settings:
+    return SETTINGS._replace(classes=kinds)
+
+
+def scenarios() -> list[Scenario]:
+    """All runs of the real module."""
+    return [*_load(), *_classes(), *_membership(), *_ends()]
+
+
+def _load() -> list[Scenario]:
+    hedging = classes(query_class(aim=0.5, deadline=2.0), query_class(aim=0.2, deadline=0.6, least=0.5))
+    stretched = query_class(aim=0.2, deadline=0.6)._replace(aim_stretch=5.0)
+    quota = classes(stretched)._replace(tenant_quotas=(1.0,))
+    overloaded = {"gap": 0.002, "queries": 70, "latency": 0.3, "client_times": (0.3, 0.6, 2.0)}
+    return [
+        Scenario("calm", SETTINGS, 1, tails=0.0, queries=20),
+        Scenario("hedges", hedging, 2, queries=60, tails=0.15, client_times=(0.1, 0.6, 2.0)),
+        Scenario("hedges-no-cancel", hedging._replace(may_cancel=False), 3, tails=0.25, late_replies=1.0),
+        Scenario("no-hedges", hedging._replace(may_copy=False), 4, tails=0.15, failures=FAILURES),
+        Scenario("overload", hedging, 5, **overloaded),  # type: ignore[arg-type]
+        Scenario("quota", quota, 9, queries=30, gap=0.01, latency=0.08, tails=0.0),
+        Scenario(
+            "budget",
+            SETTINGS._replace(budget_free=2.0, budget_share=0.1, budget_span=2.0, hand_over=t.HAND_OVER),
+            6,
+            tails=0.3,
+            failures=FAILURES,
+        ),
+        Scenario("wide-calls", SETTINGS._replace(parts_per_call=8), 7, most_parts=8, gap=0.0, queries=25),
+        Scenario("standstills", hedging, 8, gap=0.03, queries=60, tails=0.1, stalls=((0.4, 0.3), (1.2, 1.0))),
+    ]
+
+
+def _classes() -> list[Scenario]:
+    meanings = classes(
+        query_class(aim=0.5, deadline=2.0, semantics=UNSAFE),
+        query_class(aim=0.5, deadline=2.0, semantics=KEYED, window=0.2),
+        query_class(aim=0.5, deadline=2.0, semantics=KEYED, window=5.0),
+    )
+    second = classes(
+        query_class(aim=0.3, deadline=1.0, second=2, least=0.5, whole=0.75),
+        query_class(aim=0.3, deadline=1.0, second=3, least=0.7, whole=0.9, late=0.3, short=0.9),
+        query_class(aim=0.3, deadline=1.0, semantics=UNSAFE, second=1),
+    )
+    shares = classes(
+        query_class(aim=0.1, deadline=0.5, least=0.5, whole=0.75, late=0.5, short=0.9),
+        query_class(aim=0.1, deadline=0.5, least=0.3, late=1.0),
+    )
+    full = {api.Outcome.REJECTED: 0.7}
+    patient = classes(query_class(aim=0.1, deadline=0.5, least=0.3, late=1.0))._replace(
+        may_copy=False, most_attempts=30
+    )
+    return [
+        Scenario("failures", SETTINGS, 11, failures=FAILURES, queries=60, refused_starts=0.05),
+        Scenario("semantics", meanings, 12, failures=FAILURES, queries=60, tails=0.1, refused_starts=0.05),
+        Scenario("semantics-hand-over", meanings._replace(hand_over=0.05), 13, tails=0.3, stuck=0.2),
+        Scenario("second-step", second, 14, second_parts=2, tails=0.15, queries=50, failures=FAILURES),
+        Scenario("second-step-no-cancel", second._replace(may_cancel=False), 15, second_parts=2, tails=0.3),
+        Scenario("second-step-empty", second, 16, second_parts=0, queries=10),
+        Scenario("shares", shares, 17, tails=0.3, client_times=(0.08, 0.5), queries=60, failures=FAILURES),
+        Scenario("short-at-deadline", patient, 20, failures=full, client_times=(0.5,), queries=20),
+        Scenario(
+            "granted",
+            meanings._replace(classes=hedged(meanings)),
+            18,
+            granted=0.6,
+            failures=FAILURES,
+            listed_with_news=0.5,
+        ),
+        Scenario("stuck", SETTINGS, 19, stuck=0.5, piecemeal=0.3, tails=0.3, leavers=0.2, queries=60),
+    ]
+
+
+def hedged(settings: api.Settings) -> tuple[api.QueryClass, ...]:
+    """The classes, and one that is safe to repeat."""
+    return (*settings.classes, query_class(aim=0.3, deadline=1.0))
+
+
+def _membership() -> list[Scenario]:
+    churn = (
+        (0.2, (listed(DELTA, *in_state(DRAINING, 0, 1)),)),
+        (0.4, (listed(DELTA, *in_state(GONE, 0)),)),
+        (0.5, (listed(DELTA, replica(8, 0, started=START + 0.4)), listed(DELTA, *in_state(READY, 1)))),
+        (0.8, (listed(FULL, *ROWS[2:]),)),
+        (1.0, (listed(FULL, *(row._replace(started_at=START + 0.9) for row in ROWS)),)),
+        (1.4, (listed(CACHED, *ROWS[1:5]), t.Left(20))),
+        (1.6, (listed(DELTA, *in_state(GONE, 1, 2, 3, 4)),)),
+        (1.8, (listed(FULL, *ROWS),)),
+    )
+    asking = SETTINGS._replace(must_ask_membership=True, drain_grace=2.0)
+    cold = tuple(row._replace(started_at=START - 2.0 * row.id) for row in ROWS)
+    peers = SETTINGS._replace(may_message_peers=True, coordinators=4)
+    words = tuple(
+        (
+            0.2 + 0.1 * n,
+            (
+                t.Heard(
+                    1 + n % 3, (n % 3 if n % 5 else 50).to_bytes(8, "big") + (b"", b"\1", b"\1", b"\2")[n % 4]
+                ),
+            ),
+        )
+        for n in range(24)
+    )
+    broken = {2: api.Outcome.CONNECT_FAILED, 4: api.Outcome.RESET}
+    return [
+        Scenario("membership", SETTINGS, 21, queries=50, gap=0.035, tails=0.2, stuck=0.4, timed=churn),
+        Scenario(
+            "membership-asked", asking, 22, timed=churn, first_list=(listed(FAILED),), failures=FAILURES
+        ),
+        Scenario("membership-no-cancel", SETTINGS._replace(may_cancel=False), 23, timed=churn, tails=0.3),
+        Scenario("cold", SETTINGS, 24, first_list=(listed(FULL, *cold),), queries=60, latency=0.05),
+        Scenario("peers", peers, 25, queries=60, broken_replicas=broken, timed=words),
+        Scenario(
+            "ejections", SETTINGS, 26, queries=60, gap=0.1, broken_replicas=broken, slow_replicas={1: 9.0}
+        ),
+        Scenario("silence", peers, 27, queries=60, gap=0.15, mute_replicas=frozenset({0, 3})),
+        Scenario(
+            "no-replica", SETTINGS, 28, queries=5, first_list=(listed(FULL, *in_state(DRAINING, 0, 1)),)
+        ),
+    ]
+
+
+def _ends() -> list[Scenario]:
+    meanings = classes(
+        query_class(aim=0.5, deadline=2.0),
+        query_class(aim=0.5, deadline=2.0, semantics=UNSAFE),
+        query_class(aim=0.5, deadline=2.0, semantics=KEYED, window=0.5),
+    )
+    shutdown = ((0.5, (t.Shutdown(),)), (0.9, (t.Shutdown(), t.Left(3))))
+    uncancelled = meanings._replace(may_cancel=False)
+    return [
+        Scenario(
+            "deadlines-no-cancel", uncancelled, 36, queries=20, latency=0.4, client_times=(0.05, 0.3, 0.45)
+        ),
+        Scenario("news", meanings, 37, leavers=0.4, latency=0.08, early_stamps=0.1, listed_with_news=0.5),
+        Scenario("leavers", meanings, 31, leavers=0.5, latency=0.1, tails=0.2, queries=60),
+        Scenario(
+            "shutdown", meanings, 32, gap=0.02, latency=0.2, timed=shutdown, refused_starts=0.1, stuck=0.2
+        ),
+        Scenario("shutdown-no-cancel", meanings._replace(may_cancel=False), 33, gap=0.02, timed=shutdown),
+        Scenario("cut", meanings, 34, gap=0.02, latency=0.3, stop_after=0.5),
+        Scenario("deadlines", meanings, 35, latency=0.4, client_times=(0.05, 0.3, 0.45), queries=40),
+    ]
+
+
+# ---- a scripted module: what the real one never does
+
+
+def scripted() -> dict[str, list[Any]]:
+    """Runs in which the module errs, or does what the real one does too seldom to meet."""
+    state = api.ReplicaEjected(1, 2.0, api.EjectionReason.SILENCE), api.ReplicaReinstated(1)
+    everything: list[list[api.Action]] = [
+        [api.Subscribe(), api.CloseIdle(0), api.CloseIdle(99), api.Remark("a line"), *state],
+        [api.TellPeers(b"\0\1"), api.Send(1, 0, 1002.0), api.Send(2, 0, 1001.5), api.Send(1, 1, 1002.0)],
+        [api.Cancel(1, 7), api.Cancel(99, 0), api.Cancel(1, 1), api.SetTimer(0.25, 1)],
+        [api.Answer(1, True, api.EndReason.ALL_PARTS), api.Answer(1, False), api.Answer(99, True)],
+        [api.Refuse(1, 0.5), api.Refuse(2, 0.25, api.EndReason.OVERLOAD), api.Fail(2)],
+    ]
+    false_whole: list[list[api.Action]] = [
+        [],
+        [api.Send(1, 0, 1002.0), api.Send(2, 1, 1002.0)],
+        [],
+        [api.Answer(1, True, api.EndReason.ALL_PARTS)],
+    ]
+    unknown: list[list[api.Action]] = [[], [api.Send(1, 77, 1002.0)]]
+    half = classes(query_class(aim=0.5, deadline=2.0, least=0.5))
+    unstated: list[list[api.Action]] = [
+        [],
+        [api.Send(1, 0, 1002.0), api.Send(2, 1, 1002.0)],
+        [api.Answer(1, False)],
+        [],
+        [api.Send(3, 0, 1002.0), api.Cancel(3, 0), api.Fail(2)],
+    ]
+    second = classes(query_class(aim=0.5, deadline=2.0, least=0.5, second=1))
+    false_second: list[list[api.Action]] = [
+        [],
+        [api.Send(1, 0, 1002.0), api.Send(2, 1, 1002.0)],
+        [api.Answer(1, False)],
+        [api.Send(3, 2, 1002.0)],
+        [api.Answer(1, True)],
+    ]
+    return {
+        "scripted-false-second": _scripted(second, false_second, 1),
+        "scripted-unstated": _scripted(half, unstated),
+        "scripted": _scripted(SETTINGS, everything),
+        "scripted-false-whole": _scripted(half, false_whole),
+        "scripted-unknown-replica": _scripted(SETTINGS, unknown),
+    }
+
+
+def _scripted(
+    settings: api.Settings, actions: list[list[api.Action]], second_parts: int | None = None
+) -> list[Any]:
+    """One query of two parts, of which the first is answered and then again."""
+    encoded, script = codec.encode(settings), [codec.encode(batch) for batch in actions]
+    session = Session(encoded, 0, script)
+    parts = t.PartPlan(0, 0.5, 101), t.PartPlan(1, 0.5, 102)
+    plan = t.QueryPlan(0, 1002.0, parts, RecordedExchange(1))
+    arrived = codec.encode_input(t.Arrived(1, plan, RecordedSettled(1)), second_parts)
+    other = codec.encode_input(t.Arrived(2, plan, RecordedSettled(2)))
+    good = codec.encode_input(t.Ended(1, 0, api.Outcome.OK, 1000.4, 101))
+    never = codec.encode_input(t.Ended(2, 0, api.Outcome.NEVER_SENT, 1000.4, None, "~1"))
+    again = codec.encode_input(t.Ended(3, 0, api.Outcome.OK, 1000.55, 103))
+    turns: list[tuple[float, list[Any]]] = [
+        (1000.0, [codec.encode_input(listed(FULL, *ROWS))]),
+        (1000.1, [arrived]),
+        (1000.4, [good, good]),
+        (1000.5, [codec.encode_input(t.Heard(3, b"\7"))]),
+        (1000.6, [other, never, again]),
+        (1000.8, []),
+        (1000.9, [codec.encode_input(t.Left(2)), codec.encode_input(t.Shutdown())]),
+    ]
+    batches = []
+    for now, inputs in turns:
+        _, forms, state, observed = session.step(now, inputs)
+        batches.append([[], [], now, inputs, forms, state, observed])
+        if forms and forms[0] == [codec.RAISED]:
+            break
+    return [encoded, 0, script, batches, session.closing()]
+
+
+def main() -> None:
+    """Write all fixtures."""
+    sizes, batches, effects = Counter[str](), 0, Counter[int]()
+    recordings = {scenario.name: Host(scenario).run() for scenario in scenarios()} | scripted()
+    for name, recording in recordings.items():
+        sizes[name] = codec.write_fixture(f"driver-{name}.json.gz", recording)
+        batches += len(recording[3])
+        effects.update(effect[0] for batch in recording[3] for effect in batch[4])
+    sizes["tools"] = codec.write_fixture("driver-tools.json.gz", record_tools())
+    print(
+        f"{len(recordings)} recordings, {batches} batches, {effects.total()} effects, {sizes.total()} bytes"
+    )
+    print(sizes, {codec.TYPES[index].__name__: n for index, n in effects.items() if index >= 0}, effects[-5])
+
+
+def run_all() -> None:
+    """All runs, of which nothing is written."""
+    for scenario in scenarios():
+        Host(scenario).run()
+    scripted()
+    record_tools()
+
+
+if __name__ == "__main__":
+    if "--lines" in sys.argv:
+        for path, lines in untaken_lines(WATCHED, run_all).items():
+            print(path.name, lines)
+    else:
+        main()
