--- a/tests/recordings/scenarios.py
+++ b/tests/recordings/scenarios.py
@@ -13,7 +13,7 @@
 READY, DRAINING, GONE = api.ReplicaState.READY, api.ReplicaState.DRAINING, api.ReplicaState.GONE
 FULL, DELTA, CACHED, FAILED = api.ListKind.FULL, api.ListKind.DELTA, api.ListKind.CACHED, api.ListKind.FAILED
 SAFE, KEYED, UNSAFE = api.Semantics.SAFE, api.Semantics.KEYED, api.Semantics.UNSAFE
-DRAWN = 12
+DRAWN = 10
 FIRST_ID = 10
 MESSAGES = (b"", b"\1", b"\2", b"\3", b"\2\2")
 UNKNOWN = 999_999
@@ -521,6 +521,67 @@
             duration=14.0,
         ),
     )
+    yield (
+        "most-of-a-large-fleet-fails",
+        Scenario(
+            SETTINGS._replace(coordinators=1),
+            (steady(12.0, 10.0),),
+            (listed(0.0, FULL, *fleet(28)),),
+            (Fault(FaultKind.ERROR, 2.0, 6.0, frozenset(range(10, 32))),),
+            duration=11.0,
+        ),
+    )
+    yield (
+        "words-on-one-ejected-for-long",
+        Scenario(
+            SETTINGS._replace(coordinators=1, may_message_peers=False),
+            (steady(1.0, 30.0),),
+            (listed(0.0, FULL, *six),),
+            (Fault(FaultKind.ERROR, 2.0, 20.0, frozenset({10, 11, 12})),),
+            others=tuple(
+                message(8.0 + 2.0 * i + 0.01 * j, 10 + i % 3, b"") for i in range(8) for j in range(4)
+            ),
+            duration=32.0,
+        ),
+    )
+    yield (
+        "wide-overload",
+        Scenario(
+            SETTINGS._replace(
+                cells=12,
+                classes=(CLASS._replace(least_share=0.75, whole_share=0.75), CLASS._replace(aim=0.6)),
+            ),
+            (Load(0.1, 12.0, 4.0, 2, 12, classes=(0, 1)),),
+            (listed(0.0, FULL, *fleet(24, 12)),),
+            capacity=1.0,
+            latency=0.14,
+            duration=14.0,
+        ),
+    )
+    yield (
+        "cold-without-answers",
+        Scenario(
+            SETTINGS._replace(coordinators=1, start_capacity=0.8, fall_time=1.0),
+            (steady(3.0, 12.0),),
+            (listed(0.0, FULL, *(replica(i, started=START - 1.0) for i in range(3))),),
+            (Fault(FaultKind.NEVER_SENT, 0.0, 12.0, share=0.9),),
+            duration=13.0,
+        ),
+    )
+    yield (
+        "keyed-window",
+        Scenario(
+            SETTINGS._replace(
+                most_attempts=9,
+                classes=(CLASS._replace(semantics=KEYED, repeat_window=0.05),),
+                hand_over=0.01,
+            ),
+            (steady(6.0, 8.0),),
+            (listed(0.0, FULL, *six),),
+            (Fault(FaultKind.ERROR, 1.0, 8.0, share=0.7),),
+            duration=10.0,
+        ),
+    )
 
 
 def scenarios() -> Iterator[tuple[str, Scenario]]:
--- a/tests/test_recorded_decisions.py
+++ b/tests/test_recorded_decisions.py
@@ -21,7 +21,7 @@
 from gingervane import interface as api
 
 NAMES = names()
-FEWEST_RECORDINGS, FEWEST_BATCHES, FEWEST_ACTIONS = 25, 15_000, 30_000
+FEWEST_RECORDINGS, FEWEST_BATCHES, FEWEST_ACTIONS = 35, 20_000, 40_000
 # Of the host's words on endings, none is the module's to say.
 HOST_REASONS: set[Enum] = {
     api.EndReason.SHUTDOWN,
