--- a/tests/recordings/scenarios.py
+++ b/tests/recordings/scenarios.py
@@ -582,6 +582,17 @@
             duration=10.0,
         ),
     )
+    yield (
+        "over-a-quota",
+        Scenario(
+            SETTINGS._replace(tenant_quotas=(1.3, None), coordinators=1),
+            (Load(0.1, 24.0, 3.5, 1, 3, tenants=2),),
+            (listed(0.0, FULL, *three),),
+            capacity=1.5,
+            latency=0.35,
+            duration=26.0,
+        ),
+    )
 
 
 def scenarios() -> Iterator[tuple[str, Scenario]]:
