--- a/benchmarks/cold_sum.py
+++ b/benchmarks/cold_sum.py
@@ -25,7 +25,7 @@
 from typing import NamedTuple
 
 from gingervane import interface as api
-from gingervane.policy import Coordinator
+from gingervane.decisions.engine import DecisionEngine
 
 TOOK, CAPACITY, LOAD, PARTS = (
     0.1,
@@ -83,35 +83,37 @@
     def __init__(self, rules: Rules, scenario: Scenario, coordinators: int, seed: int) -> None:
         self.rules, self.scenario, self.random = rules, scenario, random.Random(seed)
         self.count, self.servers = coordinators, max(12, min(coordinators, 100))
-        kind = api.QueryClass(1.0, 3.0, api.Semantics.SAFE, None, 0, 1.0, 1.0, None, 0.0, 1.0)
+        kind = api.QueryClass(1.0, 3.0, api.RetrySafety.IDEMPOTENT, None, 0, 1.0, 1.0, None, 0.0, 1.0)
         self.settings = api.Settings(
-            coordinators=coordinators,
+            coordinator_count=coordinators,
             zone=0,
-            classes=(kind,),
+            query_classes=(kind,),
             tenant_quotas=(),
-            granularity=0.005,
-            cells=self.servers,
-            width=3,
-            parts_per_call=1,
-            most_attempts=3,
-            may_cancel=rules.cancel,
-            may_message_peers=False,
-            may_copy=rules.copies,
-            may_advise_wait=True,
-            longest_wait_advice=0.5,
-            must_ask_membership=False,
-            start_capacity=rules.start,
-            ramp_time=rules.ramp,
-            fall_time=rules.fall,
-            fall_multiple=rules.multiple,
-            budget_free=None,
-            budget_share=None,
-            budget_span=None,
+            timer_granularity=0.005,
+            cell_count=self.servers,
+            cells_per_replica=3,
+            max_parts_per_request=1,
+            max_attempts=3,
+            cancellation_allowed=rules.cancel,
+            gossip_allowed=False,
+            hedging_allowed=rules.copies,
+            retry_after_allowed=True,
+            max_retry_after=0.5,
+            membership_polled=False,
+            slow_start_capacity=rules.start,
+            slow_start_duration=rules.ramp,
+            overload_window=rules.fall,
+            overload_multiple=rules.multiple,
+            retry_budget_free=None,
+            retry_budget_share=None,
+            retry_budget_window=None,
         )
         self.born = 100.0 + WARM
         cold = round(scenario.cold * self.servers)
         self.cold = set(self.random.sample(range(self.servers), cold))
-        self.modules = [Coordinator(self.settings, self.random.getrandbits(32)) for _ in range(coordinators)]
+        self.modules = [
+            DecisionEngine(self.settings, self.random.getrandbits(32)) for _ in range(coordinators)
+        ]
         self.told = [self.born + self.random.random() * scenario.late for _ in range(coordinators)]
         self.sent: dict[int, list[float]] = defaultdict(list)  # to cold replicas, by who had been told
         self.made: dict[tuple[int, int], int] = defaultdict(int)
@@ -133,7 +135,7 @@
                     self.send(who, now, part, replica)
                 case api.SetTimer(delay, label):
                     self.later(who, now + delay, api.TimerFired(label))
-                case api.Refuse(query, _) | api.Fail(query):
+                case api.Reject(query, _) | api.Fail(query):
                     self.come_again(who, now, query)
 
     def later(self, who: int, when: float, event: api.Event) -> None:
@@ -153,7 +155,7 @@
             took /= self.capacity(now) / CAPACITY
             if now >= self.told[who]:
                 self.sent[replica].append(now)
-        self.later(who, now + took, api.AttemptEnded(part, attempt, replica, api.Outcome.OK, took))
+        self.later(who, now + took, api.AttemptEnded(part, attempt, replica, api.AttemptOutcome.OK, took))
 
     def come_again(self, who: int, now: float, query: int) -> None:
         times = self.again.pop((who, query), 0)
@@ -184,16 +186,18 @@
 
     def tell(self, who: int, now: float) -> None:
         rows = self.rows(lambda n: self.born if n in self.cold else 0.0)
-        self.feed(who, now, api.MembershipChanged(api.ListKind.FULL, rows))
+        self.feed(who, now, api.MembershipChanged(api.MembershipUpdateKind.FULL, rows))
 
     def restart(self, who: int, now: float) -> None:
-        self.modules[who] = Coordinator(self.settings, self.random.getrandbits(32))
+        self.modules[who] = DecisionEngine(self.settings, self.random.getrandbits(32))
         self.tell(who, now)
 
     def play(self) -> float:
         """The most that a cold replica got in a span, of what it may get."""
         for who in range(self.count):
-            self.feed(who, 100.0, api.MembershipChanged(api.ListKind.FULL, self.rows(lambda n: 0.0)))
+            self.feed(
+                who, 100.0, api.MembershipChanged(api.MembershipUpdateKind.FULL, self.rows(lambda n: 0.0))
+            )
             self.at(self.told[who], partial(self.tell, who))
             if self.scenario.anew is not None:
                 when = max(self.told[who], self.born + self.scenario.anew) + 0.2 * self.random.random()
--- a/benchmarks/common.py
+++ b/benchmarks/common.py
@@ -17,9 +17,9 @@
 
 from hdrh.histogram import HdrHistogram
 
-from gingervane.lab.tables import toml
-from gingervane.standins.capacity import Model
-from gingervane.standins.node import list_row, write_list
+from gingervane.experiments.tables import toml
+from gingervane.fake_servers.capacity import Model
+from gingervane.fake_servers.node import list_row, write_list
 
 PROCESSES = 4  # of stand-ins, so that they are not what is measured
 ZONES = ["hall-a", "hall-b", "hall-c"]
@@ -65,7 +65,7 @@
             only = list(range(first, nodes, PROCESSES))
             path.write_text(json.dumps(orders | {"only": only}))
             child = subprocess.Popen(
-                [sys.executable, "-m", "gingervane.standins.fleet", str(path)],
+                [sys.executable, "-m", "gingervane.fake_servers.fleet", str(path)],
                 stdin=subprocess.PIPE,
                 stdout=subprocess.PIPE,
                 text=True,
--- a/benchmarks/latency.py
+++ b/benchmarks/latency.py
@@ -14,7 +14,7 @@
 from hdrh.histogram import HdrHistogram
 
 from gingervane.fronts.client import Client
-from gingervane.standins.capacity import Model
+from gingervane.fake_servers.capacity import Model
 from gingervane.wire.remote_read import Match, Matcher, Query
 
 END = 1_764_600_000_000
@@ -71,7 +71,7 @@
     patch = (
         ""
         if on
-        else "from gingervane.daemon.settings import Config as C; f = C.module_settings; "
+        else "from gingervane.settings.daemon_settings import Config as C; f = C.module_settings; "
         "C.module_settings = lambda s: f(s)._replace(may_copy=False); "
     )
     code = patch + "import sys; sys.argv = sys.argv[2:]; from gingervane.cli.main import main; main()"
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -23,17 +23,17 @@
 from common import Fleet, machine
 
 from gingervane import interface as api
-from gingervane.coordinator.types import Listed
+from gingervane.coordinator.types import EndpointsUpdated
 from gingervane.fronts.client import Client
-from gingervane.lab.listing import ConsulListing, Row
-from gingervane.lab.tables import toml
+from gingervane.experiments.listing import ConsulListing, Row
+from gingervane.experiments.tables import toml
 from gingervane.membership.consul import Names, Pause, Reader
-from gingervane.membership.merge import Fence, Merge, Report
-from gingervane.membership.sources import Sources
+from gingervane.membership.reconciliation import MassRemovalGuard, Reconciliation, Report
+from gingervane.membership.source_owner import EndpointSources
 from gingervane.membership.view import Member, View
-from gingervane.membership.watcher import ConsulPlace, watch
-from gingervane.policy import Coordinator
-from gingervane.standins.consul import Catalogue
+from gingervane.membership.consul_watcher import ConsulPlace, watch
+from gingervane.decisions.engine import DecisionEngine
+from gingervane.fake_servers.consul import Catalogue
 from gingervane.wire.remote_read import Match, Matcher, Query
 
 NODES, WORKERS = 150, 6
@@ -53,7 +53,7 @@
         folder = Path(tempfile.mkdtemp(prefix="gingervane-bench-"))
         (folder / "orders.json").write_text(json.dumps({"agents": agents + 1}))
         self.child = subprocess.Popen(
-            [sys.executable, "-m", "gingervane.standins.consul", str(folder / "orders.json")],
+            [sys.executable, "-m", "gingervane.fake_servers.consul", str(folder / "orders.json")],
             stdin=subprocess.PIPE,
             stdout=subprocess.PIPE,
             text=True,
@@ -83,15 +83,17 @@
     for number in range(count):
         seen: dict[int, api.ReplicaState] = {}
 
-        def tell(listed: Listed, number: int = number, seen: dict[int, api.ReplicaState] = seen) -> None:
+        def tell(
+            listed: EndpointsUpdated, number: int = number, seen: dict[int, api.ReplicaState] = seen
+        ) -> None:
             now = time.monotonic()
-            for replica in listed.event.replicas:
+            for replica in listed.membership.replicas:
                 was, seen[replica.id] = seen.get(replica.id), replica.state
                 if replica.state is api.ReplicaState.DRAINING and was is not replica.state:
                     with lock:
                         print("told", now, number, replica.id, flush=True)
 
-        sources = Sources(("consul",), Fence(), tell, lambda what: None)
+        sources = EndpointSources(("consul",), MassRemovalGuard(), tell, lambda what: None)
         place = ConsulPlace(tuple((host, port) for host, port in agents), "grid", pause=Pause())
 
         def report(
@@ -99,7 +101,7 @@
             age: float,
             index: int,
             sure: bool,
-            to: Sources = sources,
+            to: EndpointSources = sources,
         ) -> None:
             to.report("consul", members, age, index, sure)
 
@@ -277,8 +279,12 @@
         times.setdefault(what, []).append((time.perf_counter() - began) * 1000)
         return found
 
-    reader, merge, view = Reader(Names(), ZONES, count, 0.0), Merge(("consul",), Fence()), View()
-    module, plain_module, plain_view = Coordinator(settings, 1), Coordinator(settings, 1), View()
+    reader, merge, view = (
+        Reader(Names(), ZONES, count, 0.0),
+        Reconciliation(("consul",), MassRemovalGuard()),
+        View(),
+    )
+    module, plain_module, plain_view = DecisionEngine(settings, 1), DecisionEngine(settings, 1), View()
     for turn, body in enumerate(bodies):
         now = 100.0 + turn * 0.1
         timed("decode, json", lambda b=body: json.loads(b))  # type: ignore[misc]
@@ -301,7 +307,7 @@
             module.handle(now, [delta.event])
             plain_module.handle(now, [delta.event])
     servers = list(module.servers.values())
-    held, width = module.held_by, settings.width
+    held, width = module.held_by, settings.cells_per_replica
     for cell in range(count):
         timed("holders of a tile, by index", lambda c=cell: held[c])  # type: ignore[misc]
         timed(
@@ -322,40 +328,40 @@
 
 def module_settings(count: int) -> api.Settings:
     look = api.QueryClass(
-        aim=1.5,
+        latency_objective=1.5,
         deadline=5.0,
-        semantics=api.Semantics.SAFE,
-        repeat_window=None,
+        retry_safety=api.RetrySafety.IDEMPOTENT,
+        idempotency_window=None,
         second_step_parts=0,
-        least_share=1.0,
-        whole_share=1.0,
-        aim_stretch=None,
-        late_worth=0.0,
-        short_worth=1.0,
+        required_coverage=1.0,
+        complete_coverage=1.0,
+        objective_stretch=None,
+        late_weight=0.0,
+        partial_weight=1.0,
     )
     return api.Settings(
-        coordinators=1,
+        coordinator_count=1,
         zone=0,
-        classes=(look,),
+        query_classes=(look,),
         tenant_quotas=(),
-        granularity=0.005,
-        cells=count,
-        width=3,
-        parts_per_call=8,
-        most_attempts=3,
-        may_cancel=True,
-        may_message_peers=False,
-        may_copy=True,
-        may_advise_wait=True,
-        longest_wait_advice=1.0,
-        must_ask_membership=False,
-        start_capacity=0.2,
-        ramp_time=15.0,
-        fall_time=2.0,
-        fall_multiple=4.0,
-        budget_free=None,
-        budget_share=None,
-        budget_span=None,
+        timer_granularity=0.005,
+        cell_count=count,
+        cells_per_replica=3,
+        max_parts_per_request=8,
+        max_attempts=3,
+        cancellation_allowed=True,
+        gossip_allowed=False,
+        hedging_allowed=True,
+        retry_after_allowed=True,
+        max_retry_after=1.0,
+        membership_polled=False,
+        slow_start_capacity=0.2,
+        slow_start_duration=15.0,
+        overload_window=2.0,
+        overload_multiple=4.0,
+        retry_budget_free=None,
+        retry_budget_share=None,
+        retry_budget_window=None,
     )
 
 
--- a/benchmarks/throughput.py
+++ b/benchmarks/throughput.py
@@ -14,7 +14,7 @@
 from common import Fleet, closed_loop, machine
 
 from gingervane.fronts.client import Client
-from gingervane.standins.capacity import Model
+from gingervane.fake_servers.capacity import Model
 from gingervane.wire.remote_read import Match, Matcher, Query
 
 END = 1_764_600_000_000
--- a/benchmarks/tree.py
+++ b/benchmarks/tree.py
@@ -11,9 +11,9 @@
 
 from common import machine
 
-from gingervane.daemon.settings import validate
-from gingervane.lab.rehearse import Rehearsal
-from gingervane.lab.scenario import Scenario
+from gingervane.settings.daemon_settings import validate
+from gingervane.experiments.scenario_runner import Rehearsal
+from gingervane.experiments.scenario import Scenario
 
 SECONDS, RATE = 10.0, 3.0
 
--- a/benchmarks/vectors.py
+++ b/benchmarks/vectors.py
@@ -19,12 +19,12 @@
 import orjson
 from common import Fleet, closed_loop, machine
 
-from gingervane.coordinator.intent_log import IntentLog, frame
-from gingervane.coordinator.intents import Intents, Limits
+from gingervane.writes.write_ahead_log import WriteAheadLog, frame
+from gingervane.writes.idempotency import IdempotencyRecords, Limits
 from gingervane.fronts.client import Client
-from gingervane.lab.listing import FileListing, Row
-from gingervane.standins.capacity import Model
-from gingervane.coordinator.writes import Clock, recovered
+from gingervane.experiments.listing import FileListing, Row
+from gingervane.fake_servers.capacity import Model
+from gingervane.writes.quorum_writes import Clock, recovered
 from gingervane.vectors.points import order_of, shard_of
 from gingervane.vectors.topk import merge
 from gingervane.wire import http1
@@ -71,9 +71,9 @@
             rows.append(frame(orjson.dumps([f"c/key-{n:09d}", "done", f"{n:032x}", n, now, now, result])))
         (folder / f"intents-{segment + 1:08d}.log").write_bytes(b"".join(rows))
     size = sum(path.stat().st_size for path in folder.iterdir())
-    intents = Intents(Limits(most=2 * count))
+    intents = IdempotencyRecords(Limits(most=2 * count))
     began = time.perf_counter()
-    made = IntentLog(folder, 1e9, time.time)
+    made = WriteAheadLog(folder, 1e9, time.time)
     found = made.recover()
     read = time.perf_counter() - began
     recovered(intents, found.entries, Clock(1))
@@ -123,7 +123,7 @@
             )
         )
         child = subprocess.Popen(
-            [sys.executable, "-m", "gingervane.standins.vectors", str(path)],
+            [sys.executable, "-m", "gingervane.fake_servers.vectors", str(path)],
             stdin=subprocess.PIPE,
             stdout=subprocess.PIPE,
             text=True,
--- a/gingervane/__init__.py
+++ b/gingervane/__init__.py
@@ -1,5 +1,5 @@
 """gingervane: decisions of a co-ordinator of queries over replicated shards."""
 
-from gingervane.policy import Coordinator
+from gingervane.decisions.engine import DecisionEngine
 
-__all__ = ["Coordinator"]
+__all__ = ["DecisionEngine"]
--- a/gingervane/audit/records.py
+++ b/gingervane/audit/records.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from gingervane.standins.data import tile_of
+from gingervane.fake_servers.data import tile_of
 from gingervane.wire import http1, remote_read, snappy
 from gingervane.wire.remote_read import Match, Query
 
--- a/gingervane/audit/rules.py
+++ b/gingervane/audit/rules.py
@@ -18,7 +18,7 @@
 
 from gingervane.audit import records
 from gingervane.audit.records import Day, Part, Record, Send
-from gingervane.standins import data
+from gingervane.fake_servers import data
 from gingervane.wire import remote_read, snappy
 from gingervane.wire.remote_read import Match, Matcher, Query, Series
 
--- a/gingervane/benchlink.py
+++ b/gingervane/benchlink.py
@@ -11,7 +11,7 @@
 from typing import Any, BinaryIO, TypeVar
 
 from gingervane import interface as api
-from gingervane.policy import Coordinator
+from gingervane.decisions.engine import DecisionEngine
 from gingervane.startup import SettingsError, read_settings
 
 T = TypeVar("T")
@@ -31,17 +31,22 @@
 _PEER = struct.Struct("<HH")
 
 _OUTCOMES = {
-    0: api.Outcome.ERROR,
-    1: api.Outcome.OK,
-    2: api.Outcome.REJECTED,
-    3: api.Outcome.TIMED_OUT,
-    4: api.Outcome.CONNECT_FAILED,
-    5: api.Outcome.RESET,
-    6: api.Outcome.CANCELLED,
-    7: api.Outcome.NEVER_SENT,
+    0: api.AttemptOutcome.ERROR,
+    1: api.AttemptOutcome.OK,
+    2: api.AttemptOutcome.REJECTED,
+    3: api.AttemptOutcome.TIMED_OUT,
+    4: api.AttemptOutcome.CONNECT_FAILED,
+    5: api.AttemptOutcome.RESET,
+    6: api.AttemptOutcome.CANCELLED,
+    7: api.AttemptOutcome.NEVER_SENT,
 }
 _STATES = {0: api.ReplicaState.GONE, 1: api.ReplicaState.READY, 2: api.ReplicaState.DRAINING}
-_KINDS = {0: api.ListKind.DELTA, 1: api.ListKind.FULL, 2: api.ListKind.CACHED, 3: api.ListKind.FAILED}
+_KINDS = {
+    0: api.MembershipUpdateKind.DELTA,
+    1: api.MembershipUpdateKind.FULL,
+    2: api.MembershipUpdateKind.CACHED,
+    3: api.MembershipUpdateKind.FAILED,
+}
 _REPEAT_BIT = 2
 
 
@@ -59,7 +64,7 @@
     match action:
         case api.Send(part, replica, stop_at):
             return struct.pack("<BQId", 64, part, replica, stop_at)
-        case api.Refuse(query, wait):
+        case api.Reject(query, wait):
             return struct.pack("<BQd", 65, query, wait)
         case api.Fail(query):
             return struct.pack("<BQ", 66, query)
@@ -71,11 +76,11 @@
             return struct.pack("<BdQ", 68, delay, label)
         case api.Answer(query, whole):
             return struct.pack("<BQB", 76, query, whole)
-        case api.Subscribe():
+        case api.WatchMembership():
             return struct.pack("<BB", 74, 1)
-        case api.TellPeers(payload):
+        case api.SendToPeers(payload):
             return struct.pack("<BIH", 71, 0xFFFFFFFF, len(payload)) + payload
-        case api.Remark(text):
+        case api.LogMessage(text):
             return _remark(text)
         case api.ReplicaEjected(replica, seconds, reason):
             return _remark(f"replica {replica} ejected for {seconds:g} s: {reason.value}")
@@ -130,7 +135,7 @@
     """Decodes batches, keeps one co-ordinator per instance number and encodes what each decides."""
 
     def __init__(self) -> None:
-        self._instances: dict[int, Coordinator] = {}
+        self._instances: dict[int, DecisionEngine] = {}
         self._tables: dict[int, tuple[api.Replica, ...]] = {}
 
     def answer(self, now: float, count: int, batch: int, body: bytes) -> bytes:
@@ -162,7 +167,7 @@
                     settings = parse_settings(raw.decode())
                 except UnicodeDecodeError:
                     raise reader.fail("settings are not text") from None
-                self._instances[current] = Coordinator(settings, seed)
+                self._instances[current] = DecisionEngine(settings, seed)
             elif code == 9:
                 flush()
                 self._instances.pop(current, None)
@@ -190,7 +195,7 @@
         if code == 1:
             _, table, form = reader.take(_MEMBERS, "endpoints")
             kind = reader.known(_KINDS, form, "list form")
-            failed = kind is api.ListKind.FAILED
+            failed = kind is api.MembershipUpdateKind.FAILED
             return api.MembershipChanged(kind, () if failed else reader.known(self._tables, table, "table"))
         if code == 2:
             item, shard, query, klass, heft, marks, _, tenant, until, cost = reader.take(_WORK, "work_item")
@@ -207,16 +212,16 @@
             outcome = reader.known(_OUTCOMES, ending, "ending")
             return api.AttemptEnded(part, attempt, replica, outcome, latency)
         if code == 5:
-            return api.QueryExpired(*reader.take(_EIGHT, "expired"))
+            return api.QueryAbandoned(*reader.take(_EIGHT, "expired"))
         if code == 6:
             return api.TimerFired(*reader.take(_EIGHT, "fired"))
         if code == 7:
             replica, ending, latency = reader.take(_PROBE, "probe_result")
             outcome = reader.known(_OUTCOMES, ending, "ending")
-            return api.ProbeEnded(replica, outcome, latency, reader.load())
+            return api.HealthCheckEnded(replica, outcome, latency, reader.load())
         if code == 8:
             sender, length = reader.take(_PEER, "note_from")
-            return api.PeerMessage(sender, reader.blob(length, "note_from"))
+            return api.PeerMessageReceived(sender, reader.blob(length, "note_from"))
         raise reader.fail(f"unknown event code {code}")
 
 
--- a/gingervane/cli/main.py
+++ b/gingervane/cli/main.py
@@ -10,8 +10,9 @@
 
 import click
 
-from gingervane.daemon import logs, settings
-from gingervane.wire.tap import TAP
+from gingervane.telemetry import daemon_log
+from gingervane.settings import daemon_settings
+from gingervane.wire.socket_recorder import SOCKET_RECORDER
 
 
 @click.group()
@@ -19,10 +20,10 @@
     """An aggregator of queries over replicated shards."""
 
 
-def _load(path: Path) -> settings.Config:
+def _load(path: Path) -> daemon_settings.Config:
     try:
-        return settings.load(path)
-    except settings.SettingsError as error:
+        return daemon_settings.load(path)
+    except daemon_settings.SettingsError as error:
         click.echo(str(error), err=True)
         sys.exit(2)
 
@@ -36,12 +37,12 @@
 def serve(path: Path, tap: Path | None) -> None:
     """Run a co-ordinator until SIGTERM or SIGINT."""
     from gingervane.daemon.app import App
-    from gingervane.membership.listfile import ListError
+    from gingervane.membership.endpoint_file import ListError
 
     config = _load(path)
-    logs.configure(config.log.format, config.log.level)
+    daemon_log.configure(config.log.format, config.log.level)
     if tap:
-        TAP.open(tap)
+        SOCKET_RECORDER.open(tap)
     try:
         sys.exit(App(config).run())
     except (ListError, OSError) as error:
@@ -62,9 +63,9 @@
 @click.option("--serve", "stay", is_flag=True, help="Stay up until interrupted.")
 def demo(stay: bool) -> None:
     """Stand-in grid nodes, a co-ordinator, a query over several tiles, its answer."""
-    from gingervane.lab import demonstration
+    from gingervane.experiments import demonstration
 
-    logs.configure("console", "warning")
+    daemon_log.configure("console", "warning")
     if not stay:
         sys.exit(demonstration.run())
     stop = threading.Event()
@@ -94,7 +95,7 @@
     partial: bool,
 ) -> None:
     """Ask the co-ordinator at ADDRESS for SELECTOR, such as '{__name__="wind_speed",tile=~"t00."}'."""
-    from gingervane.lab import demonstration
+    from gingervane.experiments import demonstration
 
     host, _, port = address.rpartition(":")
     if not host or not port.isdigit():
@@ -118,18 +119,19 @@
 )
 def rehearse(scenario: str | None, from_day: Path | None, out: Path) -> None:
     """Play SCENARIO (a file, or one that ships, such as bad-day) and judge the six rules; 0 only if all hold."""
-    from gingervane.lab import fromday, report
-    from gingervane.lab import scenario as scenarios
-    from gingervane.lab.rehearse import Rehearsal, RehearsalError
+    from gingervane.experiments import bench_day_import
+    from gingervane.experiments import report
+    from gingervane.experiments import scenario as scenarios
+    from gingervane.experiments.scenario_runner import Rehearsal, RehearsalError
 
     if (scenario is None) == (from_day is None):
         raise click.UsageError("give a SCENARIO or --from-day, one of the two")
     if out.exists() and any(out.iterdir()) and not (out / "facts.json").exists():
         raise click.BadParameter(f"{out} holds something other than a rehearsal", param_hint="--out")
     try:
-        day = fromday.convert(from_day) if from_day else scenarios.load(str(scenario))
+        day = bench_day_import.convert(from_day) if from_day else scenarios.load(str(scenario))
         found = Rehearsal(day, out).run()
-    except (settings.SettingsError, RehearsalError) as error:
+    except (daemon_settings.SettingsError, RehearsalError) as error:
         click.echo(str(error), err=True)
         sys.exit(2)
     report.show(found)
@@ -152,8 +154,8 @@
     """Play EXPERIMENT (a file, or one that ships); goes on where it was cut off. 0 only if no run failed."""
     from rich.progress import Progress
 
-    from gingervane.lab import experiment as experiments
-    from gingervane.lab.store import Run, StoreBusy
+    from gingervane.experiments import experiment as experiments
+    from gingervane.experiments.store import Run, StoreBusy
 
     try:
         found, scenario, _ = experiments.load(experiment)
@@ -167,7 +169,7 @@
 
             world: experiments.World = "sockets" if sockets else "emulator"
             failed = experiments.run(found, scenario, out, world, workers, told)
-    except (settings.SettingsError, StoreBusy) as error:
+    except (daemon_settings.SettingsError, StoreBusy) as error:
         click.echo(str(error), err=True)
         sys.exit(2)
     sys.exit(1 if failed else 0)
@@ -180,14 +182,14 @@
 )
 def lab_report(experiment: str, out: Path) -> None:
     """Write tables and charts of EXPERIMENT's runs, of the version of the code that was played last."""
-    from gingervane.lab import experiment as experiments
-    from gingervane.lab import figures
-    from gingervane.lab.store import RunStore, StoreBusy
+    from gingervane.experiments import experiment as experiments
+    from gingervane.experiments import figures
+    from gingervane.experiments.store import RunStore, StoreBusy
 
     try:
         found, _, _ = experiments.load(experiment)
         store = RunStore(out / "runs.duckdb")
-    except (settings.SettingsError, StoreBusy) as error:
+    except (daemon_settings.SettingsError, StoreBusy) as error:
         click.echo(str(error), err=True)
         sys.exit(2)
     runs = store.runs(found.name)
@@ -210,8 +212,8 @@
     from rich.console import Console
     from rich.table import Table
 
-    from gingervane.lab import figures
-    from gingervane.lab.store import RunStore, StoreBusy
+    from gingervane.experiments import figures
+    from gingervane.experiments.store import RunStore, StoreBusy
 
     try:
         store = RunStore(out / "runs.duckdb")
--- a/gingervane/coordinator/endings.py
+++ b/gingervane/coordinator/attempt_outcome.py
@@ -10,12 +10,12 @@
 
 from enum import Enum
 
-from gingervane.interface import Outcome, Semantics
+from gingervane.interface import AttemptOutcome, RetrySafety
 
 BEGAN_HEADER = "gingervane-began"
 
 
-class Phase(Enum):
+class ExchangePhase(Enum):
     """How far an exchange had come when it ended."""
 
     QUEUED = "queued"
@@ -24,19 +24,19 @@
     READING = "reading"
 
 
-def broken(phase: Phase, wrote: int, timed_out: bool) -> Outcome:
+def outcome_of_transport_error(phase: ExchangePhase, wrote: int, timed_out: bool) -> AttemptOutcome:
     """The outcome of an exchange that an error of the transport ended."""
-    if phase is Phase.QUEUED:
-        return Outcome.NEVER_SENT
-    if phase is Phase.CONNECTING:
-        return Outcome.CONNECT_FAILED
-    if phase is Phase.WRITING and wrote == 0:
-        return Outcome.NEVER_SENT
-    return Outcome.TIMED_OUT if timed_out else Outcome.RESET
+    if phase is ExchangePhase.QUEUED:
+        return AttemptOutcome.NEVER_SENT
+    if phase is ExchangePhase.CONNECTING:
+        return AttemptOutcome.CONNECT_FAILED
+    if phase is ExchangePhase.WRITING and wrote == 0:
+        return AttemptOutcome.NEVER_SENT
+    return AttemptOutcome.TIMED_OUT if timed_out else AttemptOutcome.RESET
 
 
-def refused(semantics: Semantics, proven_idle: bool, overloaded: bool) -> Outcome:
+def outcome_of_invalid_reply(semantics: RetrySafety, proven_idle: bool, overloaded: bool) -> AttemptOutcome:
     """The outcome of a reply that does not count."""
-    if proven_idle or (overloaded and semantics is Semantics.SAFE):
-        return Outcome.REJECTED
-    return Outcome.ERROR
+    if proven_idle or (overloaded and semantics is RetrySafety.IDEMPOTENT):
+        return AttemptOutcome.REJECTED
+    return AttemptOutcome.ERROR
--- a/gingervane/coordinator/core.py
+++ b/gingervane/coordinator/core.py
@@ -17,29 +17,29 @@
 
 from gingervane import interface as api
 from gingervane.coordinator import types as t
-from gingervane.coordinator.advice import Advice
+from gingervane.coordinator.retry_after import RetryAfterEstimate
 from gingervane.coordinator.driver import Counts, Driver, Module
-from gingervane.coordinator.sender import SenderLimits, Senders
-from gingervane.policy import Coordinator
-from gingervane.wire.local import start_thread
+from gingervane.coordinator.request_senders import SenderLimits, RequestSenders
+from gingervane.decisions.engine import DecisionEngine
+from gingervane.wire.local_failures import start_thread
 from gingervane.wire.pool import Pool
 
 _MOST_A_BATCH = 512
 
 
-class Bounds(NamedTuple):
+class AdmissionLimits(NamedTuple):
     """What may be held at once: `open` counts queries and their parts, `result_bytes` results of open queries."""
 
-    open: int
-    result_bytes: int
+    max_open: int
+    max_result_bytes: int
 
 
-class Refused(Exception):
+class Rejected(Exception):
     """No room for a query: nothing of it was begun. `come_again_in`: seconds, from how fast room came lately."""
 
-    def __init__(self, what: str, come_again_in: float) -> None:
+    def __init__(self, what: str, retry_after: float) -> None:
         super().__init__(what)
-        self.come_again_in = come_again_in
+        self.retry_after = retry_after
 
 
 class Admission:
@@ -47,15 +47,15 @@
 
     def __init__(
         self,
-        bounds: Bounds,
+        bounds: AdmissionLimits,
         longest_advice: float,
         now: Callable[[], float] = time.monotonic,
     ) -> None:
         self._bounds, self._lock, self._now = bounds, Lock(), now
         self._longest, self._room, self._memory = (
             longest_advice,
-            Advice(longest_advice),
-            Advice(longest_advice),
+            RetryAfterEstimate(longest_advice),
+            RetryAfterEstimate(longest_advice),
         )
         self._open = self._bytes = 0
         self._closed = ""
@@ -65,26 +65,26 @@
         return self._open
 
     @property
-    def held_bytes(self) -> int:
+    def reserved_bytes(self) -> int:
         return self._bytes
 
-    def enter(self, size: int, gathered: int) -> None:
+    def admit(self, size: int, gathered: int) -> None:
         """Take room for a query of `size` (itself and its parts); `gathered`: result bytes of unsettled queries.
 
         Raises Refused.
         """
         with self._lock:
             if self._closed:
-                raise Refused(self._closed, self._longest)
-            if self._open + size > self._bounds.open:
-                wait = self._room.until(self._now(), self._open + size - self._bounds.open)
-                raise Refused(f"{self._open} of {self._bounds.open} queries and parts are open", wait)
-            if (over := self._bytes + gathered - self._bounds.result_bytes) > 0:
+                raise Rejected(self._closed, self._longest)
+            if self._open + size > self._bounds.max_open:
+                wait = self._room.until(self._now(), self._open + size - self._bounds.max_open)
+                raise Rejected(f"{self._open} of {self._bounds.max_open} queries and parts are open", wait)
+            if (over := self._bytes + gathered - self._bounds.max_result_bytes) > 0:
                 wait = self._memory.until(self._now(), over)
-                raise Refused(f"results held take {over} bytes more than the bound", wait)
+                raise Rejected(f"results held take {over} bytes more than the bound", wait)
             self._open += size
 
-    def leave(self, size: int, result_bytes: int) -> None:
+    def release(self, size: int, result_bytes: int) -> None:
         """A query has been replied to and its results let go."""
         with self._lock:
             self._open -= size
@@ -92,7 +92,7 @@
             self._room.freed(self._now(), size)
             self._memory.freed(self._now(), result_bytes)
 
-    def hold(self, result_bytes: int) -> None:
+    def reserve_results(self, result_bytes: int) -> None:
         """A settled query's results now wait to be merged and written."""
         with self._lock:
             self._bytes += result_bytes
@@ -108,7 +108,7 @@
                 self._closed = ""
 
 
-class Answers:
+class ResultQueue:
     """Final answers as they come, each with its ticket; or another token that its owner puts there."""
 
     def __init__(self) -> None:
@@ -116,101 +116,105 @@
         self.put, self.get, self.get_nowait = self._queue.put, self._queue.get, self._queue.get_nowait
 
 
-class Ticket:
+class PendingQuery:
     """A query that has been taken. The decision thread settles it once; the front waits, replies and calls `done`."""
 
-    def __init__(self, number: int, plan: t.QueryPlan, core: Core, answers: Answers | None) -> None:
+    def __init__(
+        self, number: int, plan: t.QueryPlan, core: QueryCoordinator, answers: ResultQueue | None
+    ) -> None:
         self.id, self.plan, self.began = number, plan, time.monotonic()
-        self._core, self._answers = core, answers or Answers()
+        self._core, self._answers = core, answers or ResultQueue()
         self._held_bytes = 0
 
-    def settle(self, final: t.Final) -> None:
+    def complete(self, final: t.QueryResult) -> None:
         """On the decision thread."""
-        self._held_bytes = final.held_bytes
-        self._core.admission.hold(final.held_bytes)
-        self._core.observer.settled(self.id, self.plan, final, time.monotonic() - self.began)
+        self._held_bytes = final.result_bytes
+        self._core.admission.reserve_results(final.result_bytes)
+        self._core.observer.query_completed(self.id, self.plan, final, time.monotonic() - self.began)
         self._answers.put((self, final))
 
-    def wait(self) -> t.Final:
+    def wait(self) -> t.QueryResult:
         """The one final answer; the module sees to it that it comes in time."""
-        final: t.Final = self._answers.get()[1]
+        final: t.QueryResult = self._answers.get()[1]
         return final
 
-    def leave(self) -> None:
+    def abandon(self) -> None:
         """Nobody wants it any more; it is settled all the same, as left."""
-        self._core.left(self.id)
+        self._core.client_disconnected(self.id)
 
-    def done(self) -> None:
+    def release(self) -> None:
         """The reply has been written, or cannot be."""
-        self._core.admission.leave(1 + len(self.plan.parts), self._held_bytes)
+        self._core.admission.release(1 + len(self.plan.parts), self._held_bytes)
 
 
-class Observer(Protocol):
+class QueryObserver(Protocol):
     """Told of what passes, on the decision thread; must not block."""
 
-    def settled(self, query: int, plan: t.QueryPlan, final: t.Final, seconds: float) -> None: ...
+    def query_completed(
+        self, query: int, plan: t.QueryPlan, final: t.QueryResult, seconds: float
+    ) -> None: ...
 
-    def attempt(self, outcome: api.Outcome, replica: int, seconds: float) -> None: ...
+    def attempt_finished(self, outcome: api.AttemptOutcome, replica: int, seconds: float) -> None: ...
 
-    def remark(self, text: str) -> None: ...
+    def log_message(self, text: str) -> None: ...
 
-    def health(self, change: api.HealthChange) -> None: ...
+    def replica_health_changed(self, change: api.ReplicaHealthChange) -> None: ...
 
-    def broke(self, error: BaseException) -> None: ...
+    def internal_error(self, error: BaseException) -> None: ...
 
 
-class Carrier(Protocol):
+class Transport(Protocol):
     """Carries calls out. All but the reports of endings is asked for by the decision thread and must not block."""
 
     @property
-    def held(self) -> int:
+    def in_flight(self) -> int:
         """Calls taken that have not ended."""
 
-    def start(self, call: t.Call) -> bool:
+    def start(self, call: t.BatchRequest) -> bool:
         """Take a call; each of its errands is reported once. False: no room, and nothing of it was begun."""
 
-    def tend(self) -> None:
+    def maintain(self) -> None:
         """At each turn: go on with what could not be done at once."""
 
-    def call_off(self, call: t.Call) -> None:
+    def cancel(self, call: t.BatchRequest) -> None:
         """No errand of the call is waited for any more."""
 
-    def withdraw(self, call: t.Call, errand: t.Errand, tell: bool, over: bool) -> None:
+    def abandon(self, call: t.BatchRequest, errand: t.AttemptRequest, tell: bool, over: bool) -> None:
         """A claimed errand is not waited for any more, as `types.Withdraw` has it."""
 
-    def drop_idle(self, address: tuple[str, int]) -> None:
+    def close_idle(self, address: tuple[str, int]) -> None:
         """Close the idle connections to an address."""
 
     def close(self) -> None:
         """Begin nothing more, and let go of what is held open."""
 
 
-class Outside(NamedTuple):
+class ClusterPorts(NamedTuple):
     """What the module may ask for beyond calls and answers; called on the decision thread, must not block."""
 
-    subscribe: Callable[[], None] = lambda: None
-    tell_peers: Callable[[bytes], None] = lambda payload: None
+    watch_membership: Callable[[], None] = lambda: None
+    send_to_peers: Callable[[bytes], None] = lambda payload: None
 
 
-class Core:
+class QueryCoordinator:
     """Owns the decision thread. Each ticket that `submit` gives out is settled exactly once."""
 
     def __init__(
         self,
         module: Module,
         settings: api.Settings,
-        bounds: Bounds,
-        observer: Observer,
-        senders: Callable[[Callable[[list[t.Ended]], None]], Carrier],
-        outside: Outside | None = None,
+        bounds: AdmissionLimits,
+        observer: QueryObserver,
+        senders: Callable[[Callable[[list[t.AttemptFinished]], None]], Transport],
+        outside: ClusterPorts | None = None,
         gather: float = 0.0,
     ) -> None:
         """`gather`: seconds between the starts of two turns, at least; what comes meanwhile makes one batch."""
         self.settings = settings
-        self.admission = Admission(bounds, settings.longest_wait_advice if settings.may_advise_wait else 0.0)
+        self.admission = Admission(bounds, settings.max_retry_after if settings.retry_after_allowed else 0.0)
         self._driver = Driver(module, settings)
-        self._driver.observe = observer.attempt
-        self.observer, self._outside = observer, outside or Outside()
+        self._driver.observe = observer.attempt_finished
+        self.observer, self._outside = observer, outside or ClusterPorts()
         self._inbox: SimpleQueue[list[t.Input]] = SimpleQueue()
         self._senders = senders(self._take_endings)
         self._ids = itertools.count(1)
@@ -229,11 +233,11 @@
         return self._driver.counts
 
     @property
-    def calls_held(self) -> int:
+    def requests_in_flight(self) -> int:
         """Calls out and calls waiting for a sender."""
-        return self._senders.held
+        return self._senders.in_flight
 
-    def submit(self, plan: t.QueryPlan, answers: Answers | None = None) -> Ticket:
+    def submit(self, plan: t.QueryPlan, answers: ResultQueue | None = None) -> PendingQuery:
         """Hand over a query. Raises Refused, and then nothing of it was begun.
 
         `answers`: where its final answer goes, for a caller that waits for several tickets at once.
@@ -241,23 +245,23 @@
         with (
             self._door
         ):  # guards against one that is admitted before the end, and put behind it where nobody looks
-            self.admission.enter(1 + len(plan.parts), self._driver.held_bytes)
-            ticket = Ticket(next(self._ids), plan, self, answers)
-            self._inbox.put([t.Arrived(ticket.id, plan, ticket.settle)])
+            self.admission.admit(1 + len(plan.parts), self._driver.held_bytes)
+            ticket = PendingQuery(next(self._ids), plan, self, answers)
+            self._inbox.put([t.QuerySubmitted(ticket.id, plan, ticket.complete)])
         return ticket
 
-    def left(self, query: int) -> None:
+    def client_disconnected(self, query: int) -> None:
         """The client of a query has gone."""
-        self._inbox.put([t.Left(query)])
+        self._inbox.put([t.ClientDisconnected(query)])
 
-    def listed(self, listed: t.Listed) -> None:
+    def endpoints_updated(self, listed: t.EndpointsUpdated) -> None:
         """A server list has come, or has changed."""
         self._inbox.put([listed])
 
-    def heard(self, sender: int, payload: bytes) -> None:
+    def peer_message_received(self, sender: int, payload: bytes) -> None:
         """Another co-ordinator has sent a message. Messages may be lost: with much to read, these go first."""
         if self._inbox.qsize() < _MOST_A_BATCH:
-            self._inbox.put([t.Heard(sender, payload)])
+            self._inbox.put([t.PeerMessageReceived(sender, payload)])
 
     def close(self) -> None:
         """Take nothing new from now on: what was taken by now is in the inbox."""
@@ -277,7 +281,7 @@
             self._thread.join()
         self._senders.close()
 
-    def _take_endings(self, endings: list[t.Ended]) -> None:
+    def _take_endings(self, endings: list[t.AttemptFinished]) -> None:
         self._inbox.put(list(endings))
 
     def _run(self) -> None:
@@ -288,7 +292,7 @@
             # Its books can no longer be trusted. All held queries are failed, which promises nothing.
             self.broken.set()
             self.admission.close("the decision thread broke")
-            self.observer.broke(error)
+            self.observer.internal_error(error)
             self._fail_all()
 
     def _turn(self) -> bool:
@@ -306,46 +310,53 @@
             pass
         self._turned = time.monotonic()
         self._carry_out(self._driver.step(self._turned, inputs))
-        self._senders.tend()
+        self._senders.maintain()
         # Done once told to stop, with nothing to read, nothing held and no own news.
         idle = self._inbox.empty() and not self._driver.open_queries and self._driver.next_due() > 0
         return not (self._stop.is_set() and idle)
 
     def _carry_out(self, effects: list[t.Effect]) -> None:
-        refused: list[t.Ended] = []
+        refused: list[t.AttemptFinished] = []
         for effect in effects:
             match effect:
-                case t.Start(call):
+                case t.StartRequest(call):
                     if not self._senders.start(call):
                         now = time.monotonic()
                         refused += [
-                            t.Ended(
-                                e.part, e.attempt, api.Outcome.NEVER_SENT, now, None, "every sender is taken"
+                            t.AttemptFinished(
+                                e.part,
+                                e.attempt,
+                                api.AttemptOutcome.NEVER_SENT,
+                                now,
+                                None,
+                                "every sender is taken",
                             )
-                            for e in call.errands
+                            for e in call.attempts
                         ]
-                case t.CallOff(call):
-                    self._senders.call_off(call)
-                case t.Withdraw(call, errand, tell, over):
-                    self._senders.withdraw(call, errand, tell, over)
-                case t.DropIdle(address):
-                    self._senders.drop_idle(address)
-                case t.Settle(settled, final, _):
+                case t.CancelRequest(call):
+                    self._senders.cancel(call)
+                case t.AbandonAttempt(call, errand, tell, over):
+                    self._senders.abandon(call, errand, tell, over)
+                case t.CloseIdleConnections(address):
+                    self._senders.close_idle(address)
+                case t.CompleteQuery(settled, final, _):
                     settled(final)
-                case t.Note(text):
-                    self.observer.remark(text)
-                case t.HealthChanged(change):
-                    self.observer.health(change)
-                case t.Subscribe():
-                    self._outside.subscribe()
-                case t.Tell(payload):
-                    self._outside.tell_peers(payload)
+                case t.LogMessage(text):
+                    self.observer.log_message(text)
+                case t.ReplicaHealthChanged(change):
+                    self.observer.replica_health_changed(change)
+                case t.WatchMembership():
+                    self._outside.watch_membership()
+                case t.SendToPeers(payload):
+                    self._outside.send_to_peers(payload)
         if refused:
             self._inbox.put(list(refused))
 
     def _fail_all(self) -> None:
-        failed = t.Final(
-            t.Verdict.FAILED, why="internal: the decision thread broke", reason=api.EndReason.INTERNAL
+        failed = t.QueryResult(
+            t.QueryStatus.FAILED,
+            detail="internal: the decision thread broke",
+            reason=api.QueryEndReason.INTERNAL,
         )
         for query in self._driver.abandon():
             query(failed)
@@ -355,25 +366,25 @@
             except Empty:
                 continue
             for item in items:
-                if isinstance(item, t.Arrived):
-                    item.settled(failed)
+                if isinstance(item, t.QuerySubmitted):
+                    item.on_result(failed)
 
 
-class CoreMaker(NamedTuple):
+class CoordinatorFactory(NamedTuple):
     """Makes the cores of one process over its pool. `seed`: of the modules; None: a random one each."""
 
     pool: Pool
     senders: SenderLimits
-    bounds: Bounds
+    bounds: AdmissionLimits
     seed: int | None
 
-    def make(self, settings: api.Settings, observer: Observer, offset: int = 0) -> Core:
+    def make(self, settings: api.Settings, observer: QueryObserver, offset: int = 0) -> QueryCoordinator:
         """A core that has not been started; `offset` tells its module's seed from the others'."""
         seed = int.from_bytes(os.urandom(8), "big") if self.seed is None else self.seed + offset
-        return Core(
-            Coordinator(settings, seed),
+        return QueryCoordinator(
+            DecisionEngine(settings, seed),
             settings,
             self.bounds,
             observer,
-            lambda report: Senders(self.pool, self.senders, report),
+            lambda report: RequestSenders(self.pool, self.senders, report),
         )
--- a/gingervane/coordinator/desk.py
+++ b/gingervane/coordinator/dispatch.py
@@ -13,8 +13,8 @@
 from typing import NamedTuple, Protocol
 
 from gingervane.coordinator import types as t
-from gingervane.coordinator.core import Core
-from gingervane.coordinator.reserve import Reserve
+from gingervane.coordinator.core import QueryCoordinator
+from gingervane.coordinator.response_time_reserve import ResponseTimeReserve
 
 
 class Client(Protocol):
@@ -24,32 +24,32 @@
         """Have `gone` called, once, if it leaves before the reply."""
 
 
-class Question(NamedTuple):
+class QueryRequest(NamedTuple):
     """A query that a front has read. `name`: its class, for logs; `number`: that class's in the module."""
 
     name: str
     number: int
     parts: Sequence[t.PartPlan]
-    exchange: t.Exchange
+    codec: t.HttpCodec
     arrived: float
-    until: float  # the client's time
+    deadline: float  # the client's time
 
 
-class Settled(NamedTuple):
+class DispatchResult(NamedTuple):
     """Its one end. `done` must be called once the reply is written or cannot be."""
 
-    final: t.Final
+    result: t.QueryResult
     seconds: float  # from its handing over
-    done: Callable[[], None]
+    release: Callable[[], None]
 
 
-class Desk:
+class QueryDispatcher:
     """One core's, shared by front threads."""
 
-    def __init__(self, core: Core, names: Iterable[str]) -> None:
+    def __init__(self, core: QueryCoordinator, names: Iterable[str]) -> None:
         """`names`: of classes."""
         self.core = core
-        self._reserves, self._lock = {name: Reserve() for name in names}, Lock()
+        self._reserves, self._lock = {name: ResponseTimeReserve() for name in names}, Lock()
 
     def reserve(self, name: str, parts: int, span: float) -> float:
         """Seconds of `span` to keep for merging and writing."""
@@ -61,23 +61,27 @@
         with self._lock:
             self._reserves[name].learn(parts, time.monotonic() - settled)
 
-    def ask(self, question: Question, client: Client | None, deadline: float | None = None) -> Settled:
+    def dispatch(
+        self, question: QueryRequest, client: Client | None, deadline: float | None = None
+    ) -> DispatchResult:
         """Hand over and wait. Raises Refused, and then nothing was begun.
 
         `deadline`: when the answer must be in; left out: the client's time, less what merging and writing take.
         """
         name, parts = question.name, tuple(question.parts)
         if deadline is None:
-            deadline = question.until - self.reserve(name, len(parts), question.until - question.arrived)
+            deadline = question.deadline - self.reserve(
+                name, len(parts), question.deadline - question.arrived
+            )
         began = time.monotonic()
-        ticket = self.core.submit(t.QueryPlan(question.number, deadline, parts, question.exchange, name))
+        ticket = self.core.submit(t.QueryPlan(question.number, deadline, parts, question.codec, name))
         if client is not None:
-            client.watch(ticket.leave)
+            client.watch(ticket.abandon)
         final = ticket.wait()
         settled = time.monotonic()
 
         def done() -> None:
-            ticket.done()
+            ticket.release()
             self.learn(name, len(parts), settled)
 
-        return Settled(final, settled - began, done)
+        return DispatchResult(final, settled - began, done)
--- a/gingervane/coordinator/driver.py
+++ b/gingervane/coordinator/driver.py
@@ -23,7 +23,7 @@
 from gingervane import interface as api
 from gingervane.coordinator import types as t
 from gingervane.coordinator.timers import WheelTimers
-from gingervane.shares import Coverage, Step, is_whole, may_answer
+from gingervane.decisions.completeness import Coverage, QueryState, is_complete, may_answer
 
 
 @dataclass
@@ -32,8 +32,8 @@
     replica: int
     sent_at: float
     run: int
-    call: t.Call | None = None
-    errand: t.Errand | None = None
+    call: t.BatchRequest | None = None
+    errand: t.AttemptRequest | None = None
 
 
 @dataclass
@@ -49,19 +49,19 @@
 @dataclass
 class _Query:
     id: int
-    arrived: t.Arrived
+    arrived: t.QuerySubmitted
     asked: dict[int, t.PartPlan] = field(default_factory=dict)  # the present step's parts, by index
     parts: list[int] = field(default_factory=list)  # ids, of both steps
     results: dict[int, Any] = field(default_factory=dict)
-    path: list[t.AttemptNote] = field(default_factory=list)
+    path: list[t.AttemptRecord] = field(default_factory=list)
     why: str = ""
     held_bytes: int = 0  # of results
     second: bool = False  # in its second step
     first_whole: bool = True  # the first step was answered as whole
 
     @property
-    def step(self) -> Step:
-        return Step.SECOND if self.second else Step.FIRST
+    def step(self) -> QueryState:
+        return QueryState.SECOND_STEP if self.second else QueryState.FIRST_STEP
 
     @property
     def coverage(self) -> Coverage:
@@ -106,13 +106,15 @@
         self._queries: dict[int, _Query] = {}
         self._parts: dict[int, _Part] = {}
         self._addresses: dict[int, tuple[str, int]] = {}
-        self._timers = WheelTimers(settings.granularity)
+        self._timers = WheelTimers(settings.timer_granularity)
         self._again: list[api.Event] = []  # endings of its own making, for the next batch
         self._next_part, self._next_call = 1, 1
         self._closed = False
         self.held_bytes = 0  # of results of open queries
         self.counts = Counts()
-        self.observe: Callable[[api.Outcome, int, float], None] = lambda outcome, replica, seconds: None
+        self.observe: Callable[[api.AttemptOutcome, int, float], None] = (
+            lambda outcome, replica, seconds: None
+        )
 
     @property
     def open_queries(self) -> int:
@@ -134,28 +136,30 @@
         # gone, because an ending before the list had the module send it again.
         events: list[api.Event] = []
         for item in inputs:
-            if isinstance(item, t.Listed):
+            if isinstance(item, t.EndpointsUpdated):
                 self._addresses.update(item.addresses)
-                events.append(item.event)
-                events += self._hold_back(item.event, now, effects)
+                events.append(item.membership)
+                events += self._hold_back(item.membership, now, effects)
         again, self._again = self._again, []
         events += again
-        closing: dict[int, tuple[t.Verdict, str]] = {}  # those that the module settles without a word
+        closing: dict[int, tuple[t.QueryStatus, str]] = {}  # those that the module settles without a word
         for item in inputs:
             match item:
-                case t.Arrived():
+                case t.QuerySubmitted():
                     events += self._arrive(item, closing)
-                case t.Ended():
+                case t.AttemptFinished():
                     events += self._end(item, effects)
-                case t.Left(query):
-                    if query in self._queries and closing.setdefault(query, (t.Verdict.LEFT, "")):
-                        events.append(api.QueryExpired(query))
-                case t.Heard(sender, payload):
-                    events.append(api.PeerMessage(sender, payload))
+                case t.ClientDisconnected(query):
+                    if query in self._queries and closing.setdefault(
+                        query, (t.QueryStatus.CLIENT_DISCONNECTED, "")
+                    ):
+                        events.append(api.QueryAbandoned(query))
+                case t.PeerMessageReceived(sender, payload):
+                    events.append(api.PeerMessageReceived(sender, payload))
                 case t.Shutdown():
                     self._closed = True
                     closing = self._shut() | closing
-                    events += [api.QueryExpired(query) for query in closing]
+                    events += [api.QueryAbandoned(query) for query in closing]
         for label in self._timers.pop_due(now):
             if isinstance(label, int):
                 events.append(api.TimerFired(label))
@@ -164,29 +168,37 @@
         if events:
             self._carry_out(now, self._module.handle(now, events), effects)
         for query, (verdict, why) in closing.items():
-            reason = api.EndReason.CLIENT_LEFT if verdict is t.Verdict.LEFT else api.EndReason.SHUTDOWN
+            reason = (
+                api.QueryEndReason.CLIENT_DISCONNECTED
+                if verdict is t.QueryStatus.CLIENT_DISCONNECTED
+                else api.QueryEndReason.SHUTDOWN
+            )
             self._settle(now, query, verdict, reason, effects, why=why)
         # What was called off in the batch that made it never leaves.
-        effects = [e for e in effects if not isinstance(e, t.Start) or e.call.live]
+        effects = [e for e in effects if not isinstance(e, t.StartRequest) or e.request.open_attempts]
         for effect in effects:
-            if isinstance(effect, t.Settle):
-                effect.final.path = list(effect.final.path)  # complete now; its reader is another thread
+            if isinstance(effect, t.CompleteQuery):
+                effect.result.attempts = list(
+                    effect.result.attempts
+                )  # complete now; its reader is another thread
         # Nothing of a query is on its way any more when its answer is given.
-        return sorted(effects, key=lambda e: isinstance(e, t.Settle))
+        return sorted(effects, key=lambda e: isinstance(e, t.CompleteQuery))
 
-    def abandon(self) -> list[t.Settled]:
+    def abandon(self) -> list[t.ResultCallback]:
         """Where all that is still open must be answered, after the module broke; the driver is of no further use."""
         held, self._queries = list(self._queries.values()), {}
-        return [query.arrived.settled for query in held]
+        return [query.arrived.on_result for query in held]
 
     # ---- inputs
 
-    def _arrive(self, arrived: t.Arrived, closing: dict[int, tuple[t.Verdict, str]]) -> list[api.Event]:
+    def _arrive(
+        self, arrived: t.QuerySubmitted, closing: dict[int, tuple[t.QueryStatus, str]]
+    ) -> list[api.Event]:
         plan, query = arrived.plan, _Query(arrived.id, arrived)
         self.counts.queries += 1
         self._queries[arrived.id] = query
         if self._closed:
-            closing[arrived.id] = t.Verdict.REFUSED, "shutting down"
+            closing[arrived.id] = t.QueryStatus.REJECTED, "shutting down"
             return []
         events: list[api.Event] = [
             api.QueryArrived(
@@ -196,7 +208,7 @@
                 0,
                 len(plan.parts),
                 plan.deadline,
-                plan.is_repeat,
+                plan.is_client_retry,
                 plan.predicted_cost,
             )
         ]
@@ -223,43 +235,43 @@
         """What was decided before a replica was known to drain and has not begun to leave does not leave later."""
         closed = {r.id for r in event.replicas if r.state is not api.ReplicaState.READY}
         gone = {r.id for r in event.replicas if r.state is api.ReplicaState.GONE}
-        if event.kind is api.ListKind.FULL:  # what a whole list does not name is gone too
+        if event.kind is api.MembershipUpdateKind.FULL:  # what a whole list does not name is gone too
             gone |= self._addresses.keys() - {r.id for r in event.replicas}
         closed |= gone
         if not closed:
             return []
         for replica in gone:
             if address := self._addresses.pop(replica, None):
-                effects.append(t.DropIdle(address))
+                effects.append(t.CloseIdleConnections(address))
         out = [(n, a) for n, part in self._parts.items() for a in part.out.values() if a.replica in closed]
         events: list[api.Event] = []
         for number, attempt in out:
             if attempt.errand and attempt.errand.claim():
-                never = t.Ended(
-                    number, attempt.number, api.Outcome.NEVER_SENT, now, None, "its replica drains"
+                never = t.AttemptFinished(
+                    number, attempt.number, api.AttemptOutcome.NEVER_SENT, now, None, "its replica drains"
                 )
                 events += self._end(never, effects)
         return events
 
-    def _end(self, ended: t.Ended, effects: list[t.Effect]) -> list[api.Event]:
+    def _end(self, ended: t.AttemptFinished, effects: list[t.Effect]) -> list[api.Event]:
         """The first ending of an attempt; later ones are nobody's any more."""
         part = self._parts.get(ended.part)
         attempt = part.out.pop(ended.attempt, None) if part else None
         if part is None or attempt is None:
             self.counts.late_endings += 1
             return []
-        query, seconds = part.query, max(ended.ended_at - attempt.sent_at, 0.0)
+        query, seconds = part.query, max(ended.finished_at - attempt.sent_at, 0.0)
         outcome = ended.outcome
         part.ran += not outcome.never_ran
-        if outcome is api.Outcome.OK:
+        if outcome is api.AttemptOutcome.OK:
             if query.id in self._queries and part.index in query.asked and part.index not in query.results:
                 query.results[part.index] = ended.result
-                query.held_bytes += query.arrived.plan.exchange.size(ended.result)
-                self.held_bytes += query.arrived.plan.exchange.size(ended.result)
-        elif ended.why:
-            query.why = ended.why
+                query.held_bytes += query.arrived.plan.codec.result_size(ended.result)
+                self.held_bytes += query.arrived.plan.codec.result_size(ended.result)
+        elif ended.detail:
+            query.why = ended.detail
         query.path.append(
-            t.AttemptNote(
+            t.AttemptRecord(
                 part.plan.shard,
                 attempt.number,
                 attempt.replica,
@@ -277,7 +289,9 @@
             api.AttemptEnded(ended.part, attempt.number, attempt.replica, outcome, seconds)
         ]
         return (
-            told + self._keep_back(ended.part, ended.ended_at, effects) if outcome is api.Outcome.OK else told
+            told + self._keep_back(ended.part, ended.finished_at, effects)
+            if outcome is api.AttemptOutcome.OK
+            else told
         )
 
     def _keep_back(self, number: int, now: float, effects: list[t.Effect]) -> list[api.Event]:
@@ -290,25 +304,27 @@
         part = self._parts.get(number)
         for attempt in list(part.out.values()) if part else ():
             if attempt.errand and attempt.errand.claim():
-                never = t.Ended(
-                    number, attempt.number, api.Outcome.NEVER_SENT, now, None, "not wanted any more"
+                never = t.AttemptFinished(
+                    number, attempt.number, api.AttemptOutcome.NEVER_SENT, now, None, "not wanted any more"
                 )
                 events += self._end(never, effects)
-            elif attempt.errand and attempt.call and not self._settings.may_cancel:
-                effects.append(t.Withdraw(attempt.call, attempt.errand, tell=False, over=False))
+            elif attempt.errand and attempt.call and not self._settings.cancellation_allowed:
+                effects.append(
+                    t.AbandonAttempt(attempt.call, attempt.errand, notify_replica=False, expired=False)
+                )
         return events
 
     def _timed_out(self, label: Any, now: float, effects: list[t.Effect]) -> list[api.Event]:
         """An attempt's `stop_at` has come: it ends here, whatever its connection is doing."""
         part, attempt = label
-        return self._end_here(now, part, attempt, api.Outcome.TIMED_OUT, "no reply in time", effects)
+        return self._end_here(now, part, attempt, api.AttemptOutcome.TIMED_OUT, "no reply in time", effects)
 
     def _end_here(
         self,
         now: float,
         part: int,
         number: int,
-        outcome: api.Outcome,
+        outcome: api.AttemptOutcome,
         why: str,
         effects: list[t.Effect],
     ) -> list[api.Event]:
@@ -317,51 +333,57 @@
         if attempt is None:
             return []
         if attempt.errand and attempt.errand.claim():
-            outcome = api.Outcome.NEVER_SENT
+            outcome = api.AttemptOutcome.NEVER_SENT
         elif attempt.errand and attempt.call:
             # Also at its time-out: guards against a word to its replica where the platform forbids it.
-            effects.append(t.Withdraw(attempt.call, attempt.errand, self._settings.may_cancel, over=True))
-        return self._end(t.Ended(part, number, outcome, now, None, why), effects)
+            effects.append(
+                t.AbandonAttempt(
+                    attempt.call, attempt.errand, self._settings.cancellation_allowed, expired=True
+                )
+            )
+        return self._end(t.AttemptFinished(part, number, outcome, now, None, why), effects)
 
-    def _shut(self) -> dict[int, tuple[t.Verdict, str]]:
+    def _shut(self) -> dict[int, tuple[t.QueryStatus, str]]:
         """How to end all that is held. No event says this to the module, and none need: it follows from proof."""
         out = {}
         for query in self._queries.values():
-            kind = self._settings.classes[query.arrived.plan.query_class]
+            kind = self._settings.query_classes[query.arrived.plan.query_class]
             ran = any(self._parts[p].ran or self._parts[p].out for p in query.parts)
-            harmless = kind.semantics is api.Semantics.SAFE or not ran
-            out[query.id] = t.Verdict.REFUSED if harmless else t.Verdict.FAILED, "shutting down"
+            harmless = kind.retry_safety is api.RetrySafety.IDEMPOTENT or not ran
+            out[query.id] = t.QueryStatus.REJECTED if harmless else t.QueryStatus.FAILED, "shutting down"
         return out
 
     # ---- actions
 
     def _carry_out(self, now: float, actions: list[api.Action], effects: list[t.Effect]) -> None:
-        calls: dict[tuple[int, int], t.Call] = {}
+        calls: dict[tuple[int, int], t.BatchRequest] = {}
         for action in actions:
             match action:
                 case api.Send(part, replica, stop_at):
                     self._send(now, part, replica, stop_at, calls, effects)
                 case api.Cancel(part, attempt):
-                    self._again += self._end_here(now, part, attempt, api.Outcome.CANCELLED, "", effects)
+                    self._again += self._end_here(
+                        now, part, attempt, api.AttemptOutcome.CANCELLED, "", effects
+                    )
                 case api.SetTimer(delay, label):
                     self._timers.add(now + delay, label)
                 case api.Answer(query, whole, reason):
                     self._answer(now, query, whole, reason, effects)
-                case api.Refuse(query, wait, reason):
-                    self._settle(now, query, t.Verdict.REFUSED, reason, effects, wait)
+                case api.Reject(query, wait, reason):
+                    self._settle(now, query, t.QueryStatus.REJECTED, reason, effects, wait)
                 case api.Fail(query, reason):
-                    self._settle(now, query, t.Verdict.FAILED, reason, effects)
+                    self._settle(now, query, t.QueryStatus.FAILED, reason, effects)
                 case api.CloseIdle(replica):
                     if replica in self._addresses:
-                        effects.append(t.DropIdle(self._addresses[replica]))
-                case api.Remark(text):
-                    effects.append(t.Note(text))
+                        effects.append(t.CloseIdleConnections(self._addresses[replica]))
+                case api.LogMessage(text):
+                    effects.append(t.LogMessage(text))
                 case api.ReplicaEjected() | api.ReplicaReinstated():
-                    effects.append(t.HealthChanged(action))
-                case api.Subscribe():
-                    effects.append(t.Subscribe())
-                case api.TellPeers(payload):
-                    effects.append(t.Tell(payload))
+                    effects.append(t.ReplicaHealthChanged(action))
+                case api.WatchMembership():
+                    effects.append(t.WatchMembership())
+                case api.SendToPeers(payload):
+                    effects.append(t.SendToPeers(payload))
 
     def _send(
         self,
@@ -369,7 +391,7 @@
         number: int,
         replica: int,
         stop_at: float,
-        calls: dict[tuple[int, int], t.Call],
+        calls: dict[tuple[int, int], t.BatchRequest],
         effects: list[t.Effect],
     ) -> None:
         part = self._parts[number]
@@ -377,30 +399,36 @@
         attempt = _Attempt(part.made, replica, now, run)
         part.made += 1
         part.out[attempt.number] = attempt
-        if part.plan.most_runs is not None and run >= part.plan.most_runs:
+        if part.plan.max_executions is not None and run >= part.plan.max_executions:
             # Past what was granted from above: it ends here, never sent.
             self.counts.withheld += 1
-            ended = t.Ended(number, attempt.number, api.Outcome.NEVER_SENT, now, None, "no attempt granted")
+            ended = t.AttemptFinished(
+                number, attempt.number, api.AttemptOutcome.NEVER_SENT, now, None, "no attempt granted"
+            )
             self._again += self._end(ended, effects)
             return
         self.counts.attempts += 1
         self.counts.further += attempt.number > 0
         plan = part.query.arrived.plan
-        key = replica, id(plan.exchange)
+        key = replica, id(plan.codec)
         call = calls.get(key)
-        if call is None or len(call.errands) >= self._settings.parts_per_call:
+        if call is None or len(call.attempts) >= self._settings.max_parts_per_request:
             address = self._addresses[replica]
-            call = t.Call(self._next_call, replica, address, plan.exchange, [], stop_at, decided_at=now)
+            call = t.BatchRequest(self._next_call, replica, address, plan.codec, [], stop_at, decided_at=now)
             self._next_call += 1
             self.counts.calls += 1
             calls[key] = call
-            effects.append(t.Start(call))
-        semantics = self._settings.classes[plan.query_class].semantics
-        content = part.plan.by_run[run] if run < len(part.plan.by_run) else part.plan.content
-        attempt.errand = t.Errand(number, attempt.number, content, semantics, stop_at)
-        call.errands.append(attempt.errand)
-        call.stop_at = max(call.stop_at, stop_at)
-        call.live += 1
+            effects.append(t.StartRequest(call))
+        semantics = self._settings.query_classes[plan.query_class].retry_safety
+        content = (
+            part.plan.content_by_execution[run]
+            if run < len(part.plan.content_by_execution)
+            else part.plan.content
+        )
+        attempt.errand = t.AttemptRequest(number, attempt.number, content, semantics, stop_at)
+        call.attempts.append(attempt.errand)
+        call.expires_at = max(call.expires_at, stop_at)
+        call.open_attempts += 1
         attempt.call = call
         self._timers.add(stop_at, (number, attempt.number))
 
@@ -409,7 +437,7 @@
         now: float,
         number: int,
         whole: bool,
-        reason: api.EndReason,
+        reason: api.QueryEndReason,
         effects: list[t.Effect],
     ) -> None:
         query = self._queries.get(number)
@@ -418,19 +446,21 @@
         coverage = query.coverage
         if wrong := self._not_covered(query, coverage, whole):
             # It cannot happen; were it to, no one gets a false answer.
-            why = f"internal: {wrong}: {coverage.parts_in} of {coverage.asked} parts are in"
-            self._settle(now, number, t.Verdict.FAILED, api.EndReason.NOT_COVERED, effects, why=why)
+            why = f"internal: {wrong}: {coverage.parts_received} of {coverage.parts_requested} parts are in"
+            self._settle(
+                now, number, t.QueryStatus.FAILED, api.QueryEndReason.COVERAGE_CHECK_FAILED, effects, why=why
+            )
             return
         # One that is as good as whole for its class says all the same what is missing.
-        verdict = t.Verdict.WHOLE if whole and coverage.complete else t.Verdict.SHORT
+        verdict = t.QueryStatus.COMPLETE if whole and coverage.complete else t.QueryStatus.PARTIAL
         self._answer_step(now, query, verdict, whole, reason, effects)
 
     def _not_covered(self, query: _Query, coverage: Coverage, whole: bool) -> str:
         """What is wrong with an answer from the results in hand; empty if nothing is. The module is not believed."""
-        kind = self._settings.classes[query.arrived.plan.query_class]
+        kind = self._settings.query_classes[query.arrived.plan.query_class]
         if not may_answer(kind, query.step, coverage):
             return "an answer under its least share"
-        if whole and not (query.first_whole and is_whole(kind, query.step, coverage)):
+        if whole and not (query.first_whole and is_complete(kind, query.step, coverage)):
             return "an answer marked whole that is not"
         return ""
 
@@ -438,9 +468,9 @@
         self,
         now: float,
         query: _Query,
-        verdict: t.Verdict,
+        verdict: t.QueryStatus,
         whole: bool,
-        reason: api.EndReason,
+        reason: api.QueryEndReason,
         effects: list[t.Effect],
     ) -> None:
         """The end of the query, or of its first step where the class has a second one."""
@@ -457,8 +487,8 @@
         self,
         now: float,
         number: int,
-        verdict: t.Verdict,
-        reason: api.EndReason,
+        verdict: t.QueryStatus,
+        reason: api.QueryEndReason,
         effects: list[t.Effect],
         wait: float = 0.0,
         why: str = "",
@@ -468,29 +498,29 @@
         if query is None:
             return
         coverage = query.coverage
-        answered = verdict in (t.Verdict.WHOLE, t.Verdict.SHORT)
+        answered = verdict in (t.QueryStatus.COMPLETE, t.QueryStatus.PARTIAL)
         results = query.results if answered else {}
         self.held_bytes -= query.held_bytes
         size = query.held_bytes if answered else 0
-        if not query.path and verdict is t.Verdict.REFUSED and not why:
+        if not query.path and verdict is t.QueryStatus.REJECTED and not why:
             why = "nothing was sent: too much is waiting, or a part has no replica that may be asked"
-        final = t.Final(
+        final = t.QueryResult(
             verdict,
             results,
             wait,
             why or query.why,
             query.path,
-            min(coverage.weight_in, 1.0),
+            min(coverage.weight_received, 1.0),
             size,
             whole,
             reason,
             2 if query.second else 1,
-            coverage.asked,
-            coverage.parts_in,
+            coverage.parts_requested,
+            coverage.parts_received,
         )
         self.counts.reasons[reason.value] = self.counts.reasons.get(reason.value, 0) + 1
         self.counts.verdicts[verdict.value] = self.counts.verdicts.get(verdict.value, 0) + 1
-        effects.append(t.Settle(query.arrived.settled, final, number))
+        effects.append(t.CompleteQuery(query.arrived.on_result, final, number))
         for part in query.parts:
             self._again += self._keep_back(part, now, effects)
             self._forget(part)
@@ -498,9 +528,9 @@
     def _let_go(self, attempt: _Attempt, effects: list[t.Effect]) -> None:
         """One attempt fewer waits for its call; the connection of one that nobody waits for is shut."""
         if (call := attempt.call) is not None:
-            call.live -= 1
-            if call.live == 0:
-                effects.append(t.CallOff(call))
+            call.open_attempts -= 1
+            if call.open_attempts == 0:
+                effects.append(t.CancelRequest(call))
 
     def _forget(self, number: int) -> None:
         """Drop a part that is out nowhere and whose query is over."""
--- a/gingervane/coordinator/standstill.py
+++ b/gingervane/coordinator/process_pause.py
@@ -12,7 +12,7 @@
 SHADOW = 0.1  # seconds after a standstill in which requests that came within it are still being read
 
 
-class Standstill:
+class ProcessPauseDetector:
     """The last standstill. Written by the ticker; readers may see it a tick late, and make up for that."""
 
     def __init__(self, now: float) -> None:
--- a/gingervane/coordinator/starts.py
+++ b/gingervane/coordinator/replica_start_times.py
@@ -29,7 +29,7 @@
     return told is not None and start < told - LISTING_LAG
 
 
-class StartClock:
+class ReplicaStartTimes:
     """Places starts. Owner: the thread that reads lists."""
 
     def __init__(
--- a/gingervane/coordinator/reserve.py
+++ b/gingervane/coordinator/response_time_reserve.py
@@ -13,7 +13,7 @@
 LEAST, MOST_SHARE = 0.005, 0.25  # seconds; of the client's time
 
 
-class Reserve:
+class ResponseTimeReserve:
     """One for each class of query; its caller sees to locking."""
 
     def __init__(self) -> None:
--- a/gingervane/coordinator/advice.py
+++ b/gingervane/coordinator/retry_after.py
@@ -12,7 +12,7 @@
 LEAST = 0.02  # seconds: sooner than that nobody need come
 
 
-class Advice:
+class RetryAfterEstimate:
     """Learns how fast room comes free; its caller sees to locking."""
 
     def __init__(self, longest: float) -> None:
--- a/gingervane/daemon/app.py
+++ b/gingervane/daemon/app.py
@@ -16,19 +16,19 @@
 
 from gingervane import interface as api
 from gingervane.coordinator import types as t
-from gingervane.coordinator.core import Bounds, Core, CoreMaker
-from gingervane.coordinator.sender import SenderLimits
-from gingervane.daemon import logs
-from gingervane.daemon.metrics import Metrics
-from gingervane.daemon.settings import Config
+from gingervane.coordinator.core import AdmissionLimits, QueryCoordinator, CoordinatorFactory
+from gingervane.coordinator.request_senders import SenderLimits
+from gingervane.telemetry import daemon_log
+from gingervane.telemetry.daemon_metrics import Metrics
+from gingervane.settings.daemon_settings import Config
 from gingervane.fronts import http_server, remote_read
-from gingervane.fronts.desk import ClassOf, Front, Route, Router
+from gingervane.fronts.routing import ClassOf, Front, Route, Router
 from gingervane.fronts.http_server import HttpServer, Reply, ServerLimits, plain
 from gingervane.fronts.remote_read import FrontLimits, RemoteReadFront, TreeSetting
-from gingervane.fronts.tiles import ShardIndex
+from gingervane.fronts.shard_matching import ShardIndex
 from gingervane.membership.service import MembershipService, Rings
 from gingervane.tree import plan
-from gingervane.limits.gate import Gate
+from gingervane.limits.concurrency_limit import Gate
 from gingervane.vectors import front as vectors
 from gingervane.vectors.service import VectorService
 from gingervane.wire.http1 import Limits, Request
@@ -41,16 +41,16 @@
     """Logs and metrics of what passes. Runs on the decision thread."""
 
     def __init__(self, config: Config, metrics: Metrics) -> None:
-        self._log, self._metrics = logs.get("coordinator"), metrics
+        self._log, self._metrics = daemon_log.get("coordinator"), metrics
         self._classes = [c.name for c in config.classes for _ in range(3)]
         self._debug = config.log.level == "debug"
         self.answered: Callable[[int], None] = lambda replica: None  # told of each good answer
 
-    def settled(self, query: int, plan: t.QueryPlan, final: t.Final, seconds: float) -> None:
-        verdict = final.verdict.value
+    def query_completed(self, query: int, plan: t.QueryPlan, final: t.QueryResult, seconds: float) -> None:
+        verdict = final.status.value
         self._metrics.query_seconds.add((self._classes[plan.query_class], verdict), seconds)
-        told = self._log.debug if final.verdict is t.Verdict.WHOLE else self._log.info
-        if self._debug or final.verdict is not t.Verdict.WHOLE:
+        told = self._log.debug if final.status is t.QueryStatus.COMPLETE else self._log.info
+        if self._debug or final.status is not t.QueryStatus.COMPLETE:
             told(
                 "query settled",
                 query=query,
@@ -59,30 +59,30 @@
                 seconds=round(seconds, 4),
                 parts=len(plan.parts),
                 coverage=round(final.coverage, 4),
-                attempts=len(final.path),
+                attempts=len(final.attempts),
                 reason=final.reason.value,
-                further=sum(step.attempt > 0 for step in final.path),
-                why=final.why,
+                further=sum(step.attempt > 0 for step in final.attempts),
+                why=final.detail,
             )
 
-    def attempt(self, outcome: api.Outcome, replica: int, seconds: float) -> None:
-        if outcome is api.Outcome.OK:
+    def attempt_finished(self, outcome: api.AttemptOutcome, replica: int, seconds: float) -> None:
+        if outcome is api.AttemptOutcome.OK:
             self.answered(replica)
         self._metrics.attempt_seconds.add((outcome.value,), seconds)
         if self._debug:
             self._log.debug("attempt", outcome=outcome.value, replica=replica, seconds=round(seconds, 4))
 
-    def remark(self, text: str) -> None:
+    def log_message(self, text: str) -> None:
         self._log.info("remark", text=text)
 
-    def health(self, change: api.HealthChange) -> None:
+    def replica_health_changed(self, change: api.ReplicaHealthChange) -> None:
         _log_health(self._log, change)
 
-    def broke(self, error: BaseException) -> None:
+    def internal_error(self, error: BaseException) -> None:
         self._log.error("decision thread broke", exc_info=error)
 
 
-def _log_health(log: Any, change: api.HealthChange) -> None:
+def _log_health(log: Any, change: api.ReplicaHealthChange) -> None:
     if isinstance(change, api.ReplicaEjected):
         log.info(
             "replica ejected", replica=change.replica, seconds=change.seconds, reason=change.reason.value
@@ -95,25 +95,27 @@
     """What passes between this co-ordinator and its children: remarks in the log, the rest in metrics."""
 
     def __init__(self, metrics: Metrics) -> None:
-        self._log, self._metrics = logs.get("tree"), metrics
+        self._log, self._metrics = daemon_log.get("tree"), metrics
 
-    def settled(self, query: int, plan: t.QueryPlan, final: t.Final, seconds: float) -> None:
-        self._metrics.subtree_seconds.add((plan.tag, final.verdict.value), seconds)
-        if final.verdict not in (t.Verdict.WHOLE, t.Verdict.LEFT):
-            steps = [f"{step.replica}:{step.outcome}" for step in final.path]
-            verdict = final.verdict.value
-            self._log.info("subtree lost", query_class=plan.tag, verdict=verdict, why=final.why, path=steps)
+    def query_completed(self, query: int, plan: t.QueryPlan, final: t.QueryResult, seconds: float) -> None:
+        self._metrics.subtree_seconds.add((plan.tag, final.status.value), seconds)
+        if final.status not in (t.QueryStatus.COMPLETE, t.QueryStatus.CLIENT_DISCONNECTED):
+            steps = [f"{step.replica}:{step.outcome}" for step in final.attempts]
+            verdict = final.status.value
+            self._log.info(
+                "subtree lost", query_class=plan.tag, verdict=verdict, why=final.detail, path=steps
+            )
 
-    def attempt(self, outcome: api.Outcome, replica: int, seconds: float) -> None:
+    def attempt_finished(self, outcome: api.AttemptOutcome, replica: int, seconds: float) -> None:
         self._metrics.child_seconds.add((outcome.value,), seconds)
 
-    def remark(self, text: str) -> None:
+    def log_message(self, text: str) -> None:
         self._log.info("remark", text=text.replace("replica", "co-ordinator"))
 
-    def health(self, change: api.HealthChange) -> None:
+    def replica_health_changed(self, change: api.ReplicaHealthChange) -> None:
         _log_health(self._log, change)
 
-    def broke(self, error: BaseException) -> None:
+    def internal_error(self, error: BaseException) -> None:
         self._log.error("decision thread of the tree broke", exc_info=error)
 
 
@@ -121,31 +123,31 @@
     """What passes at one core of the vector front."""
 
     def __init__(self, metrics: Metrics, core: str) -> None:
-        self._log, self._metrics, self._core = logs.get("vectors"), metrics, core
+        self._log, self._metrics, self._core = daemon_log.get("vectors"), metrics, core
 
-    def settled(self, query: int, plan: t.QueryPlan, final: t.Final, seconds: float) -> None:
-        verdict = final.verdict.value
+    def query_completed(self, query: int, plan: t.QueryPlan, final: t.QueryResult, seconds: float) -> None:
+        verdict = final.status.value
         self._metrics.vector_seconds.add((self._core, plan.tag, verdict), seconds)
-        if final.verdict in (t.Verdict.REFUSED, t.Verdict.FAILED):
+        if final.status in (t.QueryStatus.REJECTED, t.QueryStatus.FAILED):
             self._log.info(
                 "query settled",
                 core=self._core,
                 query_class=plan.tag,
                 verdict=verdict,
                 parts=len(plan.parts),
-                why=final.why,
+                why=final.detail,
             )
 
-    def attempt(self, outcome: api.Outcome, replica: int, seconds: float) -> None:
+    def attempt_finished(self, outcome: api.AttemptOutcome, replica: int, seconds: float) -> None:
         self._metrics.vector_attempt_seconds.add((self._core, outcome.value), seconds)
 
-    def remark(self, text: str) -> None:
+    def log_message(self, text: str) -> None:
         self._log.info("remark", core=self._core, text=text)
 
-    def health(self, change: api.HealthChange) -> None:
+    def replica_health_changed(self, change: api.ReplicaHealthChange) -> None:
         _log_health(self._log.bind(core=self._core), change)
 
-    def broke(self, error: BaseException) -> None:
+    def internal_error(self, error: BaseException) -> None:
         self._log.error("decision thread broke", core=self._core, exc_info=error)
 
 
@@ -153,7 +155,7 @@
     """A co-ordinator that serves. `start`, then `stop`; or `run` for a process of its own."""
 
     def __init__(self, config: Config, seed: int | None = None) -> None:
-        self.config, self.metrics, self._log = config, Metrics(), logs.get("daemon")
+        self.config, self.metrics, self._log = config, Metrics(), daemon_log.get("daemon")
         self._began, self._ready = time.monotonic(), False
         threading.stack_size(config.listen.stack_bytes)
         settings, limits = config.module_settings(), config.limits
@@ -162,7 +164,7 @@
         bounds = SenderLimits(
             limits.senders, limits.waiting_calls, limits.calls_per_replica, limits.connect_timeout
         )
-        cores = CoreMaker(pool, bounds, Bounds(limits.open, limits.result_bytes), seed)
+        cores = CoordinatorFactory(pool, bounds, AdmissionLimits(limits.open, limits.result_bytes), seed)
         self.core = cores.make(settings, observer)
         self._pool = pool
         classes = {
@@ -229,7 +231,9 @@
         self.metrics.read = lambda: self.core.driver_counts
         self.metrics.gauges = self._gauges
 
-    def _make_branch(self, config: Config, cores: CoreMaker) -> tuple[Core | None, TreeSetting | None]:
+    def _make_branch(
+        self, config: Config, cores: CoordinatorFactory
+    ) -> tuple[QueryCoordinator | None, TreeSetting | None]:
         """The core that decides among child co-ordinators: the same module, with subtrees as parts."""
         self._peers, tree = plan.Peers({}, frozenset()), config.tree
         if tree is None:
@@ -238,12 +242,12 @@
         levels = plan.Limits(tree.fan_out, tree.levels, tree.ring, tree.width, tree.leaf_attempts)
         return core, TreeSetting(core, tree.name, levels, lambda: self._peers)
 
-    def _listed(self, listed: t.Listed) -> None:
+    def _listed(self, listed: t.EndpointsUpdated) -> None:
         """News of nodes; with the first, queries are taken."""
-        self.core.listed(listed)
+        self.core.endpoints_updated(listed)
         self.core.admission.reopen(_UNKNOWN)
 
-    def _peers_listed(self, listed: t.Listed) -> None:
+    def _peers_listed(self, listed: t.EndpointsUpdated) -> None:
         """News of co-ordinators: all but this one may take its subtrees."""
         if self.branch is None or self.config.tree is None:
             return
@@ -252,13 +256,13 @@
             row._replace(state=api.ReplicaState.GONE)
             if row.id in members and members[row.id].name == own
             else row
-            for row in listed.event.replicas
+            for row in listed.membership.replicas
         )
         ready = frozenset(
             m.name for m in members.values() if m.state is api.ReplicaState.READY and m.name != own
         )
         self._peers = plan.Peers({member.name: member.cell for member in members.values()}, ready)
-        self.branch.listed(listed._replace(event=listed.event._replace(replicas=rows)))
+        self.branch.endpoints_updated(listed._replace(membership=listed.membership._replace(replicas=rows)))
 
     @property
     def address(self) -> tuple[str, int]:
@@ -309,7 +313,7 @@
         self.stop()
         return 1 if any(c.broken.is_set() for c in self._cores()) else 0
 
-    def _cores(self) -> list[Core]:
+    def _cores(self) -> list[QueryCoordinator]:
         return [
             core for core in (self.branch, self.core, *(self.vectors.cores if self.vectors else ())) if core
         ]
@@ -317,8 +321,8 @@
     def _gauges(self) -> dict[str, float]:
         return {
             "open": self.core.admission.open,
-            "result_bytes": self.core.admission.held_bytes,
-            "calls_out": self.core.calls_held,
+            "result_bytes": self.core.admission.reserved_bytes,
+            "calls_out": self.core.requests_in_flight,
             "client_connections": self._server.connections,
             "turns_refused": self.gate.refused,
             "turns_waiting": sum(map(self.gate.waiting, self.gate.names)),
--- /dev/null
+++ b/gingervane/decisions/__init__.py
@@ -0,0 +1,1 @@
+"""Every decision of a co-ordinator: standard library only, no I/O."""
--- a/gingervane/shares.py
+++ b/gingervane/decisions/completeness.py
@@ -15,65 +15,65 @@
 
 from gingervane.interface import QueryClass
 
-ROUNDING = 5e-7  # of a weight with six digits
+WEIGHT_ROUNDING = 5e-7  # of a weight with six digits
 FLOAT_ERROR = 1e-9  # of a sum of some hundred weights
 
 
-class Step(Enum):
+class QueryState(Enum):
     """Where a query is in its life."""
 
-    FIRST = "first step"
-    BETWEEN = "between steps"  # the first step is closed, and the parts of the second have not come
-    SECOND = "second step"
+    FIRST_STEP = "first step"
+    BETWEEN_STEPS = "between steps"  # the first step is closed, and the parts of the second have not come
+    SECOND_STEP = "second step"
     SETTLED = "settled"
 
     @property
     def has_parts(self) -> bool:
         """Whether the query has parts whose answers can end the step."""
-        return self in (Step.FIRST, Step.SECOND)
+        return self in (QueryState.FIRST_STEP, QueryState.SECOND_STEP)
 
 
 class Coverage(NamedTuple):
     """Parts of one step: how many there are and how many are in, and the weight of each."""
 
-    asked: int
-    parts_in: int
-    weight_asked: float
-    weight_in: float
+    parts_requested: int
+    parts_received: int
+    weight_requested: float
+    weight_received: float
 
     @property
     def complete(self) -> bool:
         """Whether every part is in. A step without parts is not complete: nothing of it has been asked."""
-        return 0 < self.asked == self.parts_in
+        return 0 < self.parts_requested == self.parts_received
 
     def reaches(self, share: float) -> bool:
         """Whether what is in is at least this share of the step."""
         if self.complete:
             return True
-        if not self.parts_in:
+        if not self.parts_received:
             return False
-        as_stated = self.weight_in >= share - self.asked * ROUNDING - FLOAT_ERROR
-        of_all = self.weight_in >= (share - FLOAT_ERROR) * self.weight_asked
+        as_stated = self.weight_received >= share - self.parts_requested * WEIGHT_ROUNDING - FLOAT_ERROR
+        of_all = self.weight_received >= (share - FLOAT_ERROR) * self.weight_requested
         return as_stated and of_all
 
 
-def least_share(kind: QueryClass, step: Step) -> float:
+def required_coverage(query_class: QueryClass, state: QueryState) -> float:
     """The least share of a step for an answer; of a second one all, unless short answers are permitted."""
-    if step is Step.SECOND and kind.least_share >= kind.whole_share:
+    if state is QueryState.SECOND_STEP and query_class.required_coverage >= query_class.complete_coverage:
         return 1.0
-    return min(kind.least_share, kind.whole_share)
+    return min(query_class.required_coverage, query_class.complete_coverage)
 
 
-def may_answer(kind: QueryClass, step: Step, coverage: Coverage) -> bool:
+def may_answer(query_class: QueryClass, state: QueryState, coverage: Coverage) -> bool:
     """Whether an answer may rest on what is in."""
-    return step.has_parts and coverage.reaches(least_share(kind, step))
+    return state.has_parts and coverage.reaches(required_coverage(query_class, state))
 
 
-def is_whole(kind: QueryClass, step: Step, coverage: Coverage) -> bool:
+def is_complete(query_class: QueryClass, state: QueryState, coverage: Coverage) -> bool:
     """Whether a step may be called whole: a first one from its whole share on, a second one with all parts.
 
     An answer to a second step may be marked whole only if its first step was whole too.
     """
-    if step is Step.FIRST and kind.whole_share < 1.0:
-        return coverage.reaches(kind.whole_share)
-    return step.has_parts and coverage.complete
+    if state is QueryState.FIRST_STEP and query_class.complete_coverage < 1.0:
+        return coverage.reaches(query_class.complete_coverage)
+    return state.has_parts and coverage.complete
--- a/gingervane/policy.py
+++ b/gingervane/decisions/engine.py
@@ -15,7 +15,7 @@
 from math import inf, log, sqrt
 
 from gingervane import interface as api
-from gingervane.shares import Coverage, Step, is_whole, may_answer
+from gingervane.decisions.completeness import Coverage, QueryState, is_complete, may_answer
 
 WINDOW = 10.0  # span of the breaker and of the traffic counts (design page)
 PERCENTILE, SAMPLES = 0.95, 200  # hedge delay, of the class's last latencies; and of the aim until there are
@@ -143,12 +143,12 @@
     parts_in: int = 0
     weight_asked: float = 0.0
     weight_in: float = 0.0
-    step: Step = Step.FIRST
+    step: QueryState = QueryState.FIRST_STEP
     first_whole: bool = True
 
     @property
     def over(self) -> bool:
-        return self.step is Step.SETTLED
+        return self.step is QueryState.SETTLED
 
     @property
     def coverage(self) -> Coverage:
@@ -164,18 +164,18 @@
 
     def open_second_step(self, first_whole: bool) -> None:
         """Close the first step; the parts of the second come with a later batch."""
-        self.step, self.first_whole = Step.BETWEEN, first_whole
+        self.step, self.first_whole = QueryState.BETWEEN_STEPS, first_whole
         self.parts, self.parts_in, self.weight_asked, self.weight_in = [], 0, 0.0, 0.0
 
     def ask(self, part: _Part) -> None:
         """One more part of the present step; the first one begins a second step."""
-        if self.step is Step.BETWEEN:
-            self.step = Step.SECOND
+        if self.step is QueryState.BETWEEN_STEPS:
+            self.step = QueryState.SECOND_STEP
         self.parts.append(part)
         self.weight_asked += part.arrived.weight
 
 
-class Coordinator:
+class DecisionEngine:
     """One co-ordinator's decisions, from its own settings and its own events alone."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
@@ -190,29 +190,34 @@
         self.timers, self.labels = dict[int, tuple[float, Callable[[], None]]](), 0  # due, what
         self.call_now = Counter[_Server]()  # parts sent in this batch
         self.trials = 0  # of them, parts sent to ejected servers
-        self.latency = [_Ranked() for c in settings.classes]
-        self.usual = [c.aim * START_DELAY for c in settings.classes]  # median time of a part on good days
+        self.latency = [_Ranked() for c in settings.query_classes]
+        self.usual = [
+            c.latency_objective * START_DELAY for c in settings.query_classes
+        ]  # median time of a part on good days
         self.hedges, self.failures, self.sent = _Count(WINDOW), _Count(WINDOW), _Count(WINDOW)
         self.flow = 0.0  # parts that a ready server has had of this co-ordinator, in the mean
         self.asked, self.flowed = _Count(WINDOW), _Count(WINDOW)  # parts asked for; those that made that flow
         # The budget's own counts lean to the safe side at both ends, and so does the window of what is keyed:
         # by a tick, and by what an attempt may leave later than it was decided.
-        span, self.lag = settings.budget_span or 0.0, settings.granularity + settings.hand_over
+        span, self.lag = (
+            settings.retry_budget_window or 0.0,
+            settings.timer_granularity + settings.max_send_delay,
+        )
         self.extras, self.taken = _Count(span + self.lag), _Count(span - self.lag)
         self.tenants = defaultdict[int, _Count](lambda: _Count(WINDOW))
-        pushed = max(settings.drain_grace / PUSHED, settings.granularity)
-        self.ask_most = ASK_PAUSE_MOST if settings.must_ask_membership else pushed
+        pushed = max(settings.drain_grace / PUSHED, settings.timer_granularity)
+        self.ask_most = ASK_PAUSE_MOST if settings.membership_polled else pushed
         self.ask_pause = ASK_PAUSE
         self.stalled, self.idle_limit, self.limit_at = False, inf, 0.0  # stalled: just after a standstill
         self.idle_fine, self.fine_at = 0.0, 0.0  # the longest pause after which a part was answered, and when
         self.take: dict[type, Callable[..., None]] = {
             api.AttemptEnded: self._ended,
             api.MembershipChanged: self._members,
-            api.PeerMessage: self._told,
+            api.PeerMessageReceived: self._told,
             api.QueryArrived: self._take_query,
             api.PartArrived: self._take_part,
             api.TimerFired: lambda e: self.timers.pop(e.label, (0.0, lambda: None))[1](),
-            api.QueryExpired: lambda e: self._close(self.queries[e.id]) if e.id in self.queries else None,
+            api.QueryAbandoned: lambda e: self._close(self.queries[e.id]) if e.id in self.queries else None,
         }
 
     def handle(self, now: float, events: Sequence[api.Event]) -> list[api.Action]:
@@ -221,12 +226,12 @@
         self.began = min(self.began, now)
         self.call_now.clear()
         self.trials = 0
-        if self.batch == 1 and self.settings.must_ask_membership:
-            self.actions.append(api.Subscribe())
+        if self.batch == 1 and self.settings.membership_polled:
+            self.actions.append(api.WatchMembership())
         # Guards against taking an own standstill for silence: a timer that comes late tells of one. What came
         # meanwhile is read before any timer, and its times, which hold the standstill, are not learned from.
         due = [self.timers.get(e.label, (now,))[0] for e in events if isinstance(e, api.TimerFired)]
-        self.stalled = now - min(due, default=now) > STALLED * self.settings.granularity
+        self.stalled = now - min(due, default=now) > STALLED * self.settings.timer_granularity
         for event in sorted(events, key=lambda e: type(e) is api.TimerFired):
             if type(event) in self.take:  # probes are not asked
                 self.take[type(event)](event)
@@ -241,14 +246,14 @@
         self.actions.append(api.SetTimer(max(delay, 0.0), self.labels))
 
     def _members(self, event: api.MembershipChanged) -> None:
-        if event.kind is api.ListKind.FAILED:
+        if event.kind is api.MembershipUpdateKind.FAILED:
             # Guards against counting as told by default: ask again, ever more slowly, out of step with peers.
             again = min(self.ask_pause, self.ask_most) * self.random.uniform(0.5, 1.5)
-            self._timer(again, lambda: self.actions.append(api.Subscribe()))
+            self._timer(again, lambda: self.actions.append(api.WatchMembership()))
             self.ask_pause = min(ASK_GROWTH * self.ask_pause, ASK_PAUSE_MOST)
             return
         self.ask_pause = ASK_PAUSE
-        if event.kind is not api.ListKind.DELTA:
+        if event.kind is not api.MembershipUpdateKind.DELTA:
             for server in self.servers.values():
                 server.listed, server.ready = server.listed._replace(state=api.ReplicaState.GONE), False
         for replica in event.replicas:
@@ -261,22 +266,22 @@
         cells = defaultdict[int, list[_Server]](list)
         for _, server in sorted(self.servers.items()):
             if server.listed.state is not api.ReplicaState.GONE:
-                for j in range(min(self.settings.width, self.settings.cells)):
-                    cells[(server.listed.cell - j) % self.settings.cells].append(server)
+                for j in range(min(self.settings.cells_per_replica, self.settings.cell_count)):
+                    cells[(server.listed.cell - j) % self.settings.cell_count].append(server)
         # Guards memory where replicas are replaced all day: one that is gone and holds nothing is forgotten.
         gone = [i for i, s in self.servers.items() if s.listed.state is api.ReplicaState.GONE and not s.calls]
         for number in gone:
             del self.servers[number]
         self.ready, self.held_by = sum(s.ready for s in self.servers.values()), cells
 
-    def _told(self, event: api.PeerMessage) -> None:
+    def _told(self, event: api.PeerMessageReceived) -> None:
         """A peer found a server bad, or well again: words make up for thin evidence of one's own."""
         server, word = self.servers.get(int.from_bytes(event.payload[:ID], "big")), event.payload[ID:]
         if not server:
             return
         # Guards against many peers with thin evidence each: a bad part of one of them is little among all
         # that the fleet sends there. Words weigh as failures do for the breaker, as a share of parts.
-        sent = self._rate(FEW) * self.settings.coordinators * VOUCH / max(self.ready, 1)
+        sent = self._rate(FEW) * self.settings.coordinator_count * VOUCH / max(self.ready, 1)
         weight = min(HEARSAY, EJECT_AT / max(BREAKER_OPENS * sent, EPSILON))
         server.silent_to = self.now if word == SILENT else server.silent_to
         if not server.ejected_for and word != WELL:
@@ -298,8 +303,8 @@
         return max(self.sent.get(self.now), least) / min(max(self.now - self.began, 1 / WINDOW), WINDOW)
 
     def _tell(self, server: _Server, word: bytes) -> None:
-        if self.settings.may_message_peers:
-            self.actions.append(api.TellPeers(server.listed.id.to_bytes(ID, "big") + word))
+        if self.settings.gossip_allowed:
+            self.actions.append(api.SendToPeers(server.listed.id.to_bytes(ID, "big") + word))
 
     def _weigh(self, server: _Server, bad: float) -> None:
         """Guards against thin evidence: good parts vouch for a server, but only for a while."""
@@ -330,7 +335,7 @@
             if not bad or ejected + 1 > most or server.badness <= EJECT_AT:
                 return
             # Out for at least as long as the next part for it would take to come, to those who would tell.
-            seers = self.settings.coordinators if self.settings.may_message_peers else 1
+            seers = self.settings.coordinator_count if self.settings.gossip_allowed else 1
             span = max(EJECT_FOR, self.ready / self._rate(1) / seers)
             server.ejected_at = self.now
         server.ejected_for, server.ejected_until = min(span, EJECT_MOST), self.now + min(span, EJECT_MOST)
@@ -345,12 +350,14 @@
 
         `sparing`: nor beyond its part of what a ready server gets, nor perhaps cold.
         """
-        start, age = self.settings.start_capacity, max(self.now - server.cold_from, 0.0)
-        if sparing and self.now < server.doubt_from + self.settings.ramp_time:
+        start, age = self.settings.slow_start_capacity, max(self.now - server.cold_from, 0.0)
+        if sparing and self.now < server.doubt_from + self.settings.slow_start_duration:
             return False
-        if not server.ready or age >= self.settings.ramp_time:
+        if not server.ready or age >= self.settings.slow_start_duration:
             return server.ready
-        share = start + (1.0 - start) * age / self.settings.ramp_time  # surely there, by the stated ramp
+        share = (
+            start + (1.0 - start) * age / self.settings.slow_start_duration
+        )  # surely there, by the stated ramp
         if server.drawn != self.batch:
             server.drawn, server.draw = self.batch, self.random.random()
         # Its part of what a ready server gets is drawn, not saved up for: where a part for it comes seldom, a
@@ -359,18 +366,23 @@
         # as a rate over seconds is nought to who has a query in seconds. Guards against many co-ordinators:
         # each has its own share of the sum, whatever its rate, their floors together allow half a part in the
         # time of a fall, and each starts with a random credit.
-        floor = 0.5 / self.settings.fall_time / self.settings.coordinators * (self.now - server.credit_at)
+        floor = (
+            0.5
+            / self.settings.overload_window
+            / self.settings.coordinator_count
+            * (self.now - server.credit_at)
+        )
         gained = max(self.flow - server.flow_at, floor) * share
         if server.credit_at < server.cold_from:
             server.credit = self.random.random()
         else:
             # Half of what pushes it over; the other half is for uneven shards and late lists.
-            server.credit = min(1.0, server.credit + gained * max(self.settings.fall_multiple / 2, 1.0))
+            server.credit = min(1.0, server.credit + gained * max(self.settings.overload_multiple / 2, 1.0))
         server.credit_at, server.flow_at = self.now, self.flow
         # No more is drawn than half of what pushes it over, as answers flow. Guards against clients that come
         # again and again: each try is one more draw, at all co-ordinators, and answers none of them.
         answered = (self.flowed.get(self.now) + FEW) / (self.asked.get(self.now) + FEW)
-        share *= min(1.0, answered * self.settings.fall_multiple / 2)
+        share *= min(1.0, answered * self.settings.overload_multiple / 2)
         drawn = server.draw < share and server.credit > -AHEAD
         return drawn or (server.credit >= 1.0 and not sparing)
 
@@ -394,7 +406,7 @@
 
     def _substitute(self, part: _Part) -> _Server | None:
         """Another holder: fit and untried, else fit, else any that is permitted."""
-        held, out = self.held_by[part.arrived.shard % self.settings.cells], [a.server for a in part.out]
+        held, out = self.held_by[part.arrived.shard % self.settings.cell_count], [a.server for a in part.out]
         others = [s for s in held if self._permitted(s) and s not in out]
         return (
             min(
@@ -414,7 +426,7 @@
         """The servers of the position with the fewest calls out, as its parts would meet them."""
         holders = list[list[_Server]]()
         for part in parts:
-            held = self.held_by[part.arrived.shard % self.settings.cells]
+            held = self.held_by[part.arrived.shard % self.settings.cell_count]
             paces = [self._pace(s) if self._fit(s, part.query) else inf for s in held]
             least = min(paces, default=0.0)
             fit = [pace < inf and pace <= SLOW * least for pace in paces]
@@ -431,26 +443,30 @@
     def _percentile(self, query: _Query, share: float) -> float:
         """Of the class's last latencies, of parts, not of attempts: cancelled twins would hide the tail."""
         ranked = self.latency[query.arrived.query_class].ranked
-        return ranked[int(share * (len(ranked) - 1))] if len(ranked) >= FEW else query.kind.aim * START_DELAY
+        return (
+            ranked[int(share * (len(ranked) - 1))]
+            if len(ranked) >= FEW
+            else query.kind.latency_objective * START_DELAY
+        )
 
     def _send(self, part: _Part, server: _Server, is_copy: bool = False) -> bool:
         query, kind, rules = part.query, part.query.kind, self.settings
-        over = query.over or part.done or self.now >= query.answer_by or part.made >= rules.most_attempts
-        if over or not self._permitted(server) or (part.out and not rules.may_copy):
+        over = query.over or part.done or self.now >= query.answer_by or part.made >= rules.max_attempts
+        if over or not self._permitted(server) or (part.out and not rules.hedging_allowed):
             return False
         # No effect twice: what may have run goes again if safe; if keyed, within its window.
-        known = {api.Semantics.SAFE: inf, api.Semantics.UNSAFE: 0.0}
-        window = known.get(kind.semantics, kind.repeat_window or 0.0)
+        known = {api.RetrySafety.IDEMPOTENT: inf, api.RetrySafety.NOT_IDEMPOTENT: 0.0}
+        window = known.get(kind.retry_safety, kind.idempotency_window or 0.0)
         if part.may_have_run and self.now >= min(part.may_have_run.values()) + window - self.lag:
             return False
-        left = (rules.budget_share or 0.0) * self.taken.get(self.now) - self.extras.get(self.now)
-        spare = (rules.budget_free or 0.0) * is_copy / 2  # of the stated few, half is for retries
-        if part.made and rules.budget_free is not None and rules.budget_free + left < 1 + spare:
+        left = (rules.retry_budget_share or 0.0) * self.taken.get(self.now) - self.extras.get(self.now)
+        spare = (rules.retry_budget_free or 0.0) * is_copy / 2  # of the stated few, half is for retries
+        if part.made and rules.retry_budget_free is not None and rules.retry_budget_free + left < 1 + spare:
             return False
         (self.extras if part.made else self.sent).add(self.now)
         part.may_have_run[part.made] = self.now
         server.credit -= 1.0
-        call = (self.now, self.batch, self.call_now[server] // rules.parts_per_call)
+        call = (self.now, self.batch, self.call_now[server] // rules.max_parts_per_request)
         self.call_now[server] += 1
         self.trials += server.ejected_for > 0
         met = sum(c[1] < self.batch for c in server.calls)
@@ -486,16 +502,16 @@
         if attempt.waits % SILENCE == 0 and attempt.server.reached < attempt.call[0]:
             attempt.server.silent_to = self.now
             # No part sent as late or later has been answered.
-            self._judge(attempt.server, 1.0, api.EjectionReason.SILENCE)
+            self._judge(attempt.server, 1.0, api.EjectionReason.NO_RESPONSE)
             attempt.server.mute_until = self.now + 2 * EJECT_MOST
             # Guards against a new connection for each part where parts come seldom: no pause is too long
             # after which one was answered of late; the server is silent by itself.
             if attempt.idle > self._longest_fine():
-                self.idle_limit = min(self.idle_limit, max(attempt.idle, query.kind.aim))
+                self.idle_limit = min(self.idle_limit, max(attempt.idle, query.kind.latency_objective))
                 self.limit_at = self.now
         # One copy; where both it and its twin are at ejected servers they count as failed: a try may follow.
         failed = all(a.server.ejected_for for a in part.out)
-        safe = query.kind.semantics is api.Semantics.SAFE and (len(part.out) == 1 or failed)
+        safe = query.kind.retry_safety is api.RetrySafety.IDEMPOTENT and (len(part.out) == 1 or failed)
         in_time = self.now + self._percentile(query, 0.5) <= query.aim_at
         parts, copies = self.sent.get(self.now), sum(a.is_copy for a in self.attempts.values())
         shut = self.hedges.is_open(self.now, parts) | self.failures.is_open(self.now, parts)
@@ -519,8 +535,12 @@
         part.out.remove(attempt)
         if event.outcome.never_ran:
             del part.may_have_run[event.attempt]
-        answered = event.outcome in (api.Outcome.OK, api.Outcome.ERROR, api.Outcome.REJECTED)
-        if event.outcome is api.Outcome.OK:
+        answered = event.outcome in (
+            api.AttemptOutcome.OK,
+            api.AttemptOutcome.ERROR,
+            api.AttemptOutcome.REJECTED,
+        )
+        if event.outcome is api.AttemptOutcome.OK:
             self.flow += 1 / max(self.ready, 1)
             self.flowed.add(self.now)
             # Guards against a jammed server that an answer as late as silence lets back in, for all peers.
@@ -529,11 +549,11 @@
             # Guards against slow servers, whatever all do: one that a copy overtook in spite of its start.
             for loser in part.out if attempt.is_copy and not part.done and not self.stalled else ():
                 self._judge(loser.server, 1.0, api.EjectionReason.LOST_TO_HEDGE)
-        elif event.outcome not in (api.Outcome.CANCELLED, api.Outcome.NEVER_SENT):
+        elif event.outcome not in (api.AttemptOutcome.CANCELLED, api.AttemptOutcome.NEVER_SENT):
             self.failures.add(self.now)
             server.silent_to = server.silent_to if answered else self.now
             # Guards against ejecting what is only full: its load would fill the next holder.
-            full = event.outcome is api.Outcome.REJECTED
+            full = event.outcome is api.AttemptOutcome.REJECTED
             self._judge(server, HEARSAY if full else 1.0, api.EjectionReason(event.outcome.value))
         server.reached = max(server.reached, attempt.call[0] if answered else 0.0)
         server.mute_until = 0.0 if answered else server.mute_until
@@ -541,12 +561,16 @@
             self.idle_fine, self.fine_at = attempt.idle, self.now
         if answered and not self.stalled:
             # Guards against a jam that outlives its trigger: full queues answer fast and tell no delay.
-            took = query.kind.aim if event.outcome is api.Outcome.REJECTED else event.latency
+            took = (
+                query.kind.latency_objective
+                if event.outcome is api.AttemptOutcome.REJECTED
+                else event.latency
+            )
             self.mean, self.outcome_at = self.mean + (took - self.mean) / OUTCOMES, self.now
             pace, usual = self._pace(server), max(self._percentile(query, 0.5), EPSILON)
             server.pace, server.paced_at = pace + (took / usual - pace) / PACED, self.now
             self.met += (attempt.met - self.met) / OUTCOMES
-        if not part.done and event.outcome is api.Outcome.OK:
+        if not part.done and event.outcome is api.AttemptOutcome.OK:
             # Guards the delay against its own rescues: counted as the delay plus the copy's time, they would
             # raise the percentile to the aim where over 5% of parts meet silence. They count as the delay.
             if not self.stalled:
@@ -556,7 +580,7 @@
             query.parts_in += 1
             query.weight_in += part.arrived.weight
             self._settle(query)
-        elif event.outcome is api.Outcome.REJECTED and part.made < self.settings.most_attempts:
+        elif event.outcome is api.AttemptOutcome.REJECTED and part.made < self.settings.max_attempts:
             # Guards against storms on full queues: the next try waits for room.
             self._timer(part.made * self._percentile(query, 0.5), lambda: self._retry(part))
         else:
@@ -570,17 +594,21 @@
             self._settle(part.query)
 
     def _take_query(self, event: api.QueryArrived) -> None:
-        kind, index = self.settings.classes[event.query_class], event.query_class
-        answer_by = event.expires_at - 2 * self.settings.granularity
-        aim = min(kind.deadline, kind.aim + (kind.aim_stretch or 0.0) * event.predicted_cost)
+        kind, index = self.settings.query_classes[event.query_class], event.query_class
+        answer_by = event.expires_at - 2 * self.settings.timer_granularity
+        aim = min(
+            kind.deadline, kind.latency_objective + (kind.objective_stretch or 0.0) * event.predicted_cost
+        )
         query = _Query(event, kind, min(self.now + aim, answer_by), answer_by)
         self.queries[event.id] = self.by_number[event.number] = self.fresh[event.id] = query
         self.taken.add(self.now)
         self.tenants[event.tenant].add(self.now)
         self.usual[index] = min(self.usual[index] * CREEP, self._percentile(query, 0.5))
         self._timer(answer_by - self.now, lambda: self._overdue(query))
-        if kind.least_share < kind.whole_share:
-            self._timer(query.aim_at - 2 * self.settings.granularity - self.now, lambda: self._settle(query))
+        if kind.required_coverage < kind.complete_coverage:
+            self._timer(
+                query.aim_at - 2 * self.settings.timer_granularity - self.now, lambda: self._settle(query)
+            )
 
     def _take_part(self, event: api.PartArrived) -> None:
         self.taken.add(self.now)
@@ -591,12 +619,14 @@
 
     def _start(self, query: _Query) -> None:
         for part in query.parts:
-            held = self.held_by[part.arrived.shard % self.settings.cells]
+            held = self.held_by[part.arrived.shard % self.settings.cell_count]
             part.lost = not any(self._permitted(s) for s in held)
         parts = [p for p in query.parts if not p.lost]
         row = self._position(parts)
         reachable = bool(parts) and not query.lacks()
-        admitted = reachable and (query.step is Step.SECOND or not self._crowded(query, parts, row))
+        admitted = reachable and (
+            query.step is QueryState.SECOND_STEP or not self._crowded(query, parts, row)
+        )
         for part, server in zip(parts, row, strict=True) if admitted else ():
             # Two parts of one query can spend a cold server's credit: the second goes elsewhere.
             other = server if self._fit(server, query) else self._substitute(part)
@@ -604,9 +634,9 @@
         if not admitted:
             # Guards against a shard whose holders are all cold and stay so, as nothing is answered: what is
             # refused for want of them buys credit too, but not for repeats.
-            wanted = 0 if query.arrived.is_repeat or not query.lacks() else len(query.parts)
+            wanted = 0 if query.arrived.is_client_retry or not query.lacks() else len(query.parts)
             self.flow += wanted / max(self.ready, 1)
-            self._give_up(query, api.EndReason.OVERLOAD if reachable else api.EndReason.NO_REPLICA)
+            self._give_up(query, api.QueryEndReason.OVERLOAD if reachable else api.QueryEndReason.NO_REPLICA)
         self._settle(query)
 
     def _delay(self, row: list[_Server] | None = None) -> float:
@@ -621,10 +651,10 @@
         quota = dict(enumerate(self.settings.tenant_quotas)).get(query.arrived.tenant)
         # Guards against thin evidence: a few queries by chance, times many co-ordinators, are no excess.
         came = self.tenants[query.arrived.tenant].get(self.now)
-        over = quota and (came - CHANCE * sqrt(came)) * self.settings.coordinators > WINDOW * quota
+        over = quota and (came - CHANCE * sqrt(came)) * self.settings.coordinator_count > WINDOW * quota
         limit = (ADMIT_OVER_SHARE if over else ADMIT) / (2 if query.kind.second_step_parts else 1)
         # The slowest of the servers that it needs (a call's parts end together), for exponential times.
-        servers, need = len(set(row)), min(query.kind.whole_share, query.kind.least_share)
+        servers, need = len(set(row)), min(query.kind.complete_coverage, query.kind.required_coverage)
         unneeded = int(servers * (1.0 - need) + EPSILON)
         means = log(servers + 0.5) - (log(unneeded + 0.5) if unneeded else -0.58)
         slowest = self._delay(row) * max(means, 1.0)
@@ -641,19 +671,27 @@
             return
         kind, coverage = query.kind, query.coverage
         # Past the aim a whole answer earns its late worth: what is in may earn more, if it goes in time.
-        worth = kind.short_worth * query.weight_in / kind.whole_share
-        over = self.now >= query.aim_at - 2 * self.settings.granularity and worth > kind.late_worth
-        if is_whole(kind, query.step, coverage):
+        worth = kind.partial_weight * query.weight_in / kind.complete_coverage
+        over = self.now >= query.aim_at - 2 * self.settings.timer_granularity and worth > kind.late_weight
+        if is_complete(kind, query.step, coverage):
             complete = coverage.complete
-            self._answer(query, True, api.EndReason.ALL_PARTS if complete else api.EndReason.WHOLE_SHARE)
+            self._answer(
+                query,
+                True,
+                api.QueryEndReason.ALL_PARTS if complete else api.QueryEndReason.COMPLETE_COVERAGE,
+            )
         elif query.lacks():
-            self._give_up(query, api.EndReason.PARTS_LOST)
+            self._give_up(query, api.QueryEndReason.PARTS_LOST)
         elif may_answer(kind, query.step, coverage) and (over or all(p.done or p.lost for p in query.parts)):
-            self._answer(query, False, api.EndReason.SHORT_AT_AIM if over else api.EndReason.SHORT_NO_MORE)
+            self._answer(
+                query,
+                False,
+                api.QueryEndReason.PARTIAL_AT_OBJECTIVE if over else api.QueryEndReason.PARTIAL_NO_MORE_PARTS,
+            )
 
-    def _answer(self, query: _Query, whole: bool, reason: api.EndReason) -> None:
+    def _answer(self, query: _Query, whole: bool, reason: api.QueryEndReason) -> None:
         self.actions.append(api.Answer(query.arrived.id, whole and query.first_whole, reason))
-        if query.kind.second_step_parts and query.step is Step.FIRST:
+        if query.kind.second_step_parts and query.step is QueryState.FIRST_STEP:
             self._drop(query.parts)
             query.open_second_step(whole)
         else:
@@ -662,23 +700,25 @@
     def _overdue(self, query: _Query) -> None:
         """Time is nearly up: a short answer where the class allows one, else none."""
         if may_answer(query.kind, query.step, query.coverage):
-            self._answer(query, False, api.EndReason.SHORT_AT_DEADLINE)
+            self._answer(query, False, api.QueryEndReason.PARTIAL_AT_DEADLINE)
         elif not query.over:
-            self._give_up(query, api.EndReason.DEADLINE)
+            self._give_up(query, api.QueryEndReason.DEADLINE)
 
-    def _give_up(self, query: _Query, reason: api.EndReason) -> None:
+    def _give_up(self, query: _Query, reason: api.QueryEndReason) -> None:
         """The final answer at once: refused with a time to come again where that is harmless, else failed."""
-        harmless = query.kind.semantics is api.Semantics.SAFE or not any(p.may_have_run for p in query.parts)
-        if harmless and query.step is Step.FIRST:
-            wait = min(self.settings.longest_wait_advice, max(self._delay(), self.settings.granularity))
-            advice = wait if self.settings.may_advise_wait else 0.0
-            self.actions.append(api.Refuse(query.arrived.id, advice, reason))
+        harmless = query.kind.retry_safety is api.RetrySafety.IDEMPOTENT or not any(
+            p.may_have_run for p in query.parts
+        )
+        if harmless and query.step is QueryState.FIRST_STEP:
+            wait = min(self.settings.max_retry_after, max(self._delay(), self.settings.timer_granularity))
+            advice = wait if self.settings.retry_after_allowed else 0.0
+            self.actions.append(api.Reject(query.arrived.id, advice, reason))
         else:
             self.actions.append(api.Fail(query.arrived.id, reason))
         self._close(query)
 
     def _close(self, query: _Query) -> None:
-        query.step = Step.SETTLED
+        query.step = QueryState.SETTLED
         del self.queries[query.arrived.id], self.by_number[query.arrived.number]
         self._drop(query.parts)
         query.parts = []  # guards memory: they refer to it, and as a cycle wait for the collector
@@ -687,6 +727,6 @@
         for part in parts:
             part.done = True
             for attempt in part.out:
-                if self.settings.may_cancel and attempt.live:
+                if self.settings.cancellation_allowed and attempt.live:
                     attempt.live = False
                     self.actions.append(api.Cancel(part.arrived.id, attempt.number))
--- a/gingervane/emulator/coordinator.py
+++ b/gingervane/emulator/coordinator.py
@@ -11,20 +11,20 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
-from gingervane.coordinator import endings
+from gingervane.coordinator import attempt_outcome
 from gingervane.coordinator import types as t
-from gingervane.coordinator.core import Admission, Bounds, Refused
+from gingervane.coordinator.core import Admission, AdmissionLimits, Rejected
 from gingervane.coordinator.driver import Driver
-from gingervane.coordinator.endings import Phase
-from gingervane.coordinator.reserve import Reserve
-from gingervane.coordinator.sender import SenderLimits
-from gingervane.coordinator.standstill import Standstill
-from gingervane.daemon.settings import Config
+from gingervane.coordinator.attempt_outcome import ExchangePhase
+from gingervane.coordinator.response_time_reserve import ResponseTimeReserve
+from gingervane.coordinator.request_senders import SenderLimits
+from gingervane.coordinator.process_pause import ProcessPauseDetector
+from gingervane.settings.daemon_settings import Config
 from gingervane.emulator.events import Clock
 from gingervane.emulator.node import Reply, SimNode
-from gingervane.interface import Outcome
+from gingervane.interface import AttemptOutcome
 from gingervane.membership.view import Member, View
-from gingervane.policy import Coordinator
+from gingervane.decisions.engine import DecisionEngine
 
 
 class Costs(NamedTuple):
@@ -50,20 +50,22 @@
     number: int
     parts: tuple[t.PartPlan, ...]
     timeout: float
-    answer: Callable[[t.Final | None, float], None]
+    answer: Callable[[t.QueryResult | None, float], None]
     read: Callable[[float], None]
 
 
 class _Bytes:
     """Sizes of results, which nobody looks into here."""
 
-    def write(self, contents: list[Any], seconds_left: list[float], address: tuple[str, int]) -> bytes:
+    def encode(self, contents: list[Any], seconds_left: list[float], address: tuple[str, int]) -> bytes:
         raise NotImplementedError
 
-    def read(self, contents: list[Any], status: int, header: Callable[[str], str], body: bytes) -> list[Any]:
+    def decode(
+        self, contents: list[Any], status: int, header: Callable[[str], str], body: bytes
+    ) -> list[Any]:
         raise NotImplementedError
 
-    def size(self, result: Any) -> int:
+    def result_size(self, result: Any) -> int:
         return 1000
 
 
@@ -88,14 +90,14 @@
         self.number, self.alive, self._clock, self._nodes = number, True, clock, nodes
         self._net, self._costs, self._sent = net, costs, sent
         settings, limits = config.module_settings(), config.limits
-        self.driver = Driver(Coordinator(settings, seed), settings)
+        self.driver = Driver(DecisionEngine(settings, seed), settings)
         self._bounds = SenderLimits(
             limits.senders, limits.waiting_calls, limits.calls_per_replica, limits.connect_timeout
         )
         self.admission = Admission(
-            Bounds(limits.open, limits.result_bytes), settings.longest_wait_advice, lambda: clock.now
+            AdmissionLimits(limits.open, limits.result_bytes), settings.max_retry_after, lambda: clock.now
         )
-        self._reserves: dict[str, Reserve] = defaultdict(Reserve)
+        self._reserves: dict[str, ResponseTimeReserve] = defaultdict(ResponseTimeReserve)
         self._view = View()
         self._inbox: list[t.Input] = []
         self._free = clock.now  # when the processor is
@@ -104,13 +106,13 @@
         self._held = 0
         self._held_by = Counter[int]()
         self._running = 0
-        self._waiting: deque[t.Call] = deque()
+        self._waiting: deque[t.BatchRequest] = deque()
         self._off: dict[
             int, Callable[[], None]
         ] = {}  # what to do about a call that nobody waits for any more
         self._idle = Counter[int]()  # connections kept, by node
         self.busy = 0.0
-        self._still = Standstill(clock.now)
+        self._still = ProcessPauseDetector(clock.now)
 
     # ---- what comes
 
@@ -125,7 +127,7 @@
         self._work(
             self._costs.query / 2 + self._costs.part * len(asked.parts) / 2, lambda: self._begin(asked, cell)
         )
-        return lambda: self._put(t.Left(cell[0])) if cell and self.alive else None
+        return lambda: self._put(t.ClientDisconnected(cell[0])) if cell and self.alive else None
 
     def stall(self, seconds: float) -> None:
         now = self._clock.now
@@ -155,27 +157,27 @@
             return
         size = 1 + len(asked.parts)
         try:
-            self.admission.enter(size, self.driver.held_bytes)
-        except Refused as error:
-            asked.answer(t.Final(t.Verdict.REFUSED, come_again_in=error.come_again_in), now)
+            self.admission.admit(size, self.driver.held_bytes)
+        except Rejected as error:
+            asked.answer(t.QueryResult(t.QueryStatus.REJECTED, retry_after=error.retry_after), now)
             return
         self._queries += 1
         cell.append(self._queries)
         deadline = until - reserve.get(len(asked.parts), until - now)
 
-        def settled(final: t.Final) -> None:
+        def settled(final: t.QueryResult) -> None:
             at = self._clock.now
-            self.admission.hold(final.held_bytes)
+            self.admission.reserve_results(final.result_bytes)
 
             def write() -> None:
                 reserve.learn(len(asked.parts), self._clock.now - at)
-                self.admission.leave(size, final.held_bytes)
+                self.admission.release(size, final.result_bytes)
                 asked.answer(final if self._clock.now < until else None, self._clock.now)
 
             self._work(self._costs.query / 2 + self._costs.part * len(final.results) / 2, write)
 
         plan = t.QueryPlan(asked.number, deadline, asked.parts, EXCHANGE, asked.name)
-        self._put(t.Arrived(self._queries, plan, settled))
+        self._put(t.QuerySubmitted(self._queries, plan, settled))
 
     def _put(self, item: t.Input) -> None:
         self._inbox.append(item)
@@ -206,23 +208,23 @@
     def _carry_out(self, effects: list[t.Effect]) -> None:
         for effect in effects:
             match effect:
-                case t.Start(call):
+                case t.StartRequest(call):
                     self._start(call)
-                case t.CallOff(call):
+                case t.CancelRequest(call):
                     if off := self._off.pop(call.id, None):
                         off()
-                case t.DropIdle(address):
+                case t.CloseIdleConnections(address):
                     self._idle[address[1]] = 0
-                case t.Settle(settled, final, _):
+                case t.CompleteQuery(settled, final, _):
                     settled(final)
 
     # ---- senders
 
-    def _start(self, call: t.Call) -> None:
+    def _start(self, call: t.BatchRequest) -> None:
         bounds = self._bounds
         full = self._held >= bounds.threads + bounds.waiting or self._held_by[call.replica] >= bounds.each
         if full:
-            self._end(call, call.errands, Outcome.NEVER_SENT, free=False)
+            self._end(call, call.attempts, AttemptOutcome.NEVER_SENT, free=False)
             return
         self._held += 1
         self._held_by[call.replica] += 1
@@ -232,33 +234,37 @@
         else:
             self._send(call)
 
-    def _send(self, call: t.Call) -> None:
+    def _send(self, call: t.BatchRequest) -> None:
         self._running += 1
         node = call.replica
         if self._idle[node]:
             self._idle[node] -= 1
             self._work(self._costs.call / 2, lambda: self._write(call))
         elif self._nodes[node].down() == "crash":
-            self._clock.after(2 * self._net.delay, lambda: self._broken(call, Phase.CONNECTING, False))
+            self._clock.after(
+                2 * self._net.delay, lambda: self._broken(call, ExchangePhase.CONNECTING, False)
+            )
         else:
             self._clock.after(
                 2 * self._net.delay, lambda: self._work(self._costs.call / 2, lambda: self._write(call))
             )
 
-    def _broken(self, call: t.Call, phase: Phase, timed_out: bool) -> None:
+    def _broken(self, call: t.BatchRequest, phase: ExchangePhase, timed_out: bool) -> None:
         if self.alive:
-            self._end(call, call.errands, endings.broken(phase, 1, timed_out))
+            self._end(call, call.attempts, attempt_outcome.outcome_of_transport_error(phase, 1, timed_out))
 
-    def _write(self, call: t.Call) -> None:
+    def _write(self, call: t.BatchRequest) -> None:
         """From here on its parts may run."""
-        errands, stale = call.go(self._clock.now) if call.id in self._off else ([], [])
+        errands, stale = call.claim_sendable(self._clock.now) if call.id in self._off else ([], [])
         for errand in stale:
             self._put(
-                t.Ended(errand.part, errand.attempt, Outcome.NEVER_SENT, self._clock.now, None, "waited")
+                t.AttemptFinished(
+                    errand.part, errand.attempt, AttemptOutcome.NEVER_SENT, self._clock.now, None, "waited"
+                )
             )
         if not errands:
             self._idle[call.replica] += 1
-            self._end(call, call.errands, Outcome.NEVER_SENT)
+            self._end(call, call.attempts, AttemptOutcome.NEVER_SENT)
             return
         tiles = [errand.content for errand in errands]
         took = self._sent(self, call.replica, tiles)
@@ -284,40 +290,52 @@
         self._off[call.id] = leave
         self._clock.after(self._net.delay, arrive)
         # A reply that never comes holds its sender until the call's time is up.
-        self._clock.at(call.stop_at, lambda: self._give_up(call, errands))
+        self._clock.at(call.expires_at, lambda: self._give_up(call, errands))
 
-    def _give_up(self, call: t.Call, errands: list[t.Errand]) -> None:
+    def _give_up(self, call: t.BatchRequest, errands: list[t.AttemptRequest]) -> None:
         if self.alive and call.id in self._off:
-            self._end(call, errands, endings.broken(Phase.READING, 1, True))
+            self._end(
+                call, errands, attempt_outcome.outcome_of_transport_error(ExchangePhase.READING, 1, True)
+            )
 
-    def _replied(self, call: t.Call, errands: list[t.Errand], what: Reply) -> None:
+    def _replied(self, call: t.BatchRequest, errands: list[t.AttemptRequest], what: Reply) -> None:
         if not self.alive or call.id not in self._off:
             return
         if what is Reply.CUT:
-            self._end(call, errands, endings.broken(Phase.READING, 1, False))
+            self._end(
+                call, errands, attempt_outcome.outcome_of_transport_error(ExchangePhase.READING, 1, False)
+            )
             return
         self._idle[call.replica] += 1
         semantics = errands[0].semantics
         outcome = {
-            Reply.GOOD: Outcome.OK,
-            Reply.BAD: endings.refused(semantics, False, False),
-            Reply.NOT_BEGUN: endings.refused(semantics, True, True),
+            Reply.GOOD: AttemptOutcome.OK,
+            Reply.BAD: attempt_outcome.outcome_of_invalid_reply(semantics, False, False),
+            Reply.NOT_BEGUN: attempt_outcome.outcome_of_invalid_reply(semantics, True, True),
         }[what]
         self._work(self._costs.call / 2, lambda: self._end(call, errands, outcome))
 
-    def _end(self, call: t.Call, errands: list[t.Errand], outcome: Outcome, free: bool = True) -> None:
+    def _end(
+        self,
+        call: t.BatchRequest,
+        errands: list[t.AttemptRequest],
+        outcome: AttemptOutcome,
+        free: bool = True,
+    ) -> None:
         now = self._clock.now
         if free and call.id not in self._off:
             return  # called off meanwhile
         for errand in errands:
             self._put(
-                t.Ended(errand.part, errand.attempt, outcome, now, outcome is Outcome.OK, outcome.value)
+                t.AttemptFinished(
+                    errand.part, errand.attempt, outcome, now, outcome is AttemptOutcome.OK, outcome.value
+                )
             )
         if free:
             self._off.pop(call.id, None)
             self._release(call)
 
-    def _release(self, call: t.Call) -> None:
+    def _release(self, call: t.BatchRequest) -> None:
         self._held -= 1
         self._held_by[call.replica] -= 1
         self._running -= 1
--- a/gingervane/emulator/node.py
+++ b/gingervane/emulator/node.py
@@ -11,8 +11,8 @@
 from typing import Any
 
 from gingervane.emulator.events import Clock
-from gingervane.standins.capacity import Capacity, Job, Model
-from gingervane.standins.faults import Fault, Schedule
+from gingervane.fake_servers.capacity import Capacity, Job, Model
+from gingervane.fake_servers.faults import Fault, Schedule
 
 
 class Reply(Enum):
--- a/gingervane/emulator/world.py
+++ b/gingervane/emulator/world.py
@@ -16,13 +16,13 @@
 from gingervane.audit import rules
 from gingervane.audit.records import Catalogue, Change, Day, Part, Record, Send, ends_of
 from gingervane.coordinator import types as t
-from gingervane.daemon import settings
-from gingervane.daemon.settings import Config
+from gingervane.settings import daemon_settings
+from gingervane.settings.daemon_settings import Config
 from gingervane.emulator.coordinator import Asked, Costs, Net, SimCoordinator
 from gingervane.emulator.events import Clock
 from gingervane.emulator.node import SimNode
-from gingervane.lab.clients import BASE_MS, Demand, demands
-from gingervane.lab.scenario import Scenario
+from gingervane.experiments.clients import BASE_MS, Demand, demands
+from gingervane.experiments.scenario import Scenario
 from gingervane.membership.view import Member
 
 BEGAN = 1000.0  # the day's start on the simulated clock; what was up before had long been
@@ -111,7 +111,7 @@
 
     def _config(self, number: int) -> Config:
         table = self.scenario.coordinator_table(number, {"file": "list"}, {})
-        return settings.check(table, Path("emulator"))
+        return daemon_settings.check(table, Path("emulator"))
 
     def _launch(self, number: int) -> None:
         self._launches += 1
@@ -251,20 +251,22 @@
             if outcome != "left" and more.get("status") != 200:
                 self._again(demand, number, rng, advised)
 
-        def answer(final: t.Final | None, at: float) -> None:
+        def answer(final: t.QueryResult | None, at: float) -> None:
             record["replies"] = [at] if final else []
             clock.after(self._assumed.net.delay, lambda: arrive(final))
 
-        def arrive(final: t.Final | None) -> None:
+        def arrive(final: t.QueryResult | None) -> None:
             if final is None:
                 end("closed", 0.0)
                 return
-            answered = final.verdict is t.Verdict.WHOLE or (final.verdict is t.Verdict.SHORT and kind.partial)
+            answered = final.status is t.QueryStatus.COMPLETE or (
+                final.status is t.QueryStatus.PARTIAL and kind.partial
+            )
             if answered:
                 missing = [name for i, name in enumerate(demand.tiles) if i not in final.results]
                 end("reply", 0.0, status=200, coverage=f"{final.coverage:g}", missing=",".join(missing))
-            elif final.verdict is t.Verdict.REFUSED:
-                end("reply", final.come_again_in, status=503, coverage=None, missing=None)
+            elif final.status is t.QueryStatus.REJECTED:
+                end("reply", final.retry_after, status=503, coverage=None, missing=None)
             else:
                 end("reply", 0.0, status=502, coverage=None, missing=None)
 
@@ -320,6 +322,8 @@
         if has
     ]
     if lacking:
-        raise settings.SettingsError(f"{scenario.name}: {', '.join(lacking)}: not modelled in simulated time")
+        raise daemon_settings.SettingsError(
+            f"{scenario.name}: {', '.join(lacking)}: not modelled in simulated time"
+        )
     world = World(scenario, seed, assumed)
     return world.judge(world.run())
--- a/gingervane/lab/fromday.py
+++ b/gingervane/experiments/bench_day_import.py
@@ -11,8 +11,8 @@
 from pathlib import Path
 from typing import Any
 
-from gingervane.daemon.settings import SettingsError, validate
-from gingervane.lab.scenario import Scenario
+from gingervane.settings.daemon_settings import SettingsError, validate
+from gingervane.experiments.scenario import Scenario
 
 _SAME = {"crash": "crash", "vanish": "vanish", "slow": "slow", "ageing": "ageing", "flapping": "flapping"}
 _UNMAPPED = {
--- a/gingervane/lab/clients.py
+++ b/gingervane/experiments/clients.py
@@ -17,10 +17,10 @@
 from urllib.parse import urlencode
 
 from gingervane.fronts.client import LIMITS, Client
-from gingervane.fronts.desk import COVERAGE_HEADER, MISSING_HEADER, RETRY_HEADER
-from gingervane.lab.scenario import LoadClass, Scenario
-from gingervane.standins.data import STEP_MS
-from gingervane.standins.node import Recorder
+from gingervane.fronts.routing import COVERAGE_HEADER, MISSING_HEADER, RETRY_HEADER
+from gingervane.experiments.scenario import LoadClass, Scenario
+from gingervane.fake_servers.data import STEP_MS
+from gingervane.fake_servers.node import Recorder
 from gingervane.wire.http1 import Closed, HttpError
 from gingervane.wire.pool import Connection, Pool
 from gingervane.wire.remote_read import Match, Matcher, Query
--- a/gingervane/lab/demonstration.py
+++ b/gingervane/experiments/demonstration.py
@@ -11,9 +11,9 @@
 from rich.table import Table
 
 from gingervane.fronts.client import Answer, Client
-from gingervane.fronts.desk import COVERAGE_HEADER, MISSING_HEADER
-from gingervane.fronts.leaves import PATH_HEADER
-from gingervane.lab.embedded import Embedded
+from gingervane.fronts.routing import COVERAGE_HEADER, MISSING_HEADER
+from gingervane.fronts.leaf_codec import PATH_HEADER
+from gingervane.experiments.embedded import Embedded
 from gingervane.wire.http1 import Closed, HttpError
 from gingervane.wire.remote_read import Match, Matcher, Query
 
--- a/gingervane/lab/embedded.py
+++ b/gingervane/experiments/embedded.py
@@ -7,12 +7,12 @@
 from pathlib import Path
 from typing import Any
 
-from gingervane.daemon import settings
+from gingervane.settings import daemon_settings
 from gingervane.daemon.app import App
-from gingervane.lab.tables import Ground, coordinator_table
-from gingervane.standins.capacity import Model
-from gingervane.standins.node import Grid, list_row, write_list
-from gingervane.standins.vectors import VectorGrid
+from gingervane.experiments.tables import Ground, coordinator_table
+from gingervane.fake_servers.capacity import Model
+from gingervane.fake_servers.node import FakeGrid, list_row, write_list
+from gingervane.fake_servers.vectors import VectorGrid
 
 MODEL = Model()
 ZONES = ("hall-a", "hall-b", "hall-c")
@@ -31,7 +31,7 @@
 ]
 
 
-def config_table(grid: Grid, list_file: Path, zone: str, coordinators: int = 1) -> dict[str, Any]:
+def config_table(grid: FakeGrid, list_file: Path, zone: str, coordinators: int = 1) -> dict[str, Any]:
     """Settings for a co-ordinator before a grid."""
     model = grid.nodes[0].model
     ground = Ground(
@@ -75,7 +75,7 @@
         `vectors`: nodes of the vector front, which is then closed with the fleet."""
         self.vectors = vectors
         self.folder = Path(tempfile.mkdtemp(prefix="gingervane-"))
-        self.grid = Grid(nodes, tiles, ZONES, 3, model)
+        self.grid = FakeGrid(nodes, tiles, ZONES, 3, model)
         self.list_file = self.folder / "servers.toml"
         self._list_coordinators = list_coordinators
         self.apps: list[App] = []
@@ -87,7 +87,7 @@
                 table[key] = {**table[key], **value} if isinstance(table.get(key), dict) else value
             if tree is not None:
                 table["tree"] = {"ring": coordinators, "place": number, **tree, "name": f"c{number}"}
-            config = settings.check(table, self.folder / "embedded.toml")
+            config = daemon_settings.check(table, self.folder / "embedded.toml")
             self.apps.append(App(config, None if seed is None else seed + 10 * number))
         self.app = self.apps[0]
         self.config = self.app.config
--- a/gingervane/lab/experiment.py
+++ b/gingervane/experiments/experiment.py
@@ -28,10 +28,10 @@
 
 from pydantic import Field
 
-from gingervane.daemon.settings import SettingsError, Table, validate
-from gingervane.lab import scenario as scenarios
-from gingervane.lab.scenario import Scenario
-from gingervane.lab.store import Run, RunStore, code_version
+from gingervane.settings.daemon_settings import SettingsError, Table, validate
+from gingervane.experiments import scenario as scenarios
+from gingervane.experiments.scenario import Scenario
+from gingervane.experiments.store import Run, RunStore, code_version
 
 World = Literal["emulator", "sockets"]
 
@@ -68,12 +68,12 @@
 
 def load(name: str) -> tuple[Experiment, dict[str, Any], Path]:
     """An experiment that ships, or a file: itself, its scenario's table, and where it is. Raises SettingsError."""
-    shipped = resources.files("gingervane.lab") / "experiments" / f"{name}.toml"
+    shipped = resources.files("gingervane.experiments") / "experiments" / f"{name}.toml"
     path = Path(str(shipped)) if shipped.is_file() else Path(name)
     table = _toml(path)
     found = validate(Experiment, table, path)
     if found.scenario in scenarios.names():
-        where = Path(str(resources.files("gingervane.lab") / "scenarios" / f"{found.scenario}.toml"))
+        where = Path(str(resources.files("gingervane.experiments") / "scenarios" / f"{found.scenario}.toml"))
     else:
         where = path.parent / found.scenario
     scenario = _toml(where)
@@ -180,7 +180,7 @@
 
 def _rehearsed(scenario: Scenario, job: Job) -> tuple[dict[str, Any], dict[str, str]]:
     from gingervane.audit import records, rules
-    from gingervane.lab.rehearse import Rehearsal
+    from gingervane.experiments.scenario_runner import Rehearsal
 
     folder = Path(job.out) / "sockets"
     report = Rehearsal(scenario, folder).run()
--- a/gingervane/lab/saboteur.py
+++ b/gingervane/experiments/fault_mutants.py
@@ -1,6 +1,6 @@
 """A co-ordinator made to break one rule, to show that the audit sees it.
 
-Run as `python -m gingervane.lab.saboteur RULE ...`; the rest of the command line is that of
+Run as `python -m gingervane.experiments.fault_mutants RULE ...`; the rest of the command line is that of
 `gingervane serve`. Nothing else imports this module.
 """
 
@@ -14,10 +14,10 @@
 from gingervane.cli.main import main as command_line
 from gingervane.coordinator import driver as driving
 from gingervane.coordinator import types as t
-from gingervane.daemon.settings import Config
+from gingervane.settings.daemon_settings import Config
 from gingervane.fronts.remote_read import RemoteReadFront
-from gingervane.membership.listfile import FileWatcher
-from gingervane.membership.sources import Sources
+from gingervane.membership.endpoint_file import FileWatcher
+from gingervane.membership.source_owner import EndpointSources
 
 
 def _settings(change: Callable[[api.Settings], api.Settings]) -> None:
@@ -40,7 +40,10 @@
     """Every class is taken to be safe to repeat."""
     _settings(
         lambda s: s._replace(
-            classes=tuple(c._replace(semantics=api.Semantics.SAFE, repeat_window=None) for c in s.classes)
+            query_classes=tuple(
+                c._replace(retry_safety=api.RetrySafety.IDEMPOTENT, idempotency_window=None)
+                for c in s.query_classes
+            )
         )
     )
 
@@ -48,14 +51,14 @@
 def drain() -> None:
     """The server list is read once and never again, and so is each source of a catalogue."""
     FileWatcher._run = lambda self: None  # type: ignore[method-assign]
-    report, heard = Sources.report, set[tuple[int, str]]()
+    report, heard = EndpointSources.report, set[tuple[int, str]]()
 
-    def once(self: Sources, source: str, *args: Any) -> None:
+    def once(self: EndpointSources, source: str, *args: Any) -> None:
         if (id(self), source) not in heard:
             heard.add((id(self), source))
             report(self, source, *args)
 
-    Sources.report = once  # type: ignore[method-assign, assignment]
+    EndpointSources.report = once  # type: ignore[method-assign, assignment]
 
 
 def cold() -> None:
@@ -65,16 +68,16 @@
     def warm(self: driving.Driver, now: float, inputs: Sequence[t.Input]) -> list[t.Effect]:
         told = []
         for item in inputs:
-            if isinstance(item, t.Listed):
-                rows = tuple(r._replace(started_at=0.0) for r in item.event.replicas)
-                item = item._replace(event=item.event._replace(replicas=rows))
+            if isinstance(item, t.EndpointsUpdated):
+                rows = tuple(r._replace(started_at=0.0) for r in item.membership.replicas)
+                item = item._replace(membership=item.membership._replace(replicas=rows))
             told.append(item)
         return step(self, now, told)
 
     driving.Driver.step = warm  # type: ignore[method-assign]
-    from gingervane import policy
+    from gingervane.decisions import engine
 
-    policy.Coordinator._judge = lambda self, server, bad, why=None: None  # type: ignore[method-assign]
+    engine.DecisionEngine._judge = lambda self, server, bad, why=None: None  # type: ignore[method-assign]
 
 
 def honest() -> None:
@@ -95,7 +98,7 @@
 
 def budget() -> None:
     """The budget is not told to the module."""
-    _settings(lambda s: s._replace(budget_free=None, budget_share=None, budget_span=None))
+    _settings(lambda s: s._replace(retry_budget_free=None, retry_budget_share=None, retry_budget_window=None))
 
 
 BREAKS = {f.__name__: f for f in (lost, duplicate, drain, cold, honest, budget)}
--- a/gingervane/lab/figures.py
+++ b/gingervane/experiments/figures.py
@@ -10,7 +10,7 @@
 
 import numpy as np
 
-from gingervane.lab.store import Run
+from gingervane.experiments.store import Run
 
 _DRAWS = 4000
 
--- a/gingervane/lab/scenario.py
+++ b/gingervane/experiments/scenario.py
@@ -17,11 +17,11 @@
 
 from pydantic import Field, model_validator
 
-from gingervane.daemon.settings import Class, Count, Seconds, SettingsError, Share, Table, validate
-from gingervane.lab.tables import Ground, coordinator_table
-from gingervane.standins.capacity import Model
-from gingervane.standins.consul import FAULTS
-from gingervane.standins.faults import KINDS, Fault
+from gingervane.settings.daemon_settings import Class, Count, Seconds, SettingsError, Share, Table, validate
+from gingervane.experiments.tables import Ground, coordinator_table
+from gingervane.fake_servers.capacity import Model
+from gingervane.fake_servers.consul import FAULTS
+from gingervane.fake_servers.faults import KINDS, Fault
 
 OWN_KINDS = {"burst", "drain", "coordinator_kill", "coordinator_stall", "coordinator_drain", "agent_fault"}
 Moment = Annotated[float, Field(ge=0, le=3600)]
@@ -312,7 +312,7 @@
 
 def names() -> list[str]:
     """Scenarios that ship with the package."""
-    folder = resources.files("gingervane.lab") / "scenarios"
+    folder = resources.files("gingervane.experiments") / "scenarios"
     return sorted(
         entry.name.removesuffix(".toml") for entry in folder.iterdir() if entry.name.endswith(".toml")
     )
@@ -322,7 +322,7 @@
     """A scenario by the name of one that ships, or by its file. Raises SettingsError."""
     path = Path(name)
     if name in names():
-        text = (resources.files("gingervane.lab") / "scenarios" / f"{name}.toml").read_text()
+        text = (resources.files("gingervane.experiments") / "scenarios" / f"{name}.toml").read_text()
     else:
         try:
             text = path.read_text()
--- a/gingervane/lab/rehearse.py
+++ b/gingervane/experiments/scenario_runner.py
@@ -21,12 +21,12 @@
 from typing import IO, Any
 
 from gingervane.audit import effects, rules
-from gingervane.lab.clients import Load, demands
-from gingervane.lab.listing import ConsulListing, FileListing, Listing, Row
-from gingervane.lab.scenario import Scenario
-from gingervane.lab.tables import toml
-from gingervane.lab.vector_day import VectorLoad, VectorNodes, settled
-from gingervane.standins.node import Recorder
+from gingervane.experiments.clients import Load, demands
+from gingervane.experiments.listing import ConsulListing, FileListing, Listing, Row
+from gingervane.experiments.scenario import Scenario
+from gingervane.experiments.tables import toml
+from gingervane.experiments.vector_day import VectorLoad, VectorNodes, settled
+from gingervane.fake_servers.node import Recorder
 
 _SERVICE = "grid"  # the nodes' in Consul
 _START = (
@@ -188,7 +188,7 @@
                 "only": list(range(index, nodes.count, nodes.processes)),
             }
             path.write_text(json.dumps(orders | own))
-            command = [sys.executable, "-m", "gingervane.standins.fleet", str(path)]
+            command = [sys.executable, "-m", "gingervane.fake_servers.fleet", str(path)]
             out.append(_Process(command, self.out / f"nodes-{index}.log", keep_stdin=True))
         return out
 
@@ -196,7 +196,7 @@
         """The stand-in, with one agent more than co-ordinators know: the director's own, which stays well."""
         path = self.out / "orders-consul.json"
         path.write_text(json.dumps({"agents": agents + 1, "records": str(self.out / "consul.jsonl")}))
-        command = [sys.executable, "-m", "gingervane.standins.consul", str(path)]
+        command = [sys.executable, "-m", "gingervane.fake_servers.consul", str(path)]
         process = _Process(command, self.out / "consul.log", keep_stdin=True)
         ports = json.loads(process.line("ready"))
         director.put("agents", ports=ports)
--- a/gingervane/lab/vector_day.py
+++ b/gingervane/experiments/vector_day.py
@@ -20,8 +20,8 @@
 import numpy as np
 import orjson
 
-from gingervane.lab.scenario import Scenario, VectorDay
-from gingervane.standins.node import Recorder, list_row, write_list
+from gingervane.experiments.scenario import Scenario, VectorDay
+from gingervane.fake_servers.node import Recorder, list_row, write_list
 from gingervane.vectors.points import shard_of
 from gingervane.wire import http1
 from gingervane.wire.http1 import Closed, Headers, HttpError, Limits
@@ -68,7 +68,7 @@
                 }
             )
         )
-        return [sys.executable, "-m", "gingervane.standins.vectors", str(path)]
+        return [sys.executable, "-m", "gingervane.fake_servers.vectors", str(path)]
 
     def table(self, number: int) -> dict[str, Any]:
         """Settings of one co-ordinator; its classes must be named as here."""
--- a/gingervane/standins/consul.py
+++ b/gingervane/fake_servers/consul.py
@@ -7,8 +7,8 @@
 changes nothing moves none.
 
 Owners: the catalogue is its condition's; handlers wait on it in blocking queries, and a thread of its own on the
-next TTL. As a process: `python -m gingervane.standins.consul ORDERS.json`, which prints `ready` and a list of ports
-and ends when its standard input does.
+next TTL. As a process: `python -m gingervane.fake_servers.consul ORDERS.json`, which prints `ready` and a list of
+ports, and ends when its standard input does.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 from urllib.parse import parse_qs, unquote
 
 from gingervane.fronts.http_server import Exchange, HttpServer, Reply, ServerLimits, plain
-from gingervane.standins.node import Recorder
+from gingervane.fake_servers.node import Recorder
 from gingervane.wire import http1
 from gingervane.wire.http1 import Request
 
--- a/gingervane/standins/data.py
+++ b/gingervane/fake_servers/data.py
@@ -6,7 +6,7 @@
 
 import numpy as np
 
-from gingervane.fronts.tiles import matches
+from gingervane.fronts.shard_matching import matches
 from gingervane.wire.remote_read import Match, Matcher, Query, Series, Times, Values
 
 STEP_MS = 15_000
--- a/gingervane/standins/fleet.py
+++ b/gingervane/fake_servers/fleet.py
@@ -1,4 +1,4 @@
-"""Many nodes in a process of their own: `python -m gingervane.standins.fleet ORDERS.json`.
+"""Many nodes in a process of their own: `python -m gingervane.fake_servers.fleet ORDERS.json`.
 
 The orders hold the grid, its faults on the monotonic clock and the file for records. Prints `ready` and a JSON list
 of ports once all nodes listen; ends when its standard input does.
@@ -13,9 +13,9 @@
 from pathlib import Path
 from typing import Any, Protocol
 
-from gingervane.standins.capacity import Model
-from gingervane.standins.faults import Fault
-from gingervane.standins.node import Grid, Recorder
+from gingervane.fake_servers.capacity import Model
+from gingervane.fake_servers.faults import Fault
+from gingervane.fake_servers.node import FakeGrid, Recorder
 
 
 class Nodes(Protocol):
@@ -45,8 +45,8 @@
     return 0
 
 
-def _grid(orders: Orders, recorder: Recorder, faults: dict[int, list[Fault]]) -> Grid:
-    return Grid(
+def _grid(orders: Orders, recorder: Recorder, faults: dict[int, list[Fault]]) -> FakeGrid:
+    return FakeGrid(
         orders["nodes"],
         orders["tiles"],
         tuple(orders["zones"]),
--- a/gingervane/standins/node.py
+++ b/gingervane/fake_servers/node.py
@@ -17,10 +17,10 @@
 from pathlib import Path
 from typing import Any
 
-from gingervane.fronts.tiles import matches
-from gingervane.standins import data
-from gingervane.standins.capacity import Capacity, Job, Model
-from gingervane.standins.faults import Fault, FaultError, Schedule
+from gingervane.fronts.shard_matching import matches
+from gingervane.fake_servers import data
+from gingervane.fake_servers.capacity import Capacity, Job, Model
+from gingervane.fake_servers.faults import Fault, FaultError, Schedule
 from gingervane.wire import http1, remote_read, snappy
 from gingervane.wire.http1 import Closed, HttpError, Limits, Request
 from gingervane.wire.protobuf import ProtobufError, varint
@@ -329,7 +329,7 @@
         return True
 
 
-class Grid:
+class FakeGrid:
     """A ring of nodes over tiles: node i starts at cell i and holds `width` cells, in zones by turns."""
 
     def __init__(
--- a/gingervane/standins/vectors.py
+++ b/gingervane/fake_servers/vectors.py
@@ -3,7 +3,7 @@
 Speaks Qdrant's REST API as the co-ordinator's exchanges do, a `shard_key` in each operation, and besides, for repair,
 `GET /collections/{c}/shards/{s}/marks`, `POST .../fetch` and `POST .../put`. An operation is done in one step under
 the node's lock. Every effect is recorded: which key and version, on which points, or that it was a repeat. As a
-process: `python -m gingervane.standins.vectors ORDERS.json`, as the grid's fleet.
+process: `python -m gingervane.fake_servers.vectors ORDERS.json`, as the grid's fleet.
 """
 
 from __future__ import annotations
@@ -18,10 +18,10 @@
 import numpy as np
 import orjson
 
-from gingervane.standins.faults import Fault
-from gingervane.standins.fleet import Orders, serve
-from gingervane.standins.node import MODEL, Node, Recorder
-from gingervane.standins.capacity import Model
+from gingervane.fake_servers.faults import Fault
+from gingervane.fake_servers.fleet import Orders, serve
+from gingervane.fake_servers.node import MODEL, Node, Recorder
+from gingervane.fake_servers.capacity import Model
 from gingervane.vectors.points import Collection, order_of, passes
 from gingervane.wire import http1
 from gingervane.wire.http1 import Request
--- a/gingervane/fronts/client.py
+++ b/gingervane/fronts/client.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 from urllib.parse import urlencode
 
-from gingervane.fronts.leaves import CONTENT_TYPE, PATH, VERSION, VERSION_HEADER
+from gingervane.fronts.leaf_codec import CONTENT_TYPE, PATH, VERSION, VERSION_HEADER
 from gingervane.wire import http1, remote_read, snappy
 from gingervane.wire.http1 import Headers, Limits
 from gingervane.wire.pool import Pool, exchange
--- a/gingervane/fronts/connections.py
+++ b/gingervane/fronts/connections.py
@@ -29,7 +29,7 @@
 from queue import Empty, SimpleQueue
 from typing import NamedTuple
 
-from gingervane.wire.local import is_passing, patiently, start_thread
+from gingervane.wire.local_failures import is_passing, patiently, start_thread
 
 LINGER, LINGER_BYTES = 0.5, 1 << 20  # seconds and bytes that an ended connection may still take
 MOST_ENDING = 16  # connections at their end, beyond the bound on the others
--- a/gingervane/fronts/http_server.py
+++ b/gingervane/fronts/http_server.py
@@ -14,13 +14,13 @@
 from functools import partial
 from typing import NamedTuple, Protocol, TypeVar
 
-from gingervane.coordinator import standstill
-from gingervane.coordinator.standstill import Standstill
+from gingervane.coordinator import process_pause
+from gingervane.coordinator.process_pause import ProcessPauseDetector
 from gingervane.fronts.connections import After, Bounds, Connection, Connections, has_left
 from gingervane.wire import http1
 from gingervane.wire.http1 import Closed, HttpError, Limits, Request
-from gingervane.wire.local import RETRY_PAUSE, is_passing, patiently, start_thread
-from gingervane.wire.tap import TAP
+from gingervane.wire.local_failures import RETRY_PAUSE, is_passing, patiently, start_thread
+from gingervane.wire.socket_recorder import SOCKET_RECORDER
 
 
 T = TypeVar("T")
@@ -126,7 +126,7 @@
             self._work,
             http1.response(503, fields, b"too many connections\n"),
         )
-        self._stop, self._still = threading.Event(), Standstill(time.monotonic())
+        self._stop, self._still = threading.Event(), ProcessPauseDetector(time.monotonic())
         self.wind_down, self.stop_accepting = self._connections.wind_down, self._connections.stop_accepting
 
         self.faults = 0  # requests whose handler broke
@@ -144,7 +144,7 @@
         self._stop.set()
 
     def _tick(self) -> None:
-        while not self._stop.wait(standstill.EVERY):
+        while not self._stop.wait(process_pause.EVERY):
             self._still.tick(time.monotonic())
 
     @property
@@ -208,8 +208,8 @@
         except TimeoutError:
             self._write(sock, plain(408, f"{what}: not complete in time", close=True))
             return After.END
-        if TAP.on:
-            TAP.put("request", *_ports(sock))
+        if SOCKET_RECORDER.on:
+            SOCKET_RECORDER.put("request", *_ports(sock))
         try:
             reply = self._handler(request, body, arrived, _Client(one, self._connections))
         except Exception as error:  # a bug must not leave a request that has been read without an answer
@@ -232,8 +232,8 @@
     def _write(self, sock: socket.socket, reply: Reply) -> None:
         fields = [*reply.fields, ("Connection", "close")] if reply.close else reply.fields
         data = http1.response(reply.status, fields, reply.body)
-        if TAP.on:
-            TAP.put("reply", *_ports(sock), status=reply.status)
+        if SOCKET_RECORDER.on:
+            SOCKET_RECORDER.put("reply", *_ports(sock), status=reply.status)
         _send_all(sock, data, time.monotonic() + self._limits.write)
 
 
--- a/gingervane/fronts/leaves.py
+++ b/gingervane/fronts/leaf_codec.py
@@ -8,7 +8,7 @@
 import numpy as np
 
 from gingervane.coordinator import types as t
-from gingervane.fronts.desk import BEGAN_HEADER
+from gingervane.fronts.routing import BEGAN_HEADER
 from gingervane.wire import http1, remote_read, snappy
 from gingervane.wire.protobuf import ProtobufError
 from gingervane.wire.remote_read import Accepts, Series
@@ -41,7 +41,7 @@
     def __init__(self, label: str, most_bytes: int) -> None:
         self._label, self._most_bytes = label, most_bytes
 
-    def write(self, contents: list[Any], seconds_left: list[float], address: tuple[str, int]) -> bytes:
+    def encode(self, contents: list[Any], seconds_left: list[float], address: tuple[str, int]) -> bytes:
         queries = [asked.body for tile in contents for asked in tile.asked]
         body = snappy.compress(remote_read.write_request(queries, (Accepts.SAMPLES,)))
         fields = [
@@ -55,27 +55,29 @@
         ]
         return http1.head(f"POST {PATH} HTTP/1.1", fields) + body
 
-    def read(self, contents: list[Any], status: int, header: Callable[[str], str], body: bytes) -> list[Any]:
+    def decode(
+        self, contents: list[Any], status: int, header: Callable[[str], str], body: bytes
+    ) -> list[Any]:
         check_status(status, header)
         count = sum(len(tile.asked) for tile in contents)
         try:
             results = remote_read.read_response(snappy.decompress(body, self._most_bytes), count)
         except (snappy.SnappyError, ProtobufError) as error:
-            raise t.BadReply(f"body: {error}") from None
+            raise t.InvalidReply(f"body: {error}") from None
         if len(results) != count:
-            raise t.BadReply(f"{len(results)} results for {count} queries")
+            raise t.InvalidReply(f"{len(results)} results for {count} queries")
         out: list[list[list[Series]]] = []
         at = iter(results)
         for tile in contents:
             mine = [next(at) for _ in tile.asked]
             for asked, result in zip(tile.asked, mine, strict=True):
                 if any((self._label, tile.name) not in series.labels for series in result):
-                    raise t.BadReply(f"a series outside {self._label}={tile.name!r}")
+                    raise t.InvalidReply(f"a series outside {self._label}={tile.name!r}")
                 check_times(result, asked.start_ms, asked.end_ms)
             out.append(mine)
         return out
 
-    def size(self, result: Any) -> int:
+    def result_size(self, result: Any) -> int:
         return sum(size_of(series) for series in result)
 
 
@@ -83,11 +85,11 @@
     """Raise BadReply unless a reply's head is that of an answer."""
     if status != 200:
         idle = header(BEGAN_HEADER.lower()) == "no" and status in (429, 503, 508)
-        raise t.BadReply(f"status {status}", proven_idle=idle, overloaded=status in (429, 503))
+        raise t.InvalidReply(f"status {status}", proves_not_executed=idle, overloaded=status in (429, 503))
     if header("content-type").partition(";")[0].strip().lower() != CONTENT_TYPE:
-        raise t.BadReply(f"content type {header('content-type')!r}")
+        raise t.InvalidReply(f"content type {header('content-type')!r}")
     if header("content-encoding").lower() != "snappy":
-        raise t.BadReply(f"content encoding {header('content-encoding')!r}")
+        raise t.InvalidReply(f"content encoding {header('content-encoding')!r}")
 
 
 def check_times(result: list[Series], start_ms: int, end_ms: int) -> None:
@@ -95,10 +97,10 @@
     if result:
         times = np.concatenate([series.timestamps for series in result])
         if len(times) and (int(times.min()) < start_ms or int(times.max()) > end_ms):
-            raise t.BadReply(f"samples outside {start_ms} to {end_ms} ms")
+            raise t.InvalidReply(f"samples outside {start_ms} to {end_ms} ms")
     for series in result:
         if any(not start_ms <= at <= end_ms for at, _ in series.histograms):
-            raise t.BadReply(f"histograms outside {start_ms} to {end_ms} ms")
+            raise t.InvalidReply(f"histograms outside {start_ms} to {end_ms} ms")
 
 
 def size_of(result: list[Series]) -> int:
--- a/gingervane/fronts/remote_read.py
+++ b/gingervane/fronts/remote_read.py
@@ -16,10 +16,11 @@
 from urllib.parse import parse_qsl
 
 from gingervane.coordinator import types as t
-from gingervane.coordinator.core import Core, Refused
-from gingervane.coordinator.desk import Desk, Question
-from gingervane.fronts import http_server, subtrees
-from gingervane.fronts.desk import (
+from gingervane.coordinator.core import QueryCoordinator, Rejected
+from gingervane.coordinator.dispatch import QueryDispatcher, QueryRequest
+from gingervane.fronts import http_server
+from gingervane.fronts import subtree_codec
+from gingervane.fronts.routing import (
     BEGAN_HEADER,
     ClassOf,
     Route,
@@ -30,7 +31,7 @@
     refusal,
 )
 from gingervane.fronts.http_server import Reply, plain
-from gingervane.fronts.leaves import (
+from gingervane.fronts.leaf_codec import (
     CONTENT_TYPE,
     PATH,
     PATH_HEADER,
@@ -40,17 +41,17 @@
     RemoteReadExchange,
     Tile,
 )
-from gingervane.fronts.tiles import PatternError, ShardIndex
-from gingervane.interface import Semantics
-from gingervane.limits.fair import Full
-from gingervane.limits.gate import Gate
+from gingervane.fronts.shard_matching import PatternError, ShardIndex
+from gingervane.interface import RetrySafety
+from gingervane.limits.fair_queue import QueueFull
+from gingervane.limits.concurrency_limit import Gate
 from gingervane.merge import series as merging
 from gingervane.tree import coverage, plan
 from gingervane.tree.cost import Costs
-from gingervane.tree.orders import LeafContent, Orders
-from gingervane.tree.run import Setting, WideRun, leaves_of
-from gingervane.tree.wide import End, WideQuery
-from gingervane.tree.wide import Rules as WideRules
+from gingervane.tree.subquery_context import LeafContent, SubqueryContext
+from gingervane.tree.wide_query_runner import Setting, WideRun, leaves_of
+from gingervane.tree.wide_query import End, WideQuery
+from gingervane.tree.wide_query import Rules as WideRules
 from gingervane.wire import remote_read, snappy
 from gingervane.wire.http1 import HttpError, Request
 from gingervane.wire.protobuf import ProtobufError
@@ -60,18 +61,18 @@
 _NO_TREE = plan.Limits(1 << 30, 16, 1, 1, 16)
 _NO_PEERS = plan.Peers({}, frozenset())
 _VERDICTS = {
-    End.WHOLE: t.Verdict.WHOLE,
-    End.SHORT: t.Verdict.SHORT,
-    End.REFUSED: t.Verdict.REFUSED,
-    End.FAILED: t.Verdict.FAILED,
-    End.LEFT: t.Verdict.LEFT,
+    End.WHOLE: t.QueryStatus.COMPLETE,
+    End.SHORT: t.QueryStatus.PARTIAL,
+    End.REFUSED: t.QueryStatus.REJECTED,
+    End.FAILED: t.QueryStatus.FAILED,
+    End.LEFT: t.QueryStatus.CLIENT_DISCONNECTED,
 }
 
 
 class TreeSetting(NamedTuple):
     """What a co-ordinator that may cut queries has besides. `peers`: all others, as the list has them now."""
 
-    branch: Core
+    branch: QueryCoordinator
     name: str
     limits: plan.Limits
     peers: Callable[[], plan.Peers]
@@ -89,7 +90,7 @@
     """A request that has been read."""
 
     params: _Params
-    orders: Orders | None
+    orders: SubqueryContext | None
     queries: Sequence[Query]
     parts: list[t.PartPlan]
     names: tuple[str, ...]  # of the parts' shards
@@ -100,12 +101,12 @@
 class _Result(NamedTuple):
     """What a request came to, by whichever way. `held`: series by shard and number of the query."""
 
-    verdict: t.Verdict
+    status: t.QueryStatus
     held: dict[str, dict[int, list[Series]]]
     share: float
-    come_again_in: float
+    retry_after: float
     why: str
-    path: list[t.AttemptNote]
+    path: list[t.AttemptRecord]
     used: int
     done: Callable[[], None]
 
@@ -115,7 +116,7 @@
 
     def __init__(
         self,
-        core: Core,
+        core: QueryCoordinator,
         shards: ShardIndex,
         classes: dict[str, ClassOf],
         default_class: str,
@@ -129,8 +130,8 @@
         self._core, self._shards, self._classes, self._default = core, shards, classes, default_class
         self._limits, self._keep_label, self._tree = limits, keep_label, tree
         self._exchange = RemoteReadExchange(shards.label, reply_bytes)
-        self._branch_exchange = subtrees.SubtreeExchange(shards.label, reply_bytes)
-        self._desk, self._lock = Desk(core, classes), Lock()
+        self._branch_exchange = subtree_codec.SubtreeExchange(shards.label, reply_bytes)
+        self._desk, self._lock = QueryDispatcher(core, classes), Lock()
         self._costs = {name: Costs() for name in classes}
         self._spin = itertools.count(random.SystemRandom().randrange(1 << 16))
         self.cuts = 0  # queries that were cut into subtrees
@@ -151,14 +152,14 @@
         try:
             with self._gate.work(NAME, latest):
                 work = self._read_work(request, body, arrived)
-        except Full as error:
-            return refusal(error.come_again_in, str(error), latest, proof=True)
+        except QueueFull as error:
+            return refusal(error.retry_after, str(error), latest, proof=True)
         except HttpError as error:
             return plain(error.status, error.what)
         except PatternError as error:
             return plain(400, f"matchers: {error}")
         if not work.parts:
-            return self._answer(work, _Result(t.Verdict.WHOLE, {}, 1.0, 0.0, "", [], 0, lambda: None))
+            return self._answer(work, _Result(t.QueryStatus.COMPLETE, {}, 1.0, 0.0, "", [], 0, lambda: None))
         reserve = self._desk.reserve(work.params.name, len(work.parts), work.until - work.arrived)
         task = self._task(work, work.until - reserve - time.monotonic())
         limits = self._tree.limits if self._tree else _NO_TREE
@@ -170,7 +171,7 @@
                 peers = self._tree.peers() if self._tree else _NO_PEERS
                 free = plan.free_places(peers, task.trail, limits)
                 cut = plan.cut(task, free, next(self._spin), limits, costs)
-        except plan.Refusal as error:
+        except plan.Rejection as error:
             if error.loop:
                 return plain(508, str(error), fields=((BEGAN_HEADER, "no"),))
             return refusal(0.0, str(error), work.until, proof=True)
@@ -179,8 +180,8 @@
                 result = self._ask_tree(work, task, cut, self._tree, client)
             else:
                 result = self._ask_leaves(work, task, work.until - reserve, client)
-        except Refused as error:
-            return refusal(error.come_again_in, str(error), work.until, proof=True)
+        except Rejected as error:
+            return refusal(error.retry_after, str(error), work.until, proof=True)
         try:
             with self._gate.work(NAME, work.until, must=True):
                 return self._reply(work, result)
@@ -190,7 +191,7 @@
 
     def _read_work(self, request: Request, body: bytes, arrived: float) -> _Work:
         params = self._params(request.target)
-        orders = subtrees.read_orders(request.headers)
+        orders = subtree_codec.read_orders(request.headers)
         queries = self._read(request, body)
         parts = self._parts(queries, [self._shards.touched(query.matchers) for query in queries])
         deadline = self._classes[params.name].deadline
@@ -213,23 +214,23 @@
         if work.orders is None:
             number, parts = kind.lenient if work.params.partial else kind.strict, work.parts
         else:
-            number, parts = kind.collect, [part._replace(most_runs=task.attempts) for part in work.parts]
-        question = Question(work.params.name, number, parts, self._exchange, work.arrived, work.until)
-        settled = self._desk.ask(question, client, deadline)
-        final = settled.final
-        if final.verdict is t.Verdict.WHOLE:
+            number, parts = kind.collect, [part._replace(max_executions=task.attempts) for part in work.parts]
+        question = QueryRequest(work.params.name, number, parts, self._exchange, work.arrived, work.until)
+        settled = self._desk.dispatch(question, client, deadline)
+        final = settled.result
+        if final.status is t.QueryStatus.COMPLETE:
             with self._lock:
                 self._costs[work.params.name].flat.learn(len(parts), settled.seconds)
         held, used = leaves_of(parts, final, _leaf_content)
         return _Result(
-            final.verdict,
+            final.status,
             held,
             final.coverage,
-            final.come_again_in,
-            final.why,
-            final.path,
+            final.retry_after,
+            final.detail,
+            final.attempts,
             used,
-            settled.done,
+            settled.release,
         )
 
     def _ask_tree(
@@ -270,7 +271,7 @@
             verdict,
             outcome.held,
             finish.share,
-            finish.come_again_in,
+            finish.retry_after,
             outcome.why,
             outcome.path,
             finish.used,
@@ -328,15 +329,15 @@
         ]
 
     def _reply(self, work: _Work, result: _Result) -> Reply:
-        match result.verdict:
-            case t.Verdict.WHOLE:
+        match result.status:
+            case t.QueryStatus.COMPLETE:
                 return self._answer(work, result)
-            case t.Verdict.SHORT if work.params.partial:
+            case t.QueryStatus.PARTIAL if work.params.partial:
                 return self._answer(work, result)
-            case t.Verdict.REFUSED:
+            case t.QueryStatus.REJECTED:
                 # A class that is not safe to repeat is refused only on proof that nothing of it ran.
-                proof = self._classes[work.params.name].semantics is not Semantics.SAFE
-                return refusal(result.come_again_in, result.why or "refused", work.until, result.done, proof)
+                proof = self._classes[work.params.name].semantics is not RetrySafety.IDEMPOTENT
+                return refusal(result.retry_after, result.why or "refused", work.until, result.done, proof)
             case _:
                 why = f"failed: {result.why or 'no answer in time'}"
                 return plain(502, why)._replace(until=work.until, done=result.done)
@@ -350,7 +351,7 @@
             strip = self._shards.label
             by_query = [[[merging.without_label(s, strip) for s in p] for p in q] for q in by_query]
         body = snappy.compress(remote_read.write_response(merging.merge(found) for found in by_query))
-        whole = result.verdict is t.Verdict.WHOLE
+        whole = result.status is t.QueryStatus.COMPLETE
         fields = [
             ("Content-Type", CONTENT_TYPE),
             ("Content-Encoding", "snappy"),
@@ -363,15 +364,15 @@
             }
             bitmap, runs = coverage.encode(sorted(work.names), counts)
             fields += [
-                (subtrees.LEAVES, bitmap),
-                (subtrees.COUNTS, runs),
-                (subtrees.USED, str(result.used)),
+                (subtree_codec.LEAVES, bitmap),
+                (subtree_codec.COUNTS, runs),
+                (subtree_codec.USED, str(result.used)),
             ]
         if work.params.path:
             fields.append((PATH_HEADER, bounded([self._step(note) for note in result.path])))
         return Reply(200, fields, body, until=work.until, done=result.done)
 
-    def _step(self, note: t.AttemptNote) -> str:
+    def _step(self, note: t.AttemptRecord) -> str:
         names = self._shards.names
         name = names[note.shard] if note.shard < len(names) else str(note.shard)
         return f"{name}/{note.attempt}/{note.replica}/{note.outcome}/{note.seconds * 1000:.1f}"
--- a/gingervane/fronts/desk.py
+++ b/gingervane/fronts/routing.py
@@ -11,7 +11,7 @@
 from typing import NamedTuple, Protocol
 
 from gingervane.fronts.http_server import Exchange, Reply, plain
-from gingervane.interface import Semantics
+from gingervane.interface import RetrySafety
 from gingervane.wire.http1 import HttpError, Request
 
 BEGAN_HEADER, RETRY_HEADER = "Gingervane-Began", "Gingervane-Retry-After-Ms"
@@ -29,7 +29,7 @@
     collect: int
     branch: int
     deadline: float
-    semantics: Semantics
+    semantics: RetrySafety
     least_share: float
 
 
--- a/gingervane/fronts/subtrees.py
+++ b/gingervane/fronts/subtree_codec.py
@@ -16,10 +16,10 @@
 import re2
 
 from gingervane.coordinator import types as t
-from gingervane.fronts import leaves as front
-from gingervane.fronts.desk import COVERAGE_HEADER
+from gingervane.fronts import leaf_codec as front
+from gingervane.fronts.routing import COVERAGE_HEADER
 from gingervane.tree import coverage
-from gingervane.tree.orders import Ask, Got, Orders
+from gingervane.tree.subquery_context import Ask, Got, SubqueryContext
 from gingervane.wire import http1, remote_read, snappy
 from gingervane.wire.http1 import Headers, HttpError
 from gingervane.wire.protobuf import ProtobufError
@@ -30,7 +30,7 @@
 _MOST_TRAIL = 2000
 
 
-def read_orders(headers: Headers) -> Orders | None:
+def read_orders(headers: Headers) -> SubqueryContext | None:
     """The orders in a request's headers; None if it is no parent's. Raises HttpError."""
     if not headers.all(LEVELS.lower()):
         return None
@@ -43,7 +43,7 @@
     trail = headers.get(TRAIL.lower())
     if len(trail) > _MOST_TRAIL:
         raise HttpError(400, f"header {TRAIL}: longer than {_MOST_TRAIL} characters", True)
-    return Orders(numbers[0], numbers[1], tuple(name for name in trail.split(",") if name))
+    return SubqueryContext(numbers[0], numbers[1], tuple(name for name in trail.split(",") if name))
 
 
 class SubtreeExchange:
@@ -52,7 +52,7 @@
     def __init__(self, label: str, most_bytes: int) -> None:
         self._label, self._most_bytes = label, most_bytes
 
-    def write(self, contents: list[Any], seconds_left: list[float], address: tuple[str, int]) -> bytes:
+    def encode(self, contents: list[Any], seconds_left: list[float], address: tuple[str, int]) -> bytes:
         (ask,) = contents
         bodies = []
         for _, query, leaves in ask.queries:
@@ -87,15 +87,17 @@
         ]
         return http1.head(f"POST {target} HTTP/1.1", fields) + body
 
-    def read(self, contents: list[Any], status: int, header: Callable[[str], str], body: bytes) -> list[Any]:
+    def decode(
+        self, contents: list[Any], status: int, header: Callable[[str], str], body: bytes
+    ) -> list[Any]:
         (ask,) = contents
         front.check_status(status, header)
         try:
             results = remote_read.read_response(snappy.decompress(body, self._most_bytes), len(ask.queries))
         except (snappy.SnappyError, ProtobufError) as error:
-            raise t.BadReply(f"body: {error}") from None
+            raise t.InvalidReply(f"body: {error}") from None
         if len(results) != len(ask.queries):
-            raise t.BadReply(f"{len(results)} results for {len(ask.queries)} queries")
+            raise t.InvalidReply(f"{len(results)} results for {len(ask.queries)} queries")
         held: dict[str, dict[int, list[Series]]] = {}
         met: list[str] = []
         for (number, query, leaves), result in zip(ask.queries, results, strict=True):
@@ -104,13 +106,13 @@
             for series in result:
                 name = next((value for label, value in series.labels if label == self._label), "")
                 if name not in allowed:
-                    raise t.BadReply(f"a series of {self._label}={name!r}, which was not asked for")
+                    raise t.InvalidReply(f"a series of {self._label}={name!r}, which was not asked for")
                 met.append(name)
                 held.setdefault(name, {}).setdefault(number, []).append(series)
         try:
             said = self._said(ask, header, met)
         except coverage.CoverageError as error:
-            raise t.BadReply(f"coverage: {error}") from None
+            raise t.InvalidReply(f"coverage: {error}") from None
         used = header(USED.lower())
         kept = {name: held.get(name, {}) for name in said}
         return [Got(kept, int(used) if used.isascii() and used.isdigit() and len(used) < 4 else None)]
@@ -125,5 +127,5 @@
             raise coverage.CoverageError(f"says whole and holds {len(said)} of {len(ask.leaves)} leaves")
         return said
 
-    def size(self, result: Any) -> int:
+    def result_size(self, result: Any) -> int:
         return sum(front.size_of(found) for by_query in result.held.values() for found in by_query.values())
--- a/gingervane/interface.py
+++ b/gingervane/interface.py
@@ -1,7 +1,7 @@
 """Types that the decision module deals in: its settings, its events and its actions.
 
 Nothing here decides anything, and nothing here has a default: a host fills in every field, so that
-whoever reads `policy.py` finds every tuned value there. Times are seconds of the host's clock.
+whoever reads `decisions/engine.py` finds every tuned value there. Times are seconds of the host's clock.
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 from typing import NamedTuple
 
 
-class Semantics(Enum):
+class RetrySafety(Enum):
     """What a repeat of a part may do."""
 
-    SAFE = "safe"
-    KEYED = "keyed"
-    UNSAFE = "unsafe"
+    IDEMPOTENT = "safe"
+    IDEMPOTENCY_KEY = "keyed"
+    NOT_IDEMPOTENT = "unsafe"
 
 
 class ReplicaState(Enum):
@@ -26,7 +26,7 @@
     GONE = "gone"
 
 
-class ListKind(Enum):
+class MembershipUpdateKind(Enum):
     """How a membership event relates to the list held so far."""
 
     DELTA = "delta"
@@ -35,7 +35,7 @@
     FAILED = "failed"
 
 
-class Outcome(Enum):
+class AttemptOutcome(Enum):
     """How one attempt ended."""
 
     OK = "ok"
@@ -50,23 +50,23 @@
     @property
     def never_ran(self) -> bool:
         """Whether this ending proves that the part had no effect: a fact of the protocol, not a choice."""
-        return self in (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NEVER_SENT)
+        return self in (AttemptOutcome.REJECTED, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.NEVER_SENT)
 
 
 class EjectionReason(Enum):
     """Why a replica was ejected from selection for a while."""
 
-    ERROR = Outcome.ERROR.value
-    REJECTED = Outcome.REJECTED.value
-    TIMED_OUT = Outcome.TIMED_OUT.value
-    CONNECT_FAILED = Outcome.CONNECT_FAILED.value
-    RESET = Outcome.RESET.value
-    SILENCE = "silence"
+    ERROR = AttemptOutcome.ERROR.value
+    REJECTED = AttemptOutcome.REJECTED.value
+    TIMED_OUT = AttemptOutcome.TIMED_OUT.value
+    CONNECT_FAILED = AttemptOutcome.CONNECT_FAILED.value
+    RESET = AttemptOutcome.RESET.value
+    NO_RESPONSE = "silence"
     LOST_TO_HEDGE = "overtaken by a copy"
     PEER_REPORTS = "peer reports"
 
 
-class EndReason(Enum):
+class QueryEndReason(Enum):
     """Why a query ended as it did: the closed set that logs and counters use.
 
     The decision module gives the first group, its host the second.
@@ -74,60 +74,60 @@
 
     UNSTATED = "unstated"
     ALL_PARTS = "all parts in"
-    WHOLE_SHARE = "whole share in"
-    SHORT_AT_AIM = "short at the aim"
-    SHORT_NO_MORE = "short, no further part can come"
-    SHORT_AT_DEADLINE = "short at the deadline"
+    COMPLETE_COVERAGE = "whole share in"
+    PARTIAL_AT_OBJECTIVE = "short at the aim"
+    PARTIAL_NO_MORE_PARTS = "short, no further part can come"
+    PARTIAL_AT_DEADLINE = "short at the deadline"
     DEADLINE = "deadline"
     PARTS_LOST = "too many parts lost"
     NO_REPLICA = "no replica may be asked"
     OVERLOAD = "load shedding"
 
     SHUTDOWN = "shutdown"
-    CLIENT_LEFT = "client left"
-    NOT_COVERED = "answer check failed"
+    CLIENT_DISCONNECTED = "client left"
+    COVERAGE_CHECK_FAILED = "answer check failed"
     INTERNAL = "internal error"
 
 
 class QueryClass(NamedTuple):
-    aim: float
+    latency_objective: float
     deadline: float
-    semantics: Semantics
-    repeat_window: float | None
+    retry_safety: RetrySafety
+    idempotency_window: float | None
     second_step_parts: int
-    least_share: float
-    whole_share: float
-    aim_stretch: float | None
-    late_worth: float  # share of the worth after the aim
-    short_worth: float  # of an answer not marked whole: this times its share of what a whole one needs
+    required_coverage: float
+    complete_coverage: float
+    objective_stretch: float | None
+    late_weight: float  # share of the worth after the aim
+    partial_weight: float  # of an answer not marked whole: this times its share of what a whole one needs
 
 
 class Settings(NamedTuple):
     """What a co-ordinator is told once, when it starts. `None`: the site does not have it."""
 
-    coordinators: int
+    coordinator_count: int
     zone: int
-    classes: tuple[QueryClass, ...]
+    query_classes: tuple[QueryClass, ...]
     tenant_quotas: tuple[float | None, ...]
-    granularity: float
-    cells: int
-    width: int
-    parts_per_call: int
-    most_attempts: int
-    may_cancel: bool
-    may_message_peers: bool
-    may_copy: bool
-    may_advise_wait: bool
-    longest_wait_advice: float
-    must_ask_membership: bool
-    start_capacity: float
-    ramp_time: float
-    fall_time: float
-    fall_multiple: float  # of what a cold replica can do: sent more for `fall_time`, it falls over
-    budget_free: float | None
-    budget_share: float | None
-    budget_span: float | None
-    hand_over: float = 0.0  # seconds by which an attempt may leave later than it was decided, at most
+    timer_granularity: float
+    cell_count: int
+    cells_per_replica: int
+    max_parts_per_request: int
+    max_attempts: int
+    cancellation_allowed: bool
+    gossip_allowed: bool
+    hedging_allowed: bool
+    retry_after_allowed: bool
+    max_retry_after: float
+    membership_polled: bool
+    slow_start_capacity: float
+    slow_start_duration: float
+    overload_window: float
+    overload_multiple: float  # of what a cold replica can do: sent more for `fall_time`, it falls over
+    retry_budget_free: float | None
+    retry_budget_share: float | None
+    retry_budget_window: float | None
+    max_send_delay: float = 0.0  # seconds by which an attempt may leave later than it was decided, at most
     drain_grace: float = inf  # seconds from being told that a replica drains in which it may still be sent to
 
 
@@ -143,7 +143,7 @@
 
 
 class MembershipChanged(NamedTuple):
-    kind: ListKind
+    kind: MembershipUpdateKind
     replicas: tuple[Replica, ...]
 
 
@@ -156,7 +156,7 @@
     tenant: int
     part_count: int
     expires_at: float
-    is_repeat: bool
+    is_client_retry: bool
     predicted_cost: float
 
 
@@ -171,18 +171,18 @@
     part: int
     attempt: int
     replica: int
-    outcome: Outcome
+    outcome: AttemptOutcome
     latency: float
 
 
-class ProbeEnded(NamedTuple):
+class HealthCheckEnded(NamedTuple):
     replica: int
-    outcome: Outcome
+    outcome: AttemptOutcome
     latency: float
     load: tuple[float, ...]
 
 
-class QueryExpired(NamedTuple):
+class QueryAbandoned(NamedTuple):
     id: int
 
 
@@ -190,7 +190,7 @@
     label: int
 
 
-class PeerMessage(NamedTuple):
+class PeerMessageReceived(NamedTuple):
     sender: int
     payload: bytes
 
@@ -200,10 +200,10 @@
     | QueryArrived
     | PartArrived
     | AttemptEnded
-    | ProbeEnded
-    | QueryExpired
+    | HealthCheckEnded
+    | QueryAbandoned
     | TimerFired
-    | PeerMessage
+    | PeerMessageReceived
 )
 
 
@@ -231,17 +231,17 @@
     """End the present step with the parts that are in. `reason` takes no part in comparisons."""
 
     query: int
-    whole: bool
-    reason: EndReason = field(default=EndReason.UNSTATED, compare=False)
+    complete: bool
+    reason: QueryEndReason = field(default=QueryEndReason.UNSTATED, compare=False)
 
 
 @dataclass(frozen=True, slots=True)
-class Refuse:
+class Reject:
     """Trying again is harmless; `come_again_in` (seconds) of 0 gives no advice."""
 
     query: int
-    come_again_in: float
-    reason: EndReason = field(default=EndReason.UNSTATED, compare=False)
+    retry_after: float
+    reason: QueryEndReason = field(default=QueryEndReason.UNSTATED, compare=False)
 
 
 @dataclass(frozen=True, slots=True)
@@ -249,7 +249,7 @@
     """End the query without an answer and without a promise."""
 
     query: int
-    reason: EndReason = field(default=EndReason.UNSTATED, compare=False)
+    reason: QueryEndReason = field(default=QueryEndReason.UNSTATED, compare=False)
 
 
 class SetTimer(NamedTuple):
@@ -257,17 +257,17 @@
     label: int
 
 
-class Subscribe(NamedTuple):
+class WatchMembership(NamedTuple):
     """Ask for membership changes to be pushed from now on."""
 
 
-class TellPeers(NamedTuple):
+class SendToPeers(NamedTuple):
     """A message to every other co-ordinator; it may be lost."""
 
     payload: bytes
 
 
-class Remark(NamedTuple):
+class LogMessage(NamedTuple):
     """A line for the operators' log."""
 
     text: str
@@ -287,6 +287,16 @@
     replica: int
 
 
-HealthChange = ReplicaEjected | ReplicaReinstated
-Ending = Answer | Refuse | Fail
-Action = Send | Cancel | CloseIdle | Ending | SetTimer | Subscribe | TellPeers | Remark | HealthChange
+ReplicaHealthChange = ReplicaEjected | ReplicaReinstated
+QueryEnd = Answer | Reject | Fail
+Action = (
+    Send
+    | Cancel
+    | CloseIdle
+    | QueryEnd
+    | SetTimer
+    | WatchMembership
+    | SendToPeers
+    | LogMessage
+    | ReplicaHealthChange
+)
--- a/gingervane/limits/gate.py
+++ b/gingervane/limits/concurrency_limit.py
@@ -12,7 +12,7 @@
 from collections.abc import Iterator, Mapping
 from contextlib import contextmanager
 
-from gingervane.limits.fair import Fair
+from gingervane.limits.fair_queue import Fair
 
 
 class Gate:
--- a/gingervane/limits/fair.py
+++ b/gingervane/limits/fair_queue.py
@@ -12,12 +12,12 @@
 from typing import Any
 
 
-class Full(Exception):
+class QueueFull(Exception):
     """So many of this kind wait that another would only wait for nothing. Nothing was begun."""
 
-    def __init__(self, name: str, waiting: int, come_again_in: float) -> None:
+    def __init__(self, name: str, waiting: int, retry_after: float) -> None:
         super().__init__(f"{waiting} requests wait for their turn to be read ({name})")
-        self.come_again_in = come_again_in
+        self.retry_after = retry_after
 
 
 class _Kind:
@@ -53,7 +53,7 @@
             kind.running += 1
             return True
         if len(kind.waiting) >= self._most and not must:
-            raise Full(name, len(kind.waiting), self._until_room(kind))
+            raise QueueFull(name, len(kind.waiting), self._until_room(kind))
         kind.waiting.append(token)
         return False
 
--- a/gingervane/membership/store.py
+++ b/gingervane/membership/atomic_file.py
@@ -59,7 +59,7 @@
             os.close(folder)
 
 
-class Store:
+class AtomicFile:
     """A file under a lock. Raises StoreError if another process keeps it, OSError if its folder cannot be used."""
 
     def __init__(self, path: Path, version: int, disk: Disk | None = None) -> None:
--- a/gingervane/membership/merge.py
+++ b/gingervane/membership/reconciliation.py
@@ -42,7 +42,7 @@
 _MOST_DOUBLINGS = 6
 
 
-class Fence(NamedTuple):
+class MassRemovalGuard(NamedTuple):
     """Times in seconds; `share` of a source's servers."""
 
     share: float = 0.34
@@ -121,10 +121,10 @@
     answered: float = -inf
 
 
-class Merge:
+class Reconciliation:
     """Takes reports as they come; `view` says what is believed at a moment. One thread's."""
 
-    def __init__(self, sources: Iterable[str], fence: Fence, meant: Iterable[str] = ()) -> None:
+    def __init__(self, sources: Iterable[str], fence: MassRemovalGuard, meant: Iterable[str] = ()) -> None:
         """`meant`: sources whose silence about many servers at once is meant, as with a list that somebody writes."""
         self._fence, self._meant = fence, frozenset(meant)
         self._sources = {source: _Source() for source in sources}
