--- a/gingervane/membership/register.py
+++ b/gingervane/membership/registration.py
@@ -56,7 +56,7 @@
         }
 
 
-class Say(Enum):
+class RegistrationCall(Enum):
     """One call to the agent."""
 
     REGISTER = "register"
@@ -71,12 +71,12 @@
     def __init__(self, ttl: float, agents: int, pause: Pause, rng: random.Random) -> None:
         self._ttl, self._agents, self._pause, self._rng = ttl, agents, pause, rng
         self.agent = 0
-        self._next: Say | None = Say.REGISTER
+        self._next: RegistrationCall | None = RegistrationCall.REGISTER
         self._failures = 0
         self.registered = False
 
     @property
-    def next(self) -> Say | None:
+    def next(self) -> RegistrationCall | None:
         """The next call; None once the entry has been taken out."""
         return self._next
 
@@ -85,39 +85,39 @@
         if status == 200:
             return self._good()
         if (
-            status == 404 and self._next is Say.PASS
+            status == 404 and self._next is RegistrationCall.PASS
         ):  # forgotten: at once, as peers see it critical or not at all
-            self.registered, self._next = False, Say.REGISTER
+            self.registered, self._next = False, RegistrationCall.REGISTER
             return self._spread(self._pause.least)
-        if status == 404 and self._next in (Say.DRAIN, Say.REMOVE):
+        if status == 404 and self._next in (RegistrationCall.DRAIN, RegistrationCall.REMOVE):
             self._next = None
             return 0.0
         self._failures += 1
         self.agent = (self.agent + 1) % self._agents
         # Another agent knows nothing of what this one was told.
-        if self._next is Say.PASS and self._agents > 1:
-            self.registered, self._next = False, Say.REGISTER
+        if self._next is RegistrationCall.PASS and self._agents > 1:
+            self.registered, self._next = False, RegistrationCall.REGISTER
         span = min(self._pause.first * 2 ** min(self._failures - 1, 16), self._pause.most)
         # Never so long that the check runs out between two tries at an agent that is back.
         return self._spread(min(span, self._ttl / 3))
 
     def leave(self) -> None:
         """The co-ordinator is about to stop: first marked as draining, then taken out."""
-        self._next = Say.DRAIN if self.registered else None
+        self._next = RegistrationCall.DRAIN if self.registered else None
         self._failures = 0
 
     def gone(self) -> None:
         """What it held has ended; take the entry out."""
-        self._next = Say.REMOVE if self._next is not None or self.registered else None
+        self._next = RegistrationCall.REMOVE if self._next is not None or self.registered else None
 
     def _good(self) -> float:
         self._failures = 0
         match self._next:
-            case Say.REGISTER | Say.PASS:
-                self.registered, self._next = True, Say.PASS
+            case RegistrationCall.REGISTER | RegistrationCall.PASS:
+                self.registered, self._next = True, RegistrationCall.PASS
                 return self._spread(self._ttl / 3) / 1.5  # a third at most: two may be lost
-            case Say.DRAIN:
-                self._next = Say.REMOVE
+            case RegistrationCall.DRAIN:
+                self._next = RegistrationCall.REMOVE
             case _:
                 self.registered, self._next = False, None
         return 0.0
@@ -160,7 +160,7 @@
         self._stop.set()
         self._thread.join(_ANSWER + 1.0)
         self._registration.leave()
-        if self._registration.next is Say.DRAIN:
+        if self._registration.next is RegistrationCall.DRAIN:
             self._turn()
 
     def gone(self) -> None:
@@ -198,13 +198,13 @@
         self._fault = fault
         return self._registration.said(status)
 
-    def _call(self, say: Say, agent: tuple[str, int]) -> bytes:
+    def _call(self, say: RegistrationCall, agent: tuple[str, int]) -> bytes:
         name = quote(self._entry.name, safe="")
         target, content = {
-            Say.REGISTER: ("service/register", self._entry.body()),
-            Say.PASS: (f"check/update/service:{name}", {"Status": "passing"}),
-            Say.DRAIN: (f"service/maintenance/{name}?enable=true&reason=stopping", None),
-            Say.REMOVE: (f"service/deregister/{name}", None),
+            RegistrationCall.REGISTER: ("service/register", self._entry.body()),
+            RegistrationCall.PASS: (f"check/update/service:{name}", {"Status": "passing"}),
+            RegistrationCall.DRAIN: (f"service/maintenance/{name}?enable=true&reason=stopping", None),
+            RegistrationCall.REMOVE: (f"service/deregister/{name}", None),
         }[say]
         body = b"" if content is None else json.dumps(content).encode()
         fields = [("Host", f"{agent[0]}:{agent[1]}"), ("Content-Length", str(len(body)))]
--- a/gingervane/membership/service.py
+++ b/gingervane/membership/service.py
@@ -12,20 +12,20 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from gingervane.coordinator.types import Listed
-from gingervane.daemon.settings import ConsulTable, Fleet, Membership, Tree
+from gingervane.coordinator.types import EndpointsUpdated
+from gingervane.settings.daemon_settings import ConsulTable, Fleet, Membership, Tree
 from gingervane.membership.consul import Pause
-from gingervane.membership.durable import Snapshot
-from gingervane.membership.listfile import FileWatcher, ListError, Lists
-from gingervane.membership.merge import Fence
-from gingervane.membership.register import Entry, Registrar
-from gingervane.membership.sources import Sources
-from gingervane.membership.store import StoreError
-from gingervane.membership.watcher import ConsulPlace, ConsulWatcher, unknown_datacenters, watch
+from gingervane.membership.snapshot import Snapshot
+from gingervane.membership.endpoint_file import FileWatcher, ListError, Lists
+from gingervane.membership.reconciliation import MassRemovalGuard
+from gingervane.membership.registration import Entry, Registrar
+from gingervane.membership.source_owner import EndpointSources
+from gingervane.membership.atomic_file import StoreError
+from gingervane.membership.consul_watcher import ConsulPlace, ConsulWatcher, unknown_datacenters, watch
 
 _FILE_PATIENCE = 5.0  # a list that has been read is told within this
 # Of a list that somebody writes: what it says counts as it stands, and at once.
-_WRITTEN = Fence(settle=0.0, settle_most=0.0)
+_WRITTEN = MassRemovalGuard(settle=0.0, settle_most=0.0)
 
 
 class Rings(NamedTuple):
@@ -45,8 +45,8 @@
         tree: Tree | None,
         rings: Rings,
         address: tuple[str, int],
-        tell: Callable[[Listed], None],
-        tell_peers: Callable[[Listed], None],
+        tell: Callable[[EndpointsUpdated], None],
+        tell_peers: Callable[[EndpointsUpdated], None],
         complain: Callable[[str], None],
         rng: random.Random,
     ) -> None:
@@ -58,8 +58,10 @@
         consul = table.consul
         fence = _WRITTEN if consul is None else fence_of(consul)
         names = self._names(consul)
-        self.nodes = Sources(names, fence, tell, complain, self._snapshot(), self._offset, ("file",))
-        self.peers = Sources(("file", "consul"), fence, tell_peers, complain, None, self._offset, ("file",))
+        self.nodes = EndpointSources(names, fence, tell, complain, self._snapshot(), self._offset, ("file",))
+        self.peers = EndpointSources(
+            ("file", "consul"), fence, tell_peers, complain, None, self._offset, ("file",)
+        )
         self._file = (
             FileWatcher(
                 table.file,
@@ -117,7 +119,7 @@
         service: str,
         datacenter: str,
         cells: int,
-        sources: Sources,
+        sources: EndpointSources,
         name: str,
     ) -> list[ConsulWatcher]:
         place = ConsulPlace(
@@ -207,6 +209,6 @@
             self._registrar.gone()
 
 
-def fence_of(consul: ConsulTable) -> Fence:
+def fence_of(consul: ConsulTable) -> MassRemovalGuard:
     """How long an index that has gone back is doubted follows from how long a quiet agent may say nothing."""
-    return Fence(reset=Pause(wait=consul.wait).silence + 1.0)
+    return MassRemovalGuard(reset=Pause(wait=consul.wait).silence + 1.0)
--- a/gingervane/membership/durable.py
+++ b/gingervane/membership/snapshot.py
@@ -14,8 +14,8 @@
 from typing import Any, NamedTuple
 
 from gingervane import interface as api
-from gingervane.coordinator import clock
-from gingervane.membership.store import MAGIC, Disk, NewerVersion, Store, StoreError
+from gingervane.coordinator import boot_clock
+from gingervane.membership.atomic_file import MAGIC, Disk, NewerVersion, AtomicFile, StoreError
 from gingervane.membership.view import Member
 
 VERSION = 3
@@ -36,7 +36,7 @@
 
     def __init__(self, path: Path, offset: float, zones: int, cells: int, disk: Disk | None = None) -> None:
         """Raises StoreError if another process keeps it, OSError if its folder cannot be used."""
-        self._store = Store(path, VERSION, disk)
+        self._store = AtomicFile(path, VERSION, disk)
         self._offset, self._zones, self._cells = offset, zones, cells
 
     def close(self) -> None:
@@ -51,7 +51,7 @@
         """Raises StoreError, or OSError; what was kept before then stands."""
         body = {
             "at": time.time(),
-            "boot": list(clock.moment()),
+            "boot": list(boot_clock.moment()),
             "offset": self._offset,
             "rows": _rows(members, self._offset),
             "merge": merge,
@@ -110,7 +110,7 @@
         """
         at = float(body["at"])
         boot, seconds = body.get("boot", ("", 0.0))
-        age = clock.since(clock.Moment(str(boot), float(seconds)))
+        age = boot_clock.since(boot_clock.Moment(str(boot), float(seconds)))
         if age is None:
             return max(time.time() - at, 0.0), self._offset
         return age, float(body["offset"])
--- a/gingervane/membership/keeper.py
+++ b/gingervane/membership/snapshot_writer.py
@@ -11,14 +11,14 @@
 from collections.abc import Callable
 from typing import Any
 
-from gingervane.membership.durable import Snapshot
-from gingervane.membership.store import Pace, StoreError
+from gingervane.membership.snapshot import Snapshot
+from gingervane.membership.atomic_file import Pace, StoreError
 from gingervane.membership.view import Member
 
 Content = tuple[tuple[Member, ...], dict[str, Any], dict[str, Any]]  # list, states of merge and view
 
 
-class Keeper:
+class SnapshotWriter:
     """Keeps a snapshot up to date at its pace."""
 
     def __init__(self, snapshot: Snapshot, complain: Callable[[str], None], pace: Pace | None = None) -> None:
--- a/gingervane/membership/sources.py
+++ b/gingervane/membership/source_owner.py
@@ -14,25 +14,25 @@
 from queue import Empty, SimpleQueue
 
 from gingervane import interface as api
-from gingervane.coordinator.types import Listed
-from gingervane.membership.durable import Kept, Snapshot
-from gingervane.membership.keeper import Content, Keeper
-from gingervane.membership.merge import Fence, Merge, Report
-from gingervane.membership.store import StoreError
+from gingervane.coordinator.types import EndpointsUpdated
+from gingervane.membership.snapshot import Kept, Snapshot
+from gingervane.membership.snapshot_writer import Content, SnapshotWriter
+from gingervane.membership.reconciliation import MassRemovalGuard, Reconciliation, Report
+from gingervane.membership.atomic_file import StoreError
 from gingervane.membership.view import Member, View
 
 _LAST_WRITING = 5.0  # seconds that a stop gives the disk
 _LOOK = 1.0  # seconds between two looks at what own traffic says
 
 
-class Sources:
+class EndpointSources:
     """Owns the merge. `start` returns once something is known, from a source or from what was kept."""
 
     def __init__(
         self,
         names: Iterable[str],
-        fence: Fence,
-        tell: Callable[[Listed], None],
+        fence: MassRemovalGuard,
+        tell: Callable[[EndpointsUpdated], None],
         complain: Callable[[str], None],
         snapshot: Snapshot | None = None,
         offset: float = 0.0,
@@ -40,9 +40,9 @@
     ) -> None:
         """`tell` is called on the owner's thread, but for a start from what was kept. `offset` turns Unix time into
         the members' clock; `meant`: see `Merge`."""
-        self._merge, self._view = Merge(names, fence, meant), View()
+        self._merge, self._view = Reconciliation(names, fence, meant), View()
         self._tell, self._complain, self._offset = tell, complain, offset
-        self._keeper = Keeper(snapshot, complain) if snapshot else None
+        self._keeper = SnapshotWriter(snapshot, complain) if snapshot else None
         self._queue: SimpleQueue[Report | None] = SimpleQueue()
         self._answered: dict[int, float] = {}
         self._known = threading.Event()
@@ -96,7 +96,7 @@
                         f"no source has answered; starting from the list kept {kept.age:.0f} s ago"
                     )
                     self._cached = True
-                    self._tell(self._view.whole(api.ListKind.CACHED))
+                    self._tell(self._view.whole(api.MembershipUpdateKind.CACHED))
                     self._known.set()
         return self._known.is_set()
 
--- a/gingervane/membership/view.py
+++ b/gingervane/membership/view.py
@@ -14,8 +14,8 @@
 from typing import Any, NamedTuple
 
 from gingervane import interface as api
-from gingervane.coordinator.starts import is_too_early
-from gingervane.coordinator.types import Listed
+from gingervane.coordinator.replica_start_times import is_too_early
+from gingervane.coordinator.types import EndpointsUpdated
 
 
 class Member(NamedTuple):
@@ -48,7 +48,7 @@
     def members(self) -> dict[int, Member]:
         return self._members
 
-    def take(self, members: tuple[Member, ...], now: float, cached: bool = False) -> Listed | None:
+    def take(self, members: tuple[Member, ...], now: float, cached: bool = False) -> EndpointsUpdated | None:
         """A whole list as it stands at `now`; None if it says nothing new."""
         named = {member.id: member for member in members}
         if named == self._members and (not self._first or not named):
@@ -60,10 +60,10 @@
         }
         self._members, self._first = named, False
         self._told = self._told if cached else now
-        kind = api.ListKind.CACHED if cached else api.ListKind.FULL
+        kind = api.MembershipUpdateKind.CACHED if cached else api.MembershipUpdateKind.FULL
         return self._listed(kind, members)
 
-    def change(self, changes: Mapping[int, Member | None], now: float) -> Listed | None:
+    def change(self, changes: Mapping[int, Member | None], now: float) -> EndpointsUpdated | None:
         """Only what changed, None for what is named no more; the first time this is a whole list."""
         if self._first:
             return self.take(tuple(m for _, m in sorted(changes.items()) if m is not None), now)
@@ -83,9 +83,9 @@
             (self._gone.add if member.state is api.ReplicaState.GONE else self._gone.discard)(number)
             rows.append(member)
         self._told = now
-        return self._listed(api.ListKind.DELTA, tuple(rows)) if rows else None
+        return self._listed(api.MembershipUpdateKind.DELTA, tuple(rows)) if rows else None
 
-    def whole(self, kind: api.ListKind = api.ListKind.FULL) -> Listed:
+    def whole(self, kind: api.MembershipUpdateKind = api.MembershipUpdateKind.FULL) -> EndpointsUpdated:
         """All that is held, as one list."""
         return self._listed(kind, tuple(self._members.values()))
 
@@ -128,7 +128,7 @@
             return now
         return min(started, now)
 
-    def _listed(self, kind: api.ListKind, members: tuple[Member, ...]) -> Listed:
+    def _listed(self, kind: api.MembershipUpdateKind, members: tuple[Member, ...]) -> EndpointsUpdated:
         started = self._started
         rows = tuple(api.Replica(m.id, m.cell, m.zone, 1.0, m.state, started.get(m.id, 0.0)) for m in members)
-        return Listed(api.MembershipChanged(kind, rows), {m.id: m.address for m in members})
+        return EndpointsUpdated(api.MembershipChanged(kind, rows), {m.id: m.address for m in members})
--- a/gingervane/node/clients.py
+++ b/gingervane/node/client_front.py
@@ -14,9 +14,9 @@
 import orjson
 
 from gingervane.coordinator import types as t
-from gingervane.coordinator.core import Core, Refused
+from gingervane.coordinator.core import QueryCoordinator, Rejected
 from gingervane.fronts.http_server import Exchange, Reply, plain
-from gingervane.node.link import FrameTravel, Value
+from gingervane.node.replica_connection import FrameTravel, Value
 from gingervane.wire.frames import Asked
 from gingervane.wire.http1 import HttpError, Request
 
@@ -24,14 +24,14 @@
 _MILLISECONDS = re.compile(r"[0-9]{1,9}\Z")
 _TOKEN = re.compile(r"[0-9A-Fa-f]{16}\Z")
 _WEIGHT_SLACK = 0.002  # of a sum of rounded weights
-_STATUS = {t.Verdict.REFUSED: 503, t.Verdict.FAILED: 500, t.Verdict.LEFT: 500}
+_STATUS = {t.QueryStatus.REJECTED: 503, t.QueryStatus.FAILED: 500, t.QueryStatus.CLIENT_DISCONNECTED: 500}
 _JSON = ("Content-Type", "application/json")
 
 
 class ClientFront:
     """Handles `POST /CLASS` and `GET /ready`. A class may have any name, those two words among them."""
 
-    def __init__(self, core: Core, class_names: tuple[str, ...], shards: int) -> None:
+    def __init__(self, core: QueryCoordinator, class_names: tuple[str, ...], shards: int) -> None:
         self._core, self._shards = core, shards
         self._classes = {name: number for number, name in enumerate(class_names)}
         self._travel = FrameTravel()
@@ -58,15 +58,15 @@
             self._open.add(name)
         try:
             ticket = self._core.submit(plan)
-        except Refused as error:
+        except Rejected as error:
             self._close(name)
-            return _refusal(str(error), error.come_again_in)
-        client.watch(ticket.leave)
+            return _refusal(str(error), error.retry_after)
+        client.watch(ticket.abandon)
         final = ticket.wait()
 
         def done() -> None:
             self._close(name)
-            ticket.done()
+            ticket.release()
 
         return self._reply(final)._replace(done=done)
 
@@ -74,15 +74,15 @@
         with self._lock:
             self._open.discard(name)
 
-    def _reply(self, final: t.Final) -> Reply:
-        if final.verdict in (t.Verdict.WHOLE, t.Verdict.SHORT):
+    def _reply(self, final: t.QueryResult) -> Reply:
+        if final.status in (t.QueryStatus.COMPLETE, t.QueryStatus.PARTIAL):
             values: list[Value] = list(final.results.values())
-            full = final.verdict is t.Verdict.WHOLE or final.marked_whole
+            full = final.status is t.QueryStatus.COMPLETE or final.marked_complete
             pieces = [{"tablet": value.shard, "cell": value.cell} for value in values]
             return Reply(200, [_JSON], orjson.dumps({"full": full, "pieces": pieces}))
-        if final.verdict is t.Verdict.REFUSED:
-            return _refusal(final.why or "refused", final.come_again_in)
-        return plain(_STATUS[final.verdict], final.why or "failed")
+        if final.status is t.QueryStatus.REJECTED:
+            return _refusal(final.detail or "refused", final.retry_after)
+        return plain(_STATUS[final.status], final.detail or "failed")
 
     # ---- reading
 
@@ -109,7 +109,7 @@
         if not isinstance(text, str):
             raise HttpError(400, "body: statement is no string")
         parts, cost = self._parts(name, data["tablets"], text.encode())
-        kind = self._core.settings.classes[number]
+        kind = self._core.settings.query_classes[number]
         plan = t.QueryPlan(
             number,
             arrived + min(wait / 1000, kind.deadline),
--- a/gingervane/node/config.py
+++ b/gingervane/node/config.py
@@ -11,7 +11,7 @@
 import orjson
 
 from gingervane import interface as api
-from gingervane.coordinator.types import HAND_OVER
+from gingervane.coordinator.types import MAX_SEND_DELAY
 from gingervane.startup import SettingsError, flatten, read_settings
 
 Address = tuple[str, int]
@@ -56,7 +56,7 @@
         raise ConfigError(f"{path}: settings: missing or no table")
     pairs = flatten(data["settings"])
     try:
-        settings = read_settings(pairs)._replace(hand_over=HAND_OVER)
+        settings = read_settings(pairs)._replace(max_send_delay=MAX_SEND_DELAY)
         return Config(
             name=str(data.get("name", "")),
             listen=parse_address(data.get("listen"), "listen", least=0),  # 0: the kernel chooses
@@ -69,7 +69,7 @@
             known=data.get("known"),
             settings=settings,
             zones=_names(data["settings"].get("Zones") or [], "settings: Zones"),  # a name may hold a comma
-            class_names=tuple(_need(pairs, f"Classes.{i}.Name") for i in range(len(settings.classes))),
+            class_names=tuple(_need(pairs, f"Classes.{i}.Name") for i in range(len(settings.query_classes))),
             shards=_number(_need(pairs, "Extra.Shards"), "settings: Extra.Shards"),
             me=_number(pairs.get("Ordinal", "0"), "settings: Ordinal"),
             streams=_number(_need(pairs, "Limits.StreamsPerConn"), "settings: Limits.StreamsPerConn"),
--- a/gingervane/node/discovery.py
+++ b/gingervane/node/discovery.py
@@ -29,12 +29,12 @@
 from gingervane import interface as api
 from gingervane.coordinator import types as t
 from gingervane.node.config import Address, parse_address
-from gingervane.coordinator.starts import StartClock
-from gingervane.node.telemetry import Log
+from gingervane.coordinator.replica_start_times import ReplicaStartTimes
+from gingervane.telemetry.node_telemetry import Log
 from gingervane.wire import http1
 from gingervane.wire.http1 import Closed, HttpError, Limits, Reader
 from gingervane.wire.json_values import JsonValues, TooLong
-from gingervane.wire.local import start_thread
+from gingervane.wire.local_failures import start_thread
 
 SILENCE = 3.0  # seconds: an empty line is due every 2 s, and one that is late by half is not coming
 _STATES = {
@@ -66,7 +66,7 @@
 class ListReader:
     """Turns discovery's lists into the driver's input."""
 
-    def __init__(self, zones: tuple[str, ...], starts: StartClock, log: Log) -> None:
+    def __init__(self, zones: tuple[str, ...], starts: ReplicaStartTimes, log: Log) -> None:
         self._zones, self._starts, self._log = zones, starts, log
         self._hosts: dict[int, str] = {}
         self.version = 0
@@ -79,7 +79,7 @@
         """The name of a replica, for logs. Any thread; a replica long gone is told by its number."""
         return self._hosts.get(replica, str(replica))
 
-    def read(self, data: Any, cached: bool = False, anew: bool = False) -> t.Listed | None:
+    def read(self, data: Any, cached: bool = False, anew: bool = False) -> t.EndpointsUpdated | None:
         """A list or its changes; None for one that is older than what is held. Raises ListError.
 
         `anew`: the first that a watch brings. A whole list may be older there, where discovery counts anew; behind a
@@ -93,7 +93,11 @@
         if not isinstance(hosts, list):
             raise ListError("discovery: hosts is no list")
         if version < self.version and not (whole and anew) or version == self.version and not whole:
-            return t.Listed(api.MembershipChanged(api.ListKind.DELTA, ()), {}) if anew else None
+            return (
+                t.EndpointsUpdated(api.MembershipChanged(api.MembershipUpdateKind.DELTA, ()), {})
+                if anew
+                else None
+            )
         self.version = version
         # Of a replica that stands there twice the last word counts, alone. Guards against one that is gone and back
         # in the same change: by the first word its address was dropped, by the second it was sent to.
@@ -121,9 +125,15 @@
                     started_at=replica.started_at,
                 )
         self._log("list_read", version=version, whole=whole, cached=cached, replicas=len(found))
-        kind = api.ListKind.CACHED if cached else api.ListKind.FULL if whole else api.ListKind.DELTA
+        kind = (
+            api.MembershipUpdateKind.CACHED
+            if cached
+            else api.MembershipUpdateKind.FULL
+            if whole
+            else api.MembershipUpdateKind.DELTA
+        )
         addresses = {number: where for number, (_, where) in found.items() if where}
-        return t.Listed(
+        return t.EndpointsUpdated(
             api.MembershipChanged(kind, tuple(replica for replica, _ in found.values())), addresses
         )
 
@@ -174,7 +184,7 @@
         self,
         where: Address,
         reader: ListReader,
-        tell: Callable[[t.Listed], None],
+        tell: Callable[[t.EndpointsUpdated], None],
         log: Log,
         answered_within: float = inf,
     ) -> None:
@@ -254,7 +264,7 @@
             if (
                 not owed
             ):  # the module says when to ask again; one pause at a time, so that calls do not add up
-                self._tell(t.Listed(api.MembershipChanged(api.ListKind.FAILED, ()), {}))
+                self._tell(t.EndpointsUpdated(api.MembershipChanged(api.MembershipUpdateKind.FAILED, ()), {}))
 
     def _follow(self, where: Address) -> None:
         """One call and its watch, to their end, which is an error whatever it is."""
--- a/gingervane/node/peers.py
+++ b/gingervane/node/peer_socket.py
@@ -9,13 +9,13 @@
 import socket
 from collections.abc import Callable
 
-from gingervane.wire.local import patiently, start_thread
+from gingervane.wire.local_failures import patiently, start_thread
 
 Address = tuple[str, int]
 MOST_BYTES = 256  # the protocol's bound
 
 
-class Peers:
+class PeerSocket:
     """The socket at `listen`. `peers`: addresses by number; `everyone`: one address that reaches all of them."""
 
     def __init__(
--- a/gingervane/node/link.py
+++ b/gingervane/node/replica_connection.py
@@ -24,15 +24,15 @@
 from typing import Any, NamedTuple
 
 from gingervane.coordinator import types as t
-from gingervane.interface import Outcome
+from gingervane.interface import AttemptOutcome
 from gingervane.wire import frames
 from gingervane.wire.frames import Answer, FrameError, FrameReader
-from gingervane.wire.local import is_local, is_passing
-from gingervane.wire.tap import TAP
+from gingervane.wire.local_failures import is_local, is_passing
+from gingervane.wire.socket_recorder import SOCKET_RECORDER
 
 _READ = 65536
 _MOST_PAST = 1024  # ids
-_OUTCOMES = {"served": Outcome.OK, "broke": Outcome.ERROR, "skipped": Outcome.REJECTED}
+_OUTCOMES = {"served": AttemptOutcome.OK, "broke": AttemptOutcome.ERROR, "skipped": AttemptOutcome.REJECTED}
 
 
 class LinkEnd(Enum):
@@ -84,7 +84,7 @@
 class FrameTravel:
     """How parts travel in frames."""
 
-    def write(
+    def encode(
         self,
         contents: list[frames.Asked],
         seconds_left: list[float],
@@ -92,21 +92,21 @@
     ) -> bytes:
         return frames.call(contents, [max(int(left * 1000), 1) for left in seconds_left])
 
-    def size(self, result: Value) -> int:
+    def result_size(self, result: Value) -> int:
         return 100
 
 
 class _Out(NamedTuple):
-    errand: t.Errand
-    call: t.Call
+    errand: t.AttemptRequest
+    call: t.BatchRequest
 
 
-Report = Callable[[list[t.Ended]], None]
+Report = Callable[[list[t.AttemptFinished]], None]
 OnEnd = Callable[[LinkEnded], None]  # called from the decision thread and the reader; must not wait
 CheckValue = Callable[[bytes], str | None]
 
 
-class Link:
+class ReplicaConnection:
     """One connection. `_up`: it may be written to; `_rest`: of a frame that it has not taken yet."""
 
     def __init__(
@@ -115,7 +115,7 @@
         limits: LinkLimits,
         report: Report,
         check: CheckValue,
-        ready: Callable[[Link], None],
+        ready: Callable[[ReplicaConnection], None],
         poll: select.epoll,
         on_end: OnEnd,
     ) -> None:
@@ -127,10 +127,10 @@
         self.out: dict[str, _Out] = {}
         self._gone: dict[str, float] = {}  # withdrawn and perhaps still answered -> when that ends
         self._past = deque[str](maxlen=_MOST_PAST)  # withdrawn, and past that time
-        self._pending: deque[t.Call | bytes] = deque()
+        self._pending: deque[t.BatchRequest | bytes] = deque()
         self._rest = b""
         self._half: set[str] = set()  # parts of the frame that `_rest` ends
-        self._rest_of: t.Call | None = None  # whose frame that is, if a further attempt is in it
+        self._rest_of: t.BatchRequest | None = None  # whose frame that is, if a further attempt is in it
         self._encoded_at = 0.0  # when that frame was made
         self._reader = FrameReader()
         self.broken, self._up, self.reading = False, False, False
@@ -183,20 +183,20 @@
         reason = LinkEnd.LOCAL_FAILURE if is_local(code) else LinkEnd.CONNECT_FAILED
         self.fail(reason, os.strerror(code), connected=False)
 
-    def start(self, call: t.Call, now: float) -> bool:
+    def start(self, call: t.BatchRequest, now: float) -> bool:
         """Take a call; False if the link has broken."""
         with self._lock:
             if self.broken:
                 return False
-            for errand in call.errands:
+            for errand in call.attempts:
                 self.out[errand.content.id] = _Out(errand, call)
             self.used = now
             self._pending.append(call)
-        call.token = self
+        call.transport_token = self
         self.flush()
         return True
 
-    def withdraw(self, errand: t.Errand, tell: bool, over: bool) -> None:
+    def withdraw(self, errand: t.AttemptRequest, tell: bool, over: bool) -> None:
         part = errand.content.id
         with self._lock:
             held = self.out.get(part)
@@ -205,7 +205,7 @@
             begun = part in self._half
             if tell or over:
                 del self.out[part]
-                self._gone[part] = held.call.stop_at
+                self._gone[part] = held.call.expires_at
             if tell and not begun:
                 self._pending.append(frames.cancel(part))
         if begun:
@@ -228,11 +228,13 @@
                 return
             if item is not None:
                 self._rest_of = (
-                    item if isinstance(item, t.Call) and any(e.attempt for e in item.errands) else None
+                    item
+                    if isinstance(item, t.BatchRequest) and any(e.attempt for e in item.attempts)
+                    else None
                 )
                 self._encoded_at = time.monotonic()
                 data, parts = (item, set[str]()) if isinstance(item, bytes) else self._prepare(item)
-                if data and TAP.on:
+                if data and SOCKET_RECORDER.on:
                     self._trace("call" if parts else "cancel", parts=sorted(parts) or data[5:].decode())
             if not data:
                 continue
@@ -255,8 +257,8 @@
         An attempt counts from its frame's last byte: a further one would be past its window or its budget's span, and
         the time that any of them tells its replica was right when the frame was encoded.
         """
-        further = self._rest_of is not None and self._rest_of.is_late(now)
-        return further or now - self._encoded_at > t.HAND_OVER
+        further = self._rest_of is not None and self._rest_of.is_send_overdue(now)
+        return further or now - self._encoded_at > t.MAX_SEND_DELAY
 
     def _watch_for(self, what: int) -> None:
         try:
@@ -265,30 +267,37 @@
             # Where the reader has let go of it, it is broken already. Else nothing would wake it any more.
             self.fail(LinkEnd.LOCAL_FAILURE, f"epoll: {error}")
 
-    def _prepare(self, call: t.Call) -> tuple[bytes, set[str]]:
+    def _prepare(self, call: t.BatchRequest) -> tuple[bytes, set[str]]:
         """The bytes of what of a call may leave now, and the ids of its parts; none if nothing may."""
         now = time.monotonic()
-        errands, stale = call.go(now)
+        errands, stale = call.claim_sendable(now)
         left = {errand.content.id for errand in errands}
-        if len(errands) < len(call.errands):
+        if len(errands) < len(call.attempts):
             with self._lock:
-                for errand in call.errands:
+                for errand in call.attempts:
                     held = self.out.get(errand.content.id)
                     if held and held.errand is errand and errand.content.id not in left:
                         del self.out[errand.content.id]
         if stale:
             self._report(
-                [t.Ended(e.part, e.attempt, Outcome.NEVER_SENT, now, None, "waited too long") for e in stale]
+                [
+                    t.AttemptFinished(
+                        e.part, e.attempt, AttemptOutcome.NEVER_SENT, now, None, "waited too long"
+                    )
+                    for e in stale
+                ]
             )
         if not errands:
             return b"", set()
         contents = [errand.content for errand in errands]
-        return call.exchange.write(contents, call.seconds_left(errands, now), call.address), left
+        return call.codec.encode(contents, call.seconds_left(errands, now), call.address), left
 
     def _trace(self, kind: str, **fields: Any) -> None:
         with contextlib.suppress(OSError):
             held, gone = len(self.out), len(self._gone)
-            TAP.put(kind, self.sock.getsockname()[1], 0, to=self.address[0], held=held, gone=gone, **fields)
+            SOCKET_RECORDER.put(
+                kind, self.sock.getsockname()[1], 0, to=self.address[0], held=held, gone=gone, **fields
+            )
 
     def shut(self) -> None:
         """Be done with the connection: the reader sees its end and lets go of it."""
@@ -297,7 +306,7 @@
 
     # ---- the reader
 
-    def seen(self, what: int, endings: list[t.Ended]) -> None:
+    def seen(self, what: int, endings: list[t.AttemptFinished]) -> None:
         """Something has happened to the connection; answers are added to `endings`."""
         try:
             if self.rising:
@@ -334,11 +343,11 @@
         self._watch_for(select.EPOLLIN)
         with self._lock:
             self._up = True
-        if TAP.on:
+        if SOCKET_RECORDER.on:
             self._trace("up")
         self._ready(self)
 
-    def _read(self, endings: list[t.Ended]) -> None:
+    def _read(self, endings: list[t.AttemptFinished]) -> None:
         try:
             data = self.sock.recv(_READ, socket.MSG_DONTWAIT)
         except OSError as error:
@@ -359,7 +368,7 @@
                 endings.clear()
             self.fail(LinkEnd.PROTOCOL_ERROR, str(error))
 
-    def _take(self, letter: bytes, rest: bytes, at: float, endings: list[t.Ended]) -> None:
+    def _take(self, letter: bytes, rest: bytes, at: float, endings: list[t.AttemptFinished]) -> None:
         """One frame off the connection. Raises FrameError if it spoils the connection."""
         if letter != frames.ANSWER:
             raise FrameError(f"frame {letter!r} that nobody asked for")
@@ -367,7 +376,7 @@
         with self._lock:
             held = self.out.pop(answer.id, None)
             known = held or self._gone.pop(answer.id, None) is not None or answer.id in self._past
-        if TAP.on:
+        if SOCKET_RECORDER.on:
             self._trace("answer", part=answer.id, end=answer.end, waited=held is not None)
         if not known:
             raise FrameError(f"answer to a part {answer.id} that is not out")
@@ -376,11 +385,15 @@
             return
         errand, result = held.errand, self._value(held.errand.content.shard, answer)
         outcome = _OUTCOMES[answer.end]
-        if outcome is Outcome.OK and result is None:
-            endings.append(t.Ended(errand.part, errand.attempt, Outcome.ERROR, at, None, "spoilt: its value"))
+        if outcome is AttemptOutcome.OK and result is None:
+            endings.append(
+                t.AttemptFinished(
+                    errand.part, errand.attempt, AttemptOutcome.ERROR, at, None, "spoilt: its value"
+                )
+            )
             raise FrameError("answer: its value cannot be read")
         why = "" if result else f"the replica answered {answer.end}"
-        endings.append(t.Ended(errand.part, errand.attempt, outcome, at, result, why))
+        endings.append(t.AttemptFinished(errand.part, errand.attempt, outcome, at, result, why))
 
     def _value(self, shard: int, answer: Answer) -> Value | None:
         cell = self._check(answer.value)
@@ -405,10 +418,12 @@
                 return
             self.broken = True
             out, self.out = self.out, {}
-            waiting = {e.content.id for c in self._pending if isinstance(c, t.Call) for e in c.errands}
+            waiting = {
+                e.content.id for c in self._pending if isinstance(c, t.BatchRequest) for e in c.attempts
+            }
             never = waiting | self._half | (unwritten or set())
             self._pending.clear()
-        if TAP.on:
+        if SOCKET_RECORDER.on:
             self._trace("broken", why=why, out=sorted(out), never=sorted(never))
         self.shut()
         unsent = len(out) if not connected else len(never & out.keys())
@@ -416,10 +431,12 @@
         now = time.monotonic()
         endings = []
         for part, held in out.items():
-            outcome = Outcome.CONNECT_FAILED if not connected or part in never else Outcome.RESET
-            if reason is LinkEnd.LOCAL_FAILURE and outcome is Outcome.CONNECT_FAILED:
-                outcome = Outcome.NEVER_SENT  # the same proof, and nothing that the replica has done
-            endings.append(t.Ended(held.errand.part, held.errand.attempt, outcome, now, None, why))
+            outcome = (
+                AttemptOutcome.CONNECT_FAILED if not connected or part in never else AttemptOutcome.RESET
+            )
+            if reason is LinkEnd.LOCAL_FAILURE and outcome is AttemptOutcome.CONNECT_FAILED:
+                outcome = AttemptOutcome.NEVER_SENT  # the same proof, and nothing that the replica has done
+            endings.append(t.AttemptFinished(held.errand.part, held.errand.attempt, outcome, now, None, why))
         if endings:
             self._report(endings)
 
--- a/gingervane/node/links.py
+++ b/gingervane/node/replica_connections.py
@@ -14,13 +14,21 @@
 from collections import deque
 
 from gingervane.coordinator import types as t
-from gingervane.node.link import CheckValue, Link, LinkEnd, LinkLimits, OnEnd, Report, hex_cell
-from gingervane.wire.local import patiently, start_thread
+from gingervane.node.replica_connection import (
+    CheckValue,
+    ReplicaConnection,
+    LinkEnd,
+    LinkLimits,
+    OnEnd,
+    Report,
+    hex_cell,
+)
+from gingervane.wire.local_failures import patiently, start_thread
 
 SPARE = 8  # descriptors of links on their way out, beyond `LinkLimits.links`
 
 
-class Links:
+class ReplicaConnections:
     """All connections to replicas. Methods that the reader runs: `_run`, `_wake`; all others: the decision thread."""
 
     def __init__(
@@ -31,14 +39,16 @@
         on_end: OnEnd = lambda ended: None,
     ) -> None:
         self._limits, self._report, self._check, self._on_end = limits, report, check, on_end
-        self._links: dict[tuple[str, int], list[Link]] = {}
+        self._links: dict[tuple[str, int], list[ReplicaConnection]] = {}
         self._swept = time.monotonic()
-        self._ready: deque[Link] = deque()
+        self._ready: deque[ReplicaConnection] = deque()
         self._poll = patiently(select.epoll)
         self._by_number: dict[
-            int, Link
+            int, ReplicaConnection
         ] = {}  # entered by the decision thread, which also takes out what it closes
-        self._rising: deque[Link] = deque()  # those that connect, the one that must be up first first
+        self._rising: deque[ReplicaConnection] = (
+            deque()
+        )  # those that connect, the one that must be up first first
         self._closed = False
         start_thread(self._run, "links")
 
@@ -52,7 +62,7 @@
             wait = self._limits.connect / 2
             if self._rising:
                 wait = min(wait, self._rising[0].up_by - now)
-            endings: list[t.Ended] = []
+            endings: list[t.AttemptFinished] = []
             for number, what in self._look(max(wait, 0.001)):
                 if link := self._by_number.get(number):
                     link.seen(what, endings)
@@ -67,7 +77,7 @@
             return []
 
     @property
-    def held(self) -> int:
+    def in_flight(self) -> int:
         return sum(len(link.out) for links in list(self._links.values()) for link in list(links))
 
     @property
@@ -75,17 +85,17 @@
         """Connections that hold a descriptor."""
         return len(self._by_number)
 
-    def start(self, call: t.Call) -> bool:
+    def start(self, call: t.BatchRequest) -> bool:
         now = time.monotonic()
         if now - self._swept >= 1.0:
             self._sweep(now)
         for link in self._links.get(call.address, ()):
-            if link.room(len(call.errands), now) and link.start(call, now):
+            if link.room(len(call.attempts), now) and link.start(call, now):
                 return True
         if self.count >= self._limits.links and not self._make_room(now):
             return False
         try:
-            link = Link(
+            link = ReplicaConnection(
                 call.address, self._limits, self._report, self._check, self._wake, self._poll, self._on_end
             )
         except OSError:  # out of descriptors: no reason for the decision thread to end
@@ -109,23 +119,23 @@
             quiet.fail(LinkEnd.NO_ROOM)
         return self.count < self._limits.links + SPARE
 
-    def _wake(self, link: Link) -> None:
+    def _wake(self, link: ReplicaConnection) -> None:
         """The reader: a link can be written to again. An empty report gives the decision thread a turn."""
         self._ready.append(link)
         self._report([])
 
-    def tend(self) -> None:
+    def maintain(self) -> None:
         while self._ready:
             self._ready.popleft().flush()
 
-    def call_off(self, call: t.Call) -> None:
+    def cancel(self, call: t.BatchRequest) -> None:
         """Each errand is withdrawn by itself."""
 
-    def withdraw(self, call: t.Call, errand: t.Errand, tell: bool, over: bool) -> None:
-        if isinstance(call.token, Link):
-            call.token.withdraw(errand, tell, over)
+    def abandon(self, call: t.BatchRequest, errand: t.AttemptRequest, tell: bool, over: bool) -> None:
+        if isinstance(call.transport_token, ReplicaConnection):
+            call.transport_token.withdraw(errand, tell, over)
 
-    def drop_idle(self, address: tuple[str, int]) -> None:
+    def close_idle(self, address: tuple[str, int]) -> None:
         for link in self._links.get(address, ()):
             link.retired = True  # what is sent next opens a new one, whatever is still out on this
             if not link.out:
--- a/gingervane/node/service.py
+++ b/gingervane/node/service.py
@@ -19,21 +19,21 @@
 
 from gingervane import interface as api
 from gingervane.coordinator import types as t
-from gingervane.coordinator.core import Bounds, Core, Outside
+from gingervane.coordinator.core import AdmissionLimits, QueryCoordinator, ClusterPorts
 from gingervane.fronts.connections import MOST_ENDING
 from gingervane.fronts.http_server import HttpServer, ServerLimits
 from gingervane.node import config as configuration
-from gingervane.node.clients import ClientFront
+from gingervane.node.client_front import ClientFront
 from gingervane.node.config import Config, ConfigError
 from gingervane.node.discovery import ListError, ListReader, Watch
-from gingervane.node.link import LinkEnded, LinkLimits
-from gingervane.node.links import Links, SPARE
-from gingervane.node.peers import Peers
-from gingervane.coordinator.starts import StartClock
-from gingervane.node.telemetry import Telemetry
-from gingervane.policy import Coordinator
+from gingervane.node.replica_connection import LinkEnded, LinkLimits
+from gingervane.node.replica_connections import ReplicaConnections, SPARE
+from gingervane.node.peer_socket import PeerSocket
+from gingervane.coordinator.replica_start_times import ReplicaStartTimes
+from gingervane.telemetry.node_telemetry import Telemetry
+from gingervane.decisions.engine import DecisionEngine
 from gingervane.wire.http1 import Limits
-from gingervane.wire.tap import TAP
+from gingervane.wire.socket_recorder import SOCKET_RECORDER
 
 # SIGKILL comes no sooner than this after SIGTERM, plus the longest deadline, which counts as 3 s where it is longer.
 KILL_AFTER, LONGEST_COUNTED = 0.7, 3.0
@@ -56,20 +56,22 @@
     ) -> None:
         self._telemetry, self._classes, self._host = telemetry, class_names, host
 
-    def settled(self, query: int, plan: t.QueryPlan, final: t.Final, seconds: float) -> None:
-        verdict = final.verdict
+    def query_completed(self, query: int, plan: t.QueryPlan, final: t.QueryResult, seconds: float) -> None:
+        verdict = final.status
         self._telemetry.counters.add(f"queries_{verdict.value}", final.reason)
-        if TAP.on:
-            TAP.put("settled", 0, 0, query=plan.tag, verdict=verdict.value, seconds=seconds, why=final.why)
+        if SOCKET_RECORDER.on:
+            SOCKET_RECORDER.put(
+                "settled", 0, 0, query=plan.tag, verdict=verdict.value, seconds=seconds, why=final.detail
+            )
         if final.reason in _MUST_NOT_HAPPEN:
             write = self._telemetry.error
-        elif verdict in _WORTH_A_LINE and final.reason is not api.EndReason.OVERLOAD:
+        elif verdict in _WORTH_A_LINE and final.reason is not api.QueryEndReason.OVERLOAD:
             write = self._telemetry.info
         elif self._telemetry.debug_on:
             write = self._telemetry.debug
         else:
             return
-        ends = Counter(step.outcome for step in final.path)
+        ends = Counter(step.outcome for step in final.attempts)
         write(
             "query_settled",
             request=plan.tag,
@@ -78,27 +80,27 @@
             verdict=verdict,
             reason=final.reason,
             step=final.step,
-            parts=final.asked,
-            parts_in=final.parts_in,
+            parts=final.parts_requested,
+            parts_in=final.parts_received,
             coverage=final.coverage,
-            marked_whole=final.marked_whole,
+            marked_whole=final.marked_complete,
             seconds=seconds,
             attempts=" ".join(f"{count}x{outcome}" for outcome, count in ends.items()),
-            detail=final.why,
+            detail=final.detail,
         )
 
-    def attempt(self, outcome: api.Outcome, replica: int, seconds: float) -> None:
-        if TAP.on:
-            TAP.put("told", 0, 0, outcome=outcome.value, replica=replica, seconds=seconds)
+    def attempt_finished(self, outcome: api.AttemptOutcome, replica: int, seconds: float) -> None:
+        if SOCKET_RECORDER.on:
+            SOCKET_RECORDER.put("told", 0, 0, outcome=outcome.value, replica=replica, seconds=seconds)
         if self._telemetry.debug_on:
             self._telemetry.debug(
                 "attempt_ended", replica=self._host(replica), outcome=outcome, seconds=seconds
             )
 
-    def remark(self, text: str) -> None:
+    def log_message(self, text: str) -> None:
         self._telemetry.info("remark", text=text)
 
-    def health(self, change: api.HealthChange) -> None:
+    def replica_health_changed(self, change: api.ReplicaHealthChange) -> None:
         replica = self._host(change.replica)
         if isinstance(change, api.ReplicaEjected):
             self._telemetry.counters.add("replicas_ejected", change.reason)
@@ -109,14 +111,16 @@
             self._telemetry.counters.add("replicas_reinstated", "any")
             self._telemetry.info("replica_reinstated", replica=replica)
 
-    def broke(self, error: BaseException) -> None:
+    def internal_error(self, error: BaseException) -> None:
         trace = "".join(traceback.format_exception(error))
         self._telemetry.error("decision_thread_broke", error=f"{type(error).__name__}: {error}", trace=trace)
 
 
 # Verdicts that get a line each (load shedding is only counted), and ends that show a fault of this program.
-_WORTH_A_LINE = frozenset({t.Verdict.SHORT, t.Verdict.FAILED, t.Verdict.REFUSED})
-_MUST_NOT_HAPPEN = frozenset({api.EndReason.NOT_COVERED, api.EndReason.INTERNAL, api.EndReason.UNSTATED})
+_WORTH_A_LINE = frozenset({t.QueryStatus.PARTIAL, t.QueryStatus.FAILED, t.QueryStatus.REJECTED})
+_MUST_NOT_HAPPEN = frozenset(
+    {api.QueryEndReason.COVERAGE_CHECK_FAILED, api.QueryEndReason.INTERNAL, api.QueryEndReason.UNSTATED}
+)
 
 
 class Node:
@@ -132,26 +136,28 @@
         # Half for replicas, half for clients, who need no more than a third for requests.
         links = max(config.sockets // 2 - OWN_DESCRIPTORS - SPARE, 1)
         limits = LinkLimits(config.streams, links, 0.8 * config.conn_idle, config.connect_timeout)
-        reader = ListReader(config.zones, StartClock(), telemetry.info)
+        reader = ListReader(config.zones, ReplicaStartTimes(), telemetry.info)
         # Room for every part of as many queries as there can be connections: descriptors bound it, not this.
-        most = Bounds(config.sockets * (1 + config.shards), 64 << 20)
-        self.core = Core(
-            Coordinator(settings, config.seed),
+        most = AdmissionLimits(config.sockets * (1 + config.shards), 64 << 20)
+        self.core = QueryCoordinator(
+            DecisionEngine(settings, config.seed),
             settings,
             most,
             CoreLog(telemetry, config.class_names, reader.host),
-            lambda report: Links(limits, report, on_end=self._link_ended),
-            Outside(self._subscribe, self._tell_peers),
-            gather=settings.granularity,
+            lambda report: ReplicaConnections(limits, report, on_end=self._link_ended),
+            ClusterPorts(self._subscribe, self._tell_peers),
+            gather=settings.timer_granularity,
         )
         self.front = ClientFront(self.core, config.class_names, config.shards)
         # Where lists are pushed, all counts as told as soon as discovery is back: a call that hangs since before
         # must not outlast the grace.
-        patience = inf if settings.must_ask_membership else settings.drain_grace or inf
-        self.watch = Watch(config.discovery, reader, self.core.listed, telemetry.info, patience)
+        patience = inf if settings.membership_polled else settings.drain_grace or inf
+        self.watch = Watch(config.discovery, reader, self.core.endpoints_updated, telemetry.info, patience)
         self._peers = (
-            Peers(config.peer_listen, config.peers, config.peers_all, config.me, self.core.heard)
-            if config.peer_listen and settings.may_message_peers
+            PeerSocket(
+                config.peer_listen, config.peers, config.peers_all, config.me, self.core.peer_message_received
+            )
+            if config.peer_listen and settings.gossip_allowed
             else None
         )
         try:
@@ -160,7 +166,7 @@
             telemetry.warning("known_list_unusable", error=str(error))
             known = None
         if known:
-            self.core.listed(known)
+            self.core.endpoints_updated(known)
         connections = max(config.sockets - links - SPARE - OWN_DESCRIPTORS - MOST_ENDING, 1)
         self.server = HttpServer(
             *config.listen,
@@ -213,7 +219,7 @@
         self.watch.start()
         if self._peers:
             self._peers.start()
-        if not self._config.settings.must_ask_membership:
+        if not self._config.settings.membership_polled:
             self.watch.follow()
         self.core.start()
         self.front.ready = True
@@ -237,7 +243,7 @@
         harm, in time to be heard.
         """
         self.front.ready = False
-        longest = max(kind.deadline for kind in self._config.settings.classes)
+        longest = max(kind.deadline for kind in self._config.settings.query_classes)
         time.sleep(min(longest, LONGEST_COUNTED) + KILL_AFTER - LAST_ANSWERS)
         self.end()
         self.telemetry.info("ended")
@@ -257,7 +263,7 @@
     signal.pthread_sigmask(signal.SIG_BLOCK, _SIGNALS)
     telemetry = Telemetry(level=logging.DEBUG if os.environ.get("GINGERVANE_DEBUG") else logging.INFO)
     if trace := os.environ.get("GINGERVANE_TRACE"):
-        TAP.open(Path(trace))
+        SOCKET_RECORDER.open(Path(trace))
     try:
         config = configuration.read(path)
         telemetry.name(config.name)
@@ -285,28 +291,28 @@
 def _log_settings(telemetry: Telemetry, config: Config) -> None:
     """What the platform asks of each class: without it no log of an answer can be judged."""
     settings = config.settings
-    for name, kind in zip(config.class_names, settings.classes, strict=True):
+    for name, kind in zip(config.class_names, settings.query_classes, strict=True):
         telemetry.info(
             "class_settings",
             query_class=name,
-            semantics=kind.semantics,
-            aim=kind.aim,
+            semantics=kind.retry_safety,
+            aim=kind.latency_objective,
             deadline=kind.deadline,
-            repeat_window=kind.repeat_window or 0.0,
+            repeat_window=kind.idempotency_window or 0.0,
             second_step_parts=kind.second_step_parts,
-            least_share=kind.least_share,
-            whole_share=kind.whole_share,
+            least_share=kind.required_coverage,
+            whole_share=kind.complete_coverage,
         )
     telemetry.info(
         "settings",
-        coordinators=settings.coordinators,
+        coordinators=settings.coordinator_count,
         shards=config.shards,
         streams=config.streams,
-        parts_per_call=settings.parts_per_call,
-        most_attempts=settings.most_attempts,
-        may_cancel=settings.may_cancel,
-        may_copy=settings.may_copy,
+        parts_per_call=settings.max_parts_per_request,
+        most_attempts=settings.max_attempts,
+        may_cancel=settings.cancellation_allowed,
+        may_copy=settings.hedging_allowed,
         drain_grace=settings.drain_grace,
-        must_ask_membership=settings.must_ask_membership,
+        must_ask_membership=settings.membership_polled,
         sockets=config.sockets,
     )
--- /dev/null
+++ b/gingervane/settings/__init__.py
@@ -0,0 +1,1 @@
+"""Settings of the daemon: their model, checks and loading."""
--- a/gingervane/daemon/settings.py
+++ b/gingervane/settings/daemon_settings.py
@@ -10,7 +10,7 @@
 from pydantic import BaseModel, ConfigDict, Field, ValidationError, model_validator
 
 from gingervane import interface as api
-from gingervane.coordinator.types import HAND_OVER
+from gingervane.coordinator.types import MAX_SEND_DELAY
 
 Seconds = Annotated[float, Field(gt=0, le=86400)]
 Share = Annotated[float, Field(gt=0, le=1)]
@@ -133,7 +133,7 @@
     name: Annotated[str, Field(pattern=r"^[A-Za-z0-9_.-]{1,64}$")]
     aim: Seconds
     deadline: Seconds
-    semantics: api.Semantics = api.Semantics.SAFE
+    semantics: api.RetrySafety = api.RetrySafety.IDEMPOTENT
     repeat_window: Seconds | None = None
     least_share: Share = 1.0
     late_worth: Annotated[float, Field(ge=0, le=1)] = 0.0
@@ -149,7 +149,7 @@
             raise ValueError(
                 f"whole_share: {self.whole_share:g} is under the least_share of {self.least_share:g}"
             )
-        if (self.semantics is api.Semantics.KEYED) != (self.repeat_window is not None):
+        if (self.semantics is api.RetrySafety.IDEMPOTENCY_KEY) != (self.repeat_window is not None):
             raise ValueError('repeat_window: goes with semantics = "keyed", and only with it')
         return self
 
@@ -308,34 +308,34 @@
             for c in self.classes
             for twin in (
                 _class(c, 1.0),
-                _class(c, c.least_share)._replace(whole_share=c.whole_share),
-                _class(c, 1e-6)._replace(late_worth=1.0),
+                _class(c, c.least_share)._replace(complete_coverage=c.whole_share),
+                _class(c, 1e-6)._replace(late_weight=1.0),
             )
         ]
         return api.Settings(
-            coordinators=self.fleet.coordinators,
+            coordinator_count=self.fleet.coordinators,
             zone=self.fleet.zones.index(self.fleet.zone),
-            classes=tuple(twins),
+            query_classes=tuple(twins),
             tenant_quotas=(),
-            granularity=0.005,
-            cells=self.shards.cells,
-            width=self.shards.width,
-            parts_per_call=limits.parts_per_call,
-            most_attempts=limits.most_attempts,
-            may_cancel=True,
-            may_message_peers=False,
-            may_copy=limits.copies,
-            may_advise_wait=True,
-            longest_wait_advice=limits.longest_wait_advice,
-            must_ask_membership=False,
-            start_capacity=cold.start_capacity,
-            ramp_time=cold.ramp_time,
-            fall_time=cold.fall_time,
-            fall_multiple=cold.fall_multiple,
-            budget_free=free,
-            budget_share=budget.share if budget else None,
-            budget_span=budget.span if budget else None,
-            hand_over=HAND_OVER,
+            timer_granularity=0.005,
+            cell_count=self.shards.cells,
+            cells_per_replica=self.shards.width,
+            max_parts_per_request=limits.parts_per_call,
+            max_attempts=limits.most_attempts,
+            cancellation_allowed=True,
+            gossip_allowed=False,
+            hedging_allowed=limits.copies,
+            retry_after_allowed=True,
+            max_retry_after=limits.longest_wait_advice,
+            membership_polled=False,
+            slow_start_capacity=cold.start_capacity,
+            slow_start_duration=cold.ramp_time,
+            overload_window=cold.fall_time,
+            overload_multiple=cold.fall_multiple,
+            retry_budget_free=free,
+            retry_budget_share=budget.share if budget else None,
+            retry_budget_window=budget.span if budget else None,
+            max_send_delay=MAX_SEND_DELAY,
         )
 
     def branch_settings(self) -> api.Settings:
@@ -343,27 +343,27 @@
         tree, budget = self.tree, self.budget
         assert tree is not None
         return self.module_settings()._replace(
-            classes=tuple(_class(c, 1.0) for c in self.classes),
-            cells=tree.ring,
-            width=min(tree.width, tree.ring),
-            parts_per_call=1,
-            ramp_time=tree.ramp_time,
-            budget_free=budget.free * BRANCH_SHARE if budget else None,
+            query_classes=tuple(_class(c, 1.0) for c in self.classes),
+            cell_count=tree.ring,
+            cells_per_replica=min(tree.width, tree.ring),
+            max_parts_per_request=1,
+            slow_start_duration=tree.ramp_time,
+            retry_budget_free=budget.free * BRANCH_SHARE if budget else None,
         )
 
 
 def _class(c: Class, least: float) -> api.QueryClass:
     return api.QueryClass(
-        aim=c.aim,
+        latency_objective=c.aim,
         deadline=c.deadline,
-        semantics=c.semantics,
-        repeat_window=c.repeat_window,
+        retry_safety=c.semantics,
+        idempotency_window=c.repeat_window,
         second_step_parts=0,
-        least_share=least,
-        whole_share=1.0,
-        aim_stretch=None,
-        late_worth=c.late_worth,
-        short_worth=c.short_worth,
+        required_coverage=least,
+        complete_coverage=1.0,
+        objective_stretch=None,
+        late_weight=c.late_worth,
+        partial_weight=c.short_worth,
     )
 
 
--- a/gingervane/startup.py
+++ b/gingervane/startup.py
@@ -83,45 +83,45 @@
         return {"ask": True, "push": False}[value]
 
     def query_class(i: int) -> api.QueryClass:
-        semantics = need(f"Classes.{i}.Semantics", api.Semantics)
-        keyed = semantics is api.Semantics.KEYED
+        semantics = need(f"Classes.{i}.Semantics", api.RetrySafety)
+        keyed = semantics is api.RetrySafety.IDEMPOTENCY_KEY
         return api.QueryClass(
-            aim=need(f"Classes.{i}.AimS", number),
+            latency_objective=need(f"Classes.{i}.AimS", number),
             deadline=need(f"Classes.{i}.DeadlineS", positive),
-            semantics=semantics,
-            repeat_window=need(f"Classes.{i}.WindowS", number) if keyed else None,
+            retry_safety=semantics,
+            idempotency_window=need(f"Classes.{i}.WindowS", number) if keyed else None,
             second_step_parts=per_class("Extra.ClassFetch", int, i),
-            least_share=per_class("Extra.MinShare", float, i),
-            whole_share=per_class("Extra.WholeAt", positive, i),
-            aim_stretch=maybe(f"Classes.{i}.AimStretch", float),
-            late_worth=need(f"Classes.{i}.LateWorth", float),
-            short_worth=per_class("Extra.ShortWorth", float, i),
+            required_coverage=per_class("Extra.MinShare", float, i),
+            complete_coverage=per_class("Extra.WholeAt", positive, i),
+            objective_stretch=maybe(f"Classes.{i}.AimStretch", float),
+            late_weight=need(f"Classes.{i}.LateWorth", float),
+            partial_weight=per_class("Extra.ShortWorth", float, i),
         )
 
     grace = maybe("Rules.StopSendingWithinS", number)
     tenants = range(need("Tenants.count", int) if "Tenants.count" in pairs else 0)
     return api.Settings(
-        coordinators=need("Balancers", count),
+        coordinator_count=need("Balancers", count),
         zone=need("Locality", int),
-        classes=tuple(query_class(i) for i in range(need("Classes.count", count))),
+        query_classes=tuple(query_class(i) for i in range(need("Classes.count", count))),
         tenant_quotas=tuple(maybe(f"Tenants.{i}.QuotaPerS", number) for i in tenants),
-        granularity=need("GranularityS", positive),
-        cells=need("Extra.Sets", count),
-        width=need("Extra.Width", count),
-        parts_per_call=need("Extra.PerCall", count),
-        most_attempts=need("Limits.SendCap", count),
-        may_cancel=need("Limits.Cancelling", flag),
-        may_message_peers=need("Limits.Peers", flag),
-        may_copy=need("Limits.SecondCopies", flag),
-        may_advise_wait=need("Limits.RetryAfter", flag),
-        longest_wait_advice=need("Limits.MaxRetryAfterS", number),
-        must_ask_membership=need("MembershipMode", mode),
-        start_capacity=need("Rules.StartCapacity", number),
-        ramp_time=need("Rules.RampTimeS", number),
-        fall_time=need("Rules.FallS", number),
-        fall_multiple=need("Rules.TipMultiple", number),
-        budget_free=maybe("Rules.BudgetFree", number),
-        budget_share=maybe("Rules.ExtraRatio", number),
-        budget_span=maybe("Rules.ResendSpanS", number),
+        timer_granularity=need("GranularityS", positive),
+        cell_count=need("Extra.Sets", count),
+        cells_per_replica=need("Extra.Width", count),
+        max_parts_per_request=need("Extra.PerCall", count),
+        max_attempts=need("Limits.SendCap", count),
+        cancellation_allowed=need("Limits.Cancelling", flag),
+        gossip_allowed=need("Limits.Peers", flag),
+        hedging_allowed=need("Limits.SecondCopies", flag),
+        retry_after_allowed=need("Limits.RetryAfter", flag),
+        max_retry_after=need("Limits.MaxRetryAfterS", number),
+        membership_polled=need("MembershipMode", mode),
+        slow_start_capacity=need("Rules.StartCapacity", number),
+        slow_start_duration=need("Rules.RampTimeS", number),
+        overload_window=need("Rules.FallS", number),
+        overload_multiple=need("Rules.TipMultiple", number),
+        retry_budget_free=maybe("Rules.BudgetFree", number),
+        retry_budget_share=maybe("Rules.ExtraRatio", number),
+        retry_budget_window=maybe("Rules.ResendSpanS", number),
         drain_grace=inf if grace is None else grace,
     )
--- /dev/null
+++ b/gingervane/telemetry/__init__.py
@@ -0,0 +1,1 @@
+"""Logs, counters and metrics of both programs."""
--- a/gingervane/node/telemetry.py
+++ b/gingervane/telemetry/node_telemetry.py
@@ -20,7 +20,7 @@
 from threading import Event, Lock, Thread
 from typing import Protocol, TextIO
 
-from gingervane.wire.local import start_thread
+from gingervane.wire.local_failures import start_thread
 
 DUMP_EVERY = 10.0  # seconds between two lines of counters
 MOST_WAITING = 2048  # lines that may wait to be written
--- a/gingervane/tree/grants.py
+++ b/gingervane/tree/attempt_quota.py
@@ -10,7 +10,7 @@
 from __future__ import annotations
 
 
-class Grants:
+class AttemptQuota:
     """The ledger of one wide query at one co-ordinator, by leaf."""
 
     def __init__(self, leaves: tuple[str, ...], most: int) -> None:
--- a/gingervane/tree/plan.py
+++ b/gingervane/tree/plan.py
@@ -57,7 +57,7 @@
     why: str
 
 
-class Refusal(Exception):
+class Rejection(Exception):
     """A task that must not be taken: `loop` for a cycle or runaway depth, else for want of time."""
 
     def __init__(self, what: str, loop: bool) -> None:
@@ -68,13 +68,13 @@
 def admit(task: Task, name: str, limits: Limits, costs: Costs) -> None:
     """Refuse at once what cannot or must not be done. Raises Refusal."""
     if name in task.trail:
-        raise Refusal(f"a cycle: {name!r} is above itself in {'/'.join(task.trail)}", True)
+        raise Rejection(f"a cycle: {name!r} is above itself in {'/'.join(task.trail)}", True)
     if len(task.trail) > TRAIL_END or task.levels > limits.levels:
-        raise Refusal(f"{task.levels} levels below here, {limits.levels} at most", True)
+        raise Rejection(f"{task.levels} levels below here, {limits.levels} at most", True)
     # Half of the usual time of the cheapest way: under it even a lucky answer comes too late.
     least = min(costs.flat_time(len(task.leaves)), costs.flat_time(limits.fan_out)) / 2
     if task.trail and costs.flat.known and task.left < least:
-        raise Refusal(f"{task.left:.3f} s left, about {2 * least:.3f} s needed", False)
+        raise Rejection(f"{task.left:.3f} s left, about {2 * least:.3f} s needed", False)
 
 
 class Peers(NamedTuple):
--- a/gingervane/tree/orders.py
+++ b/gingervane/tree/subquery_context.py
@@ -5,7 +5,7 @@
 from typing import Any, NamedTuple
 
 
-class Orders(NamedTuple):
+class SubqueryContext(NamedTuple):
     """`levels`: of co-ordinators that may still stand below the child. `attempts`: that may run for each leaf.
 
     `trail`: names of the co-ordinators above, root first.
@@ -25,7 +25,7 @@
     queries: tuple[tuple[int, Any, tuple[str, ...]], ...]
     leaves: tuple[str, ...]
     query_class: str
-    orders: Orders
+    orders: SubqueryContext
 
 
 class Got(NamedTuple):
--- a/gingervane/tree/wide.py
+++ b/gingervane/tree/wide_query.py
@@ -18,10 +18,10 @@
 from math import inf
 from typing import NamedTuple
 
-from gingervane.interface import Semantics
+from gingervane.interface import RetrySafety
 from gingervane.tree.coverage import Sum
 from gingervane.tree.cost import Costs
-from gingervane.tree.grants import Grants
+from gingervane.tree.attempt_quota import AttemptQuota
 from gingervane.tree.plan import Limits, Plan, Subtree, Task, share_time
 
 EPSILON = 1e-6
@@ -66,7 +66,7 @@
     end: End
     share: float
     missing: tuple[str, ...]
-    come_again_in: float
+    retry_after: float
     used: int
 
 
@@ -95,7 +95,7 @@
     """What the class and the client allow. `least`: the least share of an answer; `collect`: any share will do, as
     the parent sums."""
 
-    semantics: Semantics
+    semantics: RetrySafety
     least: float
     collect: bool = False
 
@@ -120,7 +120,7 @@
     def __post_init__(self) -> None:
         weight = 1.0 / max(len(self.task.leaves), 1)
         self.sum = Sum(dict.fromkeys(self.task.leaves, weight))
-        self.grants = Grants(self.task.leaves, min(self.task.attempts, self.limits.leaf_attempts))
+        self.grants = AttemptQuota(self.task.leaves, min(self.task.attempts, self.limits.leaf_attempts))
 
     @property
     def deadline(self) -> float:
@@ -157,7 +157,7 @@
             model.learn(len(found.leaves), now - found.began)
         missing = tuple(leaf for leaf in found.leaves if self.sum.source(leaf) is None)
         out: list[Action] = []
-        if missing and not found.around and (self.rules.semantics is Semantics.SAFE or brought.idle):
+        if missing and not found.around and (self.rules.semantics is RetrySafety.IDEMPOTENT or brought.idle):
             out += self._around(now, missing)
         asked = {leaf for one in self._ways.values() for leaf in one.leaves}
         self._lost |= set(missing) - asked
@@ -216,7 +216,7 @@
         if final and enough:
             return self._finish(End.SHORT)
         # What is out may run still: only a class that is safe to repeat may be refused then.
-        harmless = self.rules.semantics is Semantics.SAFE or not (self._ran or self._ways)
+        harmless = self.rules.semantics is RetrySafety.IDEMPOTENT or not (self._ran or self._ways)
         return self._finish(End.REFUSED if harmless else End.FAILED)
 
     def _finish(self, end: End) -> list[Action]:
--- a/gingervane/tree/run.py
+++ b/gingervane/tree/wide_query_runner.py
@@ -14,9 +14,18 @@
 from typing import Any, NamedTuple
 
 from gingervane.coordinator import types as t
-from gingervane.coordinator.core import Answers, Core, Refused, Ticket
-from gingervane.tree.orders import Ask, Got, LeafContent, Orders
-from gingervane.tree.wide import Action, AskLeaves, AskSubtree, Brought, Drop, Finish, WideQuery, used_of
+from gingervane.coordinator.core import ResultQueue, QueryCoordinator, Rejected, PendingQuery
+from gingervane.tree.subquery_context import Ask, Got, LeafContent, SubqueryContext
+from gingervane.tree.wide_query import (
+    Action,
+    AskLeaves,
+    AskSubtree,
+    Brought,
+    Drop,
+    Finish,
+    WideQuery,
+    used_of,
+)
 
 _GONE = object()
 
@@ -24,10 +33,10 @@
 class Setting(NamedTuple):
     """What a wide query needs of its co-ordinator."""
 
-    core: Core  # asks leaves
-    branch: Core  # asks children
-    leaf_exchange: t.Exchange
-    branch_exchange: t.Exchange
+    core: QueryCoordinator  # asks leaves
+    branch: QueryCoordinator  # asks children
+    leaf_exchange: t.HttpCodec
+    branch_exchange: t.HttpCodec
     name: str
     query_class: str
     leaf_class: int  # the module's number of the class that collects
@@ -37,7 +46,7 @@
 class Outcome(NamedTuple):
     finish: Finish
     held: dict[str, dict[int, Any]]  # by leaf and number of the query
-    path: list[t.AttemptNote]
+    path: list[t.AttemptRecord]
     why: str
 
 
@@ -55,12 +64,12 @@
     ) -> None:
         self._wide, self._set, self._queries = wide, setting, queries
         self._leaf_part, self._leaf_content = leaf_part, leaf_content
-        self._answers = Answers()
-        self._ways: dict[int, tuple[Ticket, Action]] = {}  # by way
-        self._way_of: dict[Ticket, int] = {}
+        self._answers = ResultQueue()
+        self._ways: dict[int, tuple[PendingQuery, Action]] = {}  # by way
+        self._way_of: dict[PendingQuery, int] = {}
         self._held: dict[str, dict[int, Any]] = {}
         self._from: dict[str, int] = {}
-        self._path: list[t.AttemptNote] = []
+        self._path: list[t.AttemptRecord] = []
         self._why = ""
 
     def gone(self) -> None:
@@ -98,26 +107,26 @@
                 case AskSubtree(way) | AskLeaves(way):
                     try:
                         ticket = self._submit(action)
-                    except Refused as error:
+                    except Rejected as error:
                         self._why = str(error)
-                        brought = Brought(idle=True, wait=error.come_again_in)
+                        brought = Brought(idle=True, wait=error.retry_after)
                         todo += self._wide.ended(time.monotonic(), way, brought)
                     else:
                         self._ways[way] = ticket, action
                         self._way_of[ticket] = way
                 case Drop(way):
                     if way in self._ways:
-                        self._ways[way][0].leave()
+                        self._ways[way][0].abandon()
                 case Finish():
                     finish = action
         return finish
 
-    def _submit(self, action: AskSubtree | AskLeaves) -> Ticket:
+    def _submit(self, action: AskSubtree | AskLeaves) -> PendingQuery:
         until = time.monotonic() + action.seconds
         if isinstance(action, AskLeaves):
             weight = 1.0 / len(action.leaves)
             parts = tuple(
-                self._leaf_part(name)._replace(weight=weight, most_runs=action.attempts)
+                self._leaf_part(name)._replace(weight=weight, max_executions=action.attempts)
                 for name in action.leaves
             )
             plan = t.QueryPlan(
@@ -140,25 +149,25 @@
             if touched & inside
         )
         task = self._wide.task
-        orders = Orders(task.levels - 1, attempts, (*task.trail, self._set.name))
+        orders = SubqueryContext(task.levels - 1, attempts, (*task.trail, self._set.name))
         return Ask(queries, leaves, self._set.query_class, orders)
 
-    def _take(self, ticket: Ticket, final: t.Final) -> Finish | None:
+    def _take(self, ticket: PendingQuery, final: t.QueryResult) -> Finish | None:
         way = self._way_of.pop(ticket)
         _, action = self._ways.pop(way)
-        self._path += final.path
-        self._why = final.why or self._why
-        answered = final.verdict in (t.Verdict.WHOLE, t.Verdict.SHORT)
-        wait = final.come_again_in if final.verdict is t.Verdict.REFUSED else None
+        self._path += final.attempts
+        self._why = final.detail or self._why
+        answered = final.status in (t.QueryStatus.COMPLETE, t.QueryStatus.PARTIAL)
+        wait = final.retry_after if final.status is t.QueryStatus.REJECTED else None
         if isinstance(action, AskSubtree):
             got: Got | None = final.results.get(0) if answered else None
             runs = [
                 (
-                    action.runs[min(note.run, len(action.runs) - 1)],
+                    action.runs[min(note.earlier_executions, len(action.runs) - 1)],
                     note.never_ran,
                     got.used if got and note.outcome == "ok" else None,
                 )
-                for note in final.path
+                for note in final.attempts
             ]
             used, idle = used_of(runs)
             held = got.held if got else {}
@@ -173,17 +182,17 @@
         ) in held.items():  # the series of a leaf are those of the way that it was counted from
             if before[name] is None and self._wide.sum.source(name) == way:
                 self._held[name] = by_query
-        ticket.done()
+        ticket.release()
         return self._do(actions)
 
 
 def leaves_of(
     parts: Sequence[t.PartPlan],
-    final: t.Final,
+    final: t.QueryResult,
     leaf_content: Callable[[Any], LeafContent],
 ) -> tuple[dict[str, dict[int, Any]], int]:
     """What leaves that were asked directly gave, by name and number of the query; most attempts that ran for one."""
-    ran = Counter(note.shard for note in final.path if not note.never_ran)
+    ran = Counter(note.shard for note in final.attempts if not note.never_ran)
     held: dict[str, dict[int, Any]] = {}
     for index, found in final.results.items():
         content = leaf_content(parts[index].content)
--- a/gingervane/vectors/travel.py
+++ b/gingervane/vectors/codec.py
@@ -14,7 +14,7 @@
 import orjson
 
 from gingervane.coordinator import types as t
-from gingervane.fronts.desk import BEGAN_HEADER
+from gingervane.fronts.routing import BEGAN_HEADER
 from gingervane.vectors.points import Collection, RequestError, read_id, shard_of
 from gingervane.vectors.topk import in_order
 from gingervane.wire import http1
@@ -83,12 +83,12 @@
     """The `result` of a reply. Raises BadReply."""
     if status != 200:
         idle = header(BEGAN_HEADER.lower()) == "no" and status in (429, 503)
-        raise t.BadReply(f"status {status}", proven_idle=idle, overloaded=status in (429, 503))
+        raise t.InvalidReply(f"status {status}", proves_not_executed=idle, overloaded=status in (429, 503))
     try:
         found = orjson.loads(body)
         return found["result"]
     except (orjson.JSONDecodeError, KeyError, TypeError) as error:
-        raise t.BadReply(f"body: {error!r}") from None
+        raise t.InvalidReply(f"body: {error!r}") from None
 
 
 class SearchExchange:
@@ -97,16 +97,18 @@
     def __init__(self, collection: Collection, shards: int) -> None:
         self._collection, self._shards = collection, shards
 
-    def write(self, contents: list[Any], seconds_left: list[float], address: tuple[str, int]) -> bytes:
+    def encode(self, contents: list[Any], seconds_left: list[float], address: tuple[str, int]) -> bytes:
         searches = [{**one, "shard_key": f"s{c.shard}"} for c in contents for one in c.searches]
         target = f"/collections/{self._collection.name}/points/search/batch"
         return request("POST", target, address, orjson.dumps({"searches": searches}), min(seconds_left))
 
-    def read(self, contents: list[Any], status: int, header: Callable[[str], str], body: bytes) -> list[Any]:
+    def decode(
+        self, contents: list[Any], status: int, header: Callable[[str], str], body: bytes
+    ) -> list[Any]:
         lists = result_of(status, header, body)
         count = sum(len(c.searches) for c in contents)
         if not isinstance(lists, list) or len(lists) != count:
-            raise t.BadReply(
+            raise t.InvalidReply(
                 f"{len(lists) if isinstance(lists, list) else type(lists).__name__} results for {count}"
             )
         fresh = _freshness(header(FRESH_HEADER.lower()))
@@ -121,20 +123,20 @@
 
     def _check(self, shard: int, asked: dict[str, Any], found: Any) -> None:
         if not isinstance(found, list) or len(found) > asked["limit"]:
-            raise t.BadReply(f"shard {shard}: no list of {asked['limit']} points at most")
+            raise t.InvalidReply(f"shard {shard}: no list of {asked['limit']} points at most")
         for point in found:
             try:
                 score, version, number = point["score"], point["version"], read_id(point["id"], "id")
             except (KeyError, TypeError, RequestError) as error:
-                raise t.BadReply(f"shard {shard}: a point makes no sense: {error!r}") from None
+                raise t.InvalidReply(f"shard {shard}: a point makes no sense: {error!r}") from None
             if type(score) not in (int, float) or not isfinite(score) or type(version) is not int:
-                raise t.BadReply(f"shard {shard}: point {number!r} has no finite score and version")
+                raise t.InvalidReply(f"shard {shard}: point {number!r} has no finite score and version")
             if shard_of(number, self._shards) != shard:
-                raise t.BadReply(f"shard {shard}: point {number!r} lives elsewhere")
+                raise t.InvalidReply(f"shard {shard}: point {number!r} lives elsewhere")
         if not in_order(found, self._collection.greater_is_nearer):
-            raise t.BadReply(f"shard {shard}: not in order")
+            raise t.InvalidReply(f"shard {shard}: not in order")
 
-    def size(self, result: Any) -> int:
+    def result_size(self, result: Any) -> int:
         return 3 * int(result.bytes)  # decoded JSON takes about so much more
 
 
@@ -152,7 +154,7 @@
         any more; on a sender's thread."""
         self._collection, self._key, self._version, self._acked = collection, key, version, acked
 
-    def write(self, contents: list[Any], seconds_left: list[float], address: tuple[str, int]) -> bytes:
+    def encode(self, contents: list[Any], seconds_left: list[float], address: tuple[str, int]) -> bytes:
         operations = [{c.kind: {**c.body, "shard_key": f"s{c.shard}"}} for c in contents]
         target = f"/collections/{self._collection.name}/points/batch?wait=true"
         fields = ((KEY_HEADER, self._key),) if self._key else ()
@@ -165,17 +167,19 @@
             (*fields, (VERSION_HEADER, str(self._version))),
         )
 
-    def read(self, contents: list[Any], status: int, header: Callable[[str], str], body: bytes) -> list[Any]:
+    def decode(
+        self, contents: list[Any], status: int, header: Callable[[str], str], body: bytes
+    ) -> list[Any]:
         found = result_of(status, header, body)
         if not isinstance(found, list) or len(found) != len(contents):
-            raise t.BadReply("not a result for each operation")
+            raise t.InvalidReply("not a result for each operation")
         if any(not isinstance(one, dict) or one.get("status") != "completed" for one in found):
-            raise t.BadReply("an operation was not completed")
+            raise t.InvalidReply("an operation was not completed")
         for content in contents:
             self._acked(content.shard, content.holder)
         return [Ack(c.shard, bool(one.get("repeat"))) for c, one in zip(contents, found, strict=True)]
 
-    def size(self, result: Any) -> int:
+    def result_size(self, result: Any) -> int:
         return 64
 
 
--- a/gingervane/vectors/front.py
+++ b/gingervane/vectors/front.py
@@ -23,19 +23,19 @@
 import orjson
 
 from gingervane.coordinator import types as t
-from gingervane.coordinator.core import Refused
-from gingervane.coordinator.debts import Place
-from gingervane.coordinator.desk import Desk, Question, Settled
-from gingervane.coordinator.intents import Do, State
-from gingervane.coordinator.writes import Outcome, Work, Writes
-from gingervane.fronts.desk import ClassOf, Route, coverage_fields, duration, flag, refusal_fields
+from gingervane.coordinator.core import Rejected
+from gingervane.writes.missed_writes import Place
+from gingervane.coordinator.dispatch import QueryDispatcher, QueryRequest, DispatchResult
+from gingervane.writes.idempotency import Do, State
+from gingervane.writes.quorum_writes import Outcome, Work, QuorumWrites
+from gingervane.fronts.routing import ClassOf, Route, coverage_fields, duration, flag, refusal_fields
 from gingervane.fronts.http_server import Exchange, Reply
-from gingervane.limits.fair import Full
-from gingervane.limits.gate import Gate
+from gingervane.limits.fair_queue import QueueFull
+from gingervane.limits.concurrency_limit import Gate
 from gingervane.vectors import points as reading
 from gingervane.vectors.points import Bounds, Collection, RequestError, Search, Write
 from gingervane.vectors.topk import merge
-from gingervane.vectors.travel import KEY_HEADER, Hits, SearchExchange, ShardSearch, ShardWrite, WriteExchange
+from gingervane.vectors.codec import KEY_HEADER, Hits, SearchExchange, ShardSearch, ShardWrite, WriteExchange
 from gingervane.wire.http1 import HttpError, Request
 
 NAME = "vectors"
@@ -73,8 +73,8 @@
 
     def __init__(
         self,
-        search: Desk,
-        writes: Writes,
+        search: QueryDispatcher,
+        writes: QuorumWrites,
         setting: VectorSetting,
         classes: dict[str, ClassOf],
         gate: Gate,
@@ -121,8 +121,8 @@
                 with self._gate.work(NAME, latest):
                     then = read(collection, reading.decode(body), request, arrived)
                 return then(client)
-            except Full as error:
-                return _refused(str(error), error.come_again_in, latest)
+            except QueueFull as error:
+                return _refused(str(error), error.retry_after, latest)
             except RequestError as error:
                 return _error(400, f"Wrong input: {error}")
             except HttpError as error:
@@ -235,13 +235,13 @@
         bodies = tuple(one.body for one in asked)
         parts = [t.PartPlan(s, 1.0 / shards, ShardSearch(s, bodies)) for s in range(shards)]
         number = ask.kind.lenient if ask.partial else ask.kind.strict
-        question = Question(ask.name, number, parts, self._exchanges[collection.name], arrived, ask.until)
+        question = QueryRequest(ask.name, number, parts, self._exchanges[collection.name], arrived, ask.until)
 
         def then(client: Exchange) -> Reply:
             try:
-                settled = self._desk.ask(question, client)
-            except Refused as error:
-                return _refused(str(error), error.come_again_in, ask.until)
+                settled = self._desk.dispatch(question, client)
+            except Rejected as error:
+                return _refused(str(error), error.retry_after, ask.until)
             with self._gate.work(NAME, ask.until, must=True):
                 return self._found(collection, asked, ask, settled, arrived, shape)
 
@@ -252,16 +252,16 @@
         collection: Collection,
         asked: list[Search],
         ask: _Ask,
-        settled: Settled,
+        settled: DispatchResult,
         arrived: float,
         shape: Callable[[list[Any]], Any],
     ) -> Reply:
         """The reply to searches that have come to their end."""
-        final, shards = settled.final, self._set.shards
-        whole = final.verdict is t.Verdict.WHOLE and len(final.results) == shards
-        if final.verdict not in (t.Verdict.WHOLE, t.Verdict.SHORT) or not (whole or ask.partial):
+        final, shards = settled.result, self._set.shards
+        whole = final.status is t.QueryStatus.COMPLETE and len(final.results) == shards
+        if final.status not in (t.QueryStatus.COMPLETE, t.QueryStatus.PARTIAL) or not (whole or ask.partial):
             reply = _not_answered(final, ask.until, proof=False)
-            return reply._replace(done=settled.done)
+            return reply._replace(done=settled.release)
         hits: dict[int, Hits] = final.results
         found = [
             merge((h.lists[i] for h in hits.values()), one.offset, one.limit, collection.greater_is_nearer)
@@ -271,7 +271,7 @@
         fields = coverage_fields(whole, final.coverage, missing)
         if stale := self._stale(collection, hits):
             fields.append((STALE_HEADER, ",".join(f"s{s}" for s in stale)))
-        return _result(shape(found), arrived, fields)._replace(until=ask.until, done=settled.done)
+        return _result(shape(found), arrived, fields)._replace(until=ask.until, done=settled.release)
 
     def _stale(self, collection: Collection, hits: dict[int, Hits]) -> list[int]:
         """Shards whose answer came from a holder that lacks a write which this co-ordinator has acknowledged."""
@@ -385,7 +385,7 @@
     return _error(503, f"refused: {why or 'refused'}", refusal_fields(wait, proof))._replace(until=until)
 
 
-def _not_answered(final: t.Final, until: float, proof: bool) -> Reply:
-    if final.verdict is t.Verdict.REFUSED:
-        return _refused(final.why, final.come_again_in, until, proof)
-    return _error(502, f"failed: {final.why or 'no answer in time'}")._replace(until=until)
+def _not_answered(final: t.QueryResult, until: float, proof: bool) -> Reply:
+    if final.status is t.QueryStatus.REJECTED:
+        return _refused(final.detail, final.retry_after, until, proof)
+    return _error(502, f"failed: {final.detail or 'no answer in time'}")._replace(until=until)
--- a/gingervane/vectors/repairer.py
+++ b/gingervane/vectors/replica_client.py
@@ -8,9 +8,9 @@
 import orjson
 
 from gingervane.coordinator import types as t
-from gingervane.coordinator.debts import Mark, Place
-from gingervane.coordinator.holders import Holder
-from gingervane.vectors.travel import request, result_of
+from gingervane.writes.missed_writes import Mark, Place
+from gingervane.writes.shard_placement import ShardReplica
+from gingervane.vectors.codec import request, result_of
 from gingervane.wire.http1 import Closed, HttpError
 from gingervane.wire.pool import Pool, exchange
 
@@ -23,7 +23,7 @@
     def __init__(self, pool: Pool) -> None:
         self._pool = pool
 
-    def marks(self, holder: Holder, place: Place) -> dict[str, Mark] | None:
+    def marks(self, holder: ShardReplica, place: Place) -> dict[str, Mark] | None:
         found = self._call(holder, "GET", place, "marks", None)
         try:
             return (
@@ -34,13 +34,13 @@
         except (ValueError, TypeError, AttributeError):
             return None
 
-    def copy(self, place: Place, source: Holder, target: Holder, points: tuple[str, ...]) -> int:
+    def copy(self, place: Place, source: ShardReplica, target: ShardReplica, points: tuple[str, ...]) -> int:
         found = self._call(source, "POST", place, "fetch", {"points": points})
         if not isinstance(found, list) or not found:
             return 0
         return len(found) if self._call(target, "POST", place, "put", {"points": found}) is not None else 0
 
-    def _call(self, holder: Holder, method: str, place: Place, verb: str, content: Any) -> Any:
+    def _call(self, holder: ShardReplica, method: str, place: Place, verb: str, content: Any) -> Any:
         """A reply's result; None if there was none, or none that makes sense."""
         target = f"/collections/{place.collection}/shards/{place.shard}/{verb}"
         body = b"" if content is None else orjson.dumps(content)
@@ -48,5 +48,5 @@
             data = request(method, target, holder.address, body, _PATIENCE)
             status, headers, reply = exchange(self._pool, holder.address, data, time.monotonic() + _PATIENCE)
             return result_of(status, headers.get, reply)
-        except (OSError, Closed, HttpError, t.BadReply, ValueError):
+        except (OSError, Closed, HttpError, t.InvalidReply, ValueError):
             return None
--- a/gingervane/vectors/service.py
+++ b/gingervane/vectors/service.py
@@ -6,17 +6,17 @@
 import zlib
 from collections.abc import Callable
 
-from gingervane.coordinator.core import Core, CoreMaker, Observer
-from gingervane.coordinator.debts import Budget
-from gingervane.coordinator.replicated import Keys, Replicated, Ring
-from gingervane.daemon.settings import Config
-from gingervane.fronts.desk import ClassOf
-from gingervane.limits.gate import Gate
+from gingervane.coordinator.core import QueryCoordinator, CoordinatorFactory, QueryObserver
+from gingervane.writes.missed_writes import Budget
+from gingervane.writes.replicated_shards import Keys, Replicated, Ring
+from gingervane.settings.daemon_settings import Config
+from gingervane.fronts.routing import ClassOf
+from gingervane.limits.concurrency_limit import Gate
 from gingervane.membership.service import MembershipService, Rings
 from gingervane.vectors.front import VectorFront, VectorSetting
 from gingervane.vectors.points import Bounds as PointBounds
 from gingervane.vectors.points import Collection
-from gingervane.vectors.repairer import NodeRemote
+from gingervane.vectors.replica_client import NodeRemote
 
 
 class VectorService:
@@ -26,8 +26,8 @@
         self,
         config: Config,
         classes: dict[str, ClassOf],
-        cores: CoreMaker,
-        observer: Callable[[str], Observer],
+        cores: CoordinatorFactory,
+        observer: Callable[[str], QueryObserver],
         address: tuple[str, int],
         complain: Callable[[str], None],
         gate: Gate,
@@ -79,7 +79,7 @@
         )
 
     @property
-    def cores(self) -> list[Core]:
+    def cores(self) -> list[QueryCoordinator]:
         return self.ring.cores
 
     def start(self) -> None:
--- a/gingervane/wire/pool.py
+++ b/gingervane/wire/pool.py
@@ -14,7 +14,7 @@
 from threading import Lock
 
 from gingervane.wire.http1 import Headers, Limits, Reader
-from gingervane.wire.tap import TAP
+from gingervane.wire.socket_recorder import SOCKET_RECORDER
 
 
 class Connection:
@@ -35,7 +35,7 @@
     def write(self, data: bytes) -> None:
         """Write all of `data`. An OSError carries, as `wrote`, how many bytes had gone out."""
         view, at = memoryview(data), 0
-        TAP.put("call", self.near, self.far, data)
+        SOCKET_RECORDER.put("call", self.near, self.far, data)
         try:
             while at < len(data):
                 left = self.until - time.monotonic()
--- a/gingervane/wire/tap.py
+++ b/gingervane/wire/socket_recorder.py
@@ -15,7 +15,7 @@
 from typing import IO, Any
 
 
-class Tap:
+class SocketRecorder:
     """Writes records; does nothing until opened. Lines are flushed at once: the process may be killed."""
 
     def __init__(self) -> None:
@@ -40,4 +40,4 @@
             self._file.write(line + "\n")
 
 
-TAP = Tap()
+SOCKET_RECORDER = SocketRecorder()
--- /dev/null
+++ b/gingervane/writes/__init__.py
@@ -0,0 +1,1 @@
+"""Replicated writes: idempotency records and their log, quorum, missed writes and repair."""
--- a/gingervane/coordinator/intents.py
+++ b/gingervane/writes/idempotency.py
@@ -51,7 +51,7 @@
     result: Any = None
 
 
-class Entry(NamedTuple):
+class IdempotencyRecord(NamedTuple):
     """`first`: the first moment at which it may have been sent."""
 
     state: State
@@ -71,17 +71,17 @@
     most: int = 1_000_000
 
 
-class Intents:
+class IdempotencyRecords:
     """Keys and what is known of them. The caller sees to locking, and to writing down what `begin` says to send."""
 
     def __init__(self, limits: Limits) -> None:
         self._limits = limits
-        self._entries: OrderedDict[str, Entry] = OrderedDict()  # oldest news first
+        self._entries: OrderedDict[str, IdempotencyRecord] = OrderedDict()  # oldest news first
 
     def __len__(self) -> int:
         return len(self._entries)
 
-    def get(self, key: str) -> Entry | None:
+    def get(self, key: str) -> IdempotencyRecord | None:
         return self._entries.get(key)
 
     def begin(self, key: str, digest: str, version: int, now: float) -> Decision:
@@ -112,20 +112,20 @@
         if entry is not None and entry.state is State.OPEN:
             self._put(key, entry._replace(state=state, at=now, result=result))
 
-    def restore(self, key: str, entry: Entry) -> None:
+    def restore(self, key: str, entry: IdempotencyRecord) -> None:
         """Take up what was written down; a key that was open when the process ended may have run."""
         state = State.UNKNOWN if entry.state is State.OPEN else entry.state
         self._put(key, entry._replace(state=state))
 
-    def entries(self) -> Iterator[tuple[str, Entry]]:
+    def entries(self) -> Iterator[tuple[str, IdempotencyRecord]]:
         """All that is held, oldest news first."""
         return iter(self._entries.items())
 
     def _send(self, key: str, digest: str, version: int, first: float, now: float) -> Decision:
-        self._put(key, Entry(State.OPEN, digest, version, first, now))
+        self._put(key, IdempotencyRecord(State.OPEN, digest, version, first, now))
         return Decision(Do.SEND, version, first + self._limits.window - self._limits.margin)
 
-    def _put(self, key: str, entry: Entry) -> None:
+    def _put(self, key: str, entry: IdempotencyRecord) -> None:
         self._entries[key] = entry
         self._entries.move_to_end(key)
 
--- a/gingervane/coordinator/debts.py
+++ b/gingervane/writes/missed_writes.py
@@ -25,7 +25,7 @@
 
 
 @dataclass
-class Debt:
+class MissedWrite:
     """Of a shard: since when, when to compare next, and how often that has come to nothing."""
 
     since: float
@@ -44,12 +44,12 @@
     most: float = 60.0
 
 
-class Debts:
+class MissedWrites:
     """Debts by shard, and the order of comparing."""
 
     def __init__(self, budget: Budget, places: Iterable[Place], now: float) -> None:
         self._budget = budget
-        self._debts: OrderedDict[Place, Debt] = OrderedDict()
+        self._debts: OrderedDict[Place, MissedWrite] = OrderedDict()
         self._places = list(places)
         self._next_sweep, self._swept = now, 0
         self._tokens, self._at = budget.burst, now
@@ -61,7 +61,7 @@
     def owes(self, place: Place, now: float) -> None:
         """Some holder did not say that it did a write, or has come back from being gone."""
         if place not in self._debts:
-            self._debts[place] = Debt(since=now, due=now + self._budget.first)
+            self._debts[place] = MissedWrite(since=now, due=now + self._budget.first)
 
     def oldest(self, now: float) -> float:
         """Seconds since the oldest debt that still stands; 0 if there is none."""
--- a/gingervane/coordinator/writes.py
+++ b/gingervane/writes/quorum_writes.py
@@ -17,13 +17,13 @@
 
 from gingervane import interface as api
 from gingervane.coordinator import types as t
-from gingervane.coordinator.clock import seconds as real_seconds
-from gingervane.coordinator.core import Answers, Refused, Ticket
-from gingervane.coordinator.debts import Place
-from gingervane.coordinator.desk import Desk
-from gingervane.coordinator.holders import MOST_CELLS, Holders
-from gingervane.coordinator.intent_log import IntentLog
-from gingervane.coordinator.intents import Do, Entry, Intents, State
+from gingervane.coordinator.boot_clock import seconds as real_seconds
+from gingervane.coordinator.core import ResultQueue, Rejected, PendingQuery
+from gingervane.writes.missed_writes import Place
+from gingervane.coordinator.dispatch import QueryDispatcher
+from gingervane.writes.shard_placement import MOST_CELLS, ShardPlacement
+from gingervane.writes.write_ahead_log import WriteAheadLog
+from gingervane.writes.idempotency import Do, IdempotencyRecord, IdempotencyRecords, State
 
 
 class Work(NamedTuple):
@@ -35,7 +35,7 @@
 
     space: str  # what the shards are of
     contents: Mapping[int, Callable[[int], Any]]
-    exchange: Callable[[str, int, Callable[[int, int], None]], t.Exchange]
+    exchange: Callable[[str, int, Callable[[int, int], None]], t.HttpCodec]
     name: str  # the class's
     number: int  # the class's in the module that decides writes
     until: float
@@ -83,17 +83,17 @@
             self._last = max(self._last, version >> 10)
 
 
-class Writes:
+class QuorumWrites:
     """Carries out writes on front threads. `_lock` is over the intents, who waits for them, and the counts."""
 
     def __init__(
         self,
-        desk: Desk,
-        holders: Holders,
+        desk: QueryDispatcher,
+        holders: ShardPlacement,
         quorum: int,
         width: int,
-        intents: Intents,
-        log: IntentLog | None,
+        intents: IdempotencyRecords,
+        log: WriteAheadLog | None,
         clock: Clock,
         owed: Owed,
         remark: Callable[[str], None],
@@ -193,23 +193,23 @@
                 tuple(t.PartPlan(h.cell, share, content(h.replica)) for h in ready),
             )
         reserve = self._desk.reserve(work.name, len(plans), max(until - time.monotonic(), 0.0))
-        answers, tickets = Answers(), dict[Ticket, int]()
-        refused: Refused | None = None
+        answers, tickets = ResultQueue(), dict[PendingQuery, int]()
+        refused: Rejected | None = None
         for shard, (numbers, parts) in plans.items():
             place = Place(work.space, shard)
             self._owed.sent(place, version, numbers, len(numbers) < self._width, until)
             try:
                 query = t.QueryPlan(work.number, until - reserve, parts, exchange, work.name)
                 tickets[self._desk.core.submit(query, answers)] = shard
-            except Refused as error:
+            except Rejected as error:
                 self._owed.idle(place, version)
                 refused = error
                 break
-        finals: dict[int, t.Final] = {}
+        finals: dict[int, t.QueryResult] = {}
         while len(finals) < len(tickets):
             ticket, final = answers.get()
             finals[tickets[ticket]] = final
-            ticket.done()
+            ticket.release()
         outcome = self._judge(work.space, finals, refused, version)
         if outcome.state is State.UNKNOWN:
             failed.set()
@@ -218,15 +218,15 @@
     def _judge(
         self,
         space: str,
-        finals: dict[int, t.Final],
-        refused: Refused | None,
+        finals: dict[int, t.QueryResult],
+        refused: Rejected | None,
         version: int,
     ) -> Outcome:
         """What came of a write, from what came of each of its shards."""
         done = {shard: len(final.results) for shard, final in finals.items()}
-        proven = {shard for shard, final in finals.items() if final.verdict is t.Verdict.REFUSED}
-        wait = max([f.come_again_in for f in finals.values()] + [refused.come_again_in if refused else 0.0])
-        why = str(refused or "") or next((f.why for f in finals.values() if f.why), "no answer in time")
+        proven = {shard for shard, final in finals.items() if final.status is t.QueryStatus.REJECTED}
+        wait = max([f.retry_after for f in finals.values()] + [refused.retry_after if refused else 0.0])
+        why = str(refused or "") or next((f.detail for f in finals.values() if f.detail), "no answer in time")
         for shard in proven:
             self._owed.idle(Place(space, shard), version)
         if refused is None and done and all(count >= self._quorum for count in done.values()):
@@ -255,15 +255,17 @@
     begun is cancelled: whether it was done is news."""
     least, chosen = quorum / width - 1e-6, set(lenient)
     classes = tuple(
-        c._replace(least_share=least, whole_share=least, late_worth=1.0, short_worth=1.0)
+        c._replace(required_coverage=least, complete_coverage=least, late_weight=1.0, partial_weight=1.0)
         if i in chosen
         else c
-        for i, c in enumerate(base.classes)
+        for i, c in enumerate(base.query_classes)
+    )
+    return base._replace(
+        query_classes=classes, cell_count=MOST_CELLS, cells_per_replica=1, cancellation_allowed=False
     )
-    return base._replace(classes=classes, cells=MOST_CELLS, width=1, may_cancel=False)
 
 
-def recovered(intents: Intents, entries: dict[str, Entry], clock: Clock) -> None:
+def recovered(intents: IdempotencyRecords, entries: dict[str, IdempotencyRecord], clock: Clock) -> None:
     """Take up what the log had at a start."""
     for key, entry in sorted(entries.items(), key=lambda item: item[1].at):
         intents.restore(key, entry)
--- a/gingervane/coordinator/repair.py
+++ b/gingervane/writes/repair.py
@@ -12,8 +12,8 @@
 from typing import Protocol
 
 from gingervane import interface as api
-from gingervane.coordinator.debts import Copy, Debts, Expected, Mark, Place, plan
-from gingervane.coordinator.holders import Holder, Holders
+from gingervane.writes.missed_writes import Copy, MissedWrites, Expected, Mark, Place, plan
+from gingervane.writes.shard_placement import ShardReplica, ShardPlacement
 
 _LOOK = 0.05  # seconds between two looks at whether something is due
 _HEARD_OUT = 0.5  # seconds after which a holder that has not said that it did a write owes it
@@ -24,10 +24,10 @@
 class Remote(Protocol):
     """Asks holders. None, or 0, for whatever went wrong; bounded in time."""
 
-    def marks(self, holder: Holder, place: Place) -> dict[str, Mark] | None:
+    def marks(self, holder: ShardReplica, place: Place) -> dict[str, Mark] | None:
         """What it has of a shard."""
 
-    def copy(self, place: Place, source: Holder, target: Holder, points: tuple[str, ...]) -> int:
+    def copy(self, place: Place, source: ShardReplica, target: ShardReplica, points: tuple[str, ...]) -> int:
         """Bring points from one to the other; how many."""
 
 
@@ -36,8 +36,8 @@
 
     def __init__(
         self,
-        debts: Debts,
-        holders: Holders,
+        debts: MissedWrites,
+        holders: ShardPlacement,
         width: int,
         remote: Remote,
         remark: Callable[[str], None],
@@ -120,7 +120,7 @@
         wanted = sum(len(copy.points) for copy in copies)
         return copied, conflicts, len(held) == self._width and copied == wanted and not left
 
-    def _copy(self, place: Place, holders: dict[int, Holder], copy: Copy) -> int:
+    def _copy(self, place: Place, holders: dict[int, ShardReplica], copy: Copy) -> int:
         source, target = holders[copy.source], holders[copy.target]
         return sum(
             self._remote.copy(place, source, target, copy.points[at : at + _A_COPY])
--- a/gingervane/coordinator/replicated.py
+++ b/gingervane/writes/replicated_shards.py
@@ -15,15 +15,15 @@
 
 from gingervane import interface as api
 from gingervane.coordinator import types as t
-from gingervane.coordinator.clock import seconds as real_seconds
-from gingervane.coordinator.core import Core, Observer
-from gingervane.coordinator.debts import Budget, Debts, Place
-from gingervane.coordinator.desk import Desk
-from gingervane.coordinator.holders import Holders
-from gingervane.coordinator.intent_log import IntentLog
-from gingervane.coordinator.intents import Intents, Limits
-from gingervane.coordinator.repair import Remote, Repairer
-from gingervane.coordinator.writes import Clock, Writes, recovered, write_settings
+from gingervane.coordinator.boot_clock import seconds as real_seconds
+from gingervane.coordinator.core import QueryCoordinator, QueryObserver
+from gingervane.writes.missed_writes import Budget, MissedWrites, Place
+from gingervane.coordinator.dispatch import QueryDispatcher
+from gingervane.writes.shard_placement import ShardPlacement
+from gingervane.writes.write_ahead_log import WriteAheadLog
+from gingervane.writes.idempotency import IdempotencyRecords, Limits
+from gingervane.writes.repair import Remote, Repairer
+from gingervane.writes.quorum_writes import Clock, QuorumWrites, recovered, write_settings
 
 
 class Ring(NamedTuple):
@@ -60,8 +60,8 @@
         budget: Budget,
         base: api.Settings,
         remote: Remote,
-        make: Callable[[api.Settings, Observer], Core],
-        observer: Callable[[str], Observer],
+        make: Callable[[api.Settings, QueryObserver], QueryCoordinator],
+        observer: Callable[[str], QueryObserver],
         complain: Callable[[str], None],
         names: Iterable[str],
     ) -> None:
@@ -69,21 +69,27 @@
 
         Raises OSError if the log cannot be used.
         """
-        reads = base._replace(coordinators=2 * base.coordinators, cells=ring.cells, width=ring.width)
+        reads = base._replace(
+            coordinator_count=2 * base.coordinator_count, cell_count=ring.cells, cells_per_replica=ring.width
+        )
         writes = write_settings(reads, ring.lenient, ring.quorum, ring.width)
         names, seen = tuple(names), observer("write")
-        self._ring, self.holders = ring, Holders(ring.cells, ring.width)
+        self._ring, self.holders = ring, ShardPlacement(ring.cells, ring.width)
         self._places = [Place(space, shard) for space in ring.spaces for shard in range(ring.cells)]
         self.repairer = Repairer(
-            Debts(budget, self._places, time.monotonic()), self.holders, ring.width, remote, seen.remark
+            MissedWrites(budget, self._places, time.monotonic()),
+            self.holders,
+            ring.width,
+            remote,
+            seen.log_message,
         )
-        intents = Intents(Limits(keys.window, min(0.5, keys.window / 4), keys.keep, keys.most))
+        intents = IdempotencyRecords(Limits(keys.window, min(0.5, keys.window / 4), keys.keep, keys.most))
         clock = Clock(keys.mark)
         self.log = self._open(keys, intents, clock, complain)
         self._cores = make(reads, observer("search")), make(writes, seen)
-        self.reads = Desk(self._cores[0], names)
-        self.writes = Writes(
-            Desk(self._cores[1], names),
+        self.reads = QueryDispatcher(self._cores[0], names)
+        self.writes = QuorumWrites(
+            QueryDispatcher(self._cores[1], names),
             self.holders,
             ring.quorum,
             ring.width,
@@ -91,20 +97,20 @@
             self.log,
             clock,
             self.repairer,
-            seen.remark,
+            seen.log_message,
         )
 
     def _open(
         self,
         keys: Keys,
-        intents: Intents,
+        intents: IdempotencyRecords,
         clock: Clock,
         complain: Callable[[str], None],
-    ) -> IntentLog | None:
+    ) -> WriteAheadLog | None:
         """Read back what an earlier process knew, before anything is asked."""
         if keys.folder is None:
             return None
-        log = IntentLog(keys.folder, keys.keep, real_seconds)
+        log = WriteAheadLog(keys.folder, keys.keep, real_seconds)
         found = log.recover()
         for fault in found.faults:
             complain(fault)
@@ -112,14 +118,14 @@
         return log
 
     @property
-    def cores(self) -> list[Core]:
+    def cores(self) -> list[QueryCoordinator]:
         return list(self._cores)
 
-    def listed(self, listed: t.Listed) -> None:
+    def listed(self, listed: t.EndpointsUpdated) -> None:
         """News of replicas, for both cores and for what one that is back may have missed."""
         for_writes = self.holders.listed(listed)
-        self._cores[0].listed(listed)
-        self._cores[1].listed(for_writes)
+        self._cores[0].endpoints_updated(listed)
+        self._cores[1].endpoints_updated(for_writes)
         for replica in self.holders.back:
             shards = set(self.holders.shards_of(replica))
             self.repairer.back([place for place in self._places if place.shard in shards])
--- a/gingervane/coordinator/holders.py
+++ b/gingervane/writes/shard_placement.py
@@ -12,10 +12,10 @@
 from typing import NamedTuple
 
 from gingervane import interface as api
-from gingervane.coordinator.types import Listed
+from gingervane.coordinator.types import EndpointsUpdated
 
 
-class Holder(NamedTuple):
+class ShardReplica(NamedTuple):
     """`cell`: the replica's own, in the module that decides writes."""
 
     replica: int
@@ -24,7 +24,7 @@
     address: tuple[str, int]
 
 
-class Holders:
+class ShardPlacement:
     """Holders of each shard on a ring of `cells`, `width` of them each."""
 
     def __init__(self, cells: int, width: int) -> None:
@@ -32,14 +32,14 @@
         self._own: dict[int, int] = {}  # replica -> its own cell, for ever
         self._rows: dict[int, api.Replica] = {}
         self._addresses: dict[int, tuple[str, int]] = {}
-        self._by_shard: dict[int, tuple[Holder, ...]] = {}
+        self._by_shard: dict[int, tuple[ShardReplica, ...]] = {}
         self._gone: set[int] = set()
         self.back: set[int] = set()  # that the last list brought back from being gone
 
-    def listed(self, listed: Listed) -> Listed:
+    def listed(self, listed: EndpointsUpdated) -> EndpointsUpdated:
         """Take a list; the same one for the module that decides writes."""
-        event = listed.event
-        if event.kind is not api.ListKind.DELTA:
+        event = listed.membership
+        if event.kind is not api.MembershipUpdateKind.DELTA:
             self._rows = {}
         self._addresses |= listed.addresses
         for row in event.replicas:
@@ -48,23 +48,23 @@
         gone = {n for n, row in self._rows.items() if row.state is api.ReplicaState.GONE}
         self.back = self._gone & (set(self._rows) - gone)
         self._gone = (self._gone | gone) - self.back
-        by_shard: dict[int, list[Holder]] = {shard: [] for shard in range(self._cells)}
+        by_shard: dict[int, list[ShardReplica]] = {shard: [] for shard in range(self._cells)}
         for number, row in sorted(self._rows.items()):
             if row.state is not api.ReplicaState.GONE:
                 for back in range(min(self._width, self._cells)):
                     shard = (row.cell - back) % self._cells
                     by_shard[shard].append(
-                        Holder(number, self._own[number], row.state, self._addresses[number])
+                        ShardReplica(number, self._own[number], row.state, self._addresses[number])
                     )
         self._by_shard = {shard: tuple(found) for shard, found in by_shard.items()}
         rows = tuple(row._replace(cell=self._own[row.id]) for row in event.replicas)
-        return listed._replace(event=event._replace(replicas=rows))
+        return listed._replace(membership=event._replace(replicas=rows))
 
     def shards_of(self, replica: int) -> tuple[int, ...]:
         """Shards that a replica holds."""
         return tuple(s for s, found in self._by_shard.items() if any(h.replica == replica for h in found))
 
-    def of(self, shard: int) -> tuple[Holder, ...]:
+    def of(self, shard: int) -> tuple[ShardReplica, ...]:
         """Replicas that are listed for a shard and not gone."""
         return self._by_shard.get(shard, ())
 
--- a/gingervane/coordinator/intent_log.py
+++ b/gingervane/writes/write_ahead_log.py
@@ -9,7 +9,8 @@
 else is told with its place; the rest of that segment is passed over, and the log says so (`damaged`), as keys in it
 may have run.
 
-Times are of `clock.seconds`, which no step of the wall clock touches. Each segment says of which boot of the machine
+Times are of `boot_clock.seconds`, which no step of the wall clock touches. Each segment says of which boot of the
+machine
 they are: of an entry from before another boot it is not known how long ago its key may have been sent, so it counts
 as out of its window.
 
@@ -36,8 +37,8 @@
 
 import orjson
 
-from gingervane.coordinator import clock
-from gingervane.coordinator.intents import Entry, State
+from gingervane.coordinator import boot_clock
+from gingervane.writes.idempotency import IdempotencyRecord, State
 
 _NO_BOOT = "no boot"  # where the system tells no id: no entry is of the same boot
 _HEAD = struct.Struct("<II")
@@ -52,7 +53,7 @@
 class Found(NamedTuple):
     """What a start read: entries by key, the last word on each, and what was wrong."""
 
-    entries: dict[str, Entry]
+    entries: dict[str, IdempotencyRecord]
     faults: list[str]
     records: int
 
@@ -61,7 +62,7 @@
     return _HEAD.pack(len(content), zlib.crc32(content)) + content
 
 
-def pack(key: str, entry: Entry) -> bytes:
+def pack(key: str, entry: IdempotencyRecord) -> bytes:
     """One record. Results are kept as they are, and must be JSON."""
     return frame(
         orjson.dumps(
@@ -70,10 +71,10 @@
     )
 
 
-def unpack(content: bytes) -> tuple[str, Entry]:
+def unpack(content: bytes) -> tuple[str, IdempotencyRecord]:
     """Raises ValueError."""
     key, state, digest, version, first, at, result = orjson.loads(content)
-    return key, Entry(State(state), digest, version, first, at, result)
+    return key, IdempotencyRecord(State(state), digest, version, first, at, result)
 
 
 def boot_record(boot: str) -> bytes:
@@ -81,7 +82,9 @@
     return frame(orjson.dumps(["", boot]))
 
 
-def read(data: bytes, into: dict[str, Entry], boot: str = "", now: float = 0.0) -> tuple[int, int, str]:
+def read(
+    data: bytes, into: dict[str, IdempotencyRecord], boot: str = "", now: float = 0.0
+) -> tuple[int, int, str]:
     """Records of one segment: how many, how many bytes of it are good, and what is wrong after them.
 
     `boot` and `now`: of the reader. Entries of another boot are out of their window, as of now; a reader that gives
@@ -112,7 +115,7 @@
     return count, at, ""
 
 
-class IntentLog:
+class WriteAheadLog:
     """A folder of segments `intents-N.log`. Raises OSError if it cannot be used."""
 
     def __init__(
@@ -124,7 +127,7 @@
         write: Callable[[int, bytes], int] = os.write,
         force: Callable[[int], None] = os.fdatasync,
     ) -> None:
-        """`now`: as `clock.seconds`. `write` and `force` stand for the disk."""
+        """`now`: as `boot_clock.seconds`. `write` and `force` stand for the disk."""
         self._folder, self._keep, self._now, self._size = folder, keep, now, segment_bytes
         self._write_to, self._force = write, force
         self._turn = threading.Condition()
@@ -137,12 +140,14 @@
 
     def recover(self) -> Found:
         """Read what is there, cut a torn tail off, and start to write. Called once, before anything else."""
-        entries: dict[str, Entry] = {}
+        entries: dict[str, IdempotencyRecord] = {}
         faults: list[str] = []
         records = 0
         paths = sorted(self._folder.glob("intents-*.log"))
         for path in paths:
-            count, good, fault = read(path.read_bytes(), entries, clock.boot_id() or _NO_BOOT, self._now())
+            count, good, fault = read(
+                path.read_bytes(), entries, boot_clock.boot_id() or _NO_BOOT, self._now()
+            )
             records += count
             if fault and path == paths[-1] and fault.startswith("torn"):
                 with path.open("r+b") as file:
@@ -156,7 +161,7 @@
         self._thread.start()
         return Found(entries, faults, records)
 
-    def intend(self, key: str, entry: Entry, until: float = inf) -> None:
+    def intend(self, key: str, entry: IdempotencyRecord, until: float = inf) -> None:
         """Returns once the intent is on the disk. Raises LogError if it is not known to be by `until` (monotonic)."""
         done, failed = threading.Event(), list[BaseException]()
         self._put(pack(key, entry), done, failed)
@@ -165,7 +170,7 @@
         if failed:
             raise LogError(f"the intent could not be written: {failed[0]}") from failed[0]
 
-    def note(self, key: str, entry: Entry) -> None:
+    def note(self, key: str, entry: IdempotencyRecord) -> None:
         """Write down an end, behind."""
         self._put(pack(key, entry), None, [])
 
@@ -255,7 +260,7 @@
                 os.fsync(folder)
             finally:
                 os.close(folder)
-            head = boot_record(clock.boot_id())
+            head = boot_record(boot_clock.boot_id())
             if self._write_to(self._file, head) != len(head):
                 raise OSError(errno.ENOSPC, "a short write at the head of a segment")
             self._at = len(head)
--- a/tests/hosts.py
+++ b/tests/hosts.py
@@ -5,16 +5,16 @@
 from collections import defaultdict
 
 from gingervane import interface as api
-from gingervane.policy import Coordinator
+from gingervane.decisions.engine import DecisionEngine
 
 ANSWER_GRACE = 0.02  # seconds past the client's time in which an answer still counts
-OK, READY = api.Outcome.OK, api.ReplicaState.READY
+OK, READY = api.AttemptOutcome.OK, api.ReplicaState.READY
 
 
 def query_class(
     aim: float = 2.0,
     deadline: float = 6.0,
-    semantics: api.Semantics = api.Semantics.SAFE,
+    semantics: api.RetrySafety = api.RetrySafety.IDEMPOTENT,
     window: float | None = None,
     second: int = 0,
     least: float = 1.0,
@@ -26,28 +26,28 @@
 
 
 BASE = api.Settings(
-    coordinators=3,
+    coordinator_count=3,
     zone=0,
-    classes=(query_class(),),
+    query_classes=(query_class(),),
     tenant_quotas=(),
-    granularity=0.005,
-    cells=1,
-    width=1,
-    parts_per_call=1,
-    most_attempts=3,
-    may_cancel=True,
-    may_message_peers=False,
-    may_copy=True,
-    may_advise_wait=True,
-    longest_wait_advice=1.0,
-    must_ask_membership=False,
-    start_capacity=0.2,
-    ramp_time=16.0,
-    fall_time=2.0,
-    fall_multiple=4.0,
-    budget_free=None,
-    budget_share=None,
-    budget_span=None,
+    timer_granularity=0.005,
+    cell_count=1,
+    cells_per_replica=1,
+    max_parts_per_request=1,
+    max_attempts=3,
+    cancellation_allowed=True,
+    gossip_allowed=False,
+    hedging_allowed=True,
+    retry_after_allowed=True,
+    max_retry_after=1.0,
+    membership_polled=False,
+    slow_start_capacity=0.2,
+    slow_start_duration=16.0,
+    overload_window=2.0,
+    overload_multiple=4.0,
+    retry_budget_free=None,
+    retry_budget_share=None,
+    retry_budget_window=None,
 )
 
 
@@ -70,7 +70,7 @@
 
     def __init__(self, settings: api.Settings = BASE, replicas: int = 3, seed: int = 1) -> None:
         self.settings, self.now, self.stalled_at = settings, 1000.0, 0.0
-        self.module = Coordinator(settings, seed)
+        self.module = DecisionEngine(settings, seed)
         self.timers: list[tuple[float, int]] = []
         self.classes: dict[int, int] = {}
         self.expires: dict[int, float] = {}
@@ -83,7 +83,7 @@
         self.whole: dict[int, bool] = {}
         self.ok: set[int] = set()
         self.sends: dict[int, list[tuple[float, int]]] = defaultdict(list)
-        self.results: dict[tuple[int, int], api.Outcome] = {}
+        self.results: dict[tuple[int, int], api.AttemptOutcome] = {}
         self.out: dict[tuple[int, int], int] = {}
         self.cancelled: list[tuple[int, int]] = []
         self.extras: list[float] = []
@@ -91,8 +91,8 @@
         self.states: dict[int, api.Replica] = {}
         self.log: list[api.Action] = []
         self.next_id, self.next_query = 1, 0
-        rows = tuple(replica(10 + i, cell=i % settings.cells, zone=i) for i in range(replicas))
-        self.members(api.ListKind.CACHED, *rows)
+        rows = tuple(replica(10 + i, cell=i % settings.cell_count, zone=i) for i in range(replicas))
+        self.members(api.MembershipUpdateKind.CACHED, *rows)
 
     # ---- feeding
 
@@ -103,8 +103,8 @@
         self.log += actions
         return actions
 
-    def members(self, kind: api.ListKind, *rows: api.Replica) -> list[api.Action]:
-        if kind in (api.ListKind.FULL, api.ListKind.CACHED):
+    def members(self, kind: api.MembershipUpdateKind, *rows: api.Replica) -> list[api.Action]:
+        if kind in (api.MembershipUpdateKind.FULL, api.MembershipUpdateKind.CACHED):
             named = {row.id for row in rows}
             for number, row in self.states.items():
                 if number not in named:
@@ -116,7 +116,7 @@
     def query(self, *shards: int, query_class: int = 0, time: float | None = None, tenant: int = 0) -> int:
         number, self.next_query = self.next_query, self.next_query + 1
         query, self.next_id = self.next_id, self.next_id + 1
-        kind = self.settings.classes[query_class]
+        kind = self.settings.query_classes[query_class]
         self.classes[query] = query_class
         self.expires[query] = self.now + (kind.deadline if time is None else time)
         self.taken.append(self.now)
@@ -135,7 +135,7 @@
             events.append(api.PartArrived(part, number, shard, 1 / len(shards)))
         return events
 
-    def finish(self, part: int, outcome: api.Outcome = OK, attempt: int = 0) -> list[api.Action]:
+    def finish(self, part: int, outcome: api.AttemptOutcome = OK, attempt: int = 0) -> list[api.Action]:
         where = self.out.pop((part, attempt))
         self.results[part, attempt] = outcome
         if outcome is OK:
@@ -148,7 +148,7 @@
         until, seen = self.now + seconds, list[api.Action]()
         while True:
             for key in [k for k in self.cancelled if k in self.out]:
-                seen += self.finish(key[0], api.Outcome.CANCELLED, key[1])
+                seen += self.finish(key[0], api.AttemptOutcome.CANCELLED, key[1])
             due = min((t for t in self.timers if t[0] <= until), default=None)
             if due is None:
                 break
@@ -169,7 +169,7 @@
     def warm_up(self, count: int = 40, latency: float = 0.1) -> None:
         """Answer enough queries for the percentiles to be learned."""
         for i in range(count):
-            query = self.query(i % self.settings.cells)
+            query = self.query(i % self.settings.cell_count)
             part = self.step_parts[query][0]
             self.wait(latency)
             self.finish(part)
@@ -186,12 +186,12 @@
                 self._check_send(part, server, stop_at)
             case api.Answer(query, whole):
                 self._check_answer(query, whole)
-            case api.Refuse(query, _) | api.Fail(query):
+            case api.Reject(query, _) | api.Fail(query):
                 self._end(query, action)
-                if isinstance(action, api.Refuse):
+                if isinstance(action, api.Reject):
                     self._check_refusal(query)
             case api.Cancel(part, attempt):
-                if attempt >= len(self.sends[part]) or not self.settings.may_cancel:
+                if attempt >= len(self.sends[part]) or not self.settings.cancellation_allowed:
                     raise RuleBroken("cancelled an attempt that was never made, or may not cancel")
                 self.cancelled.append((part, attempt))
             case api.SetTimer(delay, label):
@@ -213,48 +213,57 @@
         ]
 
     def _check_refusal(self, query: int) -> None:
-        kind = self.settings.classes[self.classes[query]]
+        kind = self.settings.query_classes[self.classes[query]]
         parts = [p for p, q in self.query_of.items() if q == query]
-        if kind.semantics is api.Semantics.UNSAFE and any(self.maybe_ran(p) for p in parts):
+        if kind.retry_safety is api.RetrySafety.NOT_IDEMPOTENT and any(self.maybe_ran(p) for p in parts):
             raise RuleBroken("refused though a part may have run")
 
     def _check_send(self, part: int, server: int, stop_at: float) -> None:
         query, now = self.query_of[part], self.now
-        kind = self.settings.classes[self.classes[query]]
+        kind = self.settings.query_classes[self.classes[query]]
         if query in self.ended or part in self.ok or part not in self.step_parts[query]:
             raise RuleBroken("sent a part that is over")
         if self.states[server].state is not READY:
             raise RuleBroken("sent to a replica that is draining or gone")
-        reach = {(self.shard[part] + j) % self.settings.cells for j in range(self.settings.width)}
+        reach = {
+            (self.shard[part] + j) % self.settings.cell_count for j in range(self.settings.cells_per_replica)
+        }
         if self.states[server].cell not in reach:
             raise RuleBroken("sent to a replica that does not hold the shard")
         ran = self.maybe_ran(part)
-        if kind.semantics is api.Semantics.UNSAFE and ran:
+        if kind.retry_safety is api.RetrySafety.NOT_IDEMPOTENT and ran:
             raise RuleBroken("an unsafe part that may have run was sent again")
-        if kind.semantics is api.Semantics.KEYED and ran and now > ran[0] + (kind.repeat_window or 0.0):
+        if (
+            kind.retry_safety is api.RetrySafety.IDEMPOTENCY_KEY
+            and ran
+            and now > ran[0] + (kind.idempotency_window or 0.0)
+        ):
             raise RuleBroken("a keyed part was sent again after its window")
-        if not self.settings.may_copy and any(key[0] == part for key in self.out):
+        if not self.settings.hedging_allowed and any(key[0] == part for key in self.out):
             raise RuleBroken("two attempts at once where copies are not allowed")
-        if len(self.sends[part]) >= self.settings.most_attempts or stop_at > self.expires[query]:
+        if len(self.sends[part]) >= self.settings.max_attempts or stop_at > self.expires[query]:
             raise RuleBroken("too many attempts, or a time-out past the client's time")
         if self.sends[part]:
             self.extras.append(now)
-            span = self.settings.budget_span
+            span = self.settings.retry_budget_window
             if span is not None:
                 used = sum(at > now - span for at in self.extras)
                 took = sum(at > now - span for at in self.taken)
-                if used > (self.settings.budget_free or 0) + (self.settings.budget_share or 0) * took:
+                if (
+                    used
+                    > (self.settings.retry_budget_free or 0) + (self.settings.retry_budget_share or 0) * took
+                ):
                     raise RuleBroken("over the attempt budget")
         self.out[part, len(self.sends[part])] = server
         self.sends[part].append((now, server))
 
     def _check_answer(self, query: int, whole: bool) -> None:
-        kind, parts = self.settings.classes[self.classes[query]], self.step_parts[query]
+        kind, parts = self.settings.query_classes[self.classes[query]], self.step_parts[query]
         weight = sum(self.weight[p] for p in parts if p in self.ok)
         step = self.steps[query]
-        if weight < min(kind.least_share, kind.whole_share) - 1e-4 and step == 1:
+        if weight < min(kind.required_coverage, kind.complete_coverage) - 1e-4 and step == 1:
             raise RuleBroken("answered from under the least share")
-        need = kind.whole_share if step == 1 else 1.0
+        need = kind.complete_coverage if step == 1 else 1.0
         if whole and (weight < need - 1e-4 or not self.whole.get(query, True)):
             raise RuleBroken("marked whole what is not")
         if kind.second_step_parts and step == 1:
--- a/tests/recordings/codec.py
+++ b/tests/recordings/codec.py
@@ -20,7 +20,7 @@
 from typing import Any, NamedTuple
 
 from gingervane import interface as api
-from gingervane.policy import Coordinator
+from gingervane.decisions.engine import DecisionEngine
 
 DIRECTORY = Path(__file__).parent
 PREFIX, SUFFIX = "decisions-", ".json.gz"
@@ -33,32 +33,32 @@
     api.QueryArrived,
     api.PartArrived,
     api.AttemptEnded,
-    api.ProbeEnded,
-    api.QueryExpired,
+    api.HealthCheckEnded,
+    api.QueryAbandoned,
     api.TimerFired,
-    api.PeerMessage,
+    api.PeerMessageReceived,
     api.Send,
     api.Cancel,
     api.CloseIdle,
     api.Answer,
-    api.Refuse,
+    api.Reject,
     api.Fail,
     api.SetTimer,
-    api.Subscribe,
-    api.TellPeers,
-    api.Remark,
+    api.WatchMembership,
+    api.SendToPeers,
+    api.LogMessage,
     api.ReplicaEjected,
     api.ReplicaReinstated,
 )
 ENUMERATIONS: tuple[type[Enum], ...] = (
-    api.Semantics,
+    api.RetrySafety,
     api.ReplicaState,
-    api.ListKind,
-    api.Outcome,
+    api.MembershipUpdateKind,
+    api.AttemptOutcome,
     api.EjectionReason,
-    api.EndReason,
+    api.QueryEndReason,
 )
-WITHOUT_FIELDS = (api.Remark,)  # its text is for people and may be reworded
+WITHOUT_FIELDS = (api.LogMessage,)  # its text is for people and may be reworded
 
 # What a JSON list begins with, where it is no record, and what a string begins with.
 TUPLE, MEMBER = -1, -2
@@ -67,7 +67,7 @@
 JsonValue = Any
 
 
-def random_generator(coordinator: Coordinator) -> random.Random:
+def random_generator(coordinator: DecisionEngine) -> random.Random:
     """The one source of randomness of the decision module."""
     return coordinator.random
 
@@ -135,7 +135,7 @@
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         self.settings, self.seed = settings, seed
-        self.coordinator = Coordinator(settings, seed)
+        self.coordinator = DecisionEngine(settings, seed)
         self.batches = list[Batch]()
 
     def handle(self, now: float, events: Sequence[api.Event]) -> list[api.Action]:
--- a/tests/recordings/driver_codec.py
+++ b/tests/recordings/driver_codec.py
@@ -20,8 +20,8 @@
 from gingervane import interface as api
 from gingervane.coordinator import types as t
 from gingervane.coordinator.driver import Driver
-from gingervane.coordinator.endings import Phase
-from gingervane.policy import Coordinator
+from gingervane.coordinator.attempt_outcome import ExchangePhase
+from gingervane.decisions.engine import DecisionEngine
 
 DIRECTORY = Path(__file__).parent
 CALLER_TEXT = "~"  # begins each text that the generator made up; such text is stored as it is
@@ -35,69 +35,76 @@
     api.QueryClass,
     api.Replica,
     api.MembershipChanged,
-    t.Arrived,
+    t.QuerySubmitted,
     t.QueryPlan,
     t.PartPlan,
-    t.Ended,
-    t.Left,
-    t.Listed,
+    t.AttemptFinished,
+    t.ClientDisconnected,
+    t.EndpointsUpdated,
     t.Shutdown,
-    t.Heard,
-    t.Start,
-    t.CallOff,
-    t.Withdraw,
-    t.DropIdle,
-    t.Settle,
-    t.Note,
-    t.HealthChanged,
-    t.Subscribe,
-    t.Tell,
-    t.Call,
-    t.Errand,
-    t.Final,
-    t.AttemptNote,
+    t.PeerMessageReceived,
+    t.StartRequest,
+    t.CancelRequest,
+    t.AbandonAttempt,
+    t.CloseIdleConnections,
+    t.CompleteQuery,
+    t.LogMessage,
+    t.ReplicaHealthChanged,
+    t.WatchMembership,
+    t.SendToPeers,
+    t.BatchRequest,
+    t.AttemptRequest,
+    t.QueryResult,
+    t.AttemptRecord,
     api.QueryArrived,
     api.PartArrived,
     api.AttemptEnded,
-    api.QueryExpired,
+    api.QueryAbandoned,
     api.TimerFired,
-    api.PeerMessage,
+    api.PeerMessageReceived,
     api.Send,
     api.Cancel,
     api.CloseIdle,
     api.Answer,
-    api.Refuse,
+    api.Reject,
     api.Fail,
     api.SetTimer,
-    api.Subscribe,
-    api.TellPeers,
-    api.Remark,
+    api.WatchMembership,
+    api.SendToPeers,
+    api.LogMessage,
     api.ReplicaEjected,
     api.ReplicaReinstated,
 )
-INPUTS = (t.Arrived, t.Ended, t.Left, t.Listed, t.Shutdown, t.Heard)
+INPUTS = (
+    t.QuerySubmitted,
+    t.AttemptFinished,
+    t.ClientDisconnected,
+    t.EndpointsUpdated,
+    t.Shutdown,
+    t.PeerMessageReceived,
+)
 EFFECTS = (
-    t.Start,
-    t.CallOff,
-    t.Withdraw,
-    t.DropIdle,
-    t.Settle,
-    t.Note,
-    t.HealthChanged,
-    t.Subscribe,
-    t.Tell,
+    t.StartRequest,
+    t.CancelRequest,
+    t.AbandonAttempt,
+    t.CloseIdleConnections,
+    t.CompleteQuery,
+    t.LogMessage,
+    t.ReplicaHealthChanged,
+    t.WatchMembership,
+    t.SendToPeers,
 )
 
 # Append only, as TYPES.
 ENUMERATIONS: tuple[type[Enum], ...] = (
-    api.Semantics,
+    api.RetrySafety,
     api.ReplicaState,
-    api.ListKind,
-    api.Outcome,
+    api.MembershipUpdateKind,
+    api.AttemptOutcome,
     api.EjectionReason,
-    api.EndReason,
-    t.Verdict,
-    Phase,
+    api.QueryEndReason,
+    t.QueryStatus,
+    ExchangePhase,
 )
 
 
@@ -136,10 +143,10 @@
         return encode_member(value)
     if isinstance(value, dict):
         return [MAPPING, *([encode(key), encode(item)] for key, item in value.items())]
-    if isinstance(value, t.AttemptNote):
-        encoded = [type_index(t.AttemptNote), *(encode(item) for item in value)]
-        encoded[1 + t.AttemptNote._fields.index("outcome")] = encode_member_or_value(
-            api.Outcome, value.outcome
+    if isinstance(value, t.AttemptRecord):
+        encoded = [type_index(t.AttemptRecord), *(encode(item) for item in value)]
+        encoded[1 + t.AttemptRecord._fields.index("outcome")] = encode_member_or_value(
+            api.AttemptOutcome, value.outcome
         )
         return encoded
     if type(value) in TYPES:
@@ -178,10 +185,10 @@
     def __init__(self, number: int) -> None:
         self.number = number
 
-    def write(self, contents: list[Any], seconds_left: list[float], address: tuple[str, int]) -> bytes:
+    def encode(self, contents: list[Any], seconds_left: list[float], address: tuple[str, int]) -> bytes:
         raise NotImplementedError
 
-    def size(self, result: Any) -> int:
+    def result_size(self, result: Any) -> int:
         return 0 if result is None else 10 * self.number + int(result) % 7
 
 
@@ -191,7 +198,7 @@
     def __init__(self, query: int) -> None:
         self.query = query
 
-    def __call__(self, final: t.Final) -> None:
+    def __call__(self, final: t.QueryResult) -> None:
         raise NotImplementedError
 
 
@@ -244,14 +251,14 @@
     def __init__(self, settings: list[Any], seed: int, script: list[Any] | None) -> None:
         self.settings: api.Settings = decode(settings)
         self._scripted = None if script is None else ScriptedModule([list(decode(a)) for a in script])
-        module = self._scripted or Coordinator(self.settings, seed)
+        module = self._scripted or DecisionEngine(self.settings, seed)
         self.driver = Driver(module, self.settings)
         self.driver.observe = self._observe
-        self.calls: list[t.Call] = []
-        self.errands: list[t.Errand] = []
+        self.calls: list[t.BatchRequest] = []
+        self.errands: list[t.AttemptRequest] = []
         self._exchanges: dict[int, RecordedExchange] = {}
         self._observed: list[Any] = []
-        self._finals: list[tuple[t.Final, list[Any]]] = []  # as they were when they were given
+        self._finals: list[tuple[t.QueryResult, list[Any]]] = []  # as they were when they were given
 
     # ---- what a sender does
 
@@ -263,18 +270,18 @@
                 return self.errands[arguments[0]].claim()
             case Operation.GO:
                 call, now = arguments
-                return [self._numbers(found) for found in self.calls[call].go(now)]
+                return [self._numbers(found) for found in self.calls[call].claim_sendable(now)]
             case Operation.SECONDS_LEFT:
                 call, errands, now = arguments
                 return self.calls[call].seconds_left([self.errands[n] for n in errands], now)
 
-    def _numbers(self, errands: list[t.Errand]) -> list[int]:
+    def _numbers(self, errands: list[t.AttemptRequest]) -> list[int]:
         return [self.errand_number(errand) for errand in errands]
 
-    def call_number(self, call: t.Call) -> int:
+    def call_number(self, call: t.BatchRequest) -> int:
         return next(n for n, known in enumerate(self.calls) if known is call)
 
-    def errand_number(self, errand: t.Errand) -> int:
+    def errand_number(self, errand: t.AttemptRequest) -> int:
         return next(n for n, known in enumerate(self.errands) if known is errand)
 
     # ---- turns
@@ -306,9 +313,9 @@
         counts = self.driver.counts
         totals, by_name = list(counts.totals().values()), []
         for kind, found in (
-            (t.Verdict, counts.verdicts),
-            (api.Outcome, counts.outcomes),
-            (api.EndReason, counts.reasons),
+            (t.QueryStatus, counts.verdicts),
+            (api.AttemptOutcome, counts.outcomes),
+            (api.QueryEndReason, counts.reasons),
         ):
             by_name.append([[encode_member_or_value(kind, key), count] for key, count in found.items()])
         changed = sum(self._final_form(final) != form for final, form in self._finals)
@@ -317,11 +324,11 @@
 
     # ---- forms of what has an identity
 
-    def _observe(self, outcome: api.Outcome, replica: int, seconds: float) -> None:
+    def _observe(self, outcome: api.AttemptOutcome, replica: int, seconds: float) -> None:
         self._observed.append([encode(outcome), replica, seconds])
 
     def _input(self, form: list[Any]) -> t.Input:
-        if TYPES[form[0]] is not t.Arrived:
+        if TYPES[form[0]] is not t.QuerySubmitted:
             item: t.Input = decode(form)
             return item
         _, number, plan = form
@@ -329,7 +336,7 @@
         found = self._exchanges.setdefault(exchange, RecordedExchange(exchange))
         step = None if second is None else self._second_step(number, second)
         decoded = t.QueryPlan(query_class, deadline, decode(parts), found, decode(tag), is_repeat, cost, step)
-        return t.Arrived(number, decoded, RecordedSettled(number))
+        return t.QuerySubmitted(number, decoded, RecordedSettled(number))
 
     def _second_step(self, query: int, count: int) -> t.SecondStep:
         """Asks again for the first `count` parts that are in."""
@@ -341,61 +348,61 @@
 
         return begin
 
-    def _settled_number(self, settled: t.Settled) -> int:
+    def _settled_number(self, settled: t.ResultCallback) -> int:
         assert isinstance(settled, RecordedSettled)
         return settled.query
 
     def _effect(self, effect: t.Effect) -> Any:
         tag = type_index(type(effect))
         match effect:
-            case t.Start(call):
+            case t.StartRequest(call):
                 return [tag, self._call(call)]
-            case t.CallOff(call):
-                return [tag, self._call(call), call.live]
-            case t.Withdraw(call, errand, tell, over):
+            case t.CancelRequest(call):
+                return [tag, self._call(call), call.open_attempts]
+            case t.AbandonAttempt(call, errand, tell, over):
                 return [tag, self._call(call), self.errand_number(errand), tell, over]
-            case t.Settle(settled, final, number):
+            case t.CompleteQuery(settled, final, number):
                 return [tag, self._settled_number(settled), self._final(final), number]
         return encode(effect)
 
-    def _final(self, final: t.Final) -> list[Any]:
+    def _final(self, final: t.QueryResult) -> list[Any]:
         """The form of a final answer, which is kept to see that it does not change later."""
         form = self._final_form(final)
         self._finals.append((final, form))
         return form
 
-    def _final_form(self, final: t.Final) -> list[Any]:
+    def _final_form(self, final: t.QueryResult) -> list[Any]:
         """The reason goes to the client, so that its text is pinned."""
-        form: list[Any] = [type_index(t.Final), *(encode(item) for item in field_values(final))]
-        form[1 + [field.name for field in fields(final)].index("why")] = encode_text(final.why, True)
+        form: list[Any] = [type_index(t.QueryResult), *(encode(item) for item in field_values(final))]
+        form[1 + [field.name for field in fields(final)].index("detail")] = encode_text(final.detail, True)
         return form
 
-    def _call(self, call: t.Call) -> Any:
+    def _call(self, call: t.BatchRequest) -> Any:
         """All of a call where it is met first (which may be as it is called off), then its number."""
         if any(known is call for known in self.calls):
             return self.call_number(call)
         self.calls.append(call)
         errands = []
-        for errand in call.errands:
+        for errand in call.attempts:
             self.errands.append(errand)
-            encoded = [encode(errand.content), encode(errand.semantics), errand.stop_at]
-            errands.append([type_index(t.Errand), errand.part, errand.attempt, *encoded])
-        assert isinstance(call.exchange, RecordedExchange)
-        parts = [call.id, call.replica, encode(call.address), call.exchange.number]
-        times = [call.stop_at, call.live, call.decided_at]
-        return [type_index(t.Call), *parts, errands, *times]
+            encoded = [encode(errand.content), encode(errand.semantics), errand.expires_at]
+            errands.append([type_index(t.AttemptRequest), errand.part, errand.attempt, *encoded])
+        assert isinstance(call.codec, RecordedExchange)
+        parts = [call.id, call.replica, encode(call.address), call.codec.number]
+        times = [call.expires_at, call.open_attempts, call.decided_at]
+        return [type_index(t.BatchRequest), *parts, errands, *times]
 
 
 def encode_input(item: t.Input, second_parts: int | None = None) -> list[Any]:
     """An input of the generator; `second_parts`: of an arrival whose class has a second step."""
-    if not isinstance(item, t.Arrived):
+    if not isinstance(item, t.QuerySubmitted):
         form: list[Any] = encode(item)
         return form
-    plan, exchange = item.plan, item.plan.exchange
+    plan, exchange = item.plan, item.plan.codec
     assert isinstance(exchange, RecordedExchange)
     head = [plan.query_class, plan.deadline, encode(plan.parts), exchange.number, encode(plan.tag)]
-    rest = [plan.is_repeat, plan.predicted_cost, second_parts]
-    return [type_index(t.Arrived), item.id, [type_index(t.QueryPlan), *head, *rest]]
+    rest = [plan.is_client_retry, plan.predicted_cost, second_parts]
+    return [type_index(t.QuerySubmitted), item.id, [type_index(t.QueryPlan), *head, *rest]]
 
 
 def write_fixture(name: str, content: Any) -> int:
--- a/tests/recordings/driver_host.py
+++ b/tests/recordings/driver_host.py
@@ -23,17 +23,17 @@
 MOST_BATCHES = 310
 READY, DRAINING, GONE = api.ReplicaState.READY, api.ReplicaState.DRAINING, api.ReplicaState.GONE
 FULL, DELTA, CACHED, FAILED = (
-    api.ListKind.FULL,
-    api.ListKind.DELTA,
-    api.ListKind.CACHED,
-    api.ListKind.FAILED,
+    api.MembershipUpdateKind.FULL,
+    api.MembershipUpdateKind.DELTA,
+    api.MembershipUpdateKind.CACHED,
+    api.MembershipUpdateKind.FAILED,
 )
 SETTINGS = BASE._replace(
-    coordinators=1,
-    classes=(query_class(aim=0.5, deadline=2.0),),
-    cells=4,
-    width=3,
-    parts_per_call=2,
+    coordinator_count=1,
+    query_classes=(query_class(aim=0.5, deadline=2.0),),
+    cell_count=4,
+    cells_per_replica=3,
+    max_parts_per_request=2,
 )
 ROWS = tuple(replica(number, cell=number % 4, zone=number % 2) for number in range(6))
 
@@ -52,9 +52,9 @@
     latency: float = 0.02
     tails: float = 0.05  # chance of a slow attempt
     tail: float = 0.7
-    failures: dict[api.Outcome, float] = field(default_factory=dict)
+    failures: dict[api.AttemptOutcome, float] = field(default_factory=dict)
     slow_replicas: dict[int, float] = field(default_factory=dict)  # replica -> times the latency
-    broken_replicas: dict[int, api.Outcome] = field(default_factory=dict)
+    broken_replicas: dict[int, api.AttemptOutcome] = field(default_factory=dict)
     mute_replicas: frozenset[int] = frozenset()  # never reply
     refused_starts: float = 0.0  # every sender is taken
     stuck: float = 0.0  # waits for a sender
@@ -66,16 +66,16 @@
     repeats: float = 0.1
     granted: float = 0.0  # parts with a bound on runs
     second_parts: int | None = None
-    first_list: tuple[t.Listed, ...] = ()
+    first_list: tuple[t.EndpointsUpdated, ...] = ()
     stalls: tuple[tuple[float, float], ...] = ()  # (seconds after the start, length)
     timed: tuple[tuple[float, tuple[t.Input, ...]], ...] = ()
     stop_after: float = inf  # the run is cut here, with queries open
 
 
-def listed(kind: api.ListKind, *rows: api.Replica) -> t.Listed:
+def listed(kind: api.MembershipUpdateKind, *rows: api.Replica) -> t.EndpointsUpdated:
     """A list whose replicas have addresses."""
     addresses = {row.id: (f"~{row.id}", 1000 + row.id) for row in rows if row.state is not GONE}
-    return t.Listed(api.MembershipChanged(kind, rows), addresses)
+    return t.EndpointsUpdated(api.MembershipChanged(kind, rows), addresses)
 
 
 def in_state(state: api.ReplicaState, *numbers: int) -> tuple[api.Replica, ...]:
@@ -147,7 +147,7 @@
 
     def _arrive(self, number: int) -> None:
         scenario, draw = self.scenario, self.random
-        kind = draw.randrange(len(scenario.settings.classes))
+        kind = draw.randrange(len(scenario.settings.query_classes))
         count = draw.randint(1, scenario.most_parts)
         weights = [draw.choice((1.0, 1.0, 3.0)) for _ in range(count)]
         parts = tuple(
@@ -155,7 +155,7 @@
             for index, (shard, weight) in enumerate(zip(draw.sample(range(8), count), weights, strict=True))
         )
         seconds = draw.choice(scenario.client_times)
-        second = scenario.second_parts if scenario.settings.classes[kind].second_step_parts else None
+        second = scenario.second_parts if scenario.settings.query_classes[kind].second_step_parts else None
         plan = t.QueryPlan(
             kind,
             round(self.now + seconds, 4),
@@ -165,9 +165,9 @@
             self.chance(scenario.repeats),
             draw.choice((0.0, 0.0, 0.01)),
         )
-        self.put(t.Arrived(number, plan, RecordedSettled(number)), second)
+        self.put(t.QuerySubmitted(number, plan, RecordedSettled(number)), second)
         if self.chance(scenario.leavers):
-            self.at(self.now + draw.uniform(0.0, 0.3), lambda: self.put(t.Left(number)))
+            self.at(self.now + draw.uniform(0.0, 0.3), lambda: self.put(t.ClientDisconnected(number)))
 
     def _part(self, content: int, shard: int, weight: float) -> t.PartPlan:
         if not self.chance(self.scenario.granted):
@@ -187,20 +187,22 @@
         self.batches.append([operations, results, self.now, inputs, forms, state, observed])
         for effect in effects:
             match effect:
-                case t.Start(call):
+                case t.StartRequest(call):
                     self._start(self.session.call_number(call), call)
-                case t.CallOff(call):
-                    self._withdrawn |= {self.session.errand_number(errand) for errand in call.errands}
-                case t.Withdraw(_, errand, _, True):
+                case t.CancelRequest(call):
+                    self._withdrawn |= {self.session.errand_number(errand) for errand in call.attempts}
+                case t.AbandonAttempt(_, errand, _, True):
                     self._withdrawn.add(self.session.errand_number(errand))
-                case t.Subscribe():
+                case t.WatchMembership():
                     answer = listed(FAILED) if self.chance(0.7) else listed(FULL, *ROWS)
                     self.at(self.now + 0.02, lambda answer=answer: self.put(answer))  # type: ignore[misc]
 
-    def _start(self, number: int, call: t.Call) -> None:
+    def _start(self, number: int, call: t.BatchRequest) -> None:
         if self.chance(self.scenario.refused_starts):
-            for errand in call.errands:
-                never = t.Ended(errand.part, errand.attempt, api.Outcome.NEVER_SENT, self.now, None, "~taken")
+            for errand in call.attempts:
+                never = t.AttemptFinished(
+                    errand.part, errand.attempt, api.AttemptOutcome.NEVER_SENT, self.now, None, "~taken"
+                )
                 self.at(self.now, lambda never=never: self.put(never))  # type: ignore[misc]
             return
         delay = STUCK if self.chance(self.scenario.stuck) else SENDER_DELAY
@@ -213,15 +215,15 @@
         self._results.append(result := self.session.operate(encoded))
         return result
 
-    def _leave(self, number: int, call: t.Call) -> None:
+    def _leave(self, number: int, call: t.BatchRequest) -> None:
         """A sender writes the call."""
         if self.chance(self.scenario.piecemeal):
-            first = self.session.errand_number(call.errands[0])
+            first = self.session.errand_number(call.attempts[0])
             gone = [first] if self._operate(Operation.CLAIM, first) else []
         else:
             gone, late = self._operate(Operation.GO, number, self.now)
             for errand in late:
-                self._end(errand, api.Outcome.NEVER_SENT, self.now, "~late")
+                self._end(errand, api.AttemptOutcome.NEVER_SENT, self.now, "~late")
         if not gone:
             return
         self._operate(Operation.SECONDS_LEFT, number, gone, self.now)
@@ -234,22 +236,22 @@
         seconds = scenario.latency * self.random.uniform(0.5, 1.5) * scenario.slow_replicas.get(where, 1.0)
         return seconds + (scenario.tail if self.chance(scenario.tails) else 0.0)
 
-    def _reply(self, errand: int, call: t.Call, seconds: float) -> None:
+    def _reply(self, errand: int, call: t.BatchRequest, seconds: float) -> None:
         scenario = self.scenario
-        outcome = scenario.broken_replicas.get(call.replica, api.Outcome.OK)
+        outcome = scenario.broken_replicas.get(call.replica, api.AttemptOutcome.OK)
         for failure, share in scenario.failures.items():
             if self.chance(share):
                 outcome = failure
         if call.replica in scenario.mute_replicas:
             return
         when = self.now + seconds
-        why = "" if outcome is api.Outcome.OK else f"~{self.random.randrange(3)}"
+        why = "" if outcome is api.AttemptOutcome.OK else f"~{self.random.randrange(3)}"
         stamp = round(when - 60.0 if self.chance(scenario.early_stamps) else when, 4)
         self.at(when, lambda: self._end(errand, outcome, stamp, why))
 
-    def _end(self, number: int, outcome: api.Outcome, ended_at: float, why: str) -> None:
+    def _end(self, number: int, outcome: api.AttemptOutcome, ended_at: float, why: str) -> None:
         if number in self._withdrawn and not self.chance(self.scenario.late_replies):
             return
         errand = self.session.errands[number]
-        result = errand.content if outcome is api.Outcome.OK else None
-        self.put(t.Ended(errand.part, errand.attempt, outcome, ended_at, result, why))
+        result = errand.content if outcome is api.AttemptOutcome.OK else None
+        self.put(t.AttemptFinished(errand.part, errand.attempt, outcome, ended_at, result, why))
--- a/tests/recordings/driver_tools.py
+++ b/tests/recordings/driver_tools.py
@@ -11,14 +11,14 @@
 from typing import Any, NamedTuple
 
 from gingervane import interface as api
-from gingervane.coordinator import endings
+from gingervane.coordinator import attempt_outcome
 from gingervane.coordinator import types as t
-from gingervane.coordinator.advice import Advice
-from gingervane.coordinator.core import Admission, Bounds, Refused
-from gingervane.coordinator.holders import Holders
-from gingervane.coordinator.reserve import Reserve
-from gingervane.coordinator.standstill import Standstill
-from gingervane.coordinator.starts import StartClock
+from gingervane.coordinator.retry_after import RetryAfterEstimate
+from gingervane.coordinator.core import Admission, AdmissionLimits, Rejected
+from gingervane.writes.shard_placement import ShardPlacement
+from gingervane.coordinator.response_time_reserve import ResponseTimeReserve
+from gingervane.coordinator.process_pause import ProcessPauseDetector
+from gingervane.coordinator.replica_start_times import ReplicaStartTimes
 from gingervane.coordinator.timers import HeapTimers, WheelTimers
 from recordings.driver_codec import RAISED, RecordedExchange, decode, encode
 
@@ -39,7 +39,7 @@
     def __init__(self, monotonic: float, wall: float) -> None:
         self.clock = Clock()
         self.clock.set(monotonic, wall)
-        self.starts = StartClock(lambda: self.clock.monotonic, lambda: self.clock.wall)
+        self.starts = ReplicaStartTimes(lambda: self.clock.monotonic, lambda: self.clock.wall)
 
     def place(self, starts: dict[int, float], cached: bool) -> tuple[dict[int, float], int]:
         return self.starts.place(starts, cached), self.starts.corrections
@@ -50,27 +50,29 @@
 
     def __init__(self, open_queries: int, result_bytes: int, longest: float) -> None:
         self.clock = Clock()
-        self.admission = Admission(Bounds(open_queries, result_bytes), longest, lambda: self.clock.monotonic)
+        self.admission = Admission(
+            AdmissionLimits(open_queries, result_bytes), longest, lambda: self.clock.monotonic
+        )
 
     def enter(self, size: int, gathered: int) -> tuple[bool, float]:
         """Whether there was room, and the advice where there was none."""
         try:
-            self.admission.enter(size, gathered)
-        except Refused as refused:
-            return False, refused.come_again_in
+            self.admission.admit(size, gathered)
+        except Rejected as refused:
+            return False, refused.retry_after
         return True, 0.0
 
     def held(self) -> tuple[int, int]:
-        return self.admission.open, self.admission.held_bytes
+        return self.admission.open, self.admission.reserved_bytes
 
 
 class Holding:
     """The holders of shards."""
 
     def __init__(self, cells: int, width: int) -> None:
-        self.holders = Holders(cells, width)
+        self.holders = ShardPlacement(cells, width)
 
-    def listed(self, item: t.Listed) -> tuple[Any, ...]:
+    def listed(self, item: t.EndpointsUpdated) -> tuple[Any, ...]:
         found = self.holders.listed(item)
         return found, tuple(sorted(self.holders.back))
 
@@ -81,11 +83,11 @@
 class Proofs:
     """What the end of an exchange proves."""
 
-    def broken(self, phase: endings.Phase, wrote: int, timed_out: bool) -> api.Outcome:
-        return endings.broken(phase, wrote, timed_out)
+    def broken(self, phase: attempt_outcome.ExchangePhase, wrote: int, timed_out: bool) -> api.AttemptOutcome:
+        return attempt_outcome.outcome_of_transport_error(phase, wrote, timed_out)
 
-    def refused(self, semantics: api.Semantics, proven_idle: bool, overloaded: bool) -> api.Outcome:
-        return endings.refused(semantics, proven_idle, overloaded)
+    def refused(self, semantics: api.RetrySafety, proven_idle: bool, overloaded: bool) -> api.AttemptOutcome:
+        return attempt_outcome.outcome_of_invalid_reply(semantics, proven_idle, overloaded)
 
 
 class Late(NamedTuple):
@@ -94,7 +96,9 @@
     decided_at: float
 
     def is_late(self, now: float) -> bool:
-        return t.Call(1, 1, ("~1", 1), RecordedExchange(1), [], 9.0, decided_at=self.decided_at).is_late(now)
+        return t.BatchRequest(
+            1, 1, ("~1", 1), RecordedExchange(1), [], 9.0, decided_at=self.decided_at
+        ).is_send_overdue(now)
 
 
 class Tool(NamedTuple):
@@ -107,22 +111,28 @@
 TOOLS = (
     Tool(Starts, (lambda o, *a: o.clock.set(*a), Starts.place, lambda o: o.starts.heard())),
     Tool(Proofs, (Proofs.broken, Proofs.refused)),
-    Tool(Reserve, (Reserve.learn, Reserve.get)),
+    Tool(ResponseTimeReserve, (ResponseTimeReserve.learn, ResponseTimeReserve.get)),
     Tool(WheelTimers, (WheelTimers.add, WheelTimers.next_due, WheelTimers.pop_due, WheelTimers.__len__)),
     Tool(HeapTimers, (HeapTimers.add, HeapTimers.next_due, HeapTimers.pop_due, HeapTimers.__len__)),
     Tool(Holding, (Holding.listed, Holding.of, lambda o, n: o.holders.shards_of(n))),
     Tool(
-        Standstill,
-        (Standstill.tick, Standstill.held, Standstill.runs, Standstill.came, lambda o: o.count),
+        ProcessPauseDetector,
+        (
+            ProcessPauseDetector.tick,
+            ProcessPauseDetector.held,
+            ProcessPauseDetector.runs,
+            ProcessPauseDetector.came,
+            lambda o: o.count,
+        ),
     ),
-    Tool(Advice, (Advice.freed, Advice.until)),
+    Tool(RetryAfterEstimate, (RetryAfterEstimate.freed, RetryAfterEstimate.until)),
     Tool(
         Admitting,
         (
             lambda o, *a: o.clock.set(*a),
             Admitting.enter,
-            lambda o, *a: o.admission.leave(*a),
-            lambda o, n: o.admission.hold(n),
+            lambda o, *a: o.admission.release(*a),
+            lambda o, n: o.admission.reserve_results(n),
             lambda o, why: o.admission.close(why),
             lambda o, why: o.admission.reopen(why),
             Admitting.held,
@@ -199,16 +209,16 @@
 
 def _late() -> list[Any]:
     use = _Recorder(LATE, 0.0)
-    for now in (-1.0, 0.0, t.HAND_OVER - 1e-9, t.HAND_OVER, t.HAND_OVER + 1e-9, 1.0):
+    for now in (-1.0, 0.0, t.MAX_SEND_DELAY - 1e-9, t.MAX_SEND_DELAY, t.MAX_SEND_DELAY + 1e-9, 1.0):
         use(0, now)
     return use.form
 
 
 def _proofs() -> list[Any]:
     use = _Recorder(PROOFS)
-    for phase, wrote, timed_out in product(endings.Phase, (0, 1, 900), (False, True)):
+    for phase, wrote, timed_out in product(attempt_outcome.ExchangePhase, (0, 1, 900), (False, True)):
         use(0, phase, wrote, timed_out)
-    for semantics, proven, overloaded in product(api.Semantics, (False, True), (False, True)):
+    for semantics, proven, overloaded in product(api.RetrySafety, (False, True), (False, True)):
         use(1, semantics, proven, overloaded)
     return use.form
 
@@ -238,12 +248,12 @@
 
 def _holders() -> list[Any]:
     use, draw = _Recorder(HOLDING, 5, 3), random.Random(6)
-    for kind in (api.ListKind.FULL, *draw.choices(list(api.ListKind), k=14)):
+    for kind in (api.MembershipUpdateKind.FULL, *draw.choices(list(api.MembershipUpdateKind), k=14)):
         numbers = draw.sample(range(8), draw.randint(1, 6))
         states = {number: draw.choice(list(api.ReplicaState)) for number in numbers}
         rows = tuple(api.Replica(n, n % 5, n % 2, 1.0, state, 0.0) for n, state in states.items())
         addresses = {number: (f"~{number}", 1000 + number) for number in numbers}
-        use(0, t.Listed(api.MembershipChanged(kind, rows), addresses))
+        use(0, t.EndpointsUpdated(api.MembershipChanged(kind, rows), addresses))
         for shard in range(6):
             use(1, shard)
         use(2, draw.randrange(8))
--- a/tests/recordings/record_driver.py
+++ b/tests/recordings/record_driver.py
@@ -5,10 +5,11 @@
     PYTHONPATH=.:tests python -m recordings.record_driver            # write the fixtures
     PYTHONPATH=.:tests python -m recordings.record_driver --lines    # print lines that the runs do not take
 
-Measured with `--lines`, within functions: every line of driver.py, timers.py, endings.py, reserve.py, holders.py,
-standstill.py and advice.py is taken. Not taken: in starts.py the one that forgets the oldest of more than 8192
-starts (it would need a large fixture), in types.py the body of `BadReply`, which the driver never sees. Of
-policy.py, which has recordings of its own, the lines that keep counts short after a long time and a few others.
+Measured with `--lines` when the recordings were made, within functions: every line of driver.py, timers.py,
+attempt_outcome.py, response_time_reserve.py, shard_placement.py, process_pause.py and retry_after.py is taken. Not
+taken: in replica_start_times.py the one that forgets the oldest of more than 8192 starts (it would need a large
+fixture), in types.py the body of `InvalidReply`, which the driver never sees. Of decisions/engine.py, which has
+recordings of its own, the lines that keep counts short after a long time and a few others.
 """
 
 from __future__ import annotations
@@ -42,26 +43,26 @@
 from recordings.driver_tools import record_tools
 from recordings.untaken import untaken_lines
 
-KEYED, UNSAFE = api.Semantics.KEYED, api.Semantics.UNSAFE
+KEYED, UNSAFE = api.RetrySafety.IDEMPOTENCY_KEY, api.RetrySafety.NOT_IDEMPOTENT
 COORDINATOR = Path(t.__file__).parent
 WATCHED = (
     *(COORDINATOR / f"{name}.py" for name in ("driver", "types", "timers", "starts", "endings", "reserve")),
     *(COORDINATOR / f"{name}.py" for name in ("holders", "standstill", "advice")),
-    COORDINATOR.parent / "policy.py",
-    COORDINATOR.parent / "shares.py",
+    COORDINATOR.parent / "decisions/engine.py",
+    COORDINATOR.parent / "decisions/completeness.py",
 )
 FAILURES = {
-    api.Outcome.ERROR: 0.06,
-    api.Outcome.REJECTED: 0.06,
-    api.Outcome.CONNECT_FAILED: 0.06,
-    api.Outcome.RESET: 0.06,
-    api.Outcome.NEVER_SENT: 0.06,
-    api.Outcome.TIMED_OUT: 0.03,
+    api.AttemptOutcome.ERROR: 0.06,
+    api.AttemptOutcome.REJECTED: 0.06,
+    api.AttemptOutcome.CONNECT_FAILED: 0.06,
+    api.AttemptOutcome.RESET: 0.06,
+    api.AttemptOutcome.NEVER_SENT: 0.06,
+    api.AttemptOutcome.TIMED_OUT: 0.03,
 }
 
 
 def classes(*kinds: api.QueryClass) -> api.Settings:
-    return SETTINGS._replace(classes=kinds)
+    return SETTINGS._replace(query_classes=kinds)
 
 
 def scenarios() -> list[Scenario]:
@@ -71,24 +72,33 @@
 
 def _load() -> list[Scenario]:
     hedging = classes(query_class(aim=0.5, deadline=2.0), query_class(aim=0.2, deadline=0.6, least=0.5))
-    stretched = query_class(aim=0.2, deadline=0.6)._replace(aim_stretch=5.0)
+    stretched = query_class(aim=0.2, deadline=0.6)._replace(objective_stretch=5.0)
     quota = classes(stretched)._replace(tenant_quotas=(1.0,))
     overloaded = {"gap": 0.002, "queries": 70, "latency": 0.3, "client_times": (0.3, 0.6, 2.0)}
     return [
         Scenario("calm", SETTINGS, 1, tails=0.0, queries=20),
         Scenario("hedges", hedging, 2, queries=60, tails=0.15, client_times=(0.1, 0.6, 2.0)),
-        Scenario("hedges-no-cancel", hedging._replace(may_cancel=False), 3, tails=0.25, late_replies=1.0),
-        Scenario("no-hedges", hedging._replace(may_copy=False), 4, tails=0.15, failures=FAILURES),
+        Scenario(
+            "hedges-no-cancel", hedging._replace(cancellation_allowed=False), 3, tails=0.25, late_replies=1.0
+        ),
+        Scenario("no-hedges", hedging._replace(hedging_allowed=False), 4, tails=0.15, failures=FAILURES),
         Scenario("overload", hedging, 5, **overloaded),  # type: ignore[arg-type]
         Scenario("quota", quota, 9, queries=30, gap=0.01, latency=0.08, tails=0.0),
         Scenario(
             "budget",
-            SETTINGS._replace(budget_free=2.0, budget_share=0.1, budget_span=2.0, hand_over=t.HAND_OVER),
+            SETTINGS._replace(
+                retry_budget_free=2.0,
+                retry_budget_share=0.1,
+                retry_budget_window=2.0,
+                max_send_delay=t.MAX_SEND_DELAY,
+            ),
             6,
             tails=0.3,
             failures=FAILURES,
         ),
-        Scenario("wide-calls", SETTINGS._replace(parts_per_call=8), 7, most_parts=8, gap=0.0, queries=25),
+        Scenario(
+            "wide-calls", SETTINGS._replace(max_parts_per_request=8), 7, most_parts=8, gap=0.0, queries=25
+        ),
         Scenario("standstills", hedging, 8, gap=0.03, queries=60, tails=0.1, stalls=((0.4, 0.3), (1.2, 1.0))),
     ]
 
@@ -108,22 +118,28 @@
         query_class(aim=0.1, deadline=0.5, least=0.5, whole=0.75, late=0.5, short=0.9),
         query_class(aim=0.1, deadline=0.5, least=0.3, late=1.0),
     )
-    full = {api.Outcome.REJECTED: 0.7}
+    full = {api.AttemptOutcome.REJECTED: 0.7}
     patient = classes(query_class(aim=0.1, deadline=0.5, least=0.3, late=1.0))._replace(
-        may_copy=False, most_attempts=30
+        hedging_allowed=False, max_attempts=30
     )
     return [
         Scenario("failures", SETTINGS, 11, failures=FAILURES, queries=60, refused_starts=0.05),
         Scenario("semantics", meanings, 12, failures=FAILURES, queries=60, tails=0.1, refused_starts=0.05),
-        Scenario("semantics-hand-over", meanings._replace(hand_over=0.05), 13, tails=0.3, stuck=0.2),
+        Scenario("semantics-hand-over", meanings._replace(max_send_delay=0.05), 13, tails=0.3, stuck=0.2),
         Scenario("second-step", second, 14, second_parts=2, tails=0.15, queries=50, failures=FAILURES),
-        Scenario("second-step-no-cancel", second._replace(may_cancel=False), 15, second_parts=2, tails=0.3),
+        Scenario(
+            "second-step-no-cancel",
+            second._replace(cancellation_allowed=False),
+            15,
+            second_parts=2,
+            tails=0.3,
+        ),
         Scenario("second-step-empty", second, 16, second_parts=0, queries=10),
         Scenario("shares", shares, 17, tails=0.3, client_times=(0.08, 0.5), queries=60, failures=FAILURES),
         Scenario("short-at-deadline", patient, 20, failures=full, client_times=(0.5,), queries=20),
         Scenario(
             "granted",
-            meanings._replace(classes=hedged(meanings)),
+            meanings._replace(query_classes=hedged(meanings)),
             18,
             granted=0.6,
             failures=FAILURES,
@@ -135,7 +151,7 @@
 
 def hedged(settings: api.Settings) -> tuple[api.QueryClass, ...]:
     """The classes, and one that is safe to repeat."""
-    return (*settings.classes, query_class(aim=0.3, deadline=1.0))
+    return (*settings.query_classes, query_class(aim=0.3, deadline=1.0))
 
 
 def _membership() -> list[Scenario]:
@@ -145,31 +161,33 @@
         (0.5, (listed(DELTA, replica(8, 0, started=START + 0.4)), listed(DELTA, *in_state(READY, 1)))),
         (0.8, (listed(FULL, *ROWS[2:]),)),
         (1.0, (listed(FULL, *(row._replace(started_at=START + 0.9) for row in ROWS)),)),
-        (1.4, (listed(CACHED, *ROWS[1:5]), t.Left(20))),
+        (1.4, (listed(CACHED, *ROWS[1:5]), t.ClientDisconnected(20))),
         (1.6, (listed(DELTA, *in_state(GONE, 1, 2, 3, 4)),)),
         (1.8, (listed(FULL, *ROWS),)),
     )
-    asking = SETTINGS._replace(must_ask_membership=True, drain_grace=2.0)
+    asking = SETTINGS._replace(membership_polled=True, drain_grace=2.0)
     cold = tuple(row._replace(started_at=START - 2.0 * row.id) for row in ROWS)
-    peers = SETTINGS._replace(may_message_peers=True, coordinators=4)
+    peers = SETTINGS._replace(gossip_allowed=True, coordinator_count=4)
     words = tuple(
         (
             0.2 + 0.1 * n,
             (
-                t.Heard(
+                t.PeerMessageReceived(
                     1 + n % 3, (n % 3 if n % 5 else 50).to_bytes(8, "big") + (b"", b"\1", b"\1", b"\2")[n % 4]
                 ),
             ),
         )
         for n in range(24)
     )
-    broken = {2: api.Outcome.CONNECT_FAILED, 4: api.Outcome.RESET}
+    broken = {2: api.AttemptOutcome.CONNECT_FAILED, 4: api.AttemptOutcome.RESET}
     return [
         Scenario("membership", SETTINGS, 21, queries=50, gap=0.035, tails=0.2, stuck=0.4, timed=churn),
         Scenario(
             "membership-asked", asking, 22, timed=churn, first_list=(listed(FAILED),), failures=FAILURES
         ),
-        Scenario("membership-no-cancel", SETTINGS._replace(may_cancel=False), 23, timed=churn, tails=0.3),
+        Scenario(
+            "membership-no-cancel", SETTINGS._replace(cancellation_allowed=False), 23, timed=churn, tails=0.3
+        ),
         Scenario("cold", SETTINGS, 24, first_list=(listed(FULL, *cold),), queries=60, latency=0.05),
         Scenario("peers", peers, 25, queries=60, broken_replicas=broken, timed=words),
         Scenario(
@@ -188,8 +206,8 @@
         query_class(aim=0.5, deadline=2.0, semantics=UNSAFE),
         query_class(aim=0.5, deadline=2.0, semantics=KEYED, window=0.5),
     )
-    shutdown = ((0.5, (t.Shutdown(),)), (0.9, (t.Shutdown(), t.Left(3))))
-    uncancelled = meanings._replace(may_cancel=False)
+    shutdown = ((0.5, (t.Shutdown(),)), (0.9, (t.Shutdown(), t.ClientDisconnected(3))))
+    uncancelled = meanings._replace(cancellation_allowed=False)
     return [
         Scenario(
             "deadlines-no-cancel", uncancelled, 36, queries=20, latency=0.4, client_times=(0.05, 0.3, 0.45)
@@ -199,7 +217,9 @@
         Scenario(
             "shutdown", meanings, 32, gap=0.02, latency=0.2, timed=shutdown, refused_starts=0.1, stuck=0.2
         ),
-        Scenario("shutdown-no-cancel", meanings._replace(may_cancel=False), 33, gap=0.02, timed=shutdown),
+        Scenario(
+            "shutdown-no-cancel", meanings._replace(cancellation_allowed=False), 33, gap=0.02, timed=shutdown
+        ),
         Scenario("cut", meanings, 34, gap=0.02, latency=0.3, stop_after=0.5),
         Scenario("deadlines", meanings, 35, latency=0.4, client_times=(0.05, 0.3, 0.45), queries=40),
     ]
@@ -210,19 +230,19 @@
 
 def scripted() -> dict[str, list[Any]]:
     """Runs in which the module errs, or does what the real one does too seldom to meet."""
-    state = api.ReplicaEjected(1, 2.0, api.EjectionReason.SILENCE), api.ReplicaReinstated(1)
+    state = api.ReplicaEjected(1, 2.0, api.EjectionReason.NO_RESPONSE), api.ReplicaReinstated(1)
     everything: list[list[api.Action]] = [
-        [api.Subscribe(), api.CloseIdle(0), api.CloseIdle(99), api.Remark("a line"), *state],
-        [api.TellPeers(b"\0\1"), api.Send(1, 0, 1002.0), api.Send(2, 0, 1001.5), api.Send(1, 1, 1002.0)],
+        [api.WatchMembership(), api.CloseIdle(0), api.CloseIdle(99), api.LogMessage("a line"), *state],
+        [api.SendToPeers(b"\0\1"), api.Send(1, 0, 1002.0), api.Send(2, 0, 1001.5), api.Send(1, 1, 1002.0)],
         [api.Cancel(1, 7), api.Cancel(99, 0), api.Cancel(1, 1), api.SetTimer(0.25, 1)],
-        [api.Answer(1, True, api.EndReason.ALL_PARTS), api.Answer(1, False), api.Answer(99, True)],
-        [api.Refuse(1, 0.5), api.Refuse(2, 0.25, api.EndReason.OVERLOAD), api.Fail(2)],
+        [api.Answer(1, True, api.QueryEndReason.ALL_PARTS), api.Answer(1, False), api.Answer(99, True)],
+        [api.Reject(1, 0.5), api.Reject(2, 0.25, api.QueryEndReason.OVERLOAD), api.Fail(2)],
     ]
     false_whole: list[list[api.Action]] = [
         [],
         [api.Send(1, 0, 1002.0), api.Send(2, 1, 1002.0)],
         [],
-        [api.Answer(1, True, api.EndReason.ALL_PARTS)],
+        [api.Answer(1, True, api.QueryEndReason.ALL_PARTS)],
     ]
     unknown: list[list[api.Action]] = [[], [api.Send(1, 77, 1002.0)]]
     half = classes(query_class(aim=0.5, deadline=2.0, least=0.5))
@@ -258,19 +278,19 @@
     session = Session(encoded, 0, script)
     parts = t.PartPlan(0, 0.5, 101), t.PartPlan(1, 0.5, 102)
     plan = t.QueryPlan(0, 1002.0, parts, RecordedExchange(1))
-    arrived = codec.encode_input(t.Arrived(1, plan, RecordedSettled(1)), second_parts)
-    other = codec.encode_input(t.Arrived(2, plan, RecordedSettled(2)))
-    good = codec.encode_input(t.Ended(1, 0, api.Outcome.OK, 1000.4, 101))
-    never = codec.encode_input(t.Ended(2, 0, api.Outcome.NEVER_SENT, 1000.4, None, "~1"))
-    again = codec.encode_input(t.Ended(3, 0, api.Outcome.OK, 1000.55, 103))
+    arrived = codec.encode_input(t.QuerySubmitted(1, plan, RecordedSettled(1)), second_parts)
+    other = codec.encode_input(t.QuerySubmitted(2, plan, RecordedSettled(2)))
+    good = codec.encode_input(t.AttemptFinished(1, 0, api.AttemptOutcome.OK, 1000.4, 101))
+    never = codec.encode_input(t.AttemptFinished(2, 0, api.AttemptOutcome.NEVER_SENT, 1000.4, None, "~1"))
+    again = codec.encode_input(t.AttemptFinished(3, 0, api.AttemptOutcome.OK, 1000.55, 103))
     turns: list[tuple[float, list[Any]]] = [
         (1000.0, [codec.encode_input(listed(FULL, *ROWS))]),
         (1000.1, [arrived]),
         (1000.4, [good, good]),
-        (1000.5, [codec.encode_input(t.Heard(3, b"\7"))]),
+        (1000.5, [codec.encode_input(t.PeerMessageReceived(3, b"\7"))]),
         (1000.6, [other, never, again]),
         (1000.8, []),
-        (1000.9, [codec.encode_input(t.Left(2)), codec.encode_input(t.Shutdown())]),
+        (1000.9, [codec.encode_input(t.ClientDisconnected(2)), codec.encode_input(t.Shutdown())]),
     ]
     batches = []
     for now, inputs in turns:
--- a/tests/recordings/scenarios.py
+++ b/tests/recordings/scenarios.py
@@ -11,8 +11,17 @@
 from .simulator import START, Fault, FaultKind, Load, Scenario
 
 READY, DRAINING, GONE = api.ReplicaState.READY, api.ReplicaState.DRAINING, api.ReplicaState.GONE
-FULL, DELTA, CACHED, FAILED = api.ListKind.FULL, api.ListKind.DELTA, api.ListKind.CACHED, api.ListKind.FAILED
-SAFE, KEYED, UNSAFE = api.Semantics.SAFE, api.Semantics.KEYED, api.Semantics.UNSAFE
+FULL, DELTA, CACHED, FAILED = (
+    api.MembershipUpdateKind.FULL,
+    api.MembershipUpdateKind.DELTA,
+    api.MembershipUpdateKind.CACHED,
+    api.MembershipUpdateKind.FAILED,
+)
+SAFE, KEYED, UNSAFE = (
+    api.RetrySafety.IDEMPOTENT,
+    api.RetrySafety.IDEMPOTENCY_KEY,
+    api.RetrySafety.NOT_IDEMPOTENT,
+)
 DRAWN = 10
 FIRST_ID = 10
 MESSAGES = (b"", b"\1", b"\2", b"\3", b"\2\2")
@@ -20,28 +29,28 @@
 
 CLASS = api.QueryClass(1.0, 3.0, SAFE, None, 0, 1.0, 1.0, None, 0.0, 1.0)
 SETTINGS = api.Settings(
-    coordinators=3,
+    coordinator_count=3,
     zone=0,
-    classes=(CLASS,),
+    query_classes=(CLASS,),
     tenant_quotas=(),
-    granularity=0.005,
-    cells=1,
-    width=1,
-    parts_per_call=1,
-    most_attempts=3,
-    may_cancel=True,
-    may_message_peers=True,
-    may_copy=True,
-    may_advise_wait=True,
-    longest_wait_advice=1.0,
-    must_ask_membership=False,
-    start_capacity=0.2,
-    ramp_time=16.0,
-    fall_time=2.0,
-    fall_multiple=4.0,
-    budget_free=None,
-    budget_share=None,
-    budget_span=None,
+    timer_granularity=0.005,
+    cell_count=1,
+    cells_per_replica=1,
+    max_parts_per_request=1,
+    max_attempts=3,
+    cancellation_allowed=True,
+    gossip_allowed=True,
+    hedging_allowed=True,
+    retry_after_allowed=True,
+    max_retry_after=1.0,
+    membership_polled=False,
+    slow_start_capacity=0.2,
+    slow_start_duration=16.0,
+    overload_window=2.0,
+    overload_multiple=4.0,
+    retry_budget_free=None,
+    retry_budget_share=None,
+    retry_budget_window=None,
 )
 
 
@@ -55,14 +64,16 @@
     return tuple(replica(i, i % cells, i // cells % zones) for i in range(count))
 
 
-def listed(at: float, kind: api.ListKind, *rows: api.Replica) -> tuple[float, api.MembershipChanged]:
+def listed(
+    at: float, kind: api.MembershipUpdateKind, *rows: api.Replica
+) -> tuple[float, api.MembershipChanged]:
     """A list event at a time of the scenario."""
     return at, api.MembershipChanged(kind, rows)
 
 
-def message(at: float, number: int, word: bytes) -> tuple[float, api.PeerMessage]:
+def message(at: float, number: int, word: bytes) -> tuple[float, api.PeerMessageReceived]:
     """A peer's word on a replica."""
-    return at, api.PeerMessage(1, number.to_bytes(8, "big") + word)
+    return at, api.PeerMessageReceived(1, number.to_bytes(8, "big") + word)
 
 
 # ---- drawn
@@ -74,16 +85,16 @@
     semantics = draw.choice((SAFE, SAFE, KEYED, UNSAFE))
     least, whole = draw.choice(((1.0, 1.0), (1.0, 1.0), (0.75, 0.75), (0.5, 1.0), (0.5, 0.9), (1.0, 0.8)))
     return api.QueryClass(
-        aim=aim,
+        latency_objective=aim,
         deadline=aim * draw.choice((2, 3)),
-        semantics=semantics,
-        repeat_window=draw.choice((0.2, 1.0)) if semantics is KEYED else None,
+        retry_safety=semantics,
+        idempotency_window=draw.choice((0.2, 1.0)) if semantics is KEYED else None,
         second_step_parts=draw.choice((0, 0, 2)),
-        least_share=least,
-        whole_share=whole,
-        aim_stretch=draw.choice((None, None, 0.5)),
-        late_worth=draw.choice((0.0, 0.3, 1.0)),
-        short_worth=draw.choice((1.0, 0.5)),
+        required_coverage=least,
+        complete_coverage=whole,
+        objective_stretch=draw.choice((None, None, 0.5)),
+        late_weight=draw.choice((0.0, 0.3, 1.0)),
+        partial_weight=draw.choice((1.0, 0.5)),
     )
 
 
@@ -92,29 +103,29 @@
     with_budget = draw.random() < 0.4
     cells = draw.choice((1, 2, 4, 6))
     return api.Settings(
-        coordinators=draw.choice((1, 3, 20)),
+        coordinator_count=draw.choice((1, 3, 20)),
         zone=draw.randrange(2),
-        classes=tuple(drawn_class(draw) for _ in range(draw.randint(1, 3))),
+        query_classes=tuple(drawn_class(draw) for _ in range(draw.randint(1, 3))),
         tenant_quotas=draw.choice(((), (None, 0.5), (2.0, None, 0.1))),
-        granularity=draw.choice((0.005, 0.001, 0.01)),
-        cells=cells,
-        width=draw.choice((1, 2, cells + 1)),
-        parts_per_call=draw.choice((1, 4, 16)),
-        most_attempts=draw.choice((1, 2, 3, 5)),
-        may_cancel=draw.random() < 0.7,
-        may_message_peers=draw.random() < 0.6,
-        may_copy=draw.random() < 0.8,
-        may_advise_wait=draw.random() < 0.7,
-        longest_wait_advice=draw.choice((0.1, 1.0, 5.0)),
-        must_ask_membership=draw.random() < 0.5,
-        start_capacity=draw.choice((0.1, 0.4)),
-        ramp_time=draw.choice((4.0, 16.0)),
-        fall_time=draw.choice((1.0, 3.0)),
-        fall_multiple=draw.choice((1.5, 4.0)),
-        budget_free=draw.choice((1.0, 4.0)) if with_budget else None,
-        budget_share=draw.choice((0.1, 0.3)) if with_budget else None,
-        budget_span=draw.choice((2.0, 10.0)) if with_budget else None,
-        hand_over=draw.choice((0.0, 0.02)),
+        timer_granularity=draw.choice((0.005, 0.001, 0.01)),
+        cell_count=cells,
+        cells_per_replica=draw.choice((1, 2, cells + 1)),
+        max_parts_per_request=draw.choice((1, 4, 16)),
+        max_attempts=draw.choice((1, 2, 3, 5)),
+        cancellation_allowed=draw.random() < 0.7,
+        gossip_allowed=draw.random() < 0.6,
+        hedging_allowed=draw.random() < 0.8,
+        retry_after_allowed=draw.random() < 0.7,
+        max_retry_after=draw.choice((0.1, 1.0, 5.0)),
+        membership_polled=draw.random() < 0.5,
+        slow_start_capacity=draw.choice((0.1, 0.4)),
+        slow_start_duration=draw.choice((4.0, 16.0)),
+        overload_window=draw.choice((1.0, 3.0)),
+        overload_multiple=draw.choice((1.5, 4.0)),
+        retry_budget_free=draw.choice((1.0, 4.0)) if with_budget else None,
+        retry_budget_share=draw.choice((0.1, 0.3)) if with_budget else None,
+        retry_budget_window=draw.choice((2.0, 10.0)) if with_budget else None,
+        max_send_delay=draw.choice((0.0, 0.02)),
         drain_grace=draw.choice((inf, 6.0, 0.4)),
     )
 
@@ -165,16 +176,16 @@
     for _ in range(draw.randint(0, 12)):
         at, number = round(draw.uniform(0.5, 19.0), 3), draw.choice((*(r.id for r in rows), UNKNOWN))
         yield message(at, number, draw.choice(MESSAGES))
-    yield 3.0, api.PeerMessage(2, draw.randbytes(5))
-    yield 4.0, api.ProbeEnded(rows[0].id, api.Outcome.OK, 0.01, (0.5, inf))
+    yield 3.0, api.PeerMessageReceived(2, draw.randbytes(5))
+    yield 4.0, api.HealthCheckEnded(rows[0].id, api.AttemptOutcome.OK, 0.01, (0.5, inf))
 
 
 def drawn_scenario(seed: int) -> Scenario:
     """One scenario of the mixed kind."""
     draw = random.Random(seed)
     settings = drawn_settings(draw)
-    rows = fleet(settings.cells * draw.choice((2, 3, 4)), settings.cells, draw.choice((1, 2)))
-    every = tuple(range(len(settings.classes)))
+    rows = fleet(settings.cell_count * draw.choice((2, 3, 4)), settings.cell_count, draw.choice((1, 2)))
+    every = tuple(range(len(settings.query_classes)))
     common = {"classes": every, "tenants": 3, "repeat_share": 0.1, "leaving_share": 0.03}
     even = draw.random() < 0.5
     burst_at = round(draw.uniform(4.0, 14.0), 1)
@@ -219,7 +230,7 @@
     yield (
         "hearsay",
         Scenario(
-            SETTINGS._replace(coordinators=1),
+            SETTINGS._replace(coordinator_count=1),
             (steady(4.0),),
             (listed(0.0, FULL, *six),),
             others=(
@@ -248,7 +259,7 @@
     yield (
         "stragglers",
         Scenario(
-            SETTINGS._replace(cells=6, parts_per_call=4),
+            SETTINGS._replace(cell_count=6, max_parts_per_request=4),
             (Load(0.1, 9.0, 4.0, 12, 12), Load(9.0, 10.0, 2.0, 150, 150)),
             (listed(0.0, FULL, *fleet(18, 6, 3)),),
             (
@@ -280,7 +291,7 @@
     yield (
         "cold-fleet",
         Scenario(
-            SETTINGS._replace(cells=2),
+            SETTINGS._replace(cell_count=2),
             (Load(0.1, 14.0, 8.0, 1, 2, repeat_share=0.4),),
             (listed(0.0, FULL, *(replica(i, i % 2, 0, START - 1.0) for i in range(4))),),
             duration=15.0,
@@ -289,7 +300,9 @@
     yield (
         "budget",
         Scenario(
-            SETTINGS._replace(budget_free=3.0, budget_share=0.1, budget_span=5.0, hand_over=0.03),
+            SETTINGS._replace(
+                retry_budget_free=3.0, retry_budget_share=0.1, retry_budget_window=5.0, max_send_delay=0.03
+            ),
             (steady(10.0),),
             (listed(0.0, FULL, *six),),
             (
@@ -302,9 +315,9 @@
         "keyed-and-unsafe",
         Scenario(
             SETTINGS._replace(
-                classes=(
-                    CLASS._replace(semantics=KEYED, repeat_window=0.5),
-                    CLASS._replace(semantics=UNSAFE, second_step_parts=1),
+                query_classes=(
+                    CLASS._replace(retry_safety=KEYED, idempotency_window=0.5),
+                    CLASS._replace(retry_safety=UNSAFE, second_step_parts=1),
                 )
             ),
             (Load(0.1, 20.0, 8.0, 1, 2, classes=(0, 1)),),
@@ -317,13 +330,17 @@
             ),
         ),
     )
-    short = CLASS._replace(least_share=0.5, whole_share=0.9, late_worth=0.6)
+    short = CLASS._replace(required_coverage=0.5, complete_coverage=0.9, late_weight=0.6)
     yield (
         "short-answers",
         Scenario(
             SETTINGS._replace(
-                cells=4,
-                classes=(short, short._replace(second_step_parts=2), short._replace(late_worth=1.0, aim=0.4)),
+                cell_count=4,
+                query_classes=(
+                    short,
+                    short._replace(second_step_parts=2),
+                    short._replace(late_weight=1.0, latency_objective=0.4),
+                ),
             ),
             (Load(0.1, 20.0, 4.0, 8, 8, classes=(0, 1, 2), even_weights=False),),
             (
@@ -343,8 +360,8 @@
             (steady(4.0, 8.0),),
             (listed(0.0, FULL),),
             others=(
-                (0.5, api.AttemptEnded(UNKNOWN, 0, 10, api.Outcome.OK, 0.1)),
-                (0.6, api.QueryExpired(UNKNOWN)),
+                (0.5, api.AttemptEnded(UNKNOWN, 0, 10, api.AttemptOutcome.OK, 0.1)),
+                (0.6, api.QueryAbandoned(UNKNOWN)),
                 (0.7, api.TimerFired(UNKNOWN)),
                 (0.8, api.PartArrived(UNKNOWN, UNKNOWN, 0, 1.0)),
                 (1.0, api.MembershipChanged(DELTA, three)),
@@ -357,7 +374,7 @@
     yield (
         "steady-day",
         Scenario(
-            SETTINGS._replace(coordinators=1, may_message_peers=False),
+            SETTINGS._replace(coordinator_count=1, gossip_allowed=False),
             (steady(14.0, 18.0), Load(40.0, 41.0, 10.0, 1, 1)),
             (listed(0.0, FULL, *three),),
             (Fault(FaultKind.SLOW, 8.0, 9.0), Fault(FaultKind.ERROR, 12.0, 13.5, share=0.5)),
@@ -367,7 +384,7 @@
     yield (
         "overload",
         Scenario(
-            SETTINGS._replace(tenant_quotas=(1.0, None), coordinators=10),
+            SETTINGS._replace(tenant_quotas=(1.0, None), coordinator_count=10),
             (
                 Load(0.1, 20.0, 4.0, 1, 1, tenants=2),
                 Load(5.0, 6.0, 150.0, 1, 1, tenants=2),
@@ -391,7 +408,7 @@
     yield (
         "asked-lists-that-fail",
         Scenario(
-            SETTINGS._replace(must_ask_membership=True, drain_grace=0.8),
+            SETTINGS._replace(membership_polled=True, drain_grace=0.8),
             (steady(1.0, 19.0),),
             (listed(0.0, CACHED, *three),),
             failed_subscriptions=12,
@@ -415,7 +432,7 @@
     yield (
         "half-ejected",
         Scenario(
-            SETTINGS._replace(coordinators=1),
+            SETTINGS._replace(coordinator_count=1),
             (steady(10.0),),
             (listed(0.0, FULL, *fleet(5)),),
             (
@@ -427,7 +444,7 @@
     yield (
         "hearsay-in-a-large-fleet",
         Scenario(
-            SETTINGS._replace(coordinators=20),
+            SETTINGS._replace(coordinator_count=20),
             (steady(10.0, 16.0),),
             (listed(0.0, FULL, *six),),
             (
@@ -463,7 +480,7 @@
     yield (
         "cold-and-seldom",
         Scenario(
-            SETTINGS._replace(coordinators=1, fall_time=1.0, fall_multiple=1.5),
+            SETTINGS._replace(coordinator_count=1, overload_window=1.0, overload_multiple=1.5),
             (steady(1.0, 30.0),),
             (listed(0.0, FULL, *(replica(i, started=START + i) for i in range(3))),),
             duration=32.0,
@@ -472,7 +489,7 @@
     yield (
         "trials-of-many",
         Scenario(
-            SETTINGS._replace(cells=4, coordinators=1),
+            SETTINGS._replace(cell_count=4, coordinator_count=1),
             (Load(0.1, 6.0, 6.0, 1, 4), Load(6.0, 14.0, 1.0, 20, 60)),
             (listed(0.0, FULL, *fleet(16, 4)),),
             (Fault(FaultKind.UNREACHABLE, 3.0, 6.0, frozenset(range(10, 20))),),
@@ -482,7 +499,9 @@
     yield (
         "copies-not-cancelled",
         Scenario(
-            SETTINGS._replace(may_cancel=False, most_attempts=4, classes=(CLASS._replace(deadline=6.0),)),
+            SETTINGS._replace(
+                cancellation_allowed=False, max_attempts=4, query_classes=(CLASS._replace(deadline=6.0),)
+            ),
             (steady(9.0, 20.0),),
             (listed(0.0, FULL, *three),),
             (
@@ -497,7 +516,11 @@
         "tight-budget",
         Scenario(
             SETTINGS._replace(
-                budget_free=1.0, budget_share=0.2, budget_span=0.5, granularity=0.02, hand_over=0.05
+                retry_budget_free=1.0,
+                retry_budget_share=0.2,
+                retry_budget_window=0.5,
+                timer_granularity=0.02,
+                max_send_delay=0.05,
             ),
             (steady(14.0, 14.0),),
             (listed(0.0, FULL, *six),),
@@ -505,15 +528,20 @@
             duration=15.0,
         ),
     )
-    halves = CLASS._replace(least_share=0.5, whole_share=0.5, second_step_parts=4)
-    thirds = CLASS._replace(least_share=2 / 3, whole_share=2 / 3, second_step_parts=3)
+    halves = CLASS._replace(required_coverage=0.5, complete_coverage=0.5, second_step_parts=4)
+    thirds = CLASS._replace(required_coverage=2 / 3, complete_coverage=2 / 3, second_step_parts=3)
     yield (
         "rounded-shares",
         Scenario(
             SETTINGS._replace(
-                cells=3,
-                most_attempts=1,
-                classes=(halves, thirds, halves._replace(whole_share=0.75), thirds._replace(whole_share=1.0)),
+                cell_count=3,
+                max_attempts=1,
+                query_classes=(
+                    halves,
+                    thirds,
+                    halves._replace(complete_coverage=0.75),
+                    thirds._replace(complete_coverage=1.0),
+                ),
             ),
             (Load(0.1, 10.0, 6.0, 3, 3, classes=(0, 1, 2, 3)),),
             (listed(0.0, FULL, *fleet(9, 3)),),
@@ -524,7 +552,7 @@
     yield (
         "most-of-a-large-fleet-fails",
         Scenario(
-            SETTINGS._replace(coordinators=1),
+            SETTINGS._replace(coordinator_count=1),
             (steady(12.0, 10.0),),
             (listed(0.0, FULL, *fleet(28)),),
             (Fault(FaultKind.ERROR, 2.0, 6.0, frozenset(range(10, 32))),),
@@ -534,7 +562,7 @@
     yield (
         "words-on-one-ejected-for-long",
         Scenario(
-            SETTINGS._replace(coordinators=1, may_message_peers=False),
+            SETTINGS._replace(coordinator_count=1, gossip_allowed=False),
             (steady(1.0, 30.0),),
             (listed(0.0, FULL, *six),),
             (Fault(FaultKind.ERROR, 2.0, 20.0, frozenset({10, 11, 12})),),
@@ -548,8 +576,11 @@
         "wide-overload",
         Scenario(
             SETTINGS._replace(
-                cells=12,
-                classes=(CLASS._replace(least_share=0.75, whole_share=0.75), CLASS._replace(aim=0.6)),
+                cell_count=12,
+                query_classes=(
+                    CLASS._replace(required_coverage=0.75, complete_coverage=0.75),
+                    CLASS._replace(latency_objective=0.6),
+                ),
             ),
             (Load(0.1, 12.0, 4.0, 2, 12, classes=(0, 1)),),
             (listed(0.0, FULL, *fleet(24, 12)),),
@@ -561,7 +592,7 @@
     yield (
         "cold-without-answers",
         Scenario(
-            SETTINGS._replace(coordinators=1, start_capacity=0.8, fall_time=1.0),
+            SETTINGS._replace(coordinator_count=1, slow_start_capacity=0.8, overload_window=1.0),
             (steady(3.0, 12.0),),
             (listed(0.0, FULL, *(replica(i, started=START - 1.0) for i in range(3))),),
             (Fault(FaultKind.NEVER_SENT, 0.0, 12.0, share=0.9),),
@@ -572,9 +603,9 @@
         "keyed-window",
         Scenario(
             SETTINGS._replace(
-                most_attempts=9,
-                classes=(CLASS._replace(semantics=KEYED, repeat_window=0.05),),
-                hand_over=0.01,
+                max_attempts=9,
+                query_classes=(CLASS._replace(retry_safety=KEYED, idempotency_window=0.05),),
+                max_send_delay=0.01,
             ),
             (steady(6.0, 8.0),),
             (listed(0.0, FULL, *six),),
@@ -585,7 +616,7 @@
     yield (
         "over-a-quota",
         Scenario(
-            SETTINGS._replace(tenant_quotas=(1.3, None), coordinators=1),
+            SETTINGS._replace(tenant_quotas=(1.3, None), coordinator_count=1),
             (Load(0.1, 24.0, 3.5, 1, 3, tenants=2),),
             (listed(0.0, FULL, *three),),
             capacity=1.5,
--- a/tests/recordings/simulator.py
+++ b/tests/recordings/simulator.py
@@ -37,11 +37,11 @@
 
 
 FAST_OUTCOMES = {
-    FaultKind.ERROR: api.Outcome.ERROR,
-    FaultKind.FULL: api.Outcome.REJECTED,
-    FaultKind.UNREACHABLE: api.Outcome.CONNECT_FAILED,
-    FaultKind.RESET: api.Outcome.RESET,
-    FaultKind.NEVER_SENT: api.Outcome.NEVER_SENT,
+    FaultKind.ERROR: api.AttemptOutcome.ERROR,
+    FaultKind.FULL: api.AttemptOutcome.REJECTED,
+    FaultKind.UNREACHABLE: api.AttemptOutcome.CONNECT_FAILED,
+    FaultKind.RESET: api.AttemptOutcome.RESET,
+    FaultKind.NEVER_SENT: api.AttemptOutcome.NEVER_SENT,
 }
 
 
@@ -107,7 +107,7 @@
 class _Attempt:
     replica: int
     sent_at: float
-    outcome: api.Outcome
+    outcome: api.AttemptOutcome
 
 
 class Simulator:
@@ -161,8 +161,8 @@
     # ---- what comes
 
     def _listed(self, change: api.MembershipChanged) -> list[api.Event]:
-        if change.kind is not api.ListKind.FAILED:
-            if change.kind is not api.ListKind.DELTA:
+        if change.kind is not api.MembershipUpdateKind.FAILED:
+            if change.kind is not api.MembershipUpdateKind.DELTA:
                 self.known = {}
             self.known.update((row.id, row) for row in change.replicas)
         return [change]
@@ -173,20 +173,20 @@
         if following < START + load.ends:
             self._at(following, lambda: self._come(load))
         index = self.draw.choice(load.classes)
-        kind, count = self.settings.classes[index], self.draw.randint(load.narrowest, load.widest)
+        kind, count = self.settings.query_classes[index], self.draw.randint(load.narrowest, load.widest)
         query, number = self._id(), self.next_number
         self.next_number += 1
         expires = round(self.now + kind.deadline * load.patience, DIGITS)
         repeat = self.draw.random() < load.repeat_share
-        cost = round(self.draw.random(), 3) if kind.aim_stretch is not None else 0.0
+        cost = round(self.draw.random(), 3) if kind.objective_stretch is not None else 0.0
         tenant = self.draw.randrange(load.tenants)
         arrived = api.QueryArrived(query, number, index, tenant, count, expires, repeat, cost)
         self.queries[query] = _Query(arrived, kind)
         if self.draw.random() < load.leaving_share:
-            self._at(self.now + self.draw.random() * kind.aim, lambda: self._left(query))
+            self._at(self.now + self.draw.random() * kind.latency_objective, lambda: self._left(query))
         self._at(expires + ABANDONED_AFTER, lambda: self._left(query))
         weights = [1.0 if load.even_weights else self.draw.choice((1.0, 1.0, 3.0)) for _ in range(count)]
-        shards = load.shards or range(self.settings.cells)
+        shards = load.shards or range(self.settings.cell_count)
         first = self.draw.randrange(len(shards))
         return [
             arrived,
@@ -203,7 +203,9 @@
             return []
         count, number = query.kind.second_step_parts, query.arrived.number
         return [
-            api.PartArrived(self._id(), number, self.draw.randrange(self.settings.cells), round(1 / count, 6))
+            api.PartArrived(
+                self._id(), number, self.draw.randrange(self.settings.cell_count), round(1 / count, 6)
+            )
             for _ in range(count)
         ]
 
@@ -211,9 +213,9 @@
         if self.queries[number].ended:
             return []
         self.queries[number].ended = True
-        return [api.QueryExpired(number)]
+        return [api.QueryAbandoned(number)]
 
-    def _end(self, key: tuple[int, int], outcome: api.Outcome) -> list[api.Event]:
+    def _end(self, key: tuple[int, int], outcome: api.AttemptOutcome) -> list[api.Event]:
         attempt = self.out.pop(key, None)
         if attempt is None:
             return []
@@ -233,14 +235,14 @@
                 self._send(part, replica, stop_at)
             case api.Cancel(part, attempt):
                 if self.draw.random() >= self.scenario.late_cancels:
-                    self._at(self.now, lambda: self._end((part, attempt), api.Outcome.CANCELLED))
+                    self._at(self.now, lambda: self._end((part, attempt), api.AttemptOutcome.CANCELLED))
             case api.SetTimer(delay, label):
                 self._at(self.now + delay, lambda: [api.TimerFired(label)])
             case api.Answer(number):
                 self._answered(self.queries[number])
-            case api.Refuse(number) | api.Fail(number):
+            case api.Reject(number) | api.Fail(number):
                 self.queries[number].ended = True
-            case api.Subscribe():
+            case api.WatchMembership():
                 self._at(self.now + TICK, self._subscribed)
 
     def _answered(self, query: _Query) -> None:
@@ -254,15 +256,15 @@
     def _subscribed(self) -> list[api.Event]:
         if self.failed_subscriptions > 0:
             self.failed_subscriptions -= 1
-            return [api.MembershipChanged(api.ListKind.FAILED, ())]
-        return [api.MembershipChanged(api.ListKind.FULL, tuple(self.known.values()))]
+            return [api.MembershipChanged(api.MembershipUpdateKind.FAILED, ())]
+        return [api.MembershipChanged(api.MembershipUpdateKind.FULL, tuple(self.known.values()))]
 
     def _send(self, part: int, replica: int, stop_at: float) -> None:
         key = part, self.made[part]
         self.made[part] += 1
         usual = self.scenario.latency * (0.5 + self.draw.expovariate(2.0))
         latency = usual * (1 + self.busy[replica] / self.scenario.capacity)
-        outcome = api.Outcome.OK
+        outcome = api.AttemptOutcome.OK
         for fault in self.scenario.faults:
             if self._struck(fault, replica):
                 if fault.kind is FaultKind.SLOW:
@@ -274,7 +276,7 @@
         ends_at = self.now + round(latency, DIGITS) if latency < inf else inf
         if ends_at >= stop_at:
             # The module's own timer for a query is at times read before the time-outs of its parts.
-            ends_at, outcome = stop_at + TICK * self.draw.randrange(3), api.Outcome.TIMED_OUT
+            ends_at, outcome = stop_at + TICK * self.draw.randrange(3), api.AttemptOutcome.TIMED_OUT
         self.out[key] = _Attempt(replica, self.now, outcome)
         self.busy[replica] += 1
         self._at(ends_at, lambda: self._end(key, outcome))
