--- a/tests/stored/make_fixtures.py
+++ b/tests/stored/make_fixtures.py
@@ -24,21 +24,21 @@
 from hdrh.histogram import HdrHistogram
 
 from gingervane import interface as api
-from gingervane.coordinator import clock
-from gingervane.coordinator.intent_log import IntentLog
-from gingervane.coordinator.intents import Entry, State
-from gingervane.fronts.leaves import Asked, RemoteReadExchange, Tile
-from gingervane.lab.scenario import Scenario, VectorDay
-from gingervane.lab.store import Run, RunStore
-from gingervane.lab.vector_day import fixed_points
-from gingervane.membership.durable import Snapshot
-from gingervane.membership.merge import Fence, Merge, Report
+from gingervane.coordinator import boot_clock
+from gingervane.writes.write_ahead_log import WriteAheadLog
+from gingervane.writes.idempotency import IdempotencyRecord, State
+from gingervane.fronts.leaf_codec import Asked, RemoteReadExchange, Tile
+from gingervane.experiments.scenario import Scenario, VectorDay
+from gingervane.experiments.store import Run, RunStore
+from gingervane.experiments.vector_day import fixed_points
+from gingervane.membership.snapshot import Snapshot
+from gingervane.membership.reconciliation import MassRemovalGuard, Reconciliation, Report
 from gingervane.membership.view import Member, View
-from gingervane.standins import data
+from gingervane.fake_servers import data
 from gingervane.vectors.points import shard_of
 from gingervane.wire import snappy
 from gingervane.wire.remote_read import Match, Matcher, Query, write_query, write_response
-from gingervane.wire.tap import Tap
+from gingervane.wire.socket_recorder import SocketRecorder
 
 FOLDER = Path(__file__).parent
 BOOT = "0d6f3a52-8a1c-4a53-9b1e-fixture00001"
@@ -59,7 +59,7 @@
 
 def snapshots(folder: Path) -> None:
     """The membership snapshot in each version that is read."""
-    merge, view = Merge(("consul", "file"), Fence()), View()
+    merge, view = Reconciliation(("consul", "file"), MassRemovalGuard()), View()
     merge.report(Report("consul", members(), 0.0, 7), 900.0)
     merge.report(Report("file", members()[:2]), 904.0)
     merge.report(Report("consul", members()[2:], 0.5, 9), 960.0)
@@ -69,7 +69,7 @@
     path = folder / "snapshot-v3"
     with (
         mock.patch.object(time, "time", lambda: UNIX),
-        mock.patch.object(clock, "moment", lambda: clock.Moment(BOOT, BOOT_SECONDS)),
+        mock.patch.object(boot_clock, "moment", lambda: boot_clock.Moment(BOOT, BOOT_SECONDS)),
     ):
         snapshot = Snapshot(path, OFFSET, 3, 4)
         snapshot.save(members(), merge.dump(1000.0), view.dump(OFFSET))
@@ -135,22 +135,25 @@
 """
 
 
-def entries() -> list[tuple[str, Entry]]:
+def entries() -> list[tuple[str, IdempotencyRecord]]:
     """Records of the intent log, in the order of writing: each state, a result, a name that is not ASCII."""
     return [
-        ("cos/plain", Entry(State.OPEN, "00ff", 101, 4_000.25, 4_000.25)),
-        ("cos/done", Entry(State.OPEN, "11ee", 102, 4_001.0, 4_001.0)),
-        ("cos/done", Entry(State.DONE, "11ee", 102, 4_001.0, 4_001.5, {"share": 0.667})),
-        ("cos/idle", Entry(State.IDLE, "22dd", 103, 4_002.0, 4_002.5)),
-        ("cos/unknown", Entry(State.UNKNOWN, "33cc", 104, 4_003.0, 4_003.5)),
-        ("cos/sk\u00f8yte \u2603", Entry(State.DONE, "44bb", 1 << 52, 4_004.0, 4_004.5, {"share": 1.0})),
+        ("cos/plain", IdempotencyRecord(State.OPEN, "00ff", 101, 4_000.25, 4_000.25)),
+        ("cos/done", IdempotencyRecord(State.OPEN, "11ee", 102, 4_001.0, 4_001.0)),
+        ("cos/done", IdempotencyRecord(State.DONE, "11ee", 102, 4_001.0, 4_001.5, {"share": 0.667})),
+        ("cos/idle", IdempotencyRecord(State.IDLE, "22dd", 103, 4_002.0, 4_002.5)),
+        ("cos/unknown", IdempotencyRecord(State.UNKNOWN, "33cc", 104, 4_003.0, 4_003.5)),
+        (
+            "cos/sk\u00f8yte \u2603",
+            IdempotencyRecord(State.DONE, "44bb", 1 << 52, 4_004.0, 4_004.5, {"share": 1.0}),
+        ),
     ]
 
 
 def intents(folder: Path) -> None:
     """A log of several segments, and one whose last segment ends in half a record."""
-    with mock.patch.object(clock, "boot_id", lambda: BOOT):
-        log = IntentLog(folder, 3600.0, lambda: 4_010.0, segment_bytes=200)
+    with mock.patch.object(boot_clock, "boot_id", lambda: BOOT):
+        log = WriteAheadLog(folder, 3600.0, lambda: 4_010.0, segment_bytes=200)
         log.recover()
         for key, entry in entries():
             log.intend(key, entry)
@@ -212,7 +215,7 @@
     start, end = 1_764_600_000_000, 1_764_600_060_000
     query = Query(start, end, (Matcher(Match.EQUAL, "__name__", "wind_speed"),))
     asked = query._replace(matchers=(*query.matchers, Matcher(Match.EQUAL, "tile", "t001")))
-    call = RemoteReadExchange("tile", 1 << 20).write(
+    call = RemoteReadExchange("tile", 1 << 20).encode(
         [Tile("t001", (Asked(0, write_query(asked), start, end),))], [0.5], ("127.0.0.1", 9001)
     )
     body = snappy.compress(write_response([data.answer("t001", query)]))
@@ -305,7 +308,7 @@
     with (folder / "nodes.jsonl").open("a") as file:
         file.write('{"t":10.9,"kind":"re')  # its process was killed
     (folder / "bodies.bin").write_bytes(body)
-    tap = Tap()
+    tap = SocketRecorder()
     tap.open(folder / "tap-0.jsonl")
     times = iter([10.15, 10.2, 10.4, 10.45, 10.5])
     with mock.patch.object(time, "monotonic", lambda: next(times)):
--- a/tests/test_answers_property.py
+++ b/tests/test_answers_property.py
@@ -16,7 +16,7 @@
 from gingervane import interface as api
 from gingervane.coordinator import types as t
 from gingervane.coordinator.driver import Driver
-from gingervane.policy import Coordinator
+from gingervane.decisions.engine import DecisionEngine
 from hosts import BASE, query_class, replica
 
 # Time passes between two turns, as for a decision thread: where latencies are nought, hedge timers are due
@@ -26,7 +26,7 @@
 SHARES = ((1.0, 1.0), (0.75, 0.75), (0.5, 1.0), (0.5, 0.75), (1.0, 0.75), (0.7, 0.9))
 ROWS = tuple(replica(number, zone=number % 2) for number in range(4))
 REPLICAS = {row.id: ("127.0.0.1", row.id + 1) for row in ROWS}
-FAILURES = [o for o in api.Outcome if o not in (api.Outcome.OK, api.Outcome.CANCELLED)]
+FAILURES = [o for o in api.AttemptOutcome if o not in (api.AttemptOutcome.OK, api.AttemptOutcome.CANCELLED)]
 
 
 class Content(NamedTuple):
@@ -40,10 +40,10 @@
 class Travel:
     """A protocol that is never asked to write."""
 
-    def write(self, contents: list[Any], seconds_left: list[float], address: tuple[str, int]) -> bytes:
+    def encode(self, contents: list[Any], seconds_left: list[float], address: tuple[str, int]) -> bytes:
         raise NotImplementedError
 
-    def size(self, result: Any) -> int:
+    def result_size(self, result: Any) -> int:
         return 1
 
 
@@ -55,7 +55,7 @@
         self.answered: set[tuple[int, int]] = set()  # (step, shard) of parts answered
         self.second: tuple[int, ...] | None = None
         self.first_whole = True
-        self.finals: list[t.Final] = []
+        self.finals: list[t.QueryResult] = []
         self.aim = 0.0
 
     def first_share(self, shards: set[int]) -> float:
@@ -72,7 +72,7 @@
         shares=st.tuples(st.sampled_from(SHARES), st.sampled_from(SHARES)),
         second=st.tuples(st.integers(0, 3), st.integers(0, 3)),
         late=st.sampled_from([0.0, 0.3, 1.0]),
-        semantics=st.sampled_from(list(api.Semantics)),
+        semantics=st.sampled_from(list(api.RetrySafety)),
         per_call=st.sampled_from([1, 3, 8]),
         copies=st.booleans(),
         cancels=st.booleans(),
@@ -82,27 +82,27 @@
         shares: Any,
         second: Any,
         late: float,
-        semantics: api.Semantics,
+        semantics: api.RetrySafety,
         per_call: int,
         copies: bool,
         cancels: bool,
     ) -> None:
-        window = 1.0 if semantics is api.Semantics.KEYED else None
-        drawn = zip(shares, second, (api.Semantics.SAFE, semantics), strict=True)
+        window = 1.0 if semantics is api.RetrySafety.IDEMPOTENCY_KEY else None
+        drawn = zip(shares, second, (api.RetrySafety.IDEMPOTENT, semantics), strict=True)
         self.classes = tuple(
             query_class(AIM, DEADLINE, meaning, window, count, least, whole, late, 0.9)
             for (least, whole), count, meaning in drawn
         )
         config = BASE._replace(
-            classes=self.classes,
-            coordinators=1,
-            parts_per_call=per_call,
-            may_copy=copies,
-            may_cancel=cancels,
+            query_classes=self.classes,
+            coordinator_count=1,
+            max_parts_per_request=per_call,
+            hedging_allowed=copies,
+            cancellation_allowed=cancels,
         )
-        self.driver, self.now = Driver(Coordinator(config, 5), config), 100.0
+        self.driver, self.now = Driver(DecisionEngine(config, 5), config), 100.0
         self.books: dict[int, Book] = {}
-        self.out: list[t.Errand] = []  # claimed and unanswered
+        self.out: list[t.AttemptRequest] = []  # claimed and unanswered
         self.pending: list[t.Input] = []
         self.list_them({})
 
@@ -128,25 +128,25 @@
             TRAVEL,
             second_step=self._second_step(number) if has_second else None,
         )
-        self.pending.append(t.Arrived(number, plan, book.finals.append))
+        self.pending.append(t.QuerySubmitted(number, plan, book.finals.append))
         if not hold:
             self.turn()
 
     @rule(
         picks=st.lists(st.integers(0, 1 << 16), min_size=1, max_size=8),
-        outcome=st.sampled_from([api.Outcome.OK] * 8 + FAILURES),
+        outcome=st.sampled_from([api.AttemptOutcome.OK] * 8 + FAILURES),
         hold=st.booleans(),
     )
-    def end(self, picks: list[int], outcome: api.Outcome, hold: bool) -> None:
+    def end(self, picks: list[int], outcome: api.AttemptOutcome, hold: bool) -> None:
         for pick in picks:
             if not self.out:
                 break
             errand = self.out.pop(pick % len(self.out))
             content: Content = errand.content
-            result = content if outcome is api.Outcome.OK else None
+            result = content if outcome is api.AttemptOutcome.OK else None
             if result:
                 self.books[content.query].answered.add((content.step, content.shard))
-            self.pending.append(t.Ended(errand.part, errand.attempt, outcome, self.now, result))
+            self.pending.append(t.AttemptFinished(errand.part, errand.attempt, outcome, self.now, result))
         if not hold:
             self.turn()
 
@@ -171,22 +171,24 @@
         """Answers come in the very batch in which the aim timer of a query is due."""
         books = [book for book in self.books.values() if book.aim > self.now]
         aim = books[pick % len(books)].aim
-        self.wait(aim - self.now - 3 * BASE.granularity)
+        self.wait(aim - self.now - 3 * BASE.timer_granularity)
         self.now = aim
-        self.end(some, api.Outcome.OK, hold=True)
+        self.end(some, api.AttemptOutcome.OK, hold=True)
         self.turn()
 
     @precondition(lambda self: self.books)
     @rule(pick=st.integers(0, 1 << 16), hold=st.booleans())
     def leave(self, pick: int, hold: bool) -> None:
-        self.pending.append(t.Left(1 + pick % len(self.books)))
+        self.pending.append(t.ClientDisconnected(1 + pick % len(self.books)))
         if not hold:
             self.turn()
 
     @rule(states=st.dictionaries(st.integers(0, 3), st.sampled_from(list(api.ReplicaState)), max_size=3))
     def list_them(self, states: dict[int, api.ReplicaState]) -> None:
         rows = tuple(row._replace(state=states.get(row.id, row.state)) for row in ROWS)
-        self.pending.append(t.Listed(api.MembershipChanged(api.ListKind.FULL, rows), dict(REPLICAS)))
+        self.pending.append(
+            t.EndpointsUpdated(api.MembershipChanged(api.MembershipUpdateKind.FULL, rows), dict(REPLICAS))
+        )
         self.turn()
 
     @rule()
@@ -201,12 +203,12 @@
         before = {number for number, book in self.books.items() if book.finals}
         for effect in self.driver.step(self.now, inputs):
             match effect:
-                case t.Start(call):
-                    for errand in call.errands:
+                case t.StartRequest(call):
+                    for errand in call.attempts:
                         assert errand.content.query not in before, "sent after its query's end"
                         if errand.claim():
                             self.out.append(errand)
-                case t.Settle(settled, final, _):
+                case t.CompleteQuery(settled, final, _):
                     settled(final)
 
     def _second_step(self, number: int) -> Callable[[dict[int, Any], bool], tuple[t.PartPlan, ...]]:
@@ -216,8 +218,8 @@
             assert book.second is None, "a second step twice"
             assert named <= {shard for step, shard in book.answered if step == 1}, "names a shard not in"
             share = book.first_share(named)
-            assert named and share >= min(book.kind.least_share, book.kind.whole_share) - SLACK
-            assert not whole or share >= book.kind.whole_share - SLACK, "marked whole that is not"
+            assert named and share >= min(book.kind.required_coverage, book.kind.complete_coverage) - SLACK
+            assert not whole or share >= book.kind.complete_coverage - SLACK, "marked whole that is not"
             chosen = tuple(sorted(named)[: book.kind.second_step_parts])
             book.second, book.first_whole = chosen, whole
             return tuple(t.PartPlan(s, 1 / len(chosen), Content(number, 2, s)) for s in chosen)
@@ -229,24 +231,28 @@
         for number, book in getattr(self, "books", {}).items():
             assert len(book.finals) <= 1, "two final answers"
             for final in book.finals:
-                assert final.reason is not api.EndReason.NOT_COVERED, "the module called a false answer"
-                if final.verdict in (t.Verdict.WHOLE, t.Verdict.SHORT):
+                assert (
+                    final.reason is not api.QueryEndReason.COVERAGE_CHECK_FAILED
+                ), "the module called a false answer"
+                if final.status in (t.QueryStatus.COMPLETE, t.QueryStatus.PARTIAL):
                     self._check(number, book, final)
 
-    def _check(self, number: int, book: Book, final: t.Final) -> None:
+    def _check(self, number: int, book: Book, final: t.QueryResult) -> None:
         kind, step = book.kind, 2 if book.kind.second_step_parts else 1
         got = {content.shard for content in final.results.values()}
         assert all(content == Content(number, step, content.shard) for content in final.results.values())
         assert got <= {shard for s, shard in book.answered if s == step}, "a part that was not answered"
-        marked = final.verdict is t.Verdict.WHOLE or final.marked_whole
+        marked = final.status is t.QueryStatus.COMPLETE or final.marked_complete
         if step == 1:
             share = book.first_share(got)
-            assert got and share >= min(kind.least_share, kind.whole_share) - SLACK, "under its least share"
-            assert not marked or share >= kind.whole_share - SLACK, "marked whole that is not"
+            assert (
+                got and share >= min(kind.required_coverage, kind.complete_coverage) - SLACK
+            ), "under its least share"
+            assert not marked or share >= kind.complete_coverage - SLACK, "marked whole that is not"
             return
         assert book.second, "no second step was asked"
         share = len(got) / len(book.second)
-        least = kind.least_share if kind.least_share < kind.whole_share else 1.0
+        least = kind.required_coverage if kind.required_coverage < kind.complete_coverage else 1.0
         assert share >= least - SLACK, "under its least share"
         assert not marked or (book.first_whole and share == 1.0), "marked whole that is not"
 
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -10,10 +10,10 @@
 
 import pytest
 
-from gingervane.daemon import settings
-from gingervane.lab import fromday
-from gingervane.lab.rehearse import Rehearsal
-from gingervane.lab.scenario import Scenario, load, names
+from gingervane.settings import daemon_settings
+from gingervane.experiments import bench_day_import
+from gingervane.experiments.scenario_runner import Rehearsal
+from gingervane.experiments.scenario import Scenario, load, names
 
 DAY: dict[str, Any] = {
     "name": "small",
@@ -56,8 +56,8 @@
 
 
 def play(breaks: str, out: Path, day: dict[str, Any] = DAY) -> dict[str, Any]:
-    scenario = settings.validate(Scenario, day, Path("small"))
-    saboteur = [sys.executable, "-m", "gingervane.lab.saboteur", breaks]
+    scenario = daemon_settings.validate(Scenario, day, Path("small"))
+    saboteur = [sys.executable, "-m", "gingervane.experiments.fault_mutants", breaks]
     return Rehearsal(scenario, out, saboteur if breaks else None).run()
 
 
@@ -163,7 +163,7 @@
     path = tmp_path / "s.toml"
     faulty = 'name = "x"\n[[class]]\nname = "a"\naim = 2\ndeadline = 1\n[[trouble]]\nkind = "rain"\nat = 1\n'
     path.write_text(faulty)
-    with pytest.raises(settings.SettingsError) as caught:
+    with pytest.raises(daemon_settings.SettingsError) as caught:
         load(str(path))
     lines = str(caught.value).splitlines()
     assert lines == [
@@ -208,11 +208,11 @@
     }
     path = tmp_path / "day.json"
     path.write_text(json.dumps(day))
-    scenario = fromday.convert(path)
+    scenario = bench_day_import.convert(path)
     mapped = ["crash", "slow", "stand_still", "coordinator_kill", "zone_loss"]
     assert [t.kind for t in scenario.troubles] == mapped
     assert [t.split(":")[0] for t in scenario.unmapped] == ["heavy_tail", "something new"]
     assert scenario.seconds == 40.0 and scenario.troubles[0].at == 2.0 and len(scenario.hit(1)) == 12
     path.write_text("{}")
-    with pytest.raises(settings.SettingsError, match="not a day file"):
-        fromday.convert(path)
+    with pytest.raises(daemon_settings.SettingsError, match="not a day file"):
+        bench_day_import.convert(path)
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -138,7 +138,7 @@
     def broken(*_: object) -> list[api.Action]:
         raise IndexError("index out of range")
 
-    monkeypatch.setattr("gingervane.policy.Coordinator.handle", broken)
+    monkeypatch.setattr("gingervane.decisions.engine.DecisionEngine.handle", broken)
     replies = run(frame(10.0, 1, about(3), launch(), table(0, 77), endpoints(0, 2)))
     assert b"IndexError: index out of range" in replies[0][2] and replies[0][2][3] == 73
 
@@ -172,14 +172,22 @@
 
 def test_optional_settings() -> None:
     bare = benchlink.parse_settings(SETTINGS)
-    assert bare.budget_free is None and bare.tenant_quotas == () and bare.classes[0].aim_stretch is None
+    assert (
+        bare.retry_budget_free is None
+        and bare.tenant_quotas == ()
+        and bare.query_classes[0].objective_stretch is None
+    )
     more = SETTINGS + (
         "Tenants.count=1\nTenants.0.QuotaPerS=4.5\nRules.BudgetFree=3\nRules.ExtraRatio=0.2\n"
         "Rules.ResendSpanS=5\nClasses.0.AimStretch=1.5\n"
     )
     full = benchlink.parse_settings(more)
-    assert full.tenant_quotas == (4.5,) and full.budget_span == 5.0 and full.classes[0].aim_stretch == 1.5
+    assert (
+        full.tenant_quotas == (4.5,)
+        and full.retry_budget_window == 5.0
+        and full.query_classes[0].objective_stretch == 1.5
+    )
 
 
 def test_a_word_to_all_peers() -> None:
-    assert benchlink.encode(api.TellPeers(b"hi")) == struct.pack("<BIH", 71, 2**32 - 1, 2) + b"hi"
+    assert benchlink.encode(api.SendToPeers(b"hi")) == struct.pack("<BIH", 71, 2**32 - 1, 2) + b"hi"
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -20,7 +20,7 @@
 
 import pytest
 
-from gingervane.coordinator.core import Admission, Core
+from gingervane.coordinator.core import Admission, QueryCoordinator
 from gingervane.fronts import connections as connections_module
 from gingervane.fronts.http_server import HttpServer
 from gingervane.fronts.connections import LINGER_BYTES, MOST_ENDING, After, Connection, Connections, _unread
@@ -203,8 +203,8 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """It was put into the inbox of a decision thread that had ended, and its client waited for ever."""
-    entering = Held(monkeypatch, Admission, "enter", after=True)
-    closing = Held(monkeypatch, Core, "close")
+    entering = Held(monkeypatch, Admission, "admit", after=True)
+    closing = Held(monkeypatch, QueryCoordinator, "close")
     closing.go.set()
     entering.hold()
     closing.hold()
@@ -223,7 +223,7 @@
     platform: Platform,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    turning = Held(monkeypatch, Core, "_turn")
+    turning = Held(monkeypatch, QueryCoordinator, "_turn")
     turning.hold()
     assert turning.entered.wait(PATIENCE)
     sock = platform.client()
@@ -266,7 +266,7 @@
     sock.settimeout(PATIENCE)
     sock.connect(platform.node.server.address)
     sock.sendall(query("q", dict.fromkeys(range(shards), 1 / shards)))
-    until(lambda: platform.node.core.admission.held_bytes, "the answer is being written")
+    until(lambda: platform.node.core.admission.reserved_bytes, "the answer is being written")
     ending = in_background(platform.node.end)
     until(lambda: connections_of(platform).winding_down, "the end has begun")
     status, _, body = reply(sock)
@@ -312,7 +312,7 @@
     tmp_path: Path,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    starting, listening, serve = Held(monkeypatch, Core, "start"), Waiter(), HttpServer.start
+    starting, listening, serve = Held(monkeypatch, QueryCoordinator, "start"), Waiter(), HttpServer.start
 
     def note(self: HttpServer) -> None:
         serve(self)
@@ -457,14 +457,14 @@
     platform: Platform,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    turning = Held(monkeypatch, Core, "_turn")
-    left, leave = Waiter(), Core.left
+    turning = Held(monkeypatch, QueryCoordinator, "_turn")
+    left, leave = Waiter(), QueryCoordinator.client_disconnected
 
-    def note(self: Core, number: int) -> None:
+    def note(self: QueryCoordinator, number: int) -> None:
         leave(self, number)
         left.put(number)
 
-    monkeypatch.setattr(Core, "left", note)
+    monkeypatch.setattr(QueryCoordinator, "client_disconnected", note)
     turning.hold()
     assert turning.entered.wait(PATIENCE)
     sock = platform.client()
@@ -500,14 +500,18 @@
         if part.id.startswith("after"):
             wire.answer(part.id)
 
-    turning, left, leave = Held(monkeypatch, Core, "_turn"), Waiter(), Core.left
+    turning, left, leave = (
+        Held(monkeypatch, QueryCoordinator, "_turn"),
+        Waiter(),
+        QueryCoordinator.client_disconnected,
+    )
     turning.go.set()
 
-    def note(self: Core, number: int) -> None:
+    def note(self: QueryCoordinator, number: int) -> None:
         leave(self, number)
         left.put(number)
 
-    monkeypatch.setattr(Core, "left", note)
+    monkeypatch.setattr(QueryCoordinator, "client_disconnected", note)
     limits = SETTINGS["Limits"] | {"Cancelling": cancelling}
     replicas = Replica(0, behave), Replica(0, behave)
     platform = Platform(tmp_path, *replicas, settings=SETTINGS | {"Limits": limits})
@@ -643,13 +647,13 @@
 
 def test_descriptors_add_up_to_the_limit(tmp_path: Path) -> None:
     """Clients, those at their end, links, links at their end and the node's own are all that there can be."""
-    from gingervane.node.links import Links, SPARE
+    from gingervane.node.replica_connections import ReplicaConnections, SPARE
     from gingervane.node.service import OWN_DESCRIPTORS
 
     for sockets in (256, 1024, 4096):
         platform = Platform(tmp_path, sockets=sockets)
         links = platform.node.core._senders
-        assert isinstance(links, Links)
+        assert isinstance(links, ReplicaConnections)
         clients = connections_of(platform)._bounds.connections + MOST_ENDING
         assert clients + links._limits.links + SPARE + OWN_DESCRIPTORS == sockets
         platform.close()
--- a/tests/test_consul.py
+++ b/tests/test_consul.py
@@ -12,15 +12,15 @@
 import pytest
 
 from gingervane import interface as api
-from gingervane.coordinator.types import Listed
-from gingervane.lab.embedded import ZONES, Embedded
+from gingervane.coordinator.types import EndpointsUpdated
+from gingervane.experiments.embedded import ZONES, Embedded
 from gingervane.membership.consul import Pause
-from gingervane.membership.durable import Snapshot
-from gingervane.membership.merge import Fence
-from gingervane.membership.sources import Sources
-from gingervane.membership.watcher import ConsulPlace, ConsulWatcher
-from gingervane.membership.watcher import watch as watchers_of
-from gingervane.standins.consul import Agent, Catalogue
+from gingervane.membership.snapshot import Snapshot
+from gingervane.membership.reconciliation import MassRemovalGuard
+from gingervane.membership.source_owner import EndpointSources
+from gingervane.membership.consul_watcher import ConsulPlace, ConsulWatcher
+from gingervane.membership.consul_watcher import watch as watchers_of
+from gingervane.fake_servers.consul import Agent, Catalogue
 from test_hard_cases import ask, told_away
 
 READY, DRAINING, GONE = api.ReplicaState.READY, api.ReplicaState.DRAINING, api.ReplicaState.GONE
@@ -39,19 +39,19 @@
     def __init__(self, folder: Path) -> None:
         self.catalogue = Catalogue()
         self.agents = [Agent(self.catalogue), Agent(self.catalogue)]
-        self.told: list[Listed] = []
+        self.told: list[EndpointsUpdated] = []
         self.said: list[str] = []
         self.kept = folder / "kept"
         self.sources, self.watchers = self.make()
         for number in range(6):
             self.register(number)
 
-    def make(self) -> tuple[Sources, list[ConsulWatcher]]:
+    def make(self) -> tuple[EndpointSources, list[ConsulWatcher]]:
         """As in a co-ordinator, with all times shorter."""
         pause = Pause(0.01, 0.05, 0.3, 0.5)
         place = ConsulPlace(tuple(a.address for a in self.agents), "grid", pause=pause)
-        fence = Fence(hold=0.5, evidence=0.3, settle=0.05, reset=0.6, reset_sure=0.1)
-        sources = Sources(
+        fence = MassRemovalGuard(hold=0.5, evidence=0.3, settle=0.05, reset=0.6, reset_sure=0.1)
+        sources = EndpointSources(
             ("consul",), fence, self.told.append, self.said.append, Snapshot(self.kept, 0.0, 1, 8)
         )
         made = watchers_of(
@@ -109,9 +109,9 @@
         """What the module would hold."""
         out: dict[int, api.Replica] = {}
         for listed in list(self.told):
-            if listed.event.kind is not api.ListKind.DELTA:
+            if listed.membership.kind is not api.MembershipUpdateKind.DELTA:
                 out = {}
-            out |= {row.id: row for row in listed.event.replicas}
+            out |= {row.id: row for row in listed.membership.replicas}
         return out
 
     def states(self) -> dict[int, api.ReplicaState]:
@@ -144,8 +144,10 @@
     assert watch.rows()[3].started_at > 0, "cold after its return"
     watch.catalogue.deregister("n4")
     eventually(lambda: watch.states()[4] is GONE)
-    whole = [listed for listed in watch.told if listed.event.kind is api.ListKind.FULL]
-    assert len(whole) == 1 and max(len(told.event.replicas) for told in watch.told[1:]) < 6, "told as deltas"
+    whole = [listed for listed in watch.told if listed.membership.kind is api.MembershipUpdateKind.FULL]
+    assert (
+        len(whole) == 1 and max(len(told.membership.replicas) for told in watch.told[1:]) < 6
+    ), "told as deltas"
 
 
 def test_a_process_that_was_replaced_is_cold(watch: Watch) -> None:
@@ -243,10 +245,10 @@
     cold = watch.rows()[3].started_at
     watch.fault("500")
     assert watch.restart()
-    assert watch.told[0].event.kind is api.ListKind.CACHED
+    assert watch.told[0].membership.kind is api.MembershipUpdateKind.CACHED
     assert watch.states()[1] is DRAINING and watch.rows()[3].started_at == pytest.approx(cold, abs=0.5)
     watch.fault("")
-    eventually(lambda: any(listed.event.kind is api.ListKind.FULL for listed in watch.told))
+    eventually(lambda: any(listed.membership.kind is api.MembershipUpdateKind.FULL for listed in watch.told))
     assert watch.states()[1] is DRAINING and watch.rows()[3].started_at == pytest.approx(cold, abs=0.5)
 
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -18,12 +18,12 @@
 from gingervane import interface as api
 from gingervane.coordinator import types as t
 from gingervane.coordinator.driver import Driver
-from gingervane.interface import Outcome, Semantics
+from gingervane.interface import AttemptOutcome, RetrySafety
 from gingervane.node import config as configuration
-from gingervane.node.link import FrameTravel, Link, LinkLimits
-from gingervane.node.links import Links
+from gingervane.node.replica_connection import FrameTravel, ReplicaConnection, LinkLimits
+from gingervane.node.replica_connections import ReplicaConnections
 from gingervane.node.service import CoreLog
-from gingervane.policy import Coordinator
+from gingervane.decisions.engine import DecisionEngine
 from gingervane.wire.frames import Asked
 from platform_standins import (
     PATIENCE,
@@ -46,33 +46,33 @@
 @pytest.fixture
 def settled(monkeypatch: pytest.MonkeyPatch) -> Waiter:
     """Ids and verdicts of queries as the decision thread settles them."""
-    seen, settle = Waiter(), CoreLog.settled
+    seen, settle = Waiter(), CoreLog.query_completed
 
-    def note(self: CoreLog, number: int, plan: t.QueryPlan, final: t.Final, seconds: float) -> None:
+    def note(self: CoreLog, number: int, plan: t.QueryPlan, final: t.QueryResult, seconds: float) -> None:
         settle(self, number, plan, final, seconds)
-        seen.put((plan.tag, final.verdict))
+        seen.put((plan.tag, final.status))
 
-    monkeypatch.setattr(CoreLog, "settled", note)
+    monkeypatch.setattr(CoreLog, "query_completed", note)
     return seen
 
 
 @pytest.fixture
 def rising(monkeypatch: pytest.MonkeyPatch) -> Iterator[threading.Event]:
     """No connection to a replica comes up before this is set."""
-    up, came_up = threading.Event(), Link._came_up
+    up, came_up = threading.Event(), ReplicaConnection._came_up
 
-    def held(self: Link) -> None:
+    def held(self: ReplicaConnection) -> None:
         up.wait(PATIENCE)
         came_up(self)
 
-    monkeypatch.setattr(Link, "_came_up", held)
+    monkeypatch.setattr(ReplicaConnection, "_came_up", held)
     yield up
     up.set()
 
 
-def links_of(platform: Platform) -> Links:
+def links_of(platform: Platform) -> ReplicaConnections:
     links = platform.node.core._senders
-    assert isinstance(links, Links)
+    assert isinstance(links, ReplicaConnections)
     return links
 
 
@@ -82,41 +82,44 @@
 
 def stops_reading(patch: pytest.MonkeyPatch) -> Replica:
     """A replica that does not read yet, behind buffers so small that a long frame leaves in part."""
-    connect = Link.connect
+    connect = ReplicaConnection.connect
 
-    def small(self: Link) -> None:
+    def small(self: ReplicaConnection) -> None:
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         connect(self)
 
-    patch.setattr(Link, "connect", small)
+    patch.setattr(ReplicaConnection, "connect", small)
     replica = Replica(0)
     replica._listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     replica.reading.clear()
     return replica
 
 
-def send(links: Links, replica: Replica, number: int, name: str) -> t.Call:
+def send(links: ReplicaConnections, replica: Replica, number: int, name: str) -> t.BatchRequest:
     """One part, in the place of the decision thread; back once its replica has it."""
-    errand, where = t.Errand(number, 0, Asked(name, 0, "", b"x"), Semantics.SAFE), ("127.0.0.1", replica.port)
-    call = t.Call(number, 1, where, FrameTravel(), [errand], time.monotonic())
+    errand, where = (
+        t.AttemptRequest(number, 0, Asked(name, 0, "", b"x"), RetrySafety.IDEMPOTENT),
+        ("127.0.0.1", replica.port),
+    )
+    call = t.BatchRequest(number, 1, where, FrameTravel(), [errand], time.monotonic())
     assert links.start(call)
     while len(replica.parts.items) < number:
         until(lambda: links._ready or len(replica.parts.items) == number, "the connection is up")
-        links.tend()
+        links.maintain()
     return call
 
 
 def test_an_answer_that_comes_after_its_part_s_time_spoils_nothing() -> None:
     """Its place on the connection has been given to another part by then, which ended with the connection."""
     replica, told = Replica(0, lambda wire, part: None), Waiter()
-    links = Links(LinkLimits(streams=1, links=4, idle=PATIENCE, connect=PATIENCE), told.put)
+    links = ReplicaConnections(LinkLimits(streams=1, links=4, idle=PATIENCE, connect=PATIENCE), told.put)
     first = send(links, replica, 1, "a.0")
-    links.withdraw(first, first.errands[0], tell=True, over=True)
+    links.abandon(first, first.attempts[0], tell=True, over=True)
     send(links, replica, 2, "b.0")
     assert len(replica.wires) == 1
     replica.wires[0].raw(answer("a.0") + answer("b.0"))
     (ended,) = told.wait(1, bool)[0]
-    assert (ended.part, ended.outcome) == (2, Outcome.OK)
+    assert (ended.part, ended.outcome) == (2, AttemptOutcome.OK)
     links.close()
     replica.close()
 
@@ -129,31 +132,31 @@
     """The reader has taken the answer off its books and not told of it yet: nothing is out on the link."""
     replica, other, told = Replica(0), Replica(0), Waiter()
     idle = 0.0 if why == "idle for too long" else PATIENCE
-    links = Links(LinkLimits(streams=4, links=1, idle=idle, connect=PATIENCE), told.put)
-    value, reads, go = Link._value, threading.Event(), threading.Event()
+    links = ReplicaConnections(LinkLimits(streams=4, links=1, idle=idle, connect=PATIENCE), told.put)
+    value, reads, go = ReplicaConnection._value, threading.Event(), threading.Event()
 
-    def held(self: Link, *args: Any) -> Any:
+    def held(self: ReplicaConnection, *args: Any) -> Any:
         reads.set()
         go.wait(PATIENCE)
         return value(self, *args)
 
-    monkeypatch.setattr(Link, "_value", held)
+    monkeypatch.setattr(ReplicaConnection, "_value", held)
     send(links, replica, 1, "a.0")
     assert reads.wait(PATIENCE)
     (link,) = links._by_number.values()
     if why == "told to retire":
-        links.drop_idle(link.address)
+        links.close_idle(link.address)
     elif why == "idle for too long":
         links._sweep(time.monotonic())
     elif why == "makes room":
-        errand = t.Errand(2, 0, Asked("b.0", 0, "", b"x"), Semantics.SAFE)
+        errand = t.AttemptRequest(2, 0, Asked("b.0", 0, "", b"x"), RetrySafety.IDEMPOTENT)
         where = "127.0.0.1", other.port
-        assert links.start(t.Call(2, 2, where, FrameTravel(), [errand], time.monotonic() + PATIENCE))
+        assert links.start(t.BatchRequest(2, 2, where, FrameTravel(), [errand], time.monotonic() + PATIENCE))
     assert link.broken
     go.set()
     told.wait(1, lambda endings: any(ended.part == 1 for ended in endings))
     endings = [ended for some in told.items for ended in some if ended.part == 1]
-    assert [(ended.outcome, ended.result.cell) for ended in endings] == [(Outcome.OK, cell_of("a.0"))]
+    assert [(ended.outcome, ended.result.cell) for ended in endings] == [(AttemptOutcome.OK, cell_of("a.0"))]
     links.close()
     replica.close()
     other.close()
@@ -161,9 +164,9 @@
 
 def test_a_part_given_to_a_link_that_was_told_to_retire_goes_on_another() -> None:
     replica, told = Replica(0, lambda wire, part: None), Waiter()
-    links = Links(LinkLimits(streams=4, links=4, idle=PATIENCE, connect=PATIENCE), told.put)
+    links = ReplicaConnections(LinkLimits(streams=4, links=4, idle=PATIENCE, connect=PATIENCE), told.put)
     send(links, replica, 1, "a.0")
-    links.drop_idle(("127.0.0.1", replica.port))  # with a part out: it stays until that is answered
+    links.close_idle(("127.0.0.1", replica.port))  # with a part out: it stays until that is answered
     send(links, replica, 2, "b.0")
     assert len(replica.wires) == 2
     for wire, part in zip(replica.wires, ("a.0", "b.0"), strict=True):
@@ -182,11 +185,11 @@
     """The decision thread broke, and with it every query after."""
     platform = Platform(tmp_path, Replica(0))
 
-    def none_left(self: Link, *args: object) -> None:
+    def none_left(self: ReplicaConnection, *args: object) -> None:
         raise OSError(24, "Too many open files")
 
     with monkeypatch.context() as patch:
-        patch.setattr(Link, "__init__", none_left)
+        patch.setattr(ReplicaConnection, "__init__", none_left)
         assert platform.ask("q", {0: 1.0}, "/book", wait=500)[0] == 503
     assert platform.ask("after", {0: 1.0})[0] == 200
     platform.close()
@@ -197,19 +200,19 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Told as could-not-connect, which proves that it never ran: then it must not leave once that is up."""
-    late, came_up = list[Link](), Link._came_up
+    late, came_up = list[ReplicaConnection](), ReplicaConnection._came_up
 
-    def held(self: Link) -> None:
+    def held(self: ReplicaConnection) -> None:
         late.extend([self] if not late else [])
         if self is not late[0] or self.broken:
             came_up(self)
 
-    monkeypatch.setattr(Link, "_came_up", held)
+    monkeypatch.setattr(ReplicaConnection, "_came_up", held)
     platform = Platform(tmp_path, settings=with_limits(ConnectTimeoutS=0.1))
     assert platform.ask("q", {0: 1.0}, "/book")[0] == 200
     assert late[0].broken
     late[0]._came_up()  # now it is up, so to speak
-    links_of(platform).tend()
+    links_of(platform).maintain()
     for number in range(10):
         assert platform.ask(f"after{number}", {0: 1.0})[0] == 200
     assert asked(*platform.replicas).count("q.0") == 1
@@ -234,9 +237,9 @@
     platform = Platform(tmp_path, replica, settings=limits)
     sock = platform.client()
     sock.sendall(query("gone", {0: 0.5, 1: 0.5}, path))
-    until(lambda: links_of(platform).held == 2, "the parts wait for their connection")
+    until(lambda: links_of(platform).in_flight == 2, "the parts wait for their connection")
     sock.close()
-    assert settled.wait() == [("gone", t.Verdict.LEFT)]
+    assert settled.wait() == [("gone", t.QueryStatus.CLIENT_DISCONNECTED)]
     rising.set()
     assert platform.ask("after", {0: 1.0})[0] == 200
     assert asked(replica) == ["after.0"]
@@ -274,7 +277,7 @@
     links = links_of(platform)._by_number
     until(lambda: any(link._half for link in links.values()), "half of the frame has left")
     sock.close()
-    assert settled.wait() == [("gone", t.Verdict.LEFT)]
+    assert settled.wait() == [("gone", t.QueryStatus.CLIENT_DISCONNECTED)]
     replica.reading.set()
     replica.ended.wait()
     assert asked(replica) == []
@@ -285,9 +288,9 @@
 # ---- a further attempt, and the end of the time in which it may leave
 
 
-def decided(driver: Driver, now: float, *inputs: t.Input) -> list[t.Call]:
+def decided(driver: Driver, now: float, *inputs: t.Input) -> list[t.BatchRequest]:
     """Calls that a batch at `now` starts."""
-    return [effect.call for effect in driver.step(now, inputs) if isinstance(effect, t.Start)]
+    return [effect.request for effect in driver.step(now, inputs) if isinstance(effect, t.StartRequest)]
 
 
 def keyed_platform(tmp_path: Path, **rules: object) -> api.Settings:
@@ -300,28 +303,34 @@
     return configuration.read(platform.path).settings
 
 
-def a_query(number: int, now: float) -> t.Arrived:
+def a_query(number: int, now: float) -> t.QuerySubmitted:
     part = t.PartPlan(0, 1.0, Asked(f"q{number}.0", 0, "", b"x"))
-    return t.Arrived(number, t.QueryPlan(0, now + 6.0, (part,), FrameTravel()), lambda final: None)
+    return t.QuerySubmitted(number, t.QueryPlan(0, now + 6.0, (part,), FrameTravel()), lambda final: None)
 
 
-def two_replicas() -> t.Listed:
+def two_replicas() -> t.EndpointsUpdated:
     rows = tuple(api.Replica(n, 0, 0, 1.0, api.ReplicaState.READY, 0.0) for n in (1, 2))
-    return t.Listed(api.MembershipChanged(api.ListKind.FULL, rows), {n: ("127.0.0.1", n) for n in (1, 2)})
+    return t.EndpointsUpdated(
+        api.MembershipChanged(api.MembershipUpdateKind.FULL, rows), {n: ("127.0.0.1", n) for n in (1, 2)}
+    )
 
 
 def test_a_repeat_decided_at_the_edge_of_its_window_leaves_inside_it(tmp_path: Path) -> None:
     """It may leave by `HAND_OVER` later than it was decided, when the replicas had forgotten its key."""
     settings, repeated = keyed_platform(tmp_path), []
     for after in (0.5, 0.9, 0.94, 0.95, 0.96, 0.98, 0.99, 0.994, 1.0, 1.2):
-        driver = Driver(Coordinator(settings, 1), settings)
+        driver = Driver(DecisionEngine(settings, 1), settings)
         first, now = decided(driver, 100.0, two_replicas(), a_query(1, 100.0)), 100.0 + after
-        (errand,) = first[0].go(100.0)[0]
-        again = decided(driver, now, t.Ended(errand.part, errand.attempt, Outcome.RESET, now))
+        (errand,) = first[0].claim_sendable(100.0)[0]
+        again = decided(
+            driver, now, t.AttemptFinished(errand.part, errand.attempt, AttemptOutcome.RESET, now)
+        )
         for call in again:
-            lates = (0.0, 0.02, t.HAND_OVER, 0.06)
-            latest = max(late for late in lates if not call.is_late(now + late))
-            assert after + latest <= 1.0 and call.go(now + latest)[0], "it leaves, inside the window"
+            lates = (0.0, 0.02, t.MAX_SEND_DELAY, 0.06)
+            latest = max(late for late in lates if not call.is_send_overdue(now + late))
+            assert (
+                after + latest <= 1.0 and call.claim_sendable(now + latest)[0]
+            ), "it leaves, inside the window"
         repeated += [after] * len(again)
     assert 0.9 in repeated, "inside the window it is repeated"
 
@@ -330,13 +339,15 @@
     """One leaves as late as it may, the next one at once: no more than the budget in any span of it."""
     settings, spared = keyed_platform(tmp_path, BudgetFree=1.0, ExtraRatio=0.0, ResendSpanS=2.0), []
     for after in (1.9, 1.95, 1.98, 2.0, 2.01, 2.04, 2.05, 2.06, 2.1, 3.0):
-        driver = Driver(Coordinator(settings, 1), settings)
+        driver = Driver(DecisionEngine(settings, 1), settings)
         times = []
         for number, now in ((1, 100.0), (2, 100.0 + after)):
             first = decided(driver, now, *([two_replicas()] if number == 1 else []), a_query(number, now))
-            (errand,) = first[0].go(now)[0]
-            again = decided(driver, now, t.Ended(errand.part, errand.attempt, Outcome.RESET, now))
-            times += [now + (t.HAND_OVER if number == 1 else 0.0) for call in again]
+            (errand,) = first[0].claim_sendable(now)[0]
+            again = decided(
+                driver, now, t.AttemptFinished(errand.part, errand.attempt, AttemptOutcome.RESET, now)
+            )
+            times += [now + (t.MAX_SEND_DELAY if number == 1 else 0.0) for call in again]
         assert len(times) == 1 or times[1] - times[0] > 2.0
         spared += [after] * (len(times) - 1)
     assert 2.1 in spared, "past the span there is budget again"
@@ -347,15 +358,15 @@
 ) -> None:
     """An attempt counts from its frame's last byte: that came when its window or budget's span was over."""
     replica, told = stops_reading(monkeypatch), Waiter()
-    links = Links(LinkLimits(streams=4, links=4, idle=PATIENCE, connect=PATIENCE), told.put)
+    links = ReplicaConnections(LinkLimits(streams=4, links=4, idle=PATIENCE, connect=PATIENCE), told.put)
     now, where = time.monotonic(), ("127.0.0.1", replica.port)
-    errand = t.Errand(1, 1, Asked("a.0", 0, "", b"x" * 60000), Semantics.KEYED)
-    call = t.Call(1, 1, where, FrameTravel(), [errand], now + PATIENCE, decided_at=now + PATIENCE)
+    errand = t.AttemptRequest(1, 1, Asked("a.0", 0, "", b"x" * 60000), RetrySafety.IDEMPOTENCY_KEY)
+    call = t.BatchRequest(1, 1, where, FrameTravel(), [errand], now + PATIENCE, decided_at=now + PATIENCE)
     assert links.start(call)
     (link,) = links._by_number.values()
 
     def tended() -> bool:
-        links.tend()
+        links.maintain()
         return True
 
     until(lambda: tended() and link._half, "half of the frame has left")
@@ -363,7 +374,7 @@
     replica.reading.set()
     until(lambda: tended() and any(told.items), "its ending is told")
     (ended,) = told.wait(1, bool)[0]
-    assert ended.outcome is Outcome.CONNECT_FAILED, "a frame that is not whole never ran"
+    assert ended.outcome is AttemptOutcome.CONNECT_FAILED, "a frame that is not whole never ran"
     replica.ended.wait()
     assert not asked(replica)
     links.close()
@@ -382,7 +393,7 @@
     silent = Replica(0, lambda wire, part: None)
     platform = Platform(tmp_path, silent, settings=with_limits(Cancelling=cancelling))
     assert platform.ask("q", {0: 0.5, 1: 0.5}, wait=200)[0] == 503
-    until(lambda: links_of(platform).held == 0, "its parts are let go of")
+    until(lambda: links_of(platform).in_flight == 0, "its parts are let go of")
     sent = threading.Thread(target=platform.ask, args=("next", {2: 1.0}))
     sent.start()
     silent.parts.wait(1, lambda part: part.id == "next.2")  # its frame comes behind what was to be told
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -19,7 +19,7 @@
 from gingervane.coordinator import types as t
 from gingervane.node import discovery
 from gingervane.node.discovery import ListReader, Watch, WatchState
-from gingervane.coordinator.starts import StartClock
+from gingervane.coordinator.replica_start_times import ReplicaStartTimes
 from platform_standins import (
     HEAD,
     NO_LENGTH,
@@ -56,19 +56,19 @@
     def __init__(self, answered_within: float = PATIENCE) -> None:
         self.told, self.log = Waiter(), Recorded()
         self.here, self.there = Calls(), Calls()
-        reader = ListReader(("a",), StartClock(), self.log)
+        reader = ListReader(("a",), ReplicaStartTimes(), self.log)
         self.watch = Watch(self.here.where, reader, self.told.put, self.log, answered_within)
         self.watch.start()
         self.watch.follow()
 
     def states(self) -> list[str]:
         """What has been told, oldest first: 'failed', or the state of the one replica."""
-        kinds: list[t.Listed] = self.told.items
+        kinds: list[t.EndpointsUpdated] = self.told.items
         return [
             "failed"
-            if listed.event.kind is api.ListKind.FAILED
-            else listed.event.replicas[0].state.name
-            if listed.event.replicas
+            if listed.membership.kind is api.MembershipUpdateKind.FAILED
+            else listed.membership.replicas[0].state.name
+            if listed.membership.replicas
             else "no news"
             for listed in kinds
         ]
@@ -306,7 +306,7 @@
 ) -> None:
     read, reads, go = ListReader.read, threading.Event(), threading.Event()
 
-    def held(self: ListReader, *args: Any, **kwargs: Any) -> t.Listed | None:
+    def held(self: ListReader, *args: Any, **kwargs: Any) -> t.EndpointsUpdated | None:
         if not reads.is_set():
             reads.set()
             go.wait(PATIENCE)
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -13,40 +13,44 @@
 
 from gingervane import interface as api
 from gingervane.coordinator import types as t
-from gingervane.coordinator.advice import Advice
-from gingervane.coordinator.standstill import Standstill
+from gingervane.coordinator.retry_after import RetryAfterEstimate
+from gingervane.coordinator.process_pause import ProcessPauseDetector
 from gingervane.coordinator.driver import Driver
-from gingervane.policy import Coordinator
+from gingervane.decisions.engine import DecisionEngine
 from hosts import BASE, query_class, replica
 
-ENDINGS = [o for o in api.Outcome if o is not api.Outcome.CANCELLED]
+ENDINGS = [o for o in api.AttemptOutcome if o is not api.AttemptOutcome.CANCELLED]
 CLASSES = (
     query_class(aim=1.0, deadline=3.0),
     query_class(aim=1.0, deadline=3.0, least=0.5),
-    query_class(aim=1.0, deadline=3.0, semantics=api.Semantics.UNSAFE),
-    query_class(aim=1.0, deadline=3.0, semantics=api.Semantics.KEYED, window=0.5),
+    query_class(aim=1.0, deadline=3.0, semantics=api.RetrySafety.NOT_IDEMPOTENT),
+    query_class(aim=1.0, deadline=3.0, semantics=api.RetrySafety.IDEMPOTENCY_KEY, window=0.5),
+)
+SETTINGS = BASE._replace(
+    query_classes=CLASSES, cell_count=4, cells_per_replica=3, max_parts_per_request=2, coordinator_count=1
 )
-SETTINGS = BASE._replace(classes=CLASSES, cells=4, width=3, parts_per_call=2, coordinators=1)
 ROWS = tuple(replica(i, cell=i, zone=i % 2) for i in range(4))
 
 
 class Plain:
     """An exchange that is never asked to do anything."""
 
-    def write(self, contents: list[Any], seconds_left: list[float], address: tuple[str, int]) -> bytes:
+    def encode(self, contents: list[Any], seconds_left: list[float], address: tuple[str, int]) -> bytes:
         raise NotImplementedError
 
-    def read(self, contents: list[Any], status: int, header: Callable[[str], str], body: bytes) -> list[Any]:
+    def decode(
+        self, contents: list[Any], status: int, header: Callable[[str], str], body: bytes
+    ) -> list[Any]:
         raise NotImplementedError
 
-    def size(self, result: Any) -> int:
+    def result_size(self, result: Any) -> int:
         return 10
 
 
 class Spy:
     """The module, with its sends and the endings that it is told of held against each other."""
 
-    def __init__(self, module: Coordinator) -> None:
+    def __init__(self, module: DecisionEngine) -> None:
         self.module, self.made, self.out = module, Counter[int](), set[tuple[int, int]]()
 
     def handle(self, now: float, events: Sequence[api.Event]) -> list[api.Action]:
@@ -65,10 +69,10 @@
 class Machine(RuleBasedStateMachine):
     def __init__(self) -> None:
         super().__init__()
-        self.spy = Spy(Coordinator(SETTINGS, 5))
+        self.spy = Spy(DecisionEngine(SETTINGS, 5))
         self.driver, self.now, self.next = Driver(self.spy, SETTINGS), 100.0, 1
-        self.calls: list[t.Call] = []
-        self.finals: dict[int, list[t.Final]] = {}
+        self.calls: list[t.BatchRequest] = []
+        self.finals: dict[int, list[t.QueryResult]] = {}
         self.plans: dict[int, t.QueryPlan] = {}
         self.results: dict[str, tuple[int, int]] = {}
         self.pending: list[t.Input] = []
@@ -78,28 +82,30 @@
         settled = {q for q, found in self.finals.items() if found}
         for effect in self.driver.step(self.now, [*self.pending, *inputs]):
             match effect:
-                case t.Start(call):
-                    assert call.live > 0
+                case t.StartRequest(call):
+                    assert call.open_attempts > 0
                     self.calls.append(call)
-                    for errand in call.errands:
+                    for errand in call.attempts:
                         assert errand.content[0] not in settled, "sent for a query that was over"
-                case t.Settle(settle, final, _):
+                case t.CompleteQuery(settle, final, _):
                     settle(final)
         self.pending = []
 
     def listed(self, states: dict[int, api.ReplicaState]) -> None:
         rows = tuple(r._replace(state=states.get(r.id, r.state)) for r in ROWS)
-        event = api.MembershipChanged(api.ListKind.FULL, rows)
-        self.step(t.Listed(event, {r.id: ("127.0.0.1", r.id + 1) for r in rows}))
+        event = api.MembershipChanged(api.MembershipUpdateKind.FULL, rows)
+        self.step(t.EndpointsUpdated(event, {r.id: ("127.0.0.1", r.id + 1) for r in rows}))
 
-    def ended(self, call: t.Call, outcome: api.Outcome) -> list[t.Input]:
+    def ended(self, call: t.BatchRequest, outcome: api.AttemptOutcome) -> list[t.Input]:
         out: list[t.Input] = []
-        for errand in call.errands:
+        for errand in call.attempts:
             claimed = errand.claim()
-            good = outcome is api.Outcome.OK and (claimed or errand.content[2])
+            good = outcome is api.AttemptOutcome.OK and (claimed or errand.content[2])
             name = f"{errand.part}/{errand.attempt}"
             self.results[name] = errand.content[0], errand.content[1]
-            out.append(t.Ended(errand.part, errand.attempt, outcome, self.now, name if good else None))
+            out.append(
+                t.AttemptFinished(errand.part, errand.attempt, outcome, self.now, name if good else None)
+            )
         return out
 
     @rule(
@@ -114,7 +120,7 @@
         parts = tuple(t.PartPlan(s, weight, (number, i, True)) for i, s in enumerate(sorted(shards)))
         plan = t.QueryPlan(kind, self.now + time, parts, EXCHANGE)
         self.finals[number], self.plans[number] = [], plan
-        arrived = t.Arrived(number, plan, self.finals[number].append)
+        arrived = t.QuerySubmitted(number, plan, self.finals[number].append)
         if hold:
             self.pending.append(arrived)
         else:
@@ -123,11 +129,11 @@
     @precondition(lambda self: self.calls)
     @rule(
         pick=st.integers(0, 1 << 20),
-        outcome=st.sampled_from([api.Outcome.OK] * 6 + ENDINGS),
+        outcome=st.sampled_from([api.AttemptOutcome.OK] * 6 + ENDINGS),
         hold=st.booleans(),
         again=st.booleans(),
     )
-    def end(self, pick: int, outcome: api.Outcome, hold: bool, again: bool) -> None:
+    def end(self, pick: int, outcome: api.AttemptOutcome, hold: bool, again: bool) -> None:
         """A call ends, also one that was called off, at times twice, at times in one batch with others."""
         index = pick % len(self.calls)
         call = self.calls[index] if again else self.calls.pop(index)
@@ -151,7 +157,7 @@
     @precondition(lambda self: self.finals)
     @rule(pick=st.integers(0, 1 << 20), hold=st.booleans())
     def leave(self, pick: int, hold: bool) -> None:
-        self.pending.append(t.Left(sorted(self.finals)[pick % len(self.finals)]))
+        self.pending.append(t.ClientDisconnected(sorted(self.finals)[pick % len(self.finals)]))
         if not hold:
             self.step()
 
@@ -170,11 +176,11 @@
             assert len(finals) <= 1, "settled twice"
             plan = self.plans[number]
             for final in finals:
-                assert final.verdict is not t.Verdict.WHOLE or len(final.results) == len(plan.parts)
+                assert final.status is not t.QueryStatus.COMPLETE or len(final.results) == len(plan.parts)
                 for index, name in final.results.items():
                     assert name is not None and self.results[name] == (number, index)
-                short = final.verdict is t.Verdict.SHORT
-                assert not short or final.coverage >= CLASSES[plan.query_class].least_share - 1e-9
+                short = final.status is t.QueryStatus.PARTIAL
+                assert not short or final.coverage >= CLASSES[plan.query_class].required_coverage - 1e-9
 
     def teardown(self) -> None:
         """All timers run out: nothing stays open, and the module has heard the end of each send."""
@@ -199,28 +205,30 @@
     """One driver and hand-fed inputs."""
 
     def __init__(self, kind: api.QueryClass, chosen: api.Settings | None = None) -> None:
-        chosen = chosen or SETTINGS._replace(classes=(kind,), cells=1, width=1, parts_per_call=1)
-        self.spy, self.now = Spy(Coordinator(chosen, 1)), 100.0
+        chosen = chosen or SETTINGS._replace(
+            query_classes=(kind,), cell_count=1, cells_per_replica=1, max_parts_per_request=1
+        )
+        self.spy, self.now = Spy(DecisionEngine(chosen, 1)), 100.0
         self.driver = Driver(self.spy, chosen)
-        self.finals: list[t.Final] = []
+        self.finals: list[t.QueryResult] = []
         rows = tuple(replica(i) for i in range(3))
-        event = api.MembershipChanged(api.ListKind.FULL, rows)
-        self.step(t.Listed(event, {r.id: ("127.0.0.1", 1) for r in rows}))
+        event = api.MembershipChanged(api.MembershipUpdateKind.FULL, rows)
+        self.step(t.EndpointsUpdated(event, {r.id: ("127.0.0.1", 1) for r in rows}))
 
-    def step(self, *inputs: t.Input) -> list[t.Call]:
+    def step(self, *inputs: t.Input) -> list[t.BatchRequest]:
         out = []
         for effect in self.driver.step(self.now, inputs):
-            if isinstance(effect, t.Settle):
-                effect.settled(effect.final)
-            elif isinstance(effect, t.Start):
-                out.append(effect.call)
+            if isinstance(effect, t.CompleteQuery):
+                effect.on_result(effect.result)
+            elif isinstance(effect, t.StartRequest):
+                out.append(effect.request)
         return out
 
-    def ask(self, seconds: float) -> list[t.Call]:
+    def ask(self, seconds: float) -> list[t.BatchRequest]:
         plan = t.QueryPlan(0, self.now + seconds, (t.PartPlan(0, 1.0, "x"),), EXCHANGE)
-        return self.step(t.Arrived(1, plan, self.finals.append))
+        return self.step(t.QuerySubmitted(1, plan, self.finals.append))
 
-    def run_to(self, at: float) -> list[t.Call]:
+    def run_to(self, at: float) -> list[t.BatchRequest]:
         out = []
         while (due := self.driver.next_due()) <= at:
             self.now = max(self.now, due)
@@ -229,9 +237,11 @@
         return out
 
 
-def good(call: t.Call, now: float, result: str) -> t.Ended:
-    call.errands[0].claim()
-    return t.Ended(call.errands[0].part, call.errands[0].attempt, api.Outcome.OK, now, result)
+def good(call: t.BatchRequest, now: float, result: str) -> t.AttemptFinished:
+    call.attempts[0].claim()
+    return t.AttemptFinished(
+        call.attempts[0].part, call.attempts[0].attempt, api.AttemptOutcome.OK, now, result
+    )
 
 
 def test_copy_and_original_answer_in_one_batch() -> None:
@@ -241,7 +251,7 @@
     assert len(first) == len(copy) == 1 and first[0].replica != copy[0].replica
     bench.step(good(copy[0], bench.now, "copy"), good(first[0], bench.now, "original"))
     bench.step()
-    assert [f.verdict for f in bench.finals] == [t.Verdict.WHOLE]
+    assert [f.status for f in bench.finals] == [t.QueryStatus.COMPLETE]
     assert bench.finals[0].results == {0: "copy"} and not bench.spy.out
 
 
@@ -251,35 +261,35 @@
     bench.now = 100.2  # its timer is due; the answer is in the same batch and comes first
     bench.step(good(call, bench.now, "late but here"))
     bench.step()
-    assert [f.verdict for f in bench.finals] == [t.Verdict.WHOLE] and not bench.spy.out
+    assert [f.status for f in bench.finals] == [t.QueryStatus.COMPLETE] and not bench.spy.out
     bench.step(good(call, bench.now, "again"))
     assert len(bench.finals) == 1 and bench.driver.counts.late_endings == 1
 
 
 def test_an_attempt_that_never_left_is_proof() -> None:
     """An unsafe query whose attempt no sender had claimed may be refused; one whose attempt left may not."""
-    for leaves, verdict in ((False, t.Verdict.REFUSED), (True, t.Verdict.FAILED)):
-        bench = Bench(query_class(aim=1.0, deadline=3.0, semantics=api.Semantics.UNSAFE))
+    for leaves, verdict in ((False, t.QueryStatus.REJECTED), (True, t.QueryStatus.FAILED)):
+        bench = Bench(query_class(aim=1.0, deadline=3.0, semantics=api.RetrySafety.NOT_IDEMPOTENT))
         (call,) = bench.ask(0.5)
         if leaves:
-            assert call.errands[0].claim()
+            assert call.attempts[0].claim()
         bench.run_to(bench.now + 1.0)
-        assert [f.verdict for f in bench.finals] == [verdict] and not call.errands[0].claim()
+        assert [f.status for f in bench.finals] == [verdict] and not call.attempts[0].claim()
 
 
 def test_shutdown_refuses_only_what_cannot_have_run() -> None:
     for semantics, verdict in (
-        (api.Semantics.SAFE, t.Verdict.REFUSED),
-        (api.Semantics.UNSAFE, t.Verdict.FAILED),
+        (api.RetrySafety.IDEMPOTENT, t.QueryStatus.REJECTED),
+        (api.RetrySafety.NOT_IDEMPOTENT, t.QueryStatus.FAILED),
     ):
         bench = Bench(query_class(aim=1.0, deadline=3.0, semantics=semantics))
         bench.ask(3.0)
         bench.step(t.Shutdown())
-        assert [f.verdict for f in bench.finals] == [verdict]
+        assert [f.status for f in bench.finals] == [verdict]
 
 
 def test_advice_follows_how_fast_room_comes() -> None:
-    advice = Advice(1.0)
+    advice = RetryAfterEstimate(1.0)
     assert advice.until(10.0, 5) == 1.0, "nothing is known"
     for tick in range(100):
         advice.freed(10.0 + tick * 0.02, 2)  # a hundred a second
@@ -289,22 +299,27 @@
 
 
 def test_what_waited_too_long_for_a_sender() -> None:
-    def call() -> t.Call:
-        errands = [t.Errand(n, attempt, "", api.Semantics.UNSAFE) for n, attempt in ((1, 0), (2, 1))]
-        return t.Call(1, 1, ("h", 1), Plain(), errands, 9.0, decided_at=5.0)
+    def call() -> t.BatchRequest:
+        errands = [
+            t.AttemptRequest(n, attempt, "", api.RetrySafety.NOT_IDEMPOTENT)
+            for n, attempt in ((1, 0), (2, 1))
+        ]
+        return t.BatchRequest(1, 1, ("h", 1), Plain(), errands, 9.0, decided_at=5.0)
 
     made = call()
-    go, stale = made.go(5.04)
-    assert [e.part for e in go] == [1, 2] and not stale and made.go(5.04) == ([], []), "claimed once"
-    go, stale = call().go(5.06)
+    go, stale = made.claim_sendable(5.04)
+    assert (
+        [e.part for e in go] == [1, 2] and not stale and made.claim_sendable(5.04) == ([], [])
+    ), "claimed once"
+    go, stale = call().claim_sendable(5.06)
     assert [e.part for e in go] == [1] and [e.part for e in stale] == [2]
     made = call()
-    made.errands[1].claim()  # ended by the driver meanwhile
-    assert [len(found) for found in made.go(5.06)] == [1, 0]
+    made.attempts[1].claim()  # ended by the driver meanwhile
+    assert [len(found) for found in made.claim_sendable(5.06)] == [1, 0]
 
 
 def test_requests_read_after_a_standstill() -> None:
-    still = Standstill(100.0)
+    still = ProcessPauseDetector(100.0)
     for n in range(20):
         still.tick(100.0 + n * 0.05)
     assert still.came(101.0) == 101.0 and still.count == 0
@@ -319,16 +334,24 @@
 
 def test_what_no_cancel_may_stop_is_kept_back_while_it_has_not_begun() -> None:
     """Its query is over, or its twin has answered: what no sender has claimed needs no leave to stop."""
-    chosen = SETTINGS._replace(classes=CLASSES[:1], cells=1, width=1, may_cancel=False, parts_per_call=1)
+    chosen = SETTINGS._replace(
+        query_classes=CLASSES[:1],
+        cell_count=1,
+        cells_per_replica=1,
+        cancellation_allowed=False,
+        max_parts_per_request=1,
+    )
     for answered in (True, False):
         bench = Bench(CLASSES[0], chosen)
         (first,) = bench.ask(3.0)
         (copy,) = bench.run_to(bench.now + 0.6)
-        assert first.errands[0].attempt == 0 and copy.errands[0].attempt == 1
-        bench.step(good(copy, bench.now, "copy") if answered else t.Left(1))
+        assert first.attempts[0].attempt == 0 and copy.attempts[0].attempt == 1
+        bench.step(good(copy, bench.now, "copy") if answered else t.ClientDisconnected(1))
         bench.step()
-        assert not first.errands[0].claim() and not bench.spy.out
-        assert [f.verdict for f in bench.finals] == [t.Verdict.WHOLE if answered else t.Verdict.LEFT]
+        assert not first.attempts[0].claim() and not bench.spy.out
+        assert [f.status for f in bench.finals] == [
+            t.QueryStatus.COMPLETE if answered else t.QueryStatus.CLIENT_DISCONNECTED
+        ]
 
 
 def test_a_list_goes_before_an_ending_in_the_same_batch() -> None:
@@ -339,7 +362,11 @@
         (call,) = bench.ask(3.0)
         keeps = (call.replica + which) % 3
         rows = tuple(replica(i, state=api.ReplicaState.READY if i == keeps else state) for i in range(3))
-        call.errands[0].claim()
-        ended = t.Ended(call.errands[0].part, 0, api.Outcome.CONNECT_FAILED, bench.now, None, "refused")
-        again = bench.step(ended, t.Listed(api.MembershipChanged(api.ListKind.DELTA, rows), {}))
+        call.attempts[0].claim()
+        ended = t.AttemptFinished(
+            call.attempts[0].part, 0, api.AttemptOutcome.CONNECT_FAILED, bench.now, None, "refused"
+        )
+        again = bench.step(
+            ended, t.EndpointsUpdated(api.MembershipChanged(api.MembershipUpdateKind.DELTA, rows), {})
+        )
         assert [c.replica for c in again] == [keeps]
--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -17,12 +17,21 @@
 import pytest
 
 from gingervane import interface as api
-from gingervane.coordinator.types import Listed
-from gingervane.membership.durable import Snapshot
-from gingervane.membership.listfile import ListError
-from gingervane.membership.merge import Fence, Merge, Report
-from gingervane.membership.sources import Sources
-from gingervane.membership.store import CHUNK, Disk, NewerVersion, Pace, Store, StoreError, frame, parse
+from gingervane.coordinator.types import EndpointsUpdated
+from gingervane.membership.snapshot import Snapshot
+from gingervane.membership.endpoint_file import ListError
+from gingervane.membership.reconciliation import MassRemovalGuard, Reconciliation, Report
+from gingervane.membership.source_owner import EndpointSources
+from gingervane.membership.atomic_file import (
+    CHUNK,
+    Disk,
+    NewerVersion,
+    Pace,
+    AtomicFile,
+    StoreError,
+    frame,
+    parse,
+)
 from gingervane.membership.view import Member, View
 from test_consul import eventually
 from test_membership import member
@@ -81,7 +90,7 @@
 @pytest.mark.parametrize("half", [False, True])
 def test_killed_at_any_point_of_a_writing(tmp_path: Path, cut: int, half: bool) -> None:
     path = tmp_path / "kept"
-    first = Store(path, 3)
+    first = AtomicFile(path, 3)
     first.save(OLD)
     first.close()
 
@@ -93,11 +102,11 @@
             os.kill(os.getpid(), signal.SIGKILL)
 
     def write() -> None:
-        Store(path, 3, Counting(kill)).save(NEW)
+        AtomicFile(path, 3, Counting(kill)).save(NEW)
 
     status = in_child(write)
     assert (os.WTERMSIG(status) == signal.SIGKILL) if cut < len(OPS) else status == 0
-    again = Store(path, 3)  # the lock went with the process
+    again = AtomicFile(path, 3)  # the lock went with the process
     found = again.load()
     assert found == (3, NEW if cut > OPS.index("rename") else OLD)
     again.save(b"later")
@@ -171,7 +180,7 @@
         for content in disk.outcomes(path):
             assert parse(content, path, 3)[1] in (OLD, NEW)
 
-    store = Store(path, 3, Power(disk, check))
+    store = AtomicFile(path, 3, Power(disk, check))
     store.save(NEW)
     store.close()
     assert checks[0] > 8 and {parse(c, path, 3)[1] for c in disk.outcomes(path)} == {NEW}
@@ -180,7 +189,7 @@
         def force(self, file: int) -> None:
             pass
 
-    bad = Store(path, 3, Hasty(Unplugged(path, frame(OLD, 3)), check))
+    bad = AtomicFile(path, 3, Hasty(Unplugged(path, frame(OLD, 3)), check))
     disk = bad._disk.disk  # type: ignore[attr-defined]
     with pytest.raises(StoreError, match="torn"):  # the model sees a store that forces nothing
         bad.save(NEW)
@@ -197,7 +206,7 @@
         if broken[0] and number == op:
             raise OSError(code, os.strerror(code))
 
-    store = Store(path, 3)
+    store = AtomicFile(path, 3)
     store.save(OLD)
     store._disk = Counting(fail)
     with pytest.raises(OSError, match=r"\[Errno"):
@@ -212,32 +221,32 @@
 
 def test_a_disk_that_is_really_full(tmp_path: Path) -> None:
     path = tmp_path / "kept"
-    store = Store(path, 3)
+    store = AtomicFile(path, 3)
     store.save(OLD)
     store.close()
 
     def fill() -> None:
         signal.signal(signal.SIGXFSZ, signal.SIG_IGN)
         resource.setrlimit(resource.RLIMIT_FSIZE, (CHUNK + 5, CHUNK + 5))
-        inner = Store(path, 3)
+        inner = AtomicFile(path, 3)
         try:
             inner.save(NEW)
         except OSError:
             os._exit(7 if not path.with_name("kept.part").exists() else 8)
 
     assert os.WEXITSTATUS(in_child(fill)) == 7, "told, and what it took of the disk given back"
-    store = Store(path, 3)
+    store = AtomicFile(path, 3)
     assert store.load() == (3, OLD)
     store.close()
 
 
 def test_one_keeper_at_a_time_and_bounds(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     path = tmp_path / "kept"
-    store = Store(path, 3)
+    store = AtomicFile(path, 3)
     with pytest.raises(StoreError, match="kept by another process"):
-        Store(path, 3)
+        AtomicFile(path, 3)
     assert store.load() is None
-    monkeypatch.setattr("gingervane.membership.store.MOST_BYTES", 100)
+    monkeypatch.setattr("gingervane.membership.atomic_file.MOST_BYTES", 100)
     with pytest.raises(StoreError, match="over the bound"):
         store.save(NEW)
     path.write_bytes(NEW)
@@ -245,7 +254,7 @@
         store.load()
     store.close()
     with pytest.raises(OSError):
-        Store(tmp_path / "none" / "kept", 3)
+        AtomicFile(tmp_path / "none" / "kept", 3)
 
 
 def members() -> tuple[Member, ...]:
@@ -255,7 +264,7 @@
 def test_other_versions(tmp_path: Path) -> None:
     path = tmp_path / "kept"
     snapshot = Snapshot(path, 0.0, 1, 1)
-    merge = Merge(("consul",), Fence())
+    merge = Reconciliation(("consul",), MassRemovalGuard())
     merge.report(Report("consul", members(), 0.0, 7), 50.0)
     snapshot.save(members(), merge.dump(51.0), View().dump(0.0))
     kept = snapshot.load()
@@ -301,13 +310,13 @@
 
 
 def test_service_goes_on_when_nothing_can_be_kept(tmp_path: Path) -> None:
-    told, said = list[Listed](), list[str]()
+    told, said = list[EndpointsUpdated](), list[str]()
 
     def fail(number: int, name: str, data: bytes) -> None:
         raise OSError(errno.ENOSPC, "No space left on device")
 
     snapshot = Snapshot(tmp_path / "kept", 0.0, 1, 1, Counting(fail))
-    sources = Sources(("consul",), Fence(), told.append, said.append, snapshot)
+    sources = EndpointSources(("consul",), MassRemovalGuard(), told.append, said.append, snapshot)
     sources.report("consul", members(), 0.0, 5)
     assert sources.start(30.0)
     eventually(lambda: any("No space left" in what for what in said))
@@ -317,7 +326,7 @@
 
 
 def test_a_disk_that_takes_its_time_holds_up_no_drain(tmp_path: Path) -> None:
-    told, free = list[Listed](), threading.Event()
+    told, free = list[EndpointsUpdated](), threading.Event()
 
     class Slow(Disk):
         def force(self, file: int) -> None:
@@ -325,7 +334,7 @@
             super().force(file)
 
     snapshot = Snapshot(tmp_path / "kept", 0.0, 1, 1, Slow())
-    sources = Sources(("consul",), Fence(), told.append, lambda what: None, snapshot)
+    sources = EndpointSources(("consul",), MassRemovalGuard(), told.append, lambda what: None, snapshot)
     sources.report("consul", (member(1), member(2)), 0.0, 5)
     assert sources.start(30.0)
     eventually(lambda: (tmp_path / "kept.part").exists())
@@ -340,7 +349,7 @@
 
 
 def test_a_start_without_its_list_takes_the_kept_one(tmp_path: Path) -> None:
-    from gingervane.lab.embedded import Embedded
+    from gingervane.experiments.embedded import Embedded
 
     kept = str(tmp_path / "kept")
     first = Embedded(overrides={"membership": {"kept": kept}})
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -12,18 +12,18 @@
 from click.testing import CliRunner
 
 from gingervane.cli.main import main
-from gingervane.daemon import settings
+from gingervane.settings import daemon_settings
 from gingervane.emulator.events import Clock
 from gingervane.emulator.world import World, emulate
-from gingervane.lab import experiment as experiments
-from gingervane.lab import figures
-from gingervane.lab.scenario import Scenario, load
-from gingervane.lab.store import RunStore, StoreBusy
+from gingervane.experiments import experiment as experiments
+from gingervane.experiments import figures
+from gingervane.experiments.scenario import Scenario, load
+from gingervane.experiments.store import RunStore, StoreBusy
 from test_audit import DAY, RULES
 
 
 def small(**changes: Any) -> Scenario:
-    return settings.validate(Scenario, DAY | changes, Path("small"))
+    return daemon_settings.validate(Scenario, DAY | changes, Path("small"))
 
 
 def test_moments_come_in_order() -> None:
@@ -66,13 +66,13 @@
     assert 0 < report["worth"]["served"] <= report["worth"]["asked"]
     bad = emulate(load("bad-day"))
     assert bad["kept"] and bad["worth"]["served"] > 0.95 * bad["worth"]["bound"]
-    with pytest.raises(settings.SettingsError, match="consul: not modelled"):
+    with pytest.raises(daemon_settings.SettingsError, match="consul: not modelled"):
         emulate(load("consul-drain"))
 
 
 @pytest.mark.parametrize("rule", ["drain", "budget", "cold"])
 def test_a_broken_rule_is_seen_in_simulated_time(rule: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    from gingervane.daemon.settings import Config
+    from gingervane.settings.daemon_settings import Config
     from gingervane.emulator import coordinator
 
     if rule == "drain":
@@ -88,7 +88,9 @@
         monkeypatch.setattr(
             Config,
             "module_settings",
-            lambda self: honest(self)._replace(budget_free=None, budget_share=None, budget_span=None),
+            lambda self: honest(self)._replace(
+                retry_budget_free=None, retry_budget_share=None, retry_budget_window=None
+            ),
         )
     else:  # what has just started is sent its share at once
         listed = coordinator.SimCoordinator.listed
@@ -99,7 +101,9 @@
                 self, tuple(m._replace(started_at=0.0) for m in members), cached
             ),
         )
-        monkeypatch.setattr("gingervane.policy.Coordinator._judge", lambda self, server, bad, why="": None)
+        monkeypatch.setattr(
+            "gingervane.decisions.engine.DecisionEngine._judge", lambda self, server, bad, why="": None
+        )
     report = emulate(small())
     assert not report["rules"][rule]["kept"], report["rules"]
 
@@ -116,7 +120,7 @@
 
 
 def write(folder: Path, text: str) -> Path:
-    from gingervane.lab.tables import toml
+    from gingervane.experiments.tables import toml
 
     (folder / "day.toml").write_text(toml(DAY | {"seconds": 3}))
     path = folder / "tiny.toml"
@@ -159,7 +163,7 @@
 def subprocess_store(out: Path) -> None:
     """Open the store in another process."""
     code = (
-        f"from gingervane.lab.store import RunStore, StoreBusy\nfrom pathlib import Path\n"
+        f"from gingervane.experiments.store import RunStore, StoreBusy\nfrom pathlib import Path\n"
         f"try: RunStore(Path({str(out)!r}) / 'runs.duckdb')\nexcept StoreBusy: print('busy')"
     )
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
@@ -188,7 +192,7 @@
         path = write(tmp_path, text)
         result = CliRunner().invoke(main, ["lab", "run", str(path), "--out", str(tmp_path / "r")])
         assert result.exit_code == 2 and not (tmp_path / "r").exists(), what
-        with pytest.raises(settings.SettingsError, match=what.replace(".", r"\.")):
+        with pytest.raises(daemon_settings.SettingsError, match=what.replace(".", r"\.")):
             experiments.load(str(tmp_path / "tiny.toml"))
 
 
--- a/tests/test_first.py
+++ b/tests/test_first.py
@@ -8,8 +8,8 @@
 import pytest
 
 from gingervane.fronts.client import Client
-from gingervane.lab.embedded import Embedded
-from gingervane.standins import data
+from gingervane.experiments.embedded import Embedded
+from gingervane.fake_servers import data
 from gingervane.wire.remote_read import Match, Matcher, Query
 
 
--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -16,13 +16,13 @@
 import pytest
 
 from gingervane import interface as api
-from gingervane import policy
+from gingervane.decisions import engine
 from gingervane.fronts.client import Answer, Client
-from gingervane.lab.embedded import Embedded, config_table
-from gingervane.lab.tables import toml
-from gingervane.standins import data
-from gingervane.standins.capacity import Model
-from gingervane.standins.node import Recorder
+from gingervane.experiments.embedded import Embedded, config_table
+from gingervane.experiments.tables import toml
+from gingervane.fake_servers import data
+from gingervane.fake_servers.capacity import Model
+from gingervane.fake_servers.node import Recorder
 from gingervane.wire import http1, remote_read, snappy
 from gingervane.wire.remote_read import Match, Matcher, Query
 
@@ -105,7 +105,7 @@
         node.fault("hang", 60.0, 1.0, delay=0.2)
     answer = ask(fleet, timeout="700ms")
     assert answer.status in (502, 503)
-    eventually(lambda: fleet.app.core.admission.open == 0 and fleet.app.core.calls_held == 0)
+    eventually(lambda: fleet.app.core.admission.open == 0 and fleet.app.core.requests_in_flight == 0)
 
 
 def test_all_holders_gone(fleet: Embedded) -> None:
@@ -175,17 +175,17 @@
     """A second in which nothing is decided is not taken for the silence of replicas."""
     for _ in range(5):
         assert ask(fleet).status == 200
-    handle, stood = policy.Coordinator.handle, threading.Event()
+    handle, stood = engine.DecisionEngine.handle, threading.Event()
 
-    def slow(self: policy.Coordinator, now: float, events: Sequence[api.Event]) -> list[api.Action]:
+    def slow(self: engine.DecisionEngine, now: float, events: Sequence[api.Event]) -> list[api.Action]:
         if any(isinstance(e, api.AttemptEnded) for e in events) and not stood.is_set():
             stood.set()  # the first answer is in; the others and all timers come due meanwhile
             time.sleep(1.0)
         return handle(self, now, events)
 
     remarks: list[str] = []
-    monkeypatch.setattr(fleet.app.core.observer, "remark", remarks.append)
-    monkeypatch.setattr(policy.Coordinator, "handle", slow)
+    monkeypatch.setattr(fleet.app.core.observer, "log_message", remarks.append)
+    monkeypatch.setattr(engine.DecisionEngine, "handle", slow)
     assert ask(fleet).status == 200 and stood.is_set()
     assert ask(fleet).status == 200
     assert not [r for r in remarks if "ejected" in r]
@@ -209,7 +209,7 @@
         for client in clients:
             client.close()
         eventually(lambda: fleet.app.core.admission.open == 0)
-        eventually(lambda: fleet.app.core.calls_held == 0)
+        eventually(lambda: fleet.app.core.requests_in_flight == 0)
         eventually(lambda: all(sum(n._capacity.free) < time.monotonic() * 2 + 1 for n in fleet.grid.nodes))
     finally:
         fleet.close()
--- a/tests/test_incident_partial.py
+++ b/tests/test_incident_partial.py
@@ -23,7 +23,7 @@
 from gingervane import interface as api
 from gingervane.coordinator import types as t
 from gingervane.coordinator.driver import Driver
-from gingervane.policy import Coordinator
+from gingervane.decisions.engine import DecisionEngine
 from hosts import BASE, query_class, replica
 from platform_standins import (
     PATIENCE,
@@ -167,10 +167,10 @@
 class _Contents:
     """An exchange that is never asked to write."""
 
-    def write(self, contents: list[Any], seconds_left: list[float], address: tuple[str, int]) -> bytes:
+    def encode(self, contents: list[Any], seconds_left: list[float], address: tuple[str, int]) -> bytes:
         raise NotImplementedError
 
-    def size(self, result: Any) -> int:
+    def result_size(self, result: Any) -> int:
         return 1
 
 
@@ -178,14 +178,14 @@
 def test_the_aim_timer_in_the_batch_of_an_answer_ends_one_step(least: float, whole: float) -> None:
     """The same crossing on driver and module alone: the order of the two is forced."""
     kind = query_class(aim=AIM, deadline=3.0, second=2, least=least, whole=whole)
-    config = BASE._replace(classes=(kind,), coordinators=1, may_copy=False)
-    driver = Driver(Coordinator(config, 5), config)
-    finals: list[t.Final] = []
+    config = BASE._replace(query_classes=(kind,), coordinator_count=1, hedging_allowed=False)
+    driver = Driver(DecisionEngine(config, 5), config)
+    finals: list[t.QueryResult] = []
     driver.step(
         100.0,
         [
-            t.Listed(
-                api.MembershipChanged(api.ListKind.FULL, (replica(1), replica(2))),
+            t.EndpointsUpdated(
+                api.MembershipChanged(api.MembershipUpdateKind.FULL, (replica(1), replica(2))),
                 {1: ("127.0.0.1", 1), 2: ("127.0.0.1", 2)},
             )
         ],
@@ -196,19 +196,28 @@
         return tuple(t.PartPlan(shard, 0.5, f"q.{shard}.b") for shard in sorted(results)[:2])
 
     plan = t.QueryPlan(0, 103.0, parts, _Contents(), second_step=second)
-    effects = driver.step(100.1, [t.Arrived(1, plan, finals.append)])
-    errands = {e.content: e for effect in effects if isinstance(effect, t.Start) for e in effect.call.errands}
+    effects = driver.step(100.1, [t.QuerySubmitted(1, plan, finals.append)])
+    errands = {
+        e.content: e
+        for effect in effects
+        if isinstance(effect, t.StartRequest)
+        for e in effect.request.attempts
+    }
 
-    def ended(content: str, now: float) -> t.Ended:
+    def ended(content: str, now: float) -> t.AttemptFinished:
         assert errands[content].claim()
-        return t.Ended(errands[content].part, 0, api.Outcome.OK, now, content)
+        return t.AttemptFinished(errands[content].part, 0, api.AttemptOutcome.OK, now, content)
 
     driver.step(100.2, [ended("q.0", 100.2), ended("q.1", 100.2)])
     batch = 100.1 + AIM + 0.05  # the aim timer is due in it
     effects = driver.step(batch, [ended("q.2", batch)])
-    assert not [effect for effect in effects if isinstance(effect, t.Settle)], "the second step has not begun"
+    assert not [
+        effect for effect in effects if isinstance(effect, t.CompleteQuery)
+    ], "the second step has not begun"
     effects = driver.step(batch + 0.005, [])
-    begun = {e.content for effect in effects if isinstance(effect, t.Start) for e in effect.call.errands}
+    begun = {
+        e.content for effect in effects if isinstance(effect, t.StartRequest) for e in effect.request.attempts
+    }
     assert begun == {"q.0.b", "q.1.b"}
 
 
--- a/tests/test_intents.py
+++ b/tests/test_intents.py
@@ -17,10 +17,11 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from gingervane.coordinator import clock, intent_log
-from gingervane.coordinator.debts import Budget, Debts, Mark, Place, plan
-from gingervane.coordinator.intent_log import IntentLog, LogError, frame, pack, read
-from gingervane.coordinator.intents import Decision, Do, Entry, Intents, Limits, State
+from gingervane.coordinator import boot_clock
+from gingervane.writes import write_ahead_log
+from gingervane.writes.missed_writes import Budget, MissedWrites, Mark, Place, plan
+from gingervane.writes.write_ahead_log import WriteAheadLog, LogError, frame, pack, read
+from gingervane.writes.idempotency import Decision, Do, IdempotencyRecord, IdempotencyRecords, Limits, State
 
 LIMITS = Limits(window=10.0, margin=0.5, keep=40.0, most=6)
 
@@ -31,8 +32,8 @@
     def __init__(self) -> None:
         super().__init__()
         self.now, self.version = 100.0, 0
-        self.intents = Intents(LIMITS)
-        self.logged: dict[str, Entry] = {}  # what is on the disk
+        self.intents = IdempotencyRecords(LIMITS)
+        self.logged: dict[str, IdempotencyRecord] = {}  # what is on the disk
         self.open: dict[str, tuple[Decision, str]] = {}
         self.first_seen: dict[str, float] = {}  # by the replica
         self.effects: dict[tuple[str, int], int] = {}
@@ -85,7 +86,7 @@
     @rule(down=st.sampled_from([0.0, 3.0, 9.6, 60.0]))
     def crash(self, down: float) -> None:
         self.now += down
-        self.intents = Intents(LIMITS)
+        self.intents = IdempotencyRecords(LIMITS)
         for key, entry in sorted(self.logged.items(), key=lambda item: item[1].at):
             self.intents.restore(key, entry)
         self.open.clear()
@@ -104,7 +105,7 @@
 
 
 def test_what_each_state_means() -> None:
-    intents = Intents(LIMITS)
+    intents = IdempotencyRecords(LIMITS)
     first = intents.begin("k", "x", 7, 100.0)
     assert first == Decision(Do.SEND, 7, 109.5)
     assert intents.begin("k", "x", 8, 101.0).do is Do.WAIT
@@ -121,15 +122,15 @@
     assert intents.begin("k", "x", 30, 190.0).do is Do.SEND, "forgotten in the end"
 
 
-def entry(number: int, state: State = State.OPEN) -> Entry:
-    return Entry(state, f"digest {number}", number, float(number), float(number), {"r": number})
+def entry(number: int, state: State = State.OPEN) -> IdempotencyRecord:
+    return IdempotencyRecord(state, f"digest {number}", number, float(number), float(number), {"r": number})
 
 
 def test_a_log_cut_at_every_byte() -> None:
     records = [pack(f"k{n}", entry(n)) for n in range(4)]
     data, ends = b"".join(records), [sum(map(len, records[: n + 1])) for n in range(4)]
     for cut in range(len(data) + 1):
-        found: dict[str, Entry] = {}
+        found: dict[str, IdempotencyRecord] = {}
         count, good, fault = read(data[:cut], found)
         whole = sum(end <= cut for end in ends)
         assert count == whole and good == ([0, *ends][whole]) and bool(fault) == (good != cut)
@@ -144,7 +145,7 @@
 
 def test_a_log_is_recovered_in_its_folder(tmp_path: Path) -> None:
     clock = [1000.0]
-    log = IntentLog(tmp_path, 50.0, lambda: clock[0], segment_bytes=200)
+    log = WriteAheadLog(tmp_path, 50.0, lambda: clock[0], segment_bytes=200)
     assert log.recover().records == 0
     for n in range(12):
         log.intend(f"k{n}", entry(n))
@@ -159,12 +160,12 @@
     bent = bytearray(paths[1].read_bytes())
     bent[-3] ^= 1
     paths[1].write_bytes(bytes(bent))
-    again = IntentLog(tmp_path, 50.0, lambda: clock[0], segment_bytes=200)
+    again = WriteAheadLog(tmp_path, 50.0, lambda: clock[0], segment_bytes=200)
     found = again.recover()
     assert "torn" not in found.entries and found.entries["k3"].state is State.DONE
     assert len(found.faults) == 1 and str(paths[1]) in found.faults[0] and "checksum" in found.faults[0]
     again.close()
-    third = IntentLog(tmp_path, 50.0, lambda: clock[0], segment_bytes=200)
+    third = WriteAheadLog(tmp_path, 50.0, lambda: clock[0], segment_bytes=200)
     assert len(third.recover().faults) == 1, "what was torn has been cut off"
     clock[0] += 60.0
     for n in range(12):
@@ -189,7 +190,7 @@
                 budget[0] -= len(data)
                 return os.write(file, data)
 
-            log = IntentLog(tmp_path, 1e9, time.time, 2000, write)
+            log = WriteAheadLog(tmp_path, 1e9, time.time, 2000, write)
             log.recover()
             for n in range(1000):
                 log.intend(f"{turn}-{n}", entry(n))
@@ -200,7 +201,7 @@
             promised |= {key: int(n) for key, n in (line.split() for line in lines)}
         assert os.WTERMSIG(os.waitpid(child, 0)[1]) == 9
         rng.random()
-    log = IntentLog(tmp_path, 1e9, time.time)
+    log = WriteAheadLog(tmp_path, 1e9, time.time)
     found = log.recover()
     log.close()
     assert not found.faults and len(promised) > 20
@@ -216,7 +217,7 @@
             raise OSError(28, "No space left on device")
         return os.write(file, data)
 
-    log = IntentLog(tmp_path, 1e9, time.time, write=write)
+    log = WriteAheadLog(tmp_path, 1e9, time.time, write=write)
     log.recover()
     log.intend("a", entry(1))
     broken[0] = True
@@ -225,7 +226,7 @@
     broken[0] = False
     log.intend("c", entry(3))
     log.close()
-    again = IntentLog(tmp_path, 1e9, time.time)
+    again = WriteAheadLog(tmp_path, 1e9, time.time)
     found = again.recover()
     again.close()
     assert set(found.entries) == {"a", "c"} and not found.faults
@@ -255,8 +256,8 @@
         os.fdatasync(file)
 
 
-def logged(folder: Path, disk: FailingDisk) -> IntentLog:
-    log = IntentLog(folder, 1e9, clock.seconds, write=disk.write, force=disk.force)
+def logged(folder: Path, disk: FailingDisk) -> WriteAheadLog:
+    log = WriteAheadLog(folder, 1e9, boot_clock.seconds, write=disk.write, force=disk.force)
     log.recover()
     return log
 
@@ -264,7 +265,7 @@
 def entries_of(folder: Path) -> set[str]:
     log = logged(folder, FailingDisk())
     log.close()
-    found: dict[str, Entry] = {}
+    found: dict[str, IdempotencyRecord] = {}
     for path in folder.glob("intents-*.log"):
         read(path.read_bytes(), found)
     return set(found)
@@ -328,7 +329,7 @@
 
 
 def test_what_waits_for_a_disk_is_bounded(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(intent_log, "MOST_WAITING", 5)
+    monkeypatch.setattr(write_ahead_log, "MOST_WAITING", 5)
     disk = FailingDisk()
     log = logged(tmp_path, disk)
     disk.held.clear()
@@ -344,18 +345,18 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Nothing tells how long ago it may have been sent: the safe side is not to send it again."""
-    now = clock.seconds()
+    now = boot_clock.seconds()
     log = logged(tmp_path, FailingDisk())
-    log.intend("k", Entry(State.OPEN, "d", 1, now, now))
+    log.intend("k", IdempotencyRecord(State.OPEN, "d", 1, now, now))
     log.close()
-    for boot, expected in ((clock.boot_id(), Do.SEND), ("another", Do.TOO_LATE)):
-        monkeypatch.setattr(clock, "boot_id", lambda boot=boot: boot)
-        intents = Intents(LIMITS)
-        again = IntentLog(tmp_path, 1e9, clock.seconds)
+    for boot, expected in ((boot_clock.boot_id(), Do.SEND), ("another", Do.TOO_LATE)):
+        monkeypatch.setattr(boot_clock, "boot_id", lambda boot=boot: boot)
+        intents = IdempotencyRecords(LIMITS)
+        again = WriteAheadLog(tmp_path, 1e9, boot_clock.seconds)
         found = again.recover().entries["k"]
         again.close()
         intents.restore("k", found)
-        assert intents.begin("k", "d", 2, clock.seconds()).do is expected
+        assert intents.begin("k", "d", 2, boot_clock.seconds()).do is expected
 
 
 def test_many_intents_share_a_forcing(tmp_path: Path) -> None:
@@ -365,7 +366,7 @@
         forced[0] += 1
         gate.wait(30.0)
 
-    log = IntentLog(tmp_path, 1e9, time.time, force=force)
+    log = WriteAheadLog(tmp_path, 1e9, time.time, force=force)
     log.recover()
     threads = [threading.Thread(target=log.intend, args=(f"k{n}", entry(n))) for n in range(40)]
     for thread in threads:
@@ -401,7 +402,7 @@
 
 def test_debts_are_paid_within_the_budget() -> None:
     a, b = Place("c", 1), Place("c", 2)
-    debts = Debts(Budget(rate=10.0, burst=20.0, sweep=100.0, first=0.5, most=8.0), [a, b], 0.0)
+    debts = MissedWrites(Budget(rate=10.0, burst=20.0, sweep=100.0, first=0.5, most=8.0), [a, b], 0.0)
     debts.owes(b, 0.0)
     assert debts.next(0.1) == a, "the sweep"
     debts.compared(a, 0.1, 0, 0, True)
@@ -427,22 +428,22 @@
     """A third protocol: words counted at replicas that speak plain lines, by the same desk and core."""
     from gingervane import interface as api
     from gingervane.coordinator import types as t
-    from gingervane.coordinator.core import Bounds, Core
-    from gingervane.coordinator.sender import SenderLimits, Senders
+    from gingervane.coordinator.core import AdmissionLimits, QueryCoordinator
+    from gingervane.coordinator.request_senders import SenderLimits, RequestSenders
     from gingervane.daemon.app import _Branches
-    from gingervane.daemon.metrics import Metrics
-    from gingervane.coordinator.desk import Desk, Question
-    from gingervane.fronts.desk import Route, Router
+    from gingervane.telemetry.daemon_metrics import Metrics
+    from gingervane.coordinator.dispatch import QueryDispatcher, QueryRequest
+    from gingervane.fronts.routing import Route, Router
     from gingervane.fronts.http_server import HttpServer, Reply, ServerLimits, plain
-    from gingervane.policy import Coordinator
+    from gingervane.decisions.engine import DecisionEngine
     from gingervane.wire import http1
     from gingervane.wire.pool import Pool, exchange
 
     class Counted:
-        def write(self, contents: list[Any], seconds_left: list[float], address: tuple[str, int]) -> bytes:
+        def encode(self, contents: list[Any], seconds_left: list[float], address: tuple[str, int]) -> bytes:
             return http1.head(f"GET /count/{'+'.join(contents)} HTTP/1.1", [("Host", "x")])
 
-        def read(
+        def decode(
             self,
             contents: list[Any],
             status: int,
@@ -450,10 +451,10 @@
             body: bytes,
         ) -> list[Any]:
             if status != 200:
-                raise t.BadReply(f"status {status}")
+                raise t.InvalidReply(f"status {status}")
             return [int(word) for word in body.split()]
 
-        def size(self, result: Any) -> int:
+        def result_size(self, result: Any) -> int:
             return 8
 
     texts = {"a": 3, "b": 4}
@@ -462,55 +463,55 @@
         words = request.target.removeprefix("/count/").split("+")
         return plain(200, " ".join(str(texts[w]) for w in words))
 
-    look = api.QueryClass(1.0, 3.0, api.Semantics.SAFE, None, 0, 1.0, 1.0, None, 0.0, 1.0)
+    look = api.QueryClass(1.0, 3.0, api.RetrySafety.IDEMPOTENT, None, 0, 1.0, 1.0, None, 0.0, 1.0)
     settings = api.Settings(
-        coordinators=1,
+        coordinator_count=1,
         zone=0,
-        classes=(look,),
+        query_classes=(look,),
         tenant_quotas=(),
-        granularity=0.005,
-        cells=2,
-        width=2,
-        parts_per_call=8,
-        most_attempts=3,
-        may_cancel=True,
-        may_message_peers=False,
-        may_copy=True,
-        may_advise_wait=True,
-        longest_wait_advice=1.0,
-        must_ask_membership=False,
-        start_capacity=0.2,
-        ramp_time=15.0,
-        fall_time=2.0,
-        fall_multiple=4.0,
-        budget_free=None,
-        budget_share=None,
-        budget_span=None,
+        timer_granularity=0.005,
+        cell_count=2,
+        cells_per_replica=2,
+        max_parts_per_request=8,
+        max_attempts=3,
+        cancellation_allowed=True,
+        gossip_allowed=False,
+        hedging_allowed=True,
+        retry_after_allowed=True,
+        max_retry_after=1.0,
+        membership_polled=False,
+        slow_start_capacity=0.2,
+        slow_start_duration=15.0,
+        overload_window=2.0,
+        overload_multiple=4.0,
+        retry_budget_free=None,
+        retry_budget_share=None,
+        retry_budget_window=None,
     )
     pool = Pool(http1.Limits(4096, 4096), 4, 30.0)
-    core = Core(
-        Coordinator(settings, 1),
+    core = QueryCoordinator(
+        DecisionEngine(settings, 1),
         settings,
-        Bounds(100, 1 << 20),
+        AdmissionLimits(100, 1 << 20),
         _Branches(Metrics()),
-        lambda report: Senders(pool, SenderLimits(4, 4, 4, 1.0), report),
+        lambda report: RequestSenders(pool, SenderLimits(4, 4, 4, 1.0), report),
     )
     core.start()
     servers = [HttpServer("127.0.0.1", 0, replica, ServerLimits()) for _ in range(2)]
     rows = tuple(api.Replica(i, i, 0, 1.0, api.ReplicaState.READY, 0.0) for i in range(2))
-    core.listed(
-        t.Listed(
-            api.MembershipChanged(api.ListKind.FULL, rows),
+    core.endpoints_updated(
+        t.EndpointsUpdated(
+            api.MembershipChanged(api.MembershipUpdateKind.FULL, rows),
             {i: server.address for i, server in enumerate(servers)},
         )
     )
-    desk = Desk(core, ["look"])
+    desk = QueryDispatcher(core, ["look"])
 
     def total(request: Any, body: bytes, arrived: float, client: Any, words: dict[str, str]) -> Reply:
         names = words["texts"].split("+")
         parts = [t.PartPlan(i % 2, 1.0 / len(names), name) for i, name in enumerate(names)]
-        settled = desk.ask(Question("look", 0, parts, Counted(), arrived, arrived + 3.0), client)
-        return plain(200, str(sum(settled.final.results.values())))._replace(done=settled.done)
+        settled = desk.dispatch(QueryRequest("look", 0, parts, Counted(), arrived, arrived + 3.0), client)
+        return plain(200, str(sum(settled.result.results.values())))._replace(done=settled.release)
 
     router = Router([Route("GET", "/total/{texts}", total)])
 
--- a/tests/test_json_values.py
+++ b/tests/test_json_values.py
@@ -14,7 +14,7 @@
 from gingervane.node import discovery
 from gingervane.node.config import parse_address
 from gingervane.node.discovery import ListReader, Watch
-from gingervane.coordinator.starts import StartClock
+from gingervane.coordinator.replica_start_times import ReplicaStartTimes
 from gingervane.wire.json_values import Found, JsonValues, TooLong
 from platform_standins import Discovery, Recorded, Waiter
 
@@ -50,7 +50,7 @@
 
     def __init__(self, where: str) -> None:
         self.found, self.log = Waiter(), Recorded()
-        reader = ListReader(("a",), StartClock(), self.log)
+        reader = ListReader(("a",), ReplicaStartTimes(), self.log)
         self.watch = Watch(parse_address(where, "discovery"), reader, self.found.put, self.log)
         self.watch.start()
         self.watch.follow()
@@ -127,8 +127,8 @@
     data = json.dumps(whole(1024, 7), indent=4).encode() + b"\n"
     for start in range(0, len(data), 3001):
         service.push(data[start : start + 3001])
-    listed: t.Listed = watching.found.wait(2)[1]
-    assert len(listed.event.replicas) == len(listed.addresses) == 1024
+    listed: t.EndpointsUpdated = watching.found.wait(2)[1]
+    assert len(listed.membership.replicas) == len(listed.addresses) == 1024
     assert not watching.log.named("list_value_skipped")
     watching.watch.stop()
     service.close()
@@ -144,7 +144,7 @@
     assert other.watches.wait()[0].endswith("since=0")
     watching.found.wait(2)
     other.change(entry(3))
-    assert watching.found.wait(3)[2].event.replicas[0].cell == 3
+    assert watching.found.wait(3)[2].membership.replicas[0].cell == 3
     watching.watch.stop()
     first.close()
     other.close()
@@ -168,7 +168,7 @@
                 break
             watch._change.wait(0.01)
     watching.move(other.address)
-    assert watching.found.wait()[0].event.replicas[0].cell == 2
+    assert watching.found.wait()[0].membership.replicas[0].cell == 2
     watch.stop()
     for sock in (*held, full):
         sock.close()
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -12,8 +12,8 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from gingervane.limits.fair import Fair, Full
-from gingervane.limits.gate import Gate
+from gingervane.limits.fair_queue import Fair, QueueFull
+from gingervane.limits.concurrency_limit import Gate
 
 
 def shares(
@@ -71,9 +71,9 @@
     assert fair.enter("b", "x")
     for n in range(3):
         assert not fair.enter("a", n)
-    with pytest.raises(Full, match="3 requests wait") as caught:
+    with pytest.raises(QueueFull, match="3 requests wait") as caught:
         fair.enter("a", 9)
-    assert 0 < caught.value.come_again_in < 1
+    assert 0 < caught.value.retry_after < 1
     assert not fair.enter("a", "begun", must=True) and fair.waiting("a") == 4
     assert fair.give_up("a", 1) and not fair.give_up("a", 1)
     assert [fair.leave("b", 0.1), fair.leave("a", 0.1), fair.leave("a", 0.1), fair.leave("a", 0.1)] == [
@@ -101,7 +101,7 @@
                 self.running.append((name, self.count))
             else:
                 self.waiting[self.count] = name
-        except Full:
+        except QueueFull:
             assert not must and self.fair.waiting(name) >= 4
 
     @precondition(lambda self: bool(self.running))
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -14,12 +14,12 @@
 
 from gingervane import interface as api
 from gingervane.membership.consul import Asking, ConsulError, Mode, Names, Pause, Reader, path, shares
-from gingervane.membership.merge import Fence, Merge, Report
-from gingervane.membership.register import Registration, Say
+from gingervane.membership.reconciliation import MassRemovalGuard, Reconciliation, Report
+from gingervane.membership.registration import Registration, RegistrationCall
 from gingervane.membership.view import Member
 
 READY, DRAINING, GONE = api.ReplicaState.READY, api.ReplicaState.DRAINING, api.ReplicaState.GONE
-FENCE = Fence()
+FENCE = MassRemovalGuard()
 SOURCES = ("file", "consul")
 states = st.sampled_from([READY, READY, READY, DRAINING, GONE])
 
@@ -33,7 +33,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.now, self.merge = 1000.0, Merge(SOURCES, FENCE)
+        self.now, self.merge = 1000.0, Reconciliation(SOURCES, FENCE)
         self.named: set[int] = set()
         # For each source and server the newest bad word that was not taken back: from when it held.
         self.bad: dict[tuple[str, int], float] = {}
@@ -64,7 +64,7 @@
     def restart(self, elapsed: float) -> None:
         """Another process takes up what was kept, on another clock."""
         kept = json.loads(json.dumps(self.merge.dump(self.now)))
-        self.merge = Merge(SOURCES, FENCE)
+        self.merge = Reconciliation(SOURCES, FENCE)
         shift = 77.0
         self.now += elapsed + shift
         self.bad = {key: at + shift for key, at in self.bad.items()}
@@ -96,12 +96,12 @@
 TestMerge.settings = profile(max_examples=60, stateful_step_count=20)
 
 
-def ready(merge: Merge, now: float) -> set[int]:
+def ready(merge: Reconciliation, now: float) -> set[int]:
     return {n for n, k in merge.view(now).servers.items() if k.member.state is READY}
 
 
 def test_an_old_drain_counts_for_what_is_no_longer_named() -> None:
-    merge = Merge(SOURCES, FENCE)
+    merge = Reconciliation(SOURCES, FENCE)
     merge.report(Report("file", (member(0), member(1))), 0.0)
     merge.report(Report("consul", (member(1, DRAINING),)), 1.0)
     merge.report(Report("consul", ()), 2.0)
@@ -110,19 +110,19 @@
 
 
 def test_a_torn_state_is_not_taken_up() -> None:
-    merge = Merge(SOURCES, FENCE)
+    merge = Reconciliation(SOURCES, FENCE)
     merge.report(Report("file", (member(0),)), 5.0)
     kept = merge.dump(6.0)
     for bad in ({}, {**kept, "servers": {"x": {}}}, {**kept, "last": None}):
         with pytest.raises(ValueError, match="no state"):
-            Merge(SOURCES, FENCE).restore(bad, 9.0, 1.0)
-    other = Merge(("consul",), FENCE)
+            Reconciliation(SOURCES, FENCE).restore(bad, 9.0, 1.0)
+    other = Reconciliation(("consul",), FENCE)
     other.restore(kept, 9.0, 1.0)
     assert not other.view(9.0).servers, "a source that is no longer configured"
 
 
 def test_the_fence_holds_against_an_emptied_list_and_no_longer() -> None:
-    merge = Merge(("consul",), FENCE)
+    merge = Reconciliation(("consul",), FENCE)
     merge.report(Report("consul", tuple(member(n) for n in range(10))), 0.0)
     merge.report(Report("consul", tuple(member(n) for n in range(9))), 1.0)
     assert ready(merge, 1.0) == set(range(9)), "one gone is gone"
@@ -137,7 +137,7 @@
 
 
 def test_flapping_earns_no_trust() -> None:
-    merge, now, waits = Merge(("consul",), FENCE), 0.0, []
+    merge, now, waits = Reconciliation(("consul",), FENCE), 0.0, []
     for _ in range(7):
         merge.report(Report("consul", (member(1, GONE), member(2))), now)
         merge.report(Report("consul", (member(1), member(2))), now + 0.5)
@@ -262,12 +262,12 @@
     assert count * 4 <= most(150.0, 200.0), "churn is followed"
 
 
-def consul(merge: Merge, now: float, order: int, *members: Member, sure: bool = False) -> None:
+def consul(merge: Reconciliation, now: float, order: int, *members: Member, sure: bool = False) -> None:
     merge.report(Report("consul", members, 0.0, order, sure), now)
 
 
 def test_an_agent_that_lags_undoes_nothing() -> None:
-    merge = Merge(("consul",), FENCE)
+    merge = Reconciliation(("consul",), FENCE)
     consul(merge, 0.0, 10, member(0), member(1), member(2))
     consul(merge, 1.0, 12, member(0, DRAINING), member(1))
     for at in range(2, 30):  # read later, and older
@@ -280,7 +280,7 @@
 
 def test_a_restored_catalogue_is_believed_in_time() -> None:
     for sure, wait in ((False, FENCE.reset), (True, FENCE.reset_sure)):
-        merge = Merge(("consul",), FENCE)
+        merge = Reconciliation(("consul",), FENCE)
         consul(merge, 0.0, 100, member(0, DRAINING), member(1))
         consul(merge, 1.0, 5, member(0), member(1), member(2), sure=sure)
         consul(merge, 1.5, 6, member(0), member(1), member(2), member(3))
@@ -297,7 +297,7 @@
 
 
 def test_entries_made_anew() -> None:
-    merge = Merge(("consul",), FENCE)
+    merge = Reconciliation(("consul",), FENCE)
     old = [member(n)._replace(created=7) for n in range(6)]
     consul(merge, 0.0, 10, *old)
     consul(merge, 5.0, 11, old[0]._replace(created=11), *old[1:])
@@ -306,7 +306,7 @@
     consul(merge, 9.0, 12, *(m._replace(created=12) for m in old))
     rest = {k.member.started_at for n, k in merge.view(9.0).servers.items() if n}
     assert rest == {None}, "a catalogue that was rebuilt"
-    again = Merge(("consul",), FENCE)
+    again = Reconciliation(("consul",), FENCE)
     again.restore(json.loads(json.dumps(merge.dump(10.0))), 110.0, 10.0)
     assert again.view(110.0).servers[0].member.started_at == 95.0
     consul(again, 111.0, 11, *old)
@@ -315,7 +315,7 @@
 
 def test_what_is_said_to_an_agent() -> None:
     made = Registration(9.0, 2, Pause(), random.Random(1))
-    said: list[Say | None] = [made.next]
+    said: list[RegistrationCall | None] = [made.next]
     assert made.said(500) > 0 and made.agent == 1
     for status in (200, 200, 404, 200, None, 200):
         wait = made.said(status)
--- a/tests/test_merge_model.py
+++ b/tests/test_merge_model.py
@@ -20,13 +20,15 @@
 from pyModelChecking import CTL, Kripke
 
 from gingervane import interface as api
-from gingervane.membership import merge as merging
-from gingervane.membership.merge import Fence, Known, Merge, Report
+from gingervane.membership import reconciliation as merging
+from gingervane.membership.reconciliation import MassRemovalGuard, Known, Reconciliation, Report
 from gingervane.membership.view import Member
 
 READY, DRAINING = api.ReplicaState.READY, api.ReplicaState.DRAINING
 # Times are whole ticks.
-FENCE = Fence(hold=1, hold_most=2, evidence=1, settle=1, settle_most=2, flap_span=2, reset=2, reset_sure=1)
+FENCE = MassRemovalGuard(
+    hold=1, hold_most=2, evidence=1, settle=1, settle_most=2, flap_span=2, reset=2, reset_sure=1
+)
 ORDERS, SERVERS = (1, 2), (0, 1)
 
 
@@ -74,7 +76,7 @@
 
 
 class State(NamedTuple):
-    merge: Merge
+    merge: Reconciliation
     now: int
     watch: Watch
 
@@ -103,8 +105,8 @@
     return order, servers, state.watch
 
 
-def copy(merge: Merge) -> Merge:
-    made: Merge = pickle.loads(pickle.dumps(merge))
+def copy(merge: Reconciliation) -> Reconciliation:
+    made: Reconciliation = pickle.loads(pickle.dumps(merge))
     return made
 
 
@@ -144,7 +146,7 @@
     return out
 
 
-def explore(make: Callable[[], Merge], depth: int) -> tuple[Kripke, Kripke]:
+def explore(make: Callable[[], Reconciliation], depth: int) -> tuple[Kripke, Kripke]:
     """The graph of all that may happen in `depth` steps, and that of what follows once faults have ended."""
     first = State(make(), 0, Watch())
     numbers: dict[Any, int] = {key(first): 0}
@@ -180,7 +182,7 @@
     return set(graph.states()) == set(CTL.modelcheck(graph, formula))
 
 
-def check(make: Callable[[], Merge], depth: int) -> dict[str, bool]:
+def check(make: Callable[[], Reconciliation], depth: int) -> dict[str, bool]:
     faults, after = explore(make, depth)
     return {
         "a drain is never undone by older news": holds(faults, "A G (not undone)"),
@@ -189,14 +191,14 @@
     }
 
 
-class Newest(Merge):
+class Newest(Reconciliation):
     """Takes whatever was read last for the newest."""
 
     def _ordered(self, source: Any, report: Report, now: float) -> bool:
         return True
 
 
-class Stubborn(Merge):
+class Stubborn(Reconciliation):
     """Lets nothing in again that was away."""
 
     def _judge(self, number: int, now: float) -> Known | None:
@@ -206,7 +208,7 @@
         return known
 
 
-class Inventive(Merge):
+class Inventive(Reconciliation):
     """Takes servers to come in pairs."""
 
     def _apply(self, report: Report, held_from: float, newer: bool, now: float) -> None:
@@ -214,7 +216,7 @@
         super()._apply(report._replace(members=report.members + pairs), held_from, newer, now)
 
 
-def make(kind: type[Merge]) -> Callable[[], Merge]:
+def make(kind: type[Reconciliation]) -> Callable[[], Reconciliation]:
     return lambda: kind(("s",), FENCE)
 
 
@@ -224,18 +226,18 @@
 
 
 def test_the_merge_keeps_its_promises_in_every_state() -> None:
-    faults, _ = explore(make(Merge), 4)
+    faults, _ = explore(make(Reconciliation), 4)
     assert len(faults.states()) > 2000
-    assert all(check(make(Merge), 4).values())
+    assert all(check(make(Reconciliation), 4).values())
 
 
 @pytest.mark.parametrize(("kind", "broken"), [(Newest, "undone"), (Inventive, "named"), (Stubborn, "right")])
-def test_the_check_sees_a_merge_that_breaks_one(kind: type[Merge], broken: str) -> None:
+def test_the_check_sees_a_merge_that_breaks_one(kind: type[Reconciliation], broken: str) -> None:
     assert {what: kept for what, kept in check(make(kind), 3).items() if not kept}.keys() == {
-        what for what in check(make(Merge), 1) if broken in what
+        what for what in check(make(Reconciliation), 1) if broken in what
     }
 
 
 if __name__ == "__main__":  # deeper than a test run has time for: python tests/test_merge_model.py DEPTH
     merging._MOST_DOUBLINGS = 1
-    print(check(make(Merge), int(sys.argv[1])))
+    print(check(make(Reconciliation), int(sys.argv[1])))
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -21,11 +21,11 @@
 from hypothesis import strategies as st
 
 from gingervane import interface as api
-from gingervane.coordinator.types import Call, Listed
+from gingervane.coordinator.types import BatchRequest, EndpointsUpdated
 from gingervane.node.config import ConfigError, read
 from gingervane.node.discovery import ListReader, replica_id
-from gingervane.coordinator.starts import StartClock
-from gingervane.node.links import Links, SPARE
+from gingervane.coordinator.replica_start_times import ReplicaStartTimes
+from gingervane.node.replica_connections import ReplicaConnections, SPARE
 from gingervane.wire import frames
 from platform_standins import (
     PATIENCE,
@@ -53,7 +53,7 @@
     """Have discovery tell a change; back once it lies before whatever is asked next."""
     told, put = threading.Event(), platform.node.watch._tell
 
-    def note(listed: Listed) -> None:
+    def note(listed: EndpointsUpdated) -> None:
         put(listed)
         told.set()
 
@@ -151,11 +151,11 @@
         "health": "DRAINING",
         "born_ms": 5000,
     }
-    reader = ListReader(("a", "b"), StartClock(lambda: 20.0, lambda: 120.0), said)
+    reader = ListReader(("a", "b"), ReplicaStartTimes(lambda: 20.0, lambda: 120.0), said)
     hosts = [good, {"host": "s-2"}, good | {"health": "ODD"}, 7]
     listed = reader.read({"seq": 4, "whole": True, "hosts": hosts})
     assert listed and len(said.named("list_entry_skipped")) == 3
-    (found,) = listed.event.replicas
+    (found,) = listed.membership.replicas
     assert found == api.Replica(replica_id("s-1"), 2, 1, 1.0, api.ReplicaState.DRAINING, -95.0)
     assert reader.read({"seq": 4, "whole": False, "hosts": [good]}) is None, "old news"
 
@@ -280,7 +280,7 @@
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
     loaded = done.stdout.split()
     ours = {name.split(".")[1] for name in loaded if name.startswith("gingervane.")}
-    assert ours <= {"node", "policy", "interface", "startup", "shares", "coordinator", "wire", "fronts"}
+    assert ours <= {"node", "decisions", "interface", "startup", "coordinator", "wire", "fronts", "telemetry"}
     assert not {"duckdb", "numpy", "pydantic", "structlog", "click", "asyncio"} & set(loaded)
 
 
@@ -437,10 +437,10 @@
     before = {thread.ident for thread in threading.enumerate()}
     platform = Platform(tmp_path, *replicas, sockets=72)
     links = platform.node.core._senders
-    assert isinstance(links, Links)
+    assert isinstance(links, ReplicaConnections)
     start, taken = links.start, list[bool]()
 
-    def note(call: Call) -> bool:
+    def note(call: BatchRequest) -> bool:
         taken.append(start(call))
         return taken[-1]
 
--- a/tests/test_pinned_forms.py
+++ b/tests/test_pinned_forms.py
@@ -1,6 +1,6 @@
 """Outward forms, as literals: what clients, peers, nodes, operators and the platform see of this program.
 
-A name inside the program may change; nothing in here may. Texts of logs and the prose of error messages are not held:
+A name inside the program may change; nothing in here may. Texts of logs and the prose of errors are not held:
 of an error only its status, its form and the place that it names.
 """
 
@@ -23,14 +23,15 @@
 
 from gingervane import startup
 from gingervane.cli.main import main
-from gingervane.daemon import settings
+from gingervane.settings import daemon_settings
 from gingervane.fronts.client import Client
-from gingervane.lab import experiment, scenario
-from gingervane.lab.embedded import ZONES, config_table
-from gingervane.lab.scenario import Scenario
-from gingervane.lab.tables import toml
+from gingervane.experiments import experiment
+from gingervane.experiments import scenario
+from gingervane.experiments.embedded import ZONES, config_table
+from gingervane.experiments.scenario import Scenario
+from gingervane.experiments.tables import toml
 from gingervane.node import config as node_config
-from gingervane.standins.node import Grid, Recorder
+from gingervane.fake_servers.node import FakeGrid, Recorder
 from gingervane.wire.remote_read import Match, Matcher, Query
 from platform_standins import PATIENCE, ROOT
 
@@ -193,7 +194,7 @@
 
 
 def test_every_key_of_the_settings_and_what_it_is_if_left_out() -> None:
-    read = settings.check(CONFIG, Path("/c.toml"))
+    read = daemon_settings.check(CONFIG, Path("/c.toml"))
     assert flat(read.model_dump(mode="json", by_alias=True)) == CONFIG_READ
 
 
@@ -218,7 +219,7 @@
 
 def test_every_key_of_the_settings_may_be_given() -> None:
     full = nested({key: value for key, value in CONFIG_READ.items() if not key.endswith(".consul")})
-    read = settings.check(full, Path("/c.toml"))
+    read = daemon_settings.check(full, Path("/c.toml"))
     assert flat(read.model_dump(mode="json", by_alias=True)) == CONFIG_READ
 
 
@@ -229,8 +230,8 @@
     wrong = key + "x"
     place = nested({wrong: 1})
     merged = grafted(full, place)
-    with pytest.raises(settings.SettingsError) as caught:
-        settings.check(merged, Path("/c.toml"))
+    with pytest.raises(daemon_settings.SettingsError) as caught:
+        daemon_settings.check(merged, Path("/c.toml"))
     word = key.rpartition(".")[2]
     assert f"/c.toml: {wrong}: not a known key; is {word} meant?" in str(caught.value).splitlines()
 
@@ -245,15 +246,15 @@
 
 
 def test_a_key_like_no_other_has_no_suggestion() -> None:
-    with pytest.raises(settings.SettingsError) as caught:
-        settings.check(CONFIG | {"zzz": 1}, Path("/c.toml"))
+    with pytest.raises(daemon_settings.SettingsError) as caught:
+        daemon_settings.check(CONFIG | {"zzz": 1}, Path("/c.toml"))
     assert str(caught.value) == "/c.toml: zzz: not a known key"
 
 
 @pytest.mark.parametrize("key", ["shards", "fleet", "membership", "class"])
 def test_a_table_that_is_needed_is_named(key: str) -> None:
-    with pytest.raises(settings.SettingsError) as caught:
-        settings.check({name: value for name, value in CONFIG.items() if name != key}, Path("/c.toml"))
+    with pytest.raises(daemon_settings.SettingsError) as caught:
+        daemon_settings.check({name: value for name, value in CONFIG.items() if name != key}, Path("/c.toml"))
     assert f"/c.toml: {key}: missing" in str(caught.value).splitlines()
 
 
@@ -274,10 +275,10 @@
             own["class"][0]["repeat_window"] = 1.0
         if key.startswith("class"):  # the vector front asks for a class of each kind by name
             del own["vectors"]
-        read = settings.check(own, Path("/c.toml"))
+        read = daemon_settings.check(own, Path("/c.toml"))
         assert flat(read.model_dump(mode="json", by_alias=True))[key] == word
-    with pytest.raises(settings.SettingsError, match=key.replace("[", r"\[").replace("]", r"\]")):
-        settings.check(grafted(full, nested({key: "other"})), Path("/c.toml"))
+    with pytest.raises(daemon_settings.SettingsError, match=key.replace("[", r"\[").replace("]", r"\]")):
+        daemon_settings.check(grafted(full, nested({key: "other"})), Path("/c.toml"))
 
 
 # ---- scenarios of a rehearsal
@@ -382,8 +383,10 @@
 @pytest.mark.parametrize("key", SCENARIO_READ)
 def test_a_key_of_a_scenario_that_is_misspelt_is_refused_with_its_place(key: str) -> None:
     wrong = key + "x"
-    with pytest.raises(settings.SettingsError) as caught:
-        settings.validate(Scenario, grafted(nested(SCENARIO_READ), nested({wrong: 1})), Path("/s.toml"))
+    with pytest.raises(daemon_settings.SettingsError) as caught:
+        daemon_settings.validate(
+            Scenario, grafted(nested(SCENARIO_READ), nested({wrong: 1})), Path("/s.toml")
+        )
     word = key.rpartition(".")[2]
     assert f"/s.toml: {wrong}: not a known key; is {word} meant?" in str(caught.value).splitlines()
 
@@ -416,8 +419,8 @@
         Scenario.model_validate(
             SCENARIO | {"trouble": [{"kind": "crash", "at": 1, "seconds": 2, "how": how}]}
         )
-    with pytest.raises(settings.SettingsError) as caught:
-        settings.validate(
+    with pytest.raises(daemon_settings.SettingsError) as caught:
+        daemon_settings.validate(
             Scenario, SCENARIO | {"trouble": [{"kind": "?", "at": 1, "seconds": 2}]}, Path("/s.toml")
         )
     assert str(caught.value).endswith(f"'?' is not one of {', '.join(KINDS_OF_TROUBLE)}")
@@ -447,7 +450,7 @@
     found, _, _ = experiment.load(str(path))
     assert found.all_seeds() == (3, 9) and found.cells() == [{"nodes.width": 1}, {"nodes.width": 2}]
     path.write_text('name = "e"\nscenario = "bad-day"\nseedsx = 1\n')
-    with pytest.raises(settings.SettingsError) as caught:
+    with pytest.raises(daemon_settings.SettingsError) as caught:
         experiment.load(str(path))
     assert str(caught.value) == f"{path}: seedsx: not a known key; is seeds meant?"
 
@@ -727,7 +730,7 @@
 def test_a_daemon_as_whoever_starts_it_sees_it(tmp_path: Path) -> None:
     """Its line on standard output, its end, and what it and its nodes record of one query."""
     recorder = Recorder(tmp_path / "nodes.jsonl")
-    grid = Grid(3, 3, ZONES, recorder=recorder)
+    grid = FakeGrid(3, 3, ZONES, recorder=recorder)
     (tmp_path / "servers.toml").write_text(grid.list_text())
     config, tap = tmp_path / "c.toml", tmp_path / "tap.jsonl"
     config.write_text(toml(config_table(grid, tmp_path / "servers.toml", ZONES[0])))
--- a/tests/test_pinned_wire.py
+++ b/tests/test_pinned_wire.py
@@ -1,6 +1,6 @@
-"""Forms on the wire, as literals: what passes between clients, co-ordinators, replicas, peers and the platform.
+"""Forms on the wire, as literals: what passes between clients, coordinators, replicas, peers and platform.
 
-A name inside the program may change; nothing in here may. See also `test_pinned_forms.py`, of what operators write.
+A name inside the program may change; nothing in here may. See also `test_pinned_forms.py`.
 """
 
 from __future__ import annotations
@@ -23,22 +23,22 @@
 
 from gingervane import benchlink
 from gingervane import interface as api
-from gingervane.coordinator.types import BadReply
-from gingervane.fronts import subtrees
-from gingervane.fronts.desk import coverage_fields, duration, flag, refusal
+from gingervane.coordinator.types import InvalidReply
+from gingervane.fronts import subtree_codec
+from gingervane.fronts.routing import coverage_fields, duration, flag, refusal
 from gingervane.fronts.http_server import Exchange, HttpServer, Reply, ServerLimits, plain
-from gingervane.fronts.leaves import Asked, RemoteReadExchange, Tile
-from gingervane.lab.embedded import Embedded
+from gingervane.fronts.leaf_codec import Asked, RemoteReadExchange, Tile
+from gingervane.experiments.embedded import Embedded
 from gingervane.membership import consul
 from gingervane.membership.consul import Pause
-from gingervane.membership.register import Entry, Registrar
-from gingervane.membership.watcher import call
+from gingervane.membership.registration import Entry, Registrar
+from gingervane.membership.consul_watcher import call
 from gingervane.node.discovery import replica_id
-from gingervane.standins.vectors import VectorGrid
+from gingervane.fake_servers.vectors import VectorGrid
 from gingervane.tree import coverage
-from gingervane.tree.orders import Ask, Orders
+from gingervane.tree.subquery_context import Ask, SubqueryContext
 from gingervane.vectors.points import Collection, shard_of
-from gingervane.vectors.travel import SearchExchange, ShardSearch, ShardWrite, WriteExchange
+from gingervane.vectors.codec import SearchExchange, ShardSearch, ShardWrite, WriteExchange
 from gingervane.wire import frames, http1, remote_read, snappy
 from gingervane.wire.http1 import Headers, Limits, Request
 from gingervane.wire.pool import Pool
@@ -62,16 +62,16 @@
     ("action", "record"),
     [
         (api.Send(1, 2, 3.5), "40 0100000000000000 02000000 0000000000000c40"),
-        (api.Refuse(1, 0.5), "41 0100000000000000 000000000000e03f"),
+        (api.Reject(1, 0.5), "41 0100000000000000 000000000000e03f"),
         (api.Fail(7), "42 0700000000000000"),
         (api.Cancel(1, 2), "43 0100000000000000 02"),
         (api.CloseIdle(9), "46 09000000"),
         (api.SetTimer(0.25, 8), "44 000000000000d03f 0800000000000000"),
         (api.Answer(5, True), "4c 0500000000000000 01"),
         (api.Answer(5, False), "4c 0500000000000000 00"),
-        (api.Subscribe(), "4a 01"),
-        (api.TellPeers(b"hi"), "47 ffffffff 0200 6869"),
-        (api.Remark("w\u00f8"), "48 0300 77c3b8"),
+        (api.WatchMembership(), "4a 01"),
+        (api.SendToPeers(b"hi"), "47 ffffffff 0200 6869"),
+        (api.LogMessage("w\u00f8"), "48 0300 77c3b8"),
     ],
 )
 def test_what_is_decided_as_the_simulator_reads_it(action: api.Action, record: str) -> None:
@@ -118,7 +118,7 @@
             heard.extend([now, *events])
             return [api.Fail(7)]
 
-    monkeypatch.setattr(benchlink, "Coordinator", Listener)
+    monkeypatch.setattr(benchlink, "DecisionEngine", Listener)
     text = settings_of_a_start()
     table = record("BHI", 10, 4, 2) + b"".join(
         record("HHHBIfd", 3, 2, 0, state, number, 0.5, 9.5) for number, state in ((77, 1), (78, 0))
@@ -167,7 +167,7 @@
             heard.extend(events)
             return []
 
-    monkeypatch.setattr(benchlink, "Coordinator", Listener)
+    monkeypatch.setattr(benchlink, "DecisionEngine", Listener)
     text = settings_of_a_start()
     body = record("BH", 11, 5) + record("BQI", 0, 1, len(text)) + text
     body += record("BIHdB", 7, 77, code, 0.5, 0)
@@ -197,8 +197,8 @@
 
 
 def test_words_for_ends() -> None:
-    assert [outcome.value for outcome in api.Outcome] == OUTCOMES
-    assert [reason.value for reason in api.EndReason] == REASONS
+    assert [outcome.value for outcome in api.AttemptOutcome] == OUTCOMES
+    assert [reason.value for reason in api.QueryEndReason] == REASONS
 
 
 # ---- between co-ordinators: datagrams
@@ -206,22 +206,26 @@
 
 def test_what_peers_tell_each_other() -> None:
     """A replica's number, eight bytes, most significant first; behind it nothing, 1 (silent) or 2 (well)."""
-    host = Host(BASE._replace(may_message_peers=True, coordinators=9), replicas=4)
+    host = Host(BASE._replace(gossip_allowed=True, coordinator_count=9), replicas=4)
     part = part_of(host, host.query(0))
     assert host.where(part) == 10
-    told = [a[0] for a in host.finish(part, api.Outcome.ERROR) if isinstance(a, api.TellPeers)]
+    told = [a[0] for a in host.finish(part, api.AttemptOutcome.ERROR) if isinstance(a, api.SendToPeers)]
     assert told == [b"\0\0\0\0\0\0\0\x0a"]
-    told = [a[0] for a in host.wait(3.0) if isinstance(a, api.TellPeers)]
+    told = [a[0] for a in host.wait(3.0) if isinstance(a, api.SendToPeers)]
     assert told == [b"\0\0\0\0\0\0\0\x0b\x01"]
 
 
 def test_words_of_peers_eject_and_let_back() -> None:
-    host = Host(BASE._replace(may_message_peers=True, coordinators=9), replicas=4)
+    host = Host(BASE._replace(gossip_allowed=True, coordinator_count=9), replicas=4)
     host.wait(10.0)
-    out = [change for peer in (1, 3) for change in host.feed(api.PeerMessage(peer, b"\0\0\0\0\0\0\0\x0a"))]
+    out = [
+        change
+        for peer in (1, 3)
+        for change in host.feed(api.PeerMessageReceived(peer, b"\0\0\0\0\0\0\0\x0a"))
+    ]
     ejected = [plainly(tuple(a)) for a in out if isinstance(a, api.ReplicaEjected)]
     assert [(replica, reason) for replica, _, reason in ejected] == [(10, "peer reports")]
-    words = [api.PeerMessage(peer, b"\0\0\0\0\0\0\0\x0a\x02") for peer in range(1, 9)]
+    words = [api.PeerMessageReceived(peer, b"\0\0\0\0\0\0\0\x0a\x02") for peer in range(1, 9)]
     back = [change for word in words for change in host.feed(word)]
     assert [tuple(a) for a in back if isinstance(a, api.ReplicaReinstated)] == [(10,)]
 
@@ -393,7 +397,7 @@
 
 def test_a_call_to_a_replica() -> None:
     tile = Tile("t001", (Asked(0, QUERY_BYTES, 1000, 2000),))
-    data = RemoteReadExchange("tile", 1 << 20).write([tile], [0.5, 0.0004], ("127.0.0.1", 9001))
+    data = RemoteReadExchange("tile", 1 << 20).encode([tile], [0.5, 0.0004], ("127.0.0.1", 9001))
     head, body = request_of(data)
     assert head.split("\r\n") == [
         "POST /api/v1/read HTTP/1.1",
@@ -408,8 +412,10 @@
 
 
 def test_a_subtree_as_it_leaves() -> None:
-    ask = Ask(((0, QUERY, ("t001", "t0.2")),), ("t001", "t0.2"), "area-report", Orders(1, 2, ("c0", "c1")))
-    data = subtrees.SubtreeExchange("tile", 1 << 20).write([ask], [1.25], ("127.0.0.1", 8001))
+    ask = Ask(
+        ((0, QUERY, ("t001", "t0.2")),), ("t001", "t0.2"), "area-report", SubqueryContext(1, 2, ("c0", "c1"))
+    )
+    data = subtree_codec.SubtreeExchange("tile", 1 << 20).encode([ask], [1.25], ("127.0.0.1", 8001))
     head, body = request_of(data)
     assert head.split("\r\n") == [
         "POST /api/v1/read?class=area-report&timeout=1250ms&partial_response=true HTTP/1.1",
@@ -431,9 +437,9 @@
 
 def test_a_subtree_as_it_is_read() -> None:
     pairs = [("gingervane-levels", "1"), ("gingervane-attempts", "2"), ("gingervane-trail", "c0,c1")]
-    read = subtrees.read_orders(Headers(pairs))
+    read = subtree_codec.read_orders(Headers(pairs))
     assert read is not None and tuple(read) == (1, 2, ("c0", "c1"))
-    assert subtrees.read_orders(Headers(pairs[1:])) is None, "no parent's"
+    assert subtree_codec.read_orders(Headers(pairs[1:])) is None, "no parent's"
 
 
 def test_what_a_child_says_of_its_leaves() -> None:
@@ -446,9 +452,9 @@
 def idle_of(status: int, began: str) -> tuple[bool, bool]:
     """What a replica's failure proves, by its status and header."""
     exchange = RemoteReadExchange("tile", 1 << 20)
-    with pytest.raises(BadReply) as caught:
-        exchange.read([], status, {"gingervane-began": began}.get, b"")  # type: ignore[arg-type]
-    return caught.value.proven_idle, caught.value.overloaded
+    with pytest.raises(InvalidReply) as caught:
+        exchange.decode([], status, {"gingervane-began": began}.get, b"")  # type: ignore[arg-type]
+    return caught.value.proves_not_executed, caught.value.overloaded
 
 
 def test_a_replica_s_proof_that_nothing_began() -> None:
@@ -473,13 +479,13 @@
     part = ShardSearch(3, ({"vector": [1.0], "limit": 2},))
     body = b'{"searches":[{"vector":[1.0],"limit":2,"shard_key":"s3"}]}'
     lines = ["POST /collections/cos/points/search/batch HTTP/1.1", *VECTOR_HEAD, "Content-Length: 58", "\r\n"]
-    assert SearchExchange(COSINE, 6).write([part], [0.75], PLACE) == "\r\n".join(lines).encode() + body
+    assert SearchExchange(COSINE, 6).encode([part], [0.75], PLACE) == "\r\n".join(lines).encode() + body
 
 
 @pytest.mark.parametrize("key", ["cos/k", ""])
 def test_a_write_of_a_shard(key: str) -> None:
     part = ShardWrite(3, "upsert", {"points": []}, 1)
-    data = WriteExchange(COSINE, key, 17, lambda shard, holder: None).write([part], [0.75], PLACE)
+    data = WriteExchange(COSINE, key, 17, lambda shard, holder: None).encode([part], [0.75], PLACE)
     lines = [
         "POST /collections/cos/points/batch?wait=true HTTP/1.1",
         *VECTOR_HEAD,
@@ -497,7 +503,7 @@
     body = json.dumps({"result": [found], "status": "ok", "time": 0.0}).encode()
     part = ShardSearch(shard_of(1, 6), ({"vector": [1.0], "limit": 2},))
     fresh = {"gingervane-freshness": f"s{part.shard}=17,s0=x"}
-    (hits,) = SearchExchange(COSINE, 6).read([part], 200, lambda name: fresh.get(name, ""), body)
+    (hits,) = SearchExchange(COSINE, 6).decode([part], 200, lambda name: fresh.get(name, ""), body)
     assert tuple(hits)[:2] == ([found], 17)
 
 
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -13,9 +13,9 @@
 from hosts import BASE, Host, query_class, replica
 
 from gingervane import interface as api
-from gingervane.interface import ListKind, Outcome, ReplicaState, Semantics
+from gingervane.interface import MembershipUpdateKind, AttemptOutcome, ReplicaState, RetrySafety
 
-OK = Outcome.OK
+OK = AttemptOutcome.OK
 ROOT = Path(__file__).resolve().parent.parent
 
 
@@ -32,7 +32,7 @@
 
 def test_whole_query_takes_one_position() -> None:
     """Three cells, three shards, each on all three servers: every part goes to one rank of holder."""
-    host = Host(BASE._replace(cells=3, width=3), replicas=3)
+    host = Host(BASE._replace(cell_count=3, cells_per_replica=3), replicas=3)
     query = host.query(0, 1, 2)
     assert len({host.where(p) for p in host.step_parts[query]}) == 1
 
@@ -44,7 +44,7 @@
 
 
 def test_parts_that_share_a_call_count_once() -> None:
-    host = Host(BASE._replace(parts_per_call=4))
+    host = Host(BASE._replace(max_parts_per_request=4))
     wide = host.query(0, 0, 0, 0)
     single = host.query(0)
     host.finish(part_of(host, single))
@@ -104,14 +104,14 @@
             host.wait(0.1)
             host.finish(part, attempt=1)
         host.wait(3.0)
-    kind = host.module.settings.classes[0]
+    kind = host.module.settings.query_classes[0]
     ranked = sorted(host.module.latency[0])
-    assert ranked[int(0.95 * (len(ranked) - 1))] <= 0.31 < kind.aim
+    assert ranked[int(0.95 * (len(ranked) - 1))] <= 0.31 < kind.latency_objective
 
 
 def test_work_that_takes_long_for_its_aim_is_no_queueing() -> None:
     """Found at a site whose parts take a quarter of the aim when all is well: nothing was ever copied."""
-    host = Host(BASE._replace(classes=(query_class(aim=1.0),)), replicas=6)
+    host = Host(BASE._replace(query_classes=(query_class(aim=1.0),)), replicas=6)
     host.warm_up(60, latency=0.3)
     host.wait(15.0)
     host.module.mean, host.module.outcome_at = 0.25, host.now
@@ -141,16 +141,16 @@
 
 
 def test_no_copy_that_would_come_after_the_aim() -> None:
-    host = Host(BASE._replace(classes=(query_class(aim=2.0, deadline=9.0),)), replicas=3)
+    host = Host(BASE._replace(query_classes=(query_class(aim=2.0, deadline=9.0),)), replicas=3)
     host.module.latency[0].extend([1.2] * 20)  # learned: half of the parts take as long
     part = part_of(host, host.query(0))
     host.wait(2.3)
     assert len(host.sends[part]) == 1
 
 
-@pytest.mark.parametrize("semantics", [Semantics.KEYED, Semantics.UNSAFE])
-def test_only_safe_parts_are_copied(semantics: Semantics) -> None:
-    host = Host(BASE._replace(classes=(query_class(semantics=semantics, window=5.0),)))
+@pytest.mark.parametrize("semantics", [RetrySafety.IDEMPOTENCY_KEY, RetrySafety.NOT_IDEMPOTENT])
+def test_only_safe_parts_are_copied(semantics: RetrySafety) -> None:
+    host = Host(BASE._replace(query_classes=(query_class(semantics=semantics, window=5.0),)))
     part = part_of(host, host.query(0))
     assert not sends(host.wait(2.0))  # later, silence may turn a keyed one into a retry, one at a time
     host.wait(3.0)
@@ -158,14 +158,14 @@
 
 
 def test_no_copies_where_the_site_forbids_them() -> None:
-    host = Host(BASE._replace(may_copy=False, may_cancel=False))
+    host = Host(BASE._replace(hedging_allowed=False, cancellation_allowed=False))
     part = part_of(host, host.query(0))
     host.wait(5.0)
     assert len(host.sends[part]) == 1
 
 
 def test_breaker_opens_on_the_share_of_copies_and_closes_lower() -> None:
-    from gingervane.policy import _Count
+    from gingervane.decisions.engine import _Count
 
     breaker = _Count(10.0)
     for i in range(16):
@@ -192,7 +192,7 @@
     host = Host(replicas=6)
     host.warm_up()
     for _ in range(12):
-        host.finish(part_of(host, host.query(0)), Outcome.ERROR)
+        host.finish(part_of(host, host.query(0)), AttemptOutcome.ERROR)
     part = part_of(host, host.query(0))
     host.wait(0.3)
     assert len(host.sends[part]) == 1
@@ -204,7 +204,7 @@
 def test_a_failed_part_is_retried_on_another_holder() -> None:
     host = Host()
     part = part_of(host, host.query(0))
-    (again,) = sends(host.finish(part, Outcome.ERROR))
+    (again,) = sends(host.finish(part, AttemptOutcome.ERROR))
     assert again.replica != host.where(part, 0)
 
 
@@ -213,26 +213,28 @@
     query = host.query(0)
     part = part_of(host, query)
     for attempt in range(3):
-        host.finish(part, Outcome.ERROR, attempt)
+        host.finish(part, AttemptOutcome.ERROR, attempt)
     end = host.ended[query]
-    assert isinstance(end, api.Refuse) and 0 < end.come_again_in <= 1.0
+    assert isinstance(end, api.Reject) and 0 < end.retry_after <= 1.0
 
 
 def test_giving_up_one_part_calls_off_the_others() -> None:
     host = Host()
     query = host.query(0, 0)
     for attempt in range(3):
-        host.finish(part_of(host, query), Outcome.ERROR, attempt)
+        host.finish(part_of(host, query), AttemptOutcome.ERROR, attempt)
     assert query in host.ended and (part_of(host, query, 1), 0) in host.cancelled
 
 
 def test_budget_bounds_further_attempts() -> None:
     """Counted as the rule counts: failures soon exhaust it and then queries are given up."""
-    host = Host(BASE._replace(budget_free=2.0, budget_share=0.1, budget_span=10.0), replicas=6)
+    host = Host(
+        BASE._replace(retry_budget_free=2.0, retry_budget_share=0.1, retry_budget_window=10.0), replicas=6
+    )
     for _ in range(40):
         part = part_of(host, host.query(0))
         if (part, 0) in host.out:
-            host.finish(part, Outcome.RESET)
+            host.finish(part, AttemptOutcome.RESET)
         host.wait(0.2)
     assert host.extras and len(host.ended) > 5
 
@@ -245,7 +247,7 @@
     for _ in range(20):
         part = part_of(host, host.query(0))
         host.wait(0.02)
-        host.finish(part, Outcome.REJECTED if host.where(part) == 10 else OK)
+        host.finish(part, AttemptOutcome.REJECTED if host.where(part) == 10 else OK)
         if part not in host.ok:
             host.wait(0.2)
             host.finish(part, OK, 1)
@@ -258,7 +260,7 @@
     host.warm_up()
     query = host.query(0)
     part = part_of(host, query)
-    assert not sends(host.finish(part, Outcome.REJECTED))
+    assert not sends(host.finish(part, AttemptOutcome.REJECTED))
     assert query not in host.ended
     (again,) = sends(host.wait(0.15))
     assert again.replica != host.where(part)
@@ -266,7 +268,7 @@
 
 def test_a_backed_up_server_gets_no_new_part() -> None:
     """Found in incidents: the last holder of some shards drowned while the mean over all looked fine."""
-    host = Host(BASE._replace(may_copy=False), replicas=3)
+    host = Host(BASE._replace(hedging_allowed=False), replicas=3)
     host.warm_up()
     stuck = part_of(host, host.query(0))
     for _ in range(20):
@@ -279,7 +281,7 @@
 
 def test_a_lost_part_does_not_make_its_server_backed_up() -> None:
     """Found in incident i0311c4: one answer lost, later ones came, the server was left out."""
-    host = Host(BASE._replace(may_copy=False), replicas=1)
+    host = Host(BASE._replace(hedging_allowed=False), replicas=1)
     host.query(0)  # its answer is lost
     host.wait(0.1)
     host.finish(part_of(host, host.query(0)))
@@ -288,44 +290,48 @@
 
 
 def test_a_query_whose_only_holder_is_backed_up_is_refused_at_once() -> None:
-    host = Host(BASE._replace(may_copy=False), replicas=1)
+    host = Host(BASE._replace(hedging_allowed=False), replicas=1)
     host.query(0)
     host.wait(0.8)  # more than BACKLOG of the aim of 2 s
     query = host.query(0)
-    assert isinstance(host.ended[query], api.Refuse) and not host.sends[part_of(host, query)]
+    assert isinstance(host.ended[query], api.Reject) and not host.sends[part_of(host, query)]
 
 
 # ---- effects
 
 
 def test_unsafe_is_sent_again_only_on_proof() -> None:
-    host = Host(BASE._replace(classes=(query_class(semantics=Semantics.UNSAFE),)))
+    host = Host(BASE._replace(query_classes=(query_class(semantics=RetrySafety.NOT_IDEMPOTENT),)))
     first = part_of(host, host.query(0))
-    assert sends(host.finish(first, Outcome.CONNECT_FAILED))
+    assert sends(host.finish(first, AttemptOutcome.CONNECT_FAILED))
     query = host.query(0)
-    host.finish(part_of(host, query), Outcome.ERROR)
+    host.finish(part_of(host, query), AttemptOutcome.ERROR)
     assert isinstance(host.ended[query], api.Fail)
 
 
 def test_unsafe_stays_unsent_after_a_later_attempt_is_proved_harmless() -> None:
-    host = Host(BASE._replace(classes=(query_class(semantics=Semantics.UNSAFE),), most_attempts=9))
+    host = Host(
+        BASE._replace(query_classes=(query_class(semantics=RetrySafety.NOT_IDEMPOTENT),), max_attempts=9)
+    )
     query = host.query(0)
     part = part_of(host, query)
-    for attempt, outcome in enumerate((Outcome.CONNECT_FAILED, Outcome.REJECTED)):
+    for attempt, outcome in enumerate((AttemptOutcome.CONNECT_FAILED, AttemptOutcome.REJECTED)):
         host.finish(part, outcome, attempt)
         host.wait(attempt * 2.1)  # after a full queue the next try waits
     assert len(host.sends[part]) == 3
-    host.finish(part, Outcome.RESET, 2)
+    host.finish(part, AttemptOutcome.RESET, 2)
     assert isinstance(host.ended[query], api.Fail)
 
 
 def test_keyed_is_sent_again_within_its_window_only() -> None:
-    host = Host(BASE._replace(classes=(query_class(semantics=Semantics.KEYED, window=2.0),)))
+    host = Host(
+        BASE._replace(query_classes=(query_class(semantics=RetrySafety.IDEMPOTENCY_KEY, window=2.0),))
+    )
     part = part_of(host, host.query(0))
-    assert sends(host.finish(part, Outcome.RESET))
+    assert sends(host.finish(part, AttemptOutcome.RESET))
     host.wait(1.995)
     query = host.query_of[part]
-    host.finish(part, Outcome.RESET, 1)
+    host.finish(part, AttemptOutcome.RESET, 1)
     assert len(host.sends[part]) == 2 and isinstance(host.ended[query], api.Fail)
 
 
@@ -335,7 +341,7 @@
 @pytest.mark.parametrize("state", [ReplicaState.DRAINING, ReplicaState.GONE])
 def test_nothing_goes_to_what_drains_or_is_gone(state: ReplicaState) -> None:
     host = Host()
-    host.members(ListKind.DELTA, replica(10, state=state))
+    host.members(MembershipUpdateKind.DELTA, replica(10, state=state))
     for _ in range(9):
         host.query(0)
     host.wait(5.0)  # copies and retries too; the host raises on a broken rule
@@ -344,22 +350,22 @@
 
 def test_what_a_full_list_leaves_out_is_gone() -> None:
     host = Host()
-    host.members(ListKind.FULL, replica(11))
+    host.members(MembershipUpdateKind.FULL, replica(11))
     assert host.where(part_of(host, host.query(0))) == 11
 
 
 def test_empty_list_refuses_at_once() -> None:
     host = Host(replicas=0)
-    assert isinstance(host.ended[host.query(0)], api.Refuse)
+    assert isinstance(host.ended[host.query(0)], api.Reject)
 
 
 def pauses(host: Host, count: int) -> list[float]:
     """Seconds from each of some failures in a row to the next wish for a subscription."""
     found = []
     for _ in range(count):
-        host.members(ListKind.FAILED)
+        host.members(MembershipUpdateKind.FAILED)
         before = host.now
-        while not any(isinstance(a, api.Subscribe) for a in host.wait(0.01)):
+        while not any(isinstance(a, api.WatchMembership) for a in host.wait(0.01)):
             assert host.now < before + 6
         found.append(host.now - before)
     return found
@@ -370,8 +376,8 @@
     discovery could be reached: a call may have hung 3 s, and the next answer takes a while among many."""
     found = list[list[float]]()
     for seed in range(20):
-        host = Host(BASE._replace(must_ask_membership=True), seed=seed)
-        assert host.log.count(api.Subscribe()) == 1
+        host = Host(BASE._replace(membership_polled=True), seed=seed)
+        assert host.log.count(api.WatchMembership()) == 1
         found.append(pauses(host, 12))
     first, later = [times[0] for times in found], [pause for times in found for pause in times[7:]]
     assert max(first) <= 0.17, "at once, but for the spread"
@@ -383,20 +389,20 @@
     assert max(first) > 2 * min(first) and max(later) - min(later) > 1.0, "out of step"
     for rows in ((), tuple(host.states.values())):
         pauses(host, 9)
-        host.members(ListKind.DELTA, *rows)
+        host.members(MembershipUpdateKind.DELTA, *rows)
         assert pauses(host, 1)[0] <= 0.17, "after a change, also of nothing, it is the first pause again"
 
 
 @pytest.mark.parametrize("grace", [0.0, 0.3, 1.5])
 def test_where_lists_are_pushed_a_failed_subscription_is_renewed_well_within_the_grace(grace: float) -> None:
     """What is pushed counts as told at once when discovery is back, however long it was away."""
-    host = Host(BASE._replace(must_ask_membership=False, drain_grace=grace))
+    host = Host(BASE._replace(membership_polled=False, drain_grace=grace))
     assert max(pauses(host, 12)) <= max(grace / 2, 0.03)
 
 
 def test_a_failed_call_keeps_the_old_list() -> None:
     host = Host()
-    host.members(ListKind.FAILED)
+    host.members(MembershipUpdateKind.FAILED)
     assert host.sends[part_of(host, host.query(0))]
 
 
@@ -406,7 +412,7 @@
 def test_a_cold_replica_is_paced() -> None:
     host = Host(replicas=3)
     host.warm_up(100)
-    host.members(ListKind.DELTA, replica(10, started=host.now))
+    host.members(MembershipUpdateKind.DELTA, replica(10, started=host.now))
     to_cold, to_warm = 0, 0
     for _ in range(40):
         part = part_of(host, host.query(0))
@@ -422,29 +428,29 @@
 def test_a_new_machine_is_cold_too() -> None:
     host = Host(replicas=2)
     host.warm_up(100)
-    host.members(ListKind.DELTA, replica(12, started=host.now))
+    host.members(MembershipUpdateKind.DELTA, replica(12, started=host.now))
     placed = [host.where(part_of(host, host.query(0))) for _ in range(12)]
     assert placed.count(12) <= 1
 
 
 def test_all_holders_cold_sheds() -> None:
     host = Host()
-    host.members(ListKind.FULL, *(replica(i, started=host.now) for i in (10, 11, 12)))
+    host.members(MembershipUpdateKind.FULL, *(replica(i, started=host.now) for i in (10, 11, 12)))
     for _ in range(30):
         host.query(0)
     # Half of what pushes them over: twice a fifth of the thirty; and one part ahead at each.
     assert 3 <= sum(len(s) for s in host.sends.values()) <= 12 + 3
-    assert all(isinstance(a, api.Refuse) for a in host.ended.values())
+    assert all(isinstance(a, api.Reject) for a in host.ended.values())
 
 
 def test_a_storm_of_refusals_does_not_buy_a_cold_server_more() -> None:
     """Found on a test day: pace counted sends, so sends to full servers inflated it until a cold one fell."""
     host = Host()
-    host.members(ListKind.DELTA, replica(10, started=host.now))
+    host.members(MembershipUpdateKind.DELTA, replica(10, started=host.now))
     for _ in range(300):
         part = part_of(host, host.query(0))
         while part in host.sends and (part, len(host.sends[part]) - 1) in host.out:
-            host.finish(part, Outcome.REJECTED, len(host.sends[part]) - 1)
+            host.finish(part, AttemptOutcome.REJECTED, len(host.sends[part]) - 1)
         host.wait(0.01)
     assert sum(where == 10 for made in host.sends.values() for _, where in made) <= 4
 
@@ -475,9 +481,9 @@
         for attempt in range(len(host.sends[part])):
             bad = host.where(part, attempt) == 10
             hits += bad
-            host.finish(part, Outcome.ERROR if bad else Outcome.OK, attempt)
+            host.finish(part, AttemptOutcome.ERROR if bad else AttemptOutcome.OK, attempt)
             if bad and (part, attempt + 1) in host.out:
-                host.finish(part, Outcome.OK, attempt + 1)
+                host.finish(part, AttemptOutcome.OK, attempt + 1)
                 break
     assert hits <= 6
 
@@ -487,9 +493,9 @@
     host.warm_up()
     while not host.module.servers[10].ejected_for:
         part = part_of(host, host.query(0))
-        host.finish(part, Outcome.ERROR if host.where(part) == 10 else Outcome.OK)
+        host.finish(part, AttemptOutcome.ERROR if host.where(part) == 10 else AttemptOutcome.OK)
         if part not in host.ok:
-            host.finish(part, Outcome.OK, 1)
+            host.finish(part, AttemptOutcome.OK, 1)
     host.wait(2.1)
     part = part_of(host, host.query(0))
     while host.where(part) != 10:
@@ -504,7 +510,7 @@
         part = part_of(host, host.query(0))
         for attempt in range(3):
             if (part, attempt) in host.out:
-                host.finish(part, Outcome.ERROR, attempt)
+                host.finish(part, AttemptOutcome.ERROR, attempt)
         host.wait(0.1)
     assert sum(bool(s.ejected_for) for s in host.module.servers.values()) <= 2
 
@@ -531,12 +537,12 @@
 
 def test_ejection_sends_nothing_again_at_once() -> None:
     """Found at full size: each ejection called off and resent all parts out there, and doubled the load."""
-    host = Host(BASE._replace(parts_per_call=4), replicas=3)
+    host = Host(BASE._replace(max_parts_per_request=4), replicas=3)
     host.warm_up()
     host.wait(10.0)
     query = host.query(0, 0, 0, 0)
     where = host.where(part_of(host, query))
-    actions = host.finish(part_of(host, query), Outcome.ERROR)
+    actions = host.finish(part_of(host, query), AttemptOutcome.ERROR)
     assert host.module.servers[where].ejected_for
     assert [a.part for a in sends(actions)] == [part_of(host, query)]
     assert not [a for a in actions if isinstance(a, api.Cancel)]
@@ -590,7 +596,7 @@
 def test_stragglers_are_copied_though_servers_queue(missing: int, copied: int) -> None:
     """Found by hunt --scale: one answer lost of sixty, its copy held back as queueing, and the query gone.
     Where many parts are missing they are late together, and copies would only lengthen the queues."""
-    host = Host(BASE._replace(cells=20, width=3), replicas=20)
+    host = Host(BASE._replace(cell_count=20, cells_per_replica=3), replicas=20)
     parts = wide_query_of(host, 20, missing)
     host.wait(1.1)
     assert sum(len(host.sends[p]) == 2 for p in parts) == copied
@@ -600,11 +606,11 @@
     """Two seconds are nothing where the next part for that server comes after eight."""
     terms = list[float]()
     for peers in (False, True):
-        host = Host(BASE._replace(coordinators=60, may_message_peers=peers), replicas=9)
+        host = Host(BASE._replace(coordinator_count=60, gossip_allowed=peers), replicas=9)
         host.wait(10.0)
         for _ in range(10):
             bad = part_of(host, host.query(0))
-        host.finish(bad, Outcome.ERROR)
+        host.finish(bad, AttemptOutcome.ERROR)
         terms.append(host.module.servers[host.where(bad)].ejected_for)
     assert terms == [9.0, 2.0]  # nine servers, a part a second; those who would tell shorten it
 
@@ -631,64 +637,67 @@
 
 
 def test_peers_are_told_of_ejections_and_two_words_eject() -> None:
-    host = Host(BASE._replace(may_message_peers=True, coordinators=9), replicas=4)
+    host = Host(BASE._replace(gossip_allowed=True, coordinator_count=9), replicas=4)
     where = host.where(part := part_of(host, host.query(0)))
-    told = [a for a in host.finish(part, Outcome.ERROR) if isinstance(a, api.TellPeers)]
+    told = [a for a in host.finish(part, AttemptOutcome.ERROR) if isinstance(a, api.SendToPeers)]
     assert len(told) == 1 and len(told[0].payload) <= 256
-    other = Host(BASE._replace(may_message_peers=True, coordinators=9), replicas=4)
+    other = Host(BASE._replace(gossip_allowed=True, coordinator_count=9), replicas=4)
     other.wait(10.0)
-    other.feed(api.PeerMessage(1, told[0].payload))
+    other.feed(api.PeerMessageReceived(1, told[0].payload))
     assert not other.module.servers[where].ejected_for
-    actions = other.feed(api.PeerMessage(3, told[0].payload))
+    actions = other.feed(api.PeerMessageReceived(3, told[0].payload))
     assert other.module.servers[where].ejected_for
-    assert not [a for a in actions if isinstance(a, api.TellPeers)]  # hearsay is not passed on
+    assert not [a for a in actions if isinstance(a, api.SendToPeers)]  # hearsay is not passed on
     for odd in (b"", b"x", bytes(256)):
-        other.feed(api.PeerMessage(1, odd))
+        other.feed(api.PeerMessageReceived(1, odd))
 
 
 def test_a_minority_of_many_peers_ejects_no_sound_server() -> None:
     """Each of 200 co-ordinators has thin evidence; a few words are little of what all send there."""
-    host = Host(BASE._replace(may_message_peers=True, coordinators=200), replicas=3)
+    host = Host(BASE._replace(gossip_allowed=True, coordinator_count=200), replicas=3)
     host.warm_up()  # 40 parts in 6 s: the fleet sends some 530 a second to each server
     # Whatever this one knows of them has faded, and it still sends.
     for server in host.module.servers.values():
         server.badness = 0.0
     word = (10).to_bytes(8, "big")
     for peer in range(20):
-        host.feed(api.PeerMessage(peer, word))
+        host.feed(api.PeerMessageReceived(peer, word))
     assert not host.module.servers[10].ejected_for
     for peer in range(20, 199):  # most of the fleet: this is no chance
-        host.feed(api.PeerMessage(peer, word))
+        host.feed(api.PeerMessageReceived(peer, word))
     assert host.module.servers[10].ejected_for
     # A word that comes once the term is over does not double it: a trial part tells whether it is still bad.
     term = host.module.servers[10].ejected_for
     host.now += term + 0.1
-    host.feed(api.PeerMessage(1, word))
+    host.feed(api.PeerMessageReceived(1, word))
     assert host.module.servers[10].ejected_for == term and host.module.servers[10].ejected_until < host.now
 
 
 def test_a_new_process_does_not_eject_on_two_words_of_a_large_fleet() -> None:
     """Found at a rolling restart: with little sent yet, two words of 186 took a server out for six s."""
-    host = Host(BASE._replace(may_message_peers=True, coordinators=186, cells=9, width=3), replicas=9)
+    host = Host(
+        BASE._replace(gossip_allowed=True, coordinator_count=186, cell_count=9, cells_per_replica=3),
+        replicas=9,
+    )
     host.query(0)
     host.now += 0.5
     word, server = (10).to_bytes(8, "big"), host.module.servers[10]
     for peer in (1, 2, 3):
-        host.feed(api.PeerMessage(peer, word))
+        host.feed(api.PeerMessageReceived(peer, word))
     assert not server.ejected_for
     for peer in [*range(4, 186), *range(1, 186)]:
-        host.feed(api.PeerMessage(peer, word))
+        host.feed(api.PeerMessageReceived(peer, word))
     assert server.ejected_for == 2.0
 
 
 def test_an_answer_as_late_as_silence_does_not_let_a_server_back() -> None:
     """Found on a release: trials at jammed servers took 0.8 s, and the fleet was told that all was well."""
-    host = Host(BASE._replace(may_message_peers=True), replicas=3)
+    host = Host(BASE._replace(gossip_allowed=True), replicas=3)
     host.warm_up()
     host.wait(10.0)
     bad = part_of(host, host.query(0))
     where, host.log = host.where(bad), []
-    host.finish(bad, Outcome.ERROR)
+    host.finish(bad, AttemptOutcome.ERROR)
     host.finish(bad, OK, 1)
     server = host.module.servers[where]
     for late, back in ((0.5, False), (0.05, True)):
@@ -703,35 +712,37 @@
         host.finish(part)
         assert (not server.ejected_for) is back
     name = where.to_bytes(8, "big")
-    told = [a.payload for a in host.log if isinstance(a, api.TellPeers)]
+    told = [a.payload for a in host.log if isinstance(a, api.SendToPeers)]
     words = [payload[8:] for payload in told if payload.startswith(name)]
     assert words.count(b"\2") == 1 and words[-1] == b"\2"
 
 
 def test_words_keep_a_server_out_and_let_it_back() -> None:
     """Found on the full fleet: each of 200 tried each dead server by itself, at every end of a term."""
-    host = Host(BASE._replace(may_message_peers=True, coordinators=9), replicas=4)
+    host = Host(BASE._replace(gossip_allowed=True, coordinator_count=9), replicas=4)
     host.wait(10.0)
     word, server = (10).to_bytes(8, "big"), host.module.servers[10]
     for peer in (1, 2):
-        host.feed(api.PeerMessage(peer, word + b"\1"))
+        host.feed(api.PeerMessageReceived(peer, word + b"\1"))
     until, term = server.ejected_until, server.ejected_for
     host.now = until - 0.1
     for peer in (1, 2):
-        host.feed(api.PeerMessage(peer, word + b"\1"))
+        host.feed(api.PeerMessageReceived(peer, word + b"\1"))
     assert server.ejected_until > until + 1.0 and server.ejected_for == term
     for peer in (3, 4, 5, 6):
-        host.feed(api.PeerMessage(peer, word + b"\2"))
+        host.feed(api.PeerMessageReceived(peer, word + b"\2"))
     assert not server.ejected_for
     # Silent for longer than a term: it may have restarted, and is spared while another holder is left.
     assert {host.where(part_of(host, host.query(0))) for _ in range(9)} == {11, 12, 13}
-    host.members(ListKind.DELTA, *(replica(i, state=ReplicaState.GONE) for i in (11, 12, 13)))
+    host.members(MembershipUpdateKind.DELTA, *(replica(i, state=ReplicaState.GONE) for i in (11, 12, 13)))
     assert host.where(part_of(host, host.query(0))) == 10  # suspicion alone refuses nothing
 
 
 def test_a_reinstated_server_is_told_and_few_ejected_ones_are_tried_at_once() -> None:
     """A query of many parts that tries every ejected server at once waits for each."""
-    host = Host(BASE._replace(may_message_peers=True, coordinators=9, cells=8, width=2), replicas=8)
+    host = Host(
+        BASE._replace(gossip_allowed=True, coordinator_count=9, cell_count=8, cells_per_replica=2), replicas=8
+    )
     for server in host.module.servers.values():
         if server.listed.id % 2:
             server.ejected_for = server.ejected_until = 1.0
@@ -743,38 +754,40 @@
         tried += [p for p in parts if host.where(p) % 2]
         if tried:
             break
-    told = [a.payload for a in host.finish(tried[0]) if isinstance(a, api.TellPeers)]
+    told = [a.payload for a in host.finish(tried[0]) if isinstance(a, api.SendToPeers)]
     assert told == [host.where(tried[0]).to_bytes(8, "big") + b"\2"]
 
 
 def test_a_full_queue_is_not_told_as_bad_and_two_eject() -> None:
     """Found on the full fleet: a hot holder's full queue put it out everywhere, and filled the next one."""
-    host = Host(BASE._replace(may_message_peers=True, coordinators=9), replicas=3)
+    host = Host(BASE._replace(gossip_allowed=True, coordinator_count=9), replicas=3)
     first = part_of(host, host.query(0))
     where = host.where(first)
-    actions = host.finish(first, Outcome.REJECTED)
+    actions = host.finish(first, AttemptOutcome.REJECTED)
     assert not host.module.servers[where].ejected_for
-    assert not [a for a in actions if isinstance(a, api.TellPeers)]
+    assert not [a for a in actions if isinstance(a, api.SendToPeers)]
     second = next(p for p in (part_of(host, host.query(0)) for _ in range(9)) if host.where(p) == where)
-    actions = host.finish(second, Outcome.REJECTED)
+    actions = host.finish(second, AttemptOutcome.REJECTED)
     assert host.module.servers[where].ejected_for
-    assert not [a for a in actions if isinstance(a, api.TellPeers)]
+    assert not [a for a in actions if isinstance(a, api.SendToPeers)]
 
 
 def test_unreachable_servers_are_out_however_many() -> None:
     """A co-ordinator that is cut off with a third of the servers must not go on trying half of the rest."""
-    host = Host(BASE._replace(cells=6, width=3), replicas=6)
+    host = Host(BASE._replace(cell_count=6, cells_per_replica=3), replicas=6)
     for _ in range(40):
         for part in host.step_parts[host.query(0, 2, 3)]:
             if (part, 0) in host.out and host.where(part) != 10:
-                host.finish(part, Outcome.CONNECT_FAILED)
+                host.finish(part, AttemptOutcome.CONNECT_FAILED)
         host.wait(0.2)
     out = {s.listed.id for s in host.module.servers.values() if s.ejected_for}
     assert len(out) > 3, out
 
 
 def test_retries_go_before_copies_when_the_budget_is_scarce() -> None:
-    host = Host(BASE._replace(budget_free=2.0, budget_share=0.0, budget_span=60.0), replicas=4)
+    host = Host(
+        BASE._replace(retry_budget_free=2.0, retry_budget_share=0.0, retry_budget_window=60.0), replicas=4
+    )
     first = part_of(host, host.query(0))
     host.wait(1.1)
     assert len(host.sends[first]) == 2  # a copy, while more than half of the few is left
@@ -783,7 +796,7 @@
     second = part_of(host, host.query(0))
     host.wait(1.5)
     assert len(host.sends[second]) == 1  # held back
-    assert sends(host.finish(second, Outcome.RESET))  # the retry that saves the query
+    assert sends(host.finish(second, AttemptOutcome.RESET))  # the retry that saves the query
 
 
 # ---- at full size
@@ -793,7 +806,7 @@
     """Found by the bench's drill: every part was ranked against the whole fleet, and a day can be cut off."""
     steps = list[int]()
     for replicas in (12, 144):
-        host = Host(BASE._replace(cells=replicas, width=3), replicas=replicas)
+        host = Host(BASE._replace(cell_count=replicas, cells_per_replica=3), replicas=replicas)
         host.warm_up(30)
         steps.append(0)
         sys.setprofile(lambda *_: steps.__setitem__(-1, steps[-1] + 1))  # calls, not time: one verdict
@@ -805,12 +818,12 @@
 
 
 def test_holders_are_worked_out_once_a_list() -> None:
-    host = Host(BASE._replace(cells=6, width=3), replicas=12)
+    host = Host(BASE._replace(cell_count=6, cells_per_replica=3), replicas=12)
     before = host.module.held_by
     for i in range(20):
         host.query(i % 6)
     assert host.module.held_by is before
-    host.members(ListKind.DELTA, replica(10, state=ReplicaState.GONE))
+    host.members(MembershipUpdateKind.DELTA, replica(10, state=ReplicaState.GONE))
     assert host.module.held_by is not before
 
 
@@ -825,8 +838,8 @@
 
 def test_own_zone_first_until_it_is_crowded() -> None:
     """Positions mix zones; the price of crossing is saved while the own zone's servers have little out."""
-    host = Host(BASE._replace(zone=1, cells=6, width=3), replicas=0)
-    host.members(ListKind.FULL, *(replica(10 + i, cell=i, zone=i % 3) for i in range(6)))
+    host = Host(BASE._replace(zone=1, cell_count=6, cells_per_replica=3), replicas=0)
+    host.members(MembershipUpdateKind.FULL, *(replica(10 + i, cell=i, zone=i % 3) for i in range(6)))
     zones = list[list[int]]()
     for _ in range(4):
         parts = host.step_parts[host.query(0, 1, 2)]
@@ -837,13 +850,13 @@
 @pytest.mark.parametrize("coordinators", [3, 60])
 def test_many_coordinators_together_keep_a_cold_server_up(coordinators: int) -> None:
     """Each had a whole part to send at once and a floor of its own: sixty of them can push a server over."""
-    settings = BASE._replace(coordinators=coordinators, zone=9)
+    settings = BASE._replace(coordinator_count=coordinators, zone=9)
     hosts = [Host(settings, replicas=3, seed=i) for i in range(coordinators)]
     for host in hosts:
-        host.members(ListKind.DELTA, replica(10, started=host.now))
+        host.members(MembershipUpdateKind.DELTA, replica(10, started=host.now))
     sent = sum(bool(h.sends[p]) and h.where(p) == 10 for h in hosts for p in h.step_parts[h.query(0, 0)])
     ready_one = coordinators * 2 / 3
-    assert sent <= 1 + 1.5 * ready_one * settings.start_capacity
+    assert sent <= 1 + 1.5 * ready_one * settings.slow_start_capacity
     before = sum(h.module.servers[10].credit for h in hosts)
     for host in hosts:  # ten seconds of the ramp, at the floors, as nothing is answered
         for _ in range(20):
@@ -857,8 +870,8 @@
 def test_a_cold_server_gets_its_share_of_many_who_ask_seldom() -> None:
     """Found on a release under 186 co-ordinators: each saved for a whole part and then waited for a query to
     meet it, so cold servers got a third of what they could do and the ready ones were jammed."""
-    coordinators, ramp = 60, BASE.ramp_time
-    settings = BASE._replace(coordinators=coordinators, zone=9)
+    coordinators, ramp = 60, BASE.slow_start_duration
+    settings = BASE._replace(coordinator_count=coordinators, zone=9)
     hosts = [Host(settings, replicas=3, seed=i) for i in range(coordinators)]
     born = hosts[0].now + 10.0
     times = Random(1)
@@ -870,12 +883,14 @@
             if host.now >= born + ramp:
                 break
             if host.now >= born and host.states[10].started_at < born:
-                host.members(ListKind.DELTA, replica(10, started=born))
+                host.members(MembershipUpdateKind.DELTA, replica(10, started=born))
             query = host.query(0)
             (part,) = host.step_parts[query]
             if host.now >= born:
                 age, half = host.now - born, host.now >= born + ramp / 2
-                due[half] += (settings.start_capacity + (1 - settings.start_capacity) * age / ramp) / 3
+                due[half] += (
+                    settings.slow_start_capacity + (1 - settings.slow_start_capacity) * age / ramp
+                ) / 3
                 got[half] += host.where(part) == 10
             host.wait(0.05)
             host.finish(part)
@@ -892,20 +907,20 @@
     for _ in range(60):
         host.query(0)
     query = host.query(0)
-    assert isinstance(host.ended[query], api.Refuse) and not host.sends[part_of(host, query)]
+    assert isinstance(host.ended[query], api.Reject) and not host.sends[part_of(host, query)]
 
 
 def test_a_wide_query_is_refused_sooner_than_a_narrow_one() -> None:
     """At the same mean time the slowest of twelve servers misses an aim that the slowest of two meets."""
-    host = Host(BASE._replace(cells=12, width=3), replicas=12)
+    host = Host(BASE._replace(cell_count=12, cells_per_replica=3), replicas=12)
     host.warm_up(60, latency=0.9)
-    assert isinstance(host.ended[host.query(*range(12))], api.Refuse)
+    assert isinstance(host.ended[host.query(*range(12))], api.Reject)
     assert host.query(0, 1) not in host.ended
 
 
 def test_parts_that_share_calls_are_no_wider_than_their_servers() -> None:
     """Found on a quiet day: a query of 96 parts at 25 servers was refused as if it waited for 96."""
-    host = Host(BASE._replace(cells=6, width=3, parts_per_call=16), replicas=6)
+    host = Host(BASE._replace(cell_count=6, cells_per_replica=3, max_parts_per_request=16), replicas=6)
     host.warm_up(60, latency=0.55)
     assert host.query(*(i % 6 for i in range(40))) not in host.ended
 
@@ -914,7 +929,7 @@
     """Where half of the parts make a whole answer, the slower half does not decide."""
     for whole, refused in ((1.0, True), (0.5, False)):
         kind = query_class(least=whole, whole=whole)
-        host = Host(BASE._replace(classes=(kind,), cells=12, width=3), replicas=12)
+        host = Host(BASE._replace(query_classes=(kind,), cell_count=12, cells_per_replica=3), replicas=12)
         host.warm_up(60, latency=0.9)
         assert (host.query(*range(12)) in host.ended) is refused
 
@@ -923,29 +938,29 @@
     """Found on an overloaded day: after a spike all was refused with nothing out, while it was remembered."""
     host = Host(replicas=3)
     host.module.mean, host.module.outcome_at = 3.0, host.now
-    assert isinstance(host.ended[host.query(0)], api.Refuse)
+    assert isinstance(host.ended[host.query(0)], api.Reject)
     host.wait(7.0)
     assert host.query(0) not in host.ended
 
 
 def test_a_jam_of_full_queues_refuses_before_sending() -> None:
     """Full queues answer at once: without them in the mean time, a jam looked like an idle fleet."""
-    host = Host(BASE._replace(most_attempts=1), replicas=3)
+    host = Host(BASE._replace(max_attempts=1), replicas=3)
     host.warm_up()
     for _ in range(200):
         part = part_of(host, host.query(0))
         if (part, 0) in host.out:
-            host.finish(part, Outcome.REJECTED)
+            host.finish(part, AttemptOutcome.REJECTED)
         host.wait(0.01)
     query = host.query(0)
-    assert isinstance(host.ended[query], api.Refuse) and not host.sends[part_of(host, query)]
+    assert isinstance(host.ended[query], api.Reject) and not host.sends[part_of(host, query)]
 
 
 def test_a_few_queries_by_chance_are_no_excess_over_a_share() -> None:
     """Found at full size: five queries in ten seconds, times fifty co-ordinators, counted as excess."""
     refused = list[bool]()
     for count in (5, 40):
-        host = Host(BASE._replace(coordinators=50, tenant_quotas=(20.0,)), replicas=3)
+        host = Host(BASE._replace(coordinator_count=50, tenant_quotas=(20.0,)), replicas=3)
         for _ in range(count):
             query = host.query(0)
             host.finish(part_of(host, query))
@@ -997,7 +1012,7 @@
 
 def test_silence_after_a_short_pause_says_nothing_of_idle_connections() -> None:
     """Found at a quiet site: after any silence nearly every connection was shut before each send."""
-    host = Host(BASE._replace(classes=(query_class(aim=4.0, deadline=9.0),)), replicas=3)
+    host = Host(BASE._replace(query_classes=(query_class(aim=4.0, deadline=9.0),)), replicas=3)
     host.warm_up()
     for server in host.module.servers.values():
         server.used = host.now - 0.3
@@ -1054,14 +1069,14 @@
 
 
 def test_a_held_query_ends_before_its_time_is_up() -> None:
-    host = Host(BASE._replace(may_copy=False), replicas=1)
+    host = Host(BASE._replace(hedging_allowed=False), replicas=1)
     query = host.query(0, time=1.0)
     host.wait(1.0)
     assert query in host.ended
 
 
 def test_second_step() -> None:
-    host = Host(BASE._replace(classes=(query_class(second=1),)))
+    host = Host(BASE._replace(query_classes=(query_class(second=1),)))
     query = host.query(0)
     assert host.finish(part_of(host, query)).count(api.Answer(query, True)) == 1
     host.feed(*host.make_parts(query, 0, (0,)))
@@ -1070,7 +1085,7 @@
 
 
 def test_second_step_that_never_comes_still_ends() -> None:
-    host = Host(BASE._replace(classes=(query_class(second=1),)))
+    host = Host(BASE._replace(query_classes=(query_class(second=1),)))
     query = host.query(0)
     host.finish(part_of(host, query))
     host.wait(6.0)
@@ -1078,7 +1093,7 @@
 
 
 def test_short_answer_when_time_runs_out_where_the_class_allows_it() -> None:
-    host = Host(BASE._replace(classes=(query_class(least=0.5),), may_copy=False))
+    host = Host(BASE._replace(query_classes=(query_class(least=0.5),), hedging_allowed=False))
     query = host.query(0, 0)
     host.finish(part_of(host, query))
     host.wait(6.0)
@@ -1088,29 +1103,29 @@
 def ring(least: float, whole: float, late: float = 0.0, short: float = 1.0) -> Host:
     """Four shards, each held by one server only."""
     kind = query_class(least=least, whole=whole, late=late, short=short)
-    return Host(BASE._replace(classes=(kind,), cells=4, width=1), replicas=4)
+    return Host(BASE._replace(query_classes=(kind,), cell_count=4, cells_per_replica=1), replicas=4)
 
 
 @pytest.mark.parametrize(("least", "whole", "answered"), [(0.75, 0.75, 1), (0.75, 1.0, 1), (1.0, 1.0, 0)])
 def test_a_part_without_a_holder_ends_only_what_needs_it(least: float, whole: float, answered: int) -> None:
     """Found on busy days: one part without a way ended its query, though the others were enough."""
     host = ring(least, whole)
-    host.members(ListKind.DELTA, replica(13, cell=3, state=ReplicaState.GONE))
+    host.members(MembershipUpdateKind.DELTA, replica(13, cell=3, state=ReplicaState.GONE))
     query = host.query(0, 1, 2, 3)
     for part in host.step_parts[query]:
         if host.sends[part]:
             host.finish(part)
-    assert host.ended[query] == (api.Answer(query, whole < 1.0) if answered else api.Refuse(query, 0.005))
+    assert host.ended[query] == (api.Answer(query, whole < 1.0) if answered else api.Reject(query, 0.005))
 
 
 def test_a_failed_part_without_a_way_left_is_done_without() -> None:
     host = ring(0.75, 1.0)
     query = host.query(0, 1, 2, 3)
-    host.finish(part_of(host, query, 3), Outcome.ERROR)
-    host.members(ListKind.DELTA, replica(13, cell=3, state=ReplicaState.GONE))
+    host.finish(part_of(host, query, 3), AttemptOutcome.ERROR)
+    host.members(MembershipUpdateKind.DELTA, replica(13, cell=3, state=ReplicaState.GONE))
     part = part_of(host, query, 3)
     if (part, 1) in host.out:
-        host.finish(part, Outcome.ERROR, 1)
+        host.finish(part, AttemptOutcome.ERROR, 1)
     for index in range(3):
         host.finish(part_of(host, query, index))
     assert host.ended[query] == api.Answer(query, False)
@@ -1130,7 +1145,7 @@
 
 
 def test_enough_parts_make_a_whole_answer() -> None:
-    host = Host(BASE._replace(classes=(query_class(least=0.5, whole=0.5),)))
+    host = Host(BASE._replace(query_classes=(query_class(least=0.5, whole=0.5),)))
     query = host.query(0, 0)
     assert api.Answer(query, True) in host.finish(part_of(host, query))
 
@@ -1143,17 +1158,17 @@
     query = host.query(0)
     part = part_of(host, query)
     host.finish(part)
-    over = api.AttemptEnded(part, 0, 10, Outcome.OK, 0.1)
+    over = api.AttemptEnded(part, 0, 10, AttemptOutcome.OK, 0.1)
     assert (
         host.feed(
             over,
             over,
-            api.AttemptEnded(999, 3, 77, Outcome.ERROR, 0.1),
-            api.QueryExpired(query),
-            api.QueryExpired(12345),
+            api.AttemptEnded(999, 3, 77, AttemptOutcome.ERROR, 0.1),
+            api.QueryAbandoned(query),
+            api.QueryAbandoned(12345),
             api.TimerFired(987654),
-            api.PeerMessage(1, b"hello"),
-            api.ProbeEnded(99, Outcome.OK, 0.1, ()),
+            api.PeerMessageReceived(1, b"hello"),
+            api.HealthCheckEnded(99, AttemptOutcome.OK, 0.1, ()),
             api.PartArrived(4321, 99, 0, 1.0),
         )
         == []
@@ -1164,7 +1179,7 @@
     host = Host()
     query = host.query(0)
     host.ended[query] = api.Fail(query)  # the client has left: any answer now would be a second end
-    assert not sends(host.feed(api.QueryExpired(query)))
+    assert not sends(host.feed(api.QueryAbandoned(query)))
     host.wait(10.0)
 
 
@@ -1172,7 +1187,7 @@
 
 SCRIPT = """
 from hosts import BASE, Host
-host = Host(BASE._replace(cells=4, width=3, must_ask_membership=True), replicas=8, seed=5)
+host = Host(BASE._replace(cell_count=4, cells_per_replica=3, membership_polled=True), replicas=8, seed=5)
 host.warm_up(30)
 for i in range(40):
     host.query(i % 4, (i + 1) % 4)
@@ -1223,7 +1238,7 @@
         host.wait(20.0)
         assert set(host.ended) >= {answered, left}
         for part, attempt in list(host.out):
-            host.finish(part, Outcome.TIMED_OUT, attempt)
+            host.finish(part, AttemptOutcome.TIMED_OUT, attempt)
         assert [ref() for ref in over] == [None, None]
     finally:
         gc.enable()
--- a/tests/test_recorded_decisions.py
+++ b/tests/test_recorded_decisions.py
@@ -3,7 +3,8 @@
 Each recording holds the batches that a simulated host gave to one co-ordinator, the actions that came back,
 and how far its random numbers were consumed. What decisions do not depend on, names and texts, is in none.
 
-Measured with coverage.py, by branch: the recordings take every line and branch of `policy.py` and `shares.py`
+Measured with coverage.py, by branch: the recordings take every line and branch of `decisions/engine.py` and
+`decisions/completeness.py`
 but the body of `_Ranked.extend`, which only tests call.
 """
 
@@ -24,13 +25,13 @@
 FEWEST_RECORDINGS, FEWEST_BATCHES, FEWEST_ACTIONS = 35, 20_000, 40_000
 # Of the host's words on endings, none is the module's to say.
 HOST_REASONS: set[Enum] = {
-    api.EndReason.SHUTDOWN,
-    api.EndReason.CLIENT_LEFT,
-    api.EndReason.NOT_COVERED,
-    api.EndReason.INTERNAL,
-    api.EndReason.UNSTATED,
+    api.QueryEndReason.SHUTDOWN,
+    api.QueryEndReason.CLIENT_DISCONNECTED,
+    api.QueryEndReason.COVERAGE_CHECK_FAILED,
+    api.QueryEndReason.INTERNAL,
+    api.QueryEndReason.UNSTATED,
 }
-NEVER_SAID: set[type] = {api.Remark}  # by the decision module
+NEVER_SAID: set[type] = {api.LogMessage}  # by the decision module
 
 
 @cache
@@ -97,7 +98,7 @@
 
 
 def test_each_recording_has_decisions_and_ends() -> None:
-    ends = {TYPES.index(kind) for kind in (api.Answer, api.Refuse, api.Fail)}
+    ends = {TYPES.index(kind) for kind in (api.Answer, api.Reject, api.Fail)}
     for name in NAMES:
         said = {action[0] for batch in recording(name).batches for action in batch.actions}
         assert TYPES.index(api.Send) in said and said & ends, name
--- a/tests/test_recorded_driver.py
+++ b/tests/test_recorded_driver.py
@@ -1,4 +1,4 @@
-"""The query driver gives, batch by batch and bit by bit, what was recorded (`recordings/record_driver.py`)."""
+"""The query driver gives, bit by bit, what was recorded (`recordings/record_driver.py`)."""
 
 from __future__ import annotations
 
@@ -19,17 +19,24 @@
 
 # What the recordings hold at least; an emptied or missing fixture falls short of it.
 LEAST_RECORDINGS, LEAST_BATCHES, LEAST_TOOL_CALLS = 39, 8000, 2000
-LEAST_INPUTS = {t.Arrived: 1200, t.Ended: 2000, t.Left: 40, t.Listed: 50, t.Shutdown: 4, t.Heard: 24}
+LEAST_INPUTS = {
+    t.QuerySubmitted: 1200,
+    t.AttemptFinished: 2000,
+    t.ClientDisconnected: 40,
+    t.EndpointsUpdated: 50,
+    t.Shutdown: 4,
+    t.PeerMessageReceived: 24,
+}
 LEAST_EFFECTS = {
-    t.Start: 2000,
-    t.CallOff: 2000,
-    t.Withdraw: 250,
-    t.DropIdle: 30,
-    t.Settle: 1100,
-    t.Note: 1,
-    t.HealthChanged: 100,
-    t.Subscribe: 5,
-    t.Tell: 8,
+    t.StartRequest: 2000,
+    t.CancelRequest: 2000,
+    t.AbandonAttempt: 250,
+    t.CloseIdleConnections: 30,
+    t.CompleteQuery: 1100,
+    t.LogMessage: 1,
+    t.ReplicaHealthChanged: 100,
+    t.WatchMembership: 5,
+    t.SendToPeers: 8,
 }
 
 
@@ -89,13 +96,13 @@
     for kind, least in LEAST_EFFECTS.items():
         assert effects[codec.type_index(kind)] >= least, kind
     assert effects[codec.RAISED], "a step that broke"
-    for enumeration in (t.Verdict, api.Outcome):
+    for enumeration in (t.QueryStatus, api.AttemptOutcome):
         for member in enumeration:
             _, kind_index, ordinal = codec.encode_member(member)
             assert members[kind_index, ordinal], member
-    reasons = {codec.encode_member(reason)[2] for reason in api.EndReason}
-    never = {codec.encode_member(api.EndReason.INTERNAL)[2]}  # given by `core` alone
-    found = {ordinal for kind, ordinal in members if codec.ENUMERATIONS[kind] is api.EndReason}
+    reasons = {codec.encode_member(reason)[2] for reason in api.QueryEndReason}
+    never = {codec.encode_member(api.QueryEndReason.INTERNAL)[2]}  # given by `core` alone
+    found = {ordinal for kind, ordinal in members if codec.ENUMERATIONS[kind] is api.QueryEndReason}
     assert found == reasons - never
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -12,7 +12,7 @@
     query_class,
     aim=st.sampled_from([0.5, 2.0]),
     deadline=st.sampled_from([3.0, 6.0]),
-    semantics=st.sampled_from(list(api.Semantics)),
+    semantics=st.sampled_from(list(api.RetrySafety)),
     window=st.just(1.5),
     second=st.sampled_from([0, 0, 2]),
     least=st.sampled_from([0.5, 0.75, 1.0]),
@@ -22,17 +22,17 @@
 )
 SETTINGS = st.builds(
     lambda first, second, copies, cancels, budget, batch, cells, ask, many: BASE._replace(
-        coordinators=many,
-        classes=(first, second),
-        may_copy=copies,
-        may_cancel=cancels,
-        cells=cells,
-        width=min(2, cells),
-        parts_per_call=batch,
-        must_ask_membership=ask,
-        budget_free=2.0 if budget else None,
-        budget_share=0.2 if budget else None,
-        budget_span=budget,
+        coordinator_count=many,
+        query_classes=(first, second),
+        hedging_allowed=copies,
+        cancellation_allowed=cancels,
+        cell_count=cells,
+        cells_per_replica=min(2, cells),
+        max_parts_per_request=batch,
+        membership_polled=ask,
+        retry_budget_free=2.0 if budget else None,
+        retry_budget_share=0.2 if budget else None,
+        retry_budget_window=budget,
     ),
     CLASSES,
     CLASSES,
@@ -48,33 +48,35 @@
     st.tuples(
         st.sampled_from(["query", "end", "end", "end", "wait", "stall", "member", "fail list"]),
         st.integers(0, 9999),
-        st.sampled_from(list(api.Outcome)),
+        st.sampled_from(list(api.AttemptOutcome)),
     ),
     min_size=20,
     max_size=120,
 )
 
 
-def play(settings: api.Settings, steps: list[tuple[str, int, api.Outcome]]) -> Host:
-    host = Host(settings, replicas=2 * settings.cells)
+def play(settings: api.Settings, steps: list[tuple[str, int, api.AttemptOutcome]]) -> Host:
+    host = Host(settings, replicas=2 * settings.cell_count)
     for what, n, outcome in steps:
         if what == "query":
-            host.query(*(i % settings.cells for i in range(n % 4 + 1)), query_class=n % 2, time=1.0 + n % 3)
+            host.query(
+                *(i % settings.cell_count for i in range(n % 4 + 1)), query_class=n % 2, time=1.0 + n % 3
+            )
         elif what == "end" and host.out:
             part, attempt = sorted(host.out)[n % len(host.out)]
-            if outcome is not api.Outcome.CANCELLED or (part, attempt) in host.cancelled:
+            if outcome is not api.AttemptOutcome.CANCELLED or (part, attempt) in host.cancelled:
                 host.finish(part, outcome, attempt)
         elif what == "wait":
             host.wait(n % 50 / 20)
         elif what == "stall":
             host.stall(n % 60 / 20)
         elif what == "member":
-            number = 10 + n % (2 * settings.cells)
+            number = 10 + n % (2 * settings.cell_count)
             state = list(api.ReplicaState)[n % 3]
             row = replica(number, host.states[number].cell, number, state, host.now if n % 2 else 0.0)
-            host.members(api.ListKind.DELTA, row)
-        elif what == "fail list" and settings.must_ask_membership:
-            host.members(api.ListKind.FAILED)
+            host.members(api.MembershipUpdateKind.DELTA, row)
+        elif what == "fail list" and settings.membership_polled:
+            host.members(api.MembershipUpdateKind.FAILED)
         feed_second_steps(host)
     host.wait(20.0)
     return host
@@ -89,11 +91,13 @@
 
 
 @given(SETTINGS, STEPS)
-def test_no_rule_is_broken(settings: api.Settings, steps: list[tuple[str, int, api.Outcome]]) -> None:
+def test_no_rule_is_broken(settings: api.Settings, steps: list[tuple[str, int, api.AttemptOutcome]]) -> None:
     host = play(settings, steps)
     assert set(host.ended) == set(host.classes), "a query got no final answer"
 
 
 @given(SETTINGS, STEPS)
-def test_same_events_same_actions(settings: api.Settings, steps: list[tuple[str, int, api.Outcome]]) -> None:
+def test_same_events_same_actions(
+    settings: api.Settings, steps: list[tuple[str, int, api.AttemptOutcome]]
+) -> None:
     assert play(settings, steps).log == play(settings, steps).log
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -9,8 +9,8 @@
 import pytest
 
 from gingervane import interface as api
-from gingervane.daemon import settings
-from gingervane.membership.listfile import ListError, parse
+from gingervane.settings import daemon_settings
+from gingervane.membership.endpoint_file import ListError, parse
 from gingervane.membership.view import Member, View
 
 GOOD = """
@@ -34,19 +34,19 @@
 def faults(text: str, tmp_path: Path) -> list[str]:
     path = tmp_path / "c.toml"
     path.write_text(text)
-    with pytest.raises(settings.SettingsError) as caught:
-        settings.load(path)
+    with pytest.raises(daemon_settings.SettingsError) as caught:
+        daemon_settings.load(path)
     return [line.removeprefix(f"{path}: ") for line in str(caught.value).splitlines()]
 
 
 def test_good_settings(tmp_path: Path) -> None:
     path = tmp_path / "c.toml"
     path.write_text(GOOD)
-    config = settings.load(path)
+    config = daemon_settings.load(path)
     assert config.membership.file == tmp_path / "servers.toml"
     told = config.module_settings()
-    assert told.zone == 1 and [c.least_share for c in told.classes] == [1.0, 0.5, 1e-6]
-    assert all(c.whole_share == 1.0 for c in told.classes)
+    assert told.zone == 1 and [c.required_coverage for c in told.query_classes] == [1.0, 0.5, 1e-6]
+    assert all(c.complete_coverage == 1.0 for c in told.query_classes)
 
 
 def test_all_faults_at_once(tmp_path: Path) -> None:
@@ -128,7 +128,7 @@
     def started(now: float, *members: Member) -> dict[int, float]:
         listed = view.take(members, now)
         assert listed is not None
-        return {r.id: r.started_at for r in listed.event.replicas}
+        return {r.id: r.started_at for r in listed.membership.replicas}
 
     gone = api.ReplicaState.GONE
     assert started(10.0, member(1), member(2, started=4.0)) == {1: 0.0, 2: 4.0}
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from gingervane import interface as api
-from gingervane.coordinator.starts import LISTING_LAG, StartClock
+from gingervane.coordinator.replica_start_times import LISTING_LAG, ReplicaStartTimes
 from gingervane.membership.view import Member, View
 
 HOUR = 3600.0
@@ -18,7 +18,7 @@
 
     def __init__(self, ahead: float = 0.0) -> None:
         self.now, self.ahead = 1000.0, ahead
-        self.starts = StartClock(lambda: self.now, lambda: 1e9 + self.now + self.ahead)
+        self.starts = ReplicaStartTimes(lambda: self.now, lambda: 1e9 + self.now + self.ahead)
 
     def told(self, cached: bool = False, **starts: float) -> dict[str, float]:
         """Places of starts that are given on the monotonic clock."""
@@ -119,7 +119,7 @@
     view.take((old,), 1000.0)
     for told, now, placed in ((-2600.0, 1050.0, 1050.0), (4700.0, 1060.0, 1060.0), (1058.0, 1061.0, 1058.0)):
         listed = view.take((old._replace(started_at=told),), now)
-        assert listed and listed.event.replicas[0].started_at == placed
+        assert listed and listed.membership.replicas[0].started_at == placed
     new = old._replace(id=2, started_at=200.0)
     listed = view.take((old, new), 1070.0)
-    assert listed and listed.event.replicas[1].started_at == 200.0, "listed late, and warm"
+    assert listed and listed.membership.replicas[1].started_at == 200.0, "listed late, and warm"
--- a/tests/test_stored_files.py
+++ b/tests/test_stored_files.py
@@ -1,6 +1,6 @@
 """Files that an earlier version left behind (`tests/stored/`) are read to the values that it had written.
 
-Each test works on a copy. Values are compared by position, so that a field may be renamed but not moved. Where the
+Each test works on a copy. Values are compared by position: a field may be renamed but not moved. Where the
 program goes on writing to what it has read, that is done too, and all of it is read once more.
 """
 
@@ -19,17 +19,18 @@
 
 from gingervane import interface as api
 from gingervane.audit import effects, records, rules
-from gingervane.coordinator import clock, intent_log
-from gingervane.coordinator.intent_log import IntentLog
-from gingervane.coordinator.intents import Do, Entry, Intents, Limits, State
-from gingervane.lab.figures import compare, table
-from gingervane.lab.store import Run, RunStore
-from gingervane.membership import listfile
-from gingervane.membership.durable import Snapshot
-from gingervane.membership.merge import Fence, Merge
-from gingervane.membership.store import NewerVersion
+from gingervane.coordinator import boot_clock
+from gingervane.writes import write_ahead_log
+from gingervane.writes.write_ahead_log import WriteAheadLog
+from gingervane.writes.idempotency import Do, IdempotencyRecord, IdempotencyRecords, Limits, State
+from gingervane.experiments.figures import compare, table
+from gingervane.experiments.store import Run, RunStore
+from gingervane.membership import endpoint_file
+from gingervane.membership.snapshot import Snapshot
+from gingervane.membership.reconciliation import MassRemovalGuard, Reconciliation
+from gingervane.membership.atomic_file import NewerVersion
 from gingervane.membership.view import Member, View
-from gingervane.wire.tap import Tap
+from gingervane.wire.socket_recorder import SocketRecorder
 
 STORED = Path(__file__).parent / "stored"
 
@@ -51,8 +52,8 @@
 @pytest.fixture
 def same_boot(monkeypatch: pytest.MonkeyPatch) -> None:
     """The machine has not been restarted since the fixtures were written: 90 s ago by the boot's clock."""
-    monkeypatch.setattr(clock, "boot_id", lambda: BOOT)
-    monkeypatch.setattr(clock, "seconds", lambda: BOOT_SECONDS + 90.0)
+    monkeypatch.setattr(boot_clock, "boot_id", lambda: BOOT)
+    monkeypatch.setattr(boot_clock, "seconds", lambda: BOOT_SECONDS + 90.0)
 
 
 # ---- the membership snapshot
@@ -182,7 +183,7 @@
 def test_a_snapshot_of_another_boot_is_dated_by_the_wall_clock(
     stored: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(clock, "boot_id", lambda: "another boot")
+    monkeypatch.setattr(boot_clock, "boot_id", lambda: "another boot")
     monkeypatch.setattr(time, "time", lambda: UNIX + 30.0)
     snapshot = Snapshot(stored / "membership" / "snapshot-v3", OFFSET + 2.0, 3, 4)
     kept = snapshot.load()
@@ -205,7 +206,7 @@
     assert plain(members) == [(*row[:7], 0) for row in MEMBERS] and (age, offset) == (30.0, OFFSET)
     assert view is None and (merge is None) == (version == 1)
     if merge is not None:
-        restored = Merge(("consul", "file"), Fence())
+        restored = Reconciliation(("consul", "file"), MassRemovalGuard())
         restored.restore(merge, 1000.0, 0.0)
         state = as_json(restored.dump(1000.0))
         assert state["servers"]["1"]["entries"]["consul"] == [
@@ -223,7 +224,7 @@
     snapshot = Snapshot(stored / "membership" / "snapshot-v3", 77.0, 3, 4)
     kept = snapshot.load()
     assert kept is not None and kept[3] is not None and kept[4] is not None
-    merge, view = Merge(("consul", "file"), Fence()), View()
+    merge, view = Reconciliation(("consul", "file"), MassRemovalGuard()), View()
     merge.restore(kept[3], 1000.0, 0.0)
     view.restore(kept[4], kept[0], OFFSET)
     assert as_json(merge.dump(1000.0)) == MERGE_STATE and view.dump(OFFSET) == VIEW_STATE
@@ -254,7 +255,7 @@
     stored: Path, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """An earlier version that is put back reads what a later one has written."""
-    monkeypatch.setattr(clock, "moment", lambda: (BOOT, BOOT_SECONDS))
+    monkeypatch.setattr(boot_clock, "moment", lambda: (BOOT, BOOT_SECONDS))
     monkeypatch.setattr(time, "time", lambda: UNIX)
     members = made(MEMBERS)
     snapshot = Snapshot(tmp_path / "new", OFFSET, 3, 4)
@@ -281,7 +282,7 @@
 
 def test_the_list_file_is_read_to_the_same_members(stored: Path) -> None:
     text = (stored / "membership" / "servers.toml").read_text()
-    nodes, coordinators = listfile.parse(text, ("hall-a", "hall-b"), 4, OFFSET, 2)
+    nodes, coordinators = endpoint_file.parse(text, ("hall-a", "hall-b"), 4, OFFSET, 2)
     assert plain(nodes) == [
         (1, "grid1", ("127.0.0.1", 9001), 0, 0, "ready", 512.5, 0),
         (2, "2", ("::1", 9002), 1, 3, "draining", None, 0),
@@ -301,13 +302,13 @@
 }
 
 
-def by_position(entries: dict[str, Entry]) -> dict[str, tuple[Any, ...]]:
+def by_position(entries: dict[str, IdempotencyRecord]) -> dict[str, tuple[Any, ...]]:
     return {key: (entry[0].value, *entry[1:]) for key, entry in entries.items()}
 
 
-def opened(folder: Path) -> Iterator[tuple[IntentLog, Any]]:
+def opened(folder: Path) -> Iterator[tuple[WriteAheadLog, Any]]:
     """The log and what its start has read; closed afterwards."""
-    log = IntentLog(folder, 3600.0, lambda: 4_100.0)
+    log = WriteAheadLog(folder, 3600.0, lambda: 4_100.0)
     yield log, log.recover()
     log.close()
 
@@ -317,8 +318,8 @@
     for log, (entries, faults, count) in opened(folder):
         assert by_position(entries) == INTENTS and list(entries) == list(INTENTS)
         assert faults == [] and count == 6
-        log.intend("cos/new", Entry(State.OPEN, "55aa", 105, 4_090.0, 4_090.0))
-        log.note("cos/plain", Entry(State.DONE, "00ff", 101, 4_000.25, 4_091.0, {"share": 1.0}))
+        log.intend("cos/new", IdempotencyRecord(State.OPEN, "55aa", 105, 4_090.0, 4_090.0))
+        log.note("cos/plain", IdempotencyRecord(State.DONE, "00ff", 101, 4_000.25, 4_091.0, {"share": 1.0}))
     assert [path.name for path in sorted(folder.iterdir())] == [
         "intents-00000001.log",
         "intents-00000002.log",
@@ -343,7 +344,7 @@
 def test_intents_of_another_boot_are_out_of_their_window(
     stored: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(clock, "boot_id", lambda: "another boot")
+    monkeypatch.setattr(boot_clock, "boot_id", lambda: "another boot")
     for _, (entries, faults, _) in opened(stored / "intents"):
         assert faults == []
         assert by_position(entries) == {
@@ -353,7 +354,7 @@
 
 def test_what_a_restart_makes_of_the_kept_intents(stored: Path, same_boot: None) -> None:
     """Done: the same answer again. Idle: as new, its version kept. Open or unknown: may have run."""
-    known = Intents(Limits(window=10.0, margin=0.5, keep=3600.0))
+    known = IdempotencyRecords(Limits(window=10.0, margin=0.5, keep=3600.0))
     for _, (entries, _, _) in opened(stored / "intents"):
         for key, entry in entries.items():
             known.restore(key, entry)
@@ -366,8 +367,9 @@
 
 def test_the_same_intents_are_written_to_the_same_bytes(stored: Path) -> None:
     """An earlier version that is put back reads what a later one has written."""
-    written = intent_log.boot_record(BOOT) + b"".join(
-        intent_log.pack(key, Entry(State(row[0]), *row[1:])) for key, row in list(INTENTS.items())[2:]
+    written = write_ahead_log.boot_record(BOOT) + b"".join(
+        write_ahead_log.pack(key, IdempotencyRecord(State(row[0]), *row[1:]))
+        for key, row in list(INTENTS.items())[2:]
     )
     assert written == (stored / "intents" / "intents-00000002.log").read_bytes()
 
@@ -529,7 +531,7 @@
     path = stored / "day" / "tap-0.jsonl"
     before = path.read_text()
     monkeypatch.setattr(time, "monotonic", lambda: 11.5)
-    tap = Tap()
+    tap = SocketRecorder()
     tap.open(path)
     tap.put("call", 40001, 9001, b"\x00\xff", more=[1])
     assert path.read_text() == before + (
--- a/tests/test_telemetry.py
+++ b/tests/test_telemetry.py
@@ -12,8 +12,8 @@
 import pytest
 
 from gingervane import interface as api
-from gingervane.node import telemetry as module
-from gingervane.node.telemetry import BURST, MOST_WAITING, Counters, Limiter, Telemetry
+from gingervane.telemetry import node_telemetry as module
+from gingervane.telemetry.node_telemetry import BURST, MOST_WAITING, Counters, Limiter, Telemetry
 from platform_standins import PATIENCE, Platform, Replica, read_until, start_node, until
 
 ROOT = Path(__file__).parents[1]
@@ -44,7 +44,7 @@
     written: tuple[Telemetry, Lines],
 ) -> None:
     log, stream = written
-    why = api.EndReason.PARTS_LOST
+    why = api.QueryEndReason.PARTS_LOST
     log.info("query_settled", request='a b="c"\n', reason=why, seconds=0.25, whole=True)
     until(stream.lines, "a line")
     (line,) = stream.lines()
@@ -115,7 +115,7 @@
     written: tuple[Telemetry, Lines],
 ) -> None:
     log, stream = written
-    log.counters.add("queries_failed", api.EndReason.PARTS_LOST, 2)
+    log.counters.add("queries_failed", api.QueryEndReason.PARTS_LOST, 2)
     log.counters.add("queries_failed", "other")
     log.dump()
     log.dump()
