--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -22,18 +22,18 @@
 from faults.plans import draw
 from faults.rig import play, shim
 from gingervane import interface as api
-from gingervane.coordinator import clock
+from gingervane.coordinator import boot_clock
 from gingervane.coordinator import types as t
 from gingervane.coordinator.driver import Driver
-from gingervane.coordinator.intents import Do, Intents, Limits, State
+from gingervane.writes.idempotency import Do, IdempotencyRecords, Limits, State
 from gingervane.fronts import connections as connections_module
 from gingervane.fronts.http_server import Exchange, Handler, HttpServer, Reply, ServerLimits, plain
-from gingervane.fronts.leaves import RemoteReadExchange
-from gingervane.interface import Outcome
-from gingervane.node.link import FrameTravel, Link, LinkEnd, LinkEnded, LinkLimits
-from gingervane.node.links import Links
-from gingervane.policy import Coordinator
-from gingervane.wire import local
+from gingervane.fronts.leaf_codec import RemoteReadExchange
+from gingervane.interface import AttemptOutcome
+from gingervane.node.replica_connection import FrameTravel, ReplicaConnection, LinkEnd, LinkEnded, LinkLimits
+from gingervane.node.replica_connections import ReplicaConnections
+from gingervane.decisions.engine import DecisionEngine
+from gingervane.wire import local_failures
 from gingervane.wire.frames import Asked
 from gingervane.wire.http1 import Request
 from hosts import BASE, query_class, replica
@@ -47,58 +47,64 @@
 
 def test_parts_of_one_call_are_each_told_their_own_time(tmp_path: Path) -> None:
     """One batch sends the parts of two queries to one replica: the one with 1.2 s left had it told 7.89 s."""
-    config = BASE._replace(classes=(query_class(aim=2.0, deadline=8.0),), coordinators=1, parts_per_call=8)
-    driver = Driver(Coordinator(config, 5), config)
+    config = BASE._replace(
+        query_classes=(query_class(aim=2.0, deadline=8.0),), coordinator_count=1, max_parts_per_request=8
+    )
+    driver = Driver(DecisionEngine(config, 5), config)
     driver.step(
         10.0,
         [
-            t.Listed(
-                api.MembershipChanged(api.ListKind.FULL, (replica(1),)),
+            t.EndpointsUpdated(
+                api.MembershipChanged(api.MembershipUpdateKind.FULL, (replica(1),)),
                 {1: ("127.0.0.1", 1)},
             )
         ],
     )
     travel = FrameTravel()
 
-    def arrived(number: int, left: float) -> t.Arrived:
+    def arrived(number: int, left: float) -> t.QuerySubmitted:
         part = t.PartPlan(0, 1.0, Asked(f"q{number}.0", 0, "", b"x"))
-        return t.Arrived(number, t.QueryPlan(0, 10.0 + left, (part,), travel), lambda final: None)
+        return t.QuerySubmitted(number, t.QueryPlan(0, 10.0 + left, (part,), travel), lambda final: None)
 
     effects = driver.step(10.0, [arrived(1, 1.2), arrived(2, 7.9)])
-    (call,) = [effect.call for effect in effects if isinstance(effect, t.Start)]
-    left = call.seconds_left(call.errands, 10.05)
-    data = travel.write([errand.content for errand in call.errands], left, call.address)
+    (call,) = [effect.request for effect in effects if isinstance(effect, t.StartRequest)]
+    left = call.seconds_left(call.attempts, 10.05)
+    data = travel.encode([errand.content for errand in call.attempts], left, call.address)
     told = {name: int(wait) for name, wait in re.findall(rb"(q[12])\.0 0 d=(\d+) ", data)}
     assert 1000 <= told[b"q1"] <= 1150 and 7000 <= told[b"q2"] <= 7850
 
 
 def test_a_request_with_one_time_for_all_its_parts_is_told_the_least() -> None:
     exchange = RemoteReadExchange("tile", 1 << 20)
-    head = exchange.write([], [7.9, 1.2], ("127.0.0.1", 1)).split(b"\r\n\r\n")[0]
+    head = exchange.encode([], [7.9, 1.2], ("127.0.0.1", 1)).split(b"\r\n\r\n")[0]
     assert b"Gingervane-Timeout-Ms: 1200" in head
 
 
-def a_call(replica: Replica, name: str, text: bytes, attempt: int = 0) -> t.Call:
+def a_call(replica: Replica, name: str, text: bytes, attempt: int = 0) -> t.BatchRequest:
     stop_at = time.monotonic() + PATIENCE
-    errand = t.Errand(1, attempt, Asked(f"{name}.0", 0, "", text), api.Semantics.SAFE, stop_at)
-    call = t.Call(1, 1, ("127.0.0.1", replica.port), FrameTravel(), [errand], stop_at, live=1)
+    errand = t.AttemptRequest(
+        1, attempt, Asked(f"{name}.0", 0, "", text), api.RetrySafety.IDEMPOTENT, stop_at
+    )
+    call = t.BatchRequest(
+        1, 1, ("127.0.0.1", replica.port), FrameTravel(), [errand], stop_at, open_attempts=1
+    )
     call.decided_at = time.monotonic()
     return call
 
 
-def reports_to(told: Waiter) -> Callable[[list[t.Ended]], None]:
-    def report(endings: list[t.Ended]) -> None:
+def reports_to(told: Waiter) -> Callable[[list[t.AttemptFinished]], None]:
+    def report(endings: list[t.AttemptFinished]) -> None:
         for each in endings:
             told.put(each)
 
     return report
 
 
-def tended(links: Links, true: Callable[[], object]) -> Callable[[], object]:
+def tended(links: ReplicaConnections, true: Callable[[], object]) -> Callable[[], object]:
     """A state that comes about as the decision thread takes its turns."""
 
     def check() -> object:
-        links.tend()
+        links.maintain()
         return true()
 
     return check
@@ -109,15 +115,15 @@
     there = Replica(0)
     there.reading.clear()
     told = Waiter()
-    links = Links(LIMITS, reports_to(told))
+    links = ReplicaConnections(LIMITS, reports_to(told))
     call = a_call(there, "big", b"x" * (8 << 20))
     assert links.start(call)
     (link,) = links._by_number.values()
     until(tended(links, lambda: link._rest), "half a frame")
-    until(lambda: time.monotonic() - link._encoded_at > t.HAND_OVER, "its time to pass")
+    until(lambda: time.monotonic() - link._encoded_at > t.MAX_SEND_DELAY, "its time to pass")
     there.reading.set()  # takes bytes again
     until(tended(links, lambda: told.items), "its ending")
-    assert told.items[0].outcome is Outcome.CONNECT_FAILED and not there.parts.items
+    assert told.items[0].outcome is AttemptOutcome.CONNECT_FAILED and not there.parts.items
     links.close()
     there.close()
 
@@ -266,7 +272,7 @@
     """A registration that failed on the decision thread ended it, and with it all queries."""
     platform = Platform(tmp_path)
     links = platform.node.core._senders
-    assert isinstance(links, Links)
+    assert isinstance(links, ReplicaConnections)
     poll = FailingPoll(links._poll)
     links._poll = poll  # type: ignore[assignment]
     poll.fail[call] = 1
@@ -280,16 +286,16 @@
     tmp_path: Path,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    def came_up(self: Link) -> None:
+    def came_up(self: ReplicaConnection) -> None:
         raise ValueError("a bug")
 
     ended: list[LinkEnded] = []
     told = Waiter()
     there = Replica(0)
-    monkeypatch.setattr(Link, "_came_up", came_up)
-    links = Links(LIMITS, reports_to(told), on_end=ended.append)
+    monkeypatch.setattr(ReplicaConnection, "_came_up", came_up)
+    links = ReplicaConnections(LIMITS, reports_to(told), on_end=ended.append)
     assert links.start(a_call(there, "q", b"x"))
-    assert told.wait()[0].outcome is Outcome.CONNECT_FAILED and ended[0].reason is LinkEnd.INTERNAL
+    assert told.wait()[0].outcome is AttemptOutcome.CONNECT_FAILED and ended[0].reason is LinkEnd.INTERNAL
     links.close()
     there.close()
 
@@ -363,7 +369,7 @@
 def test_an_error_of_this_machine_is_not_a_client_s_end(monkeypatch: pytest.MonkeyPatch) -> None:
     near, far = socket.socketpair()
     near.setblocking(False)
-    monkeypatch.setattr(connections_module, "is_passing", local.is_passing)
+    monkeypatch.setattr(connections_module, "is_passing", local_failures.is_passing)
     far.sendall(b"x")
     real = socket.socket.recv
 
@@ -417,12 +423,12 @@
             raise OSError(failures.pop(), "for a moment")
         return "made"
 
-    assert local.patiently(make) == "made"
+    assert local_failures.patiently(make) == "made"
     with pytest.raises(OSError, match="in use"):
-        local.patiently(lambda: (_ for _ in ()).throw(OSError(errno.EADDRINUSE, "in use")))
-    monkeypatch.setattr(local, "START_PATIENCE", 0.05)
+        local_failures.patiently(lambda: (_ for _ in ()).throw(OSError(errno.EADDRINUSE, "in use")))
+    monkeypatch.setattr(local_failures, "START_PATIENCE", 0.05)
     with pytest.raises(OSError, match="for good"):
-        local.patiently(lambda: (_ for _ in ()).throw(OSError(errno.ENOMEM, "for good")))
+        local_failures.patiently(lambda: (_ for _ in ()).throw(OSError(errno.ENOMEM, "for good")))
 
 
 # ---- real processes, with system calls that fail and a wall clock that is stepped
@@ -443,18 +449,21 @@
 @pytest.mark.parametrize("step", [3600.0, -3600.0])
 def test_a_key_s_window_is_a_span_of_real_time(monkeypatch: pytest.MonkeyPatch, step: float) -> None:
     """By the wall clock a step forward ended a window early; one back let a key be sent again after it."""
-    intents = Intents(Limits(window=10.0, margin=0.5, keep=3600.0))
-    now = clock.seconds()
+    intents = IdempotencyRecords(Limits(window=10.0, margin=0.5, keep=3600.0))
+    now = boot_clock.seconds()
     assert intents.begin("k", "d", 1, now).do is Do.SEND
     intents.end("k", State.UNKNOWN, now)
     real = time.time
     monkeypatch.setattr(time, "time", lambda: real() + step)
-    assert intents.begin("k", "d", 1, clock.seconds()).do is Do.SEND, "within its window"
-    intents.end("k", State.UNKNOWN, clock.seconds())
-    assert intents.begin("k", "d", 1, clock.seconds() + 10.0).do is Do.TOO_LATE
+    assert intents.begin("k", "d", 1, boot_clock.seconds()).do is Do.SEND, "within its window"
+    intents.end("k", State.UNKNOWN, boot_clock.seconds())
+    assert intents.begin("k", "d", 1, boot_clock.seconds() + 10.0).do is Do.TOO_LATE
 
 
 def test_moments_of_another_boot_tell_nothing() -> None:
-    now = clock.moment()
-    assert clock.since(now) == pytest.approx(0.0, abs=PATIENCE)
-    assert clock.since(now._replace(boot="another")) is None and clock.since(clock.Moment("", 5.0)) is None
+    now = boot_clock.moment()
+    assert boot_clock.since(now) == pytest.approx(0.0, abs=PATIENCE)
+    assert (
+        boot_clock.since(now._replace(boot="another")) is None
+        and boot_clock.since(boot_clock.Moment("", 5.0)) is None
+    )
--- a/tests/test_tree.py
+++ b/tests/test_tree.py
@@ -11,16 +11,16 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from gingervane.interface import Semantics
+from gingervane.interface import RetrySafety
 from gingervane.tree import coverage
 from gingervane.tree.cost import Costs, LineModel
 from gingervane.tree.coverage import CoverageError, Sum
-from gingervane.tree.grants import Grants
+from gingervane.tree.attempt_quota import AttemptQuota
 from gingervane.tree.plan import (
     Limits,
     Peers,
     Plan,
-    Refusal,
+    Rejection,
     Subtree,
     Task,
     admit,
@@ -28,7 +28,7 @@
     free_places,
     share_time,
 )
-from gingervane.tree.wide import (
+from gingervane.tree.wide_query import (
     AskLeaves,
     AskSubtree,
     Brought,
@@ -171,7 +171,7 @@
         (task._replace(left=0.02), "x", False),
         (task._replace(trail=tuple("abcdefghijklmnopq")), "x", True),
     ):
-        with pytest.raises(Refusal) as caught:
+        with pytest.raises(Rejection) as caught:
             admit(bad, name, LIMITS, learned)
         assert caught.value.loop == loop
 
@@ -202,7 +202,7 @@
 
 @given(st.integers(1, 5), st.lists(st.tuples(st.booleans(), said), max_size=8))
 def test_grants_never_exceed_what_was_handed_down(most: int, ways: list[tuple[bool, int | None]]) -> None:
-    grants, ran = Grants(("a", "b"), most), 0
+    grants, ran = AttemptQuota(("a", "b"), most), 0
     for way, (last, used) in enumerate(ways):
         offered = grants.offer(("a", "b"), last)
         if not offered:
@@ -251,7 +251,7 @@
                     self.out[way] = subtree.leaves, sum(runs)
                 case AskLeaves(way, leaves, seconds, granted):
                     ran = any(self.ran[leaf] for leaf in leaves)
-                    assert self.rules.semantics is Semantics.SAFE or not ran
+                    assert self.rules.semantics is RetrySafety.IDEMPOTENT or not ran
                     assert seconds <= 4.0 - self.now
                     self.out[way] = leaves, granted
                     self.around += 1
@@ -303,15 +303,15 @@
             assert final.end is not End.SHORT or enough
             assert set(final.missing) >= set(LEAVES) - self.gave
             ran = any(self.ran.values())
-            assert final.end is not End.REFUSED or self.rules.semantics is Semantics.SAFE or not ran
+            assert final.end is not End.REFUSED or self.rules.semantics is RetrySafety.IDEMPOTENT or not ran
             assert not self.out
         assert self.finals or self.out, "neither an answer nor anything to wait for"
 
 
-@pytest.mark.parametrize("semantics", [Semantics.SAFE, Semantics.UNSAFE])
+@pytest.mark.parametrize("semantics", [RetrySafety.IDEMPOTENT, RetrySafety.NOT_IDEMPOTENT])
 @pytest.mark.parametrize("least,collect", [(1.0, False), (0.6, False), (1.0, True)])
 @pytest.mark.parametrize("attempts", [1, 2, 3])
-def test_every_order_of_one_life(semantics: Semantics, least: float, collect: bool, attempts: int) -> None:
+def test_every_order_of_one_life(semantics: RetrySafety, least: float, collect: bool, attempts: int) -> None:
     start = Life(Rules(semantics, least, collect), attempts)
     todo, explored, ends = [start], 0, set[End]()
     while todo:
@@ -327,13 +327,13 @@
             todo.append(following)
     assert explored > 100 and {End.WHOLE, End.LEFT} <= ends
     assert (End.SHORT in ends) == (least < 1.0 or collect)
-    assert (End.FAILED in ends) == (semantics is Semantics.UNSAFE)
+    assert (End.FAILED in ends) == (semantics is RetrySafety.NOT_IDEMPOTENT)
 
 
 def test_what_is_asked_around_goes_in_groups() -> None:
     leaves = tuple(f"t{i}" for i in range(11))
     plan = Plan((Subtree(leaves[:10], 0), Subtree(leaves[10:], 1)), "test")
-    query = WideQuery(Task(leaves, 4.0, 1, 3), Rules(Semantics.SAFE, 1.0), LIMITS, Costs(), plan)
+    query = WideQuery(Task(leaves, 4.0, 1, 3), Rules(RetrySafety.IDEMPOTENT, 1.0), LIMITS, Costs(), plan)
     first, _ = query.start(0.0)
     assert isinstance(first, AskSubtree)
     around = query.ended(0.1, first.way, Brought(idle=True, wait=0.2))
--- a/tests/test_tree_sockets.py
+++ b/tests/test_tree_sockets.py
@@ -13,9 +13,9 @@
 
 from gingervane.fronts.client import Answer, Client
 from gingervane.fronts.http_server import Exchange, HttpServer, Reply, ServerLimits, plain
-from gingervane.lab.embedded import ZONES, Embedded
-from gingervane.standins.capacity import Model
-from gingervane.standins.node import Recorder, list_row
+from gingervane.experiments.embedded import ZONES, Embedded
+from gingervane.fake_servers.capacity import Model
+from gingervane.fake_servers.node import Recorder, list_row
 from gingervane.wire import http1, remote_read, snappy
 from gingervane.wire.http1 import Request
 from gingervane.wire.remote_read import Match, Matcher, Query, Series
@@ -337,11 +337,11 @@
         eventually(lambda: all(len(app._peers.ready) == 4 for app in fleet.apps))
         with socket.create_connection(fleet.address) as sock:
             sock.sendall(Client(fleet.address).request([ALL], {}))
-            eventually(lambda: sum(app.core.calls_held for app in fleet.apps) >= 6)
+            eventually(lambda: sum(app.core.requests_in_flight for app in fleet.apps) >= 6)
             assert fleet.app._front.cuts == 1
         eventually(
             lambda: all(
-                core.admission.open == 0 and core.calls_held == 0
+                core.admission.open == 0 and core.requests_in_flight == 0
                 for app in fleet.apps
                 for core in app._cores()
             )
--- a/tests/test_vectors.py
+++ b/tests/test_vectors.py
@@ -16,8 +16,8 @@
 from qdrant_client import QdrantClient, models
 
 from gingervane.daemon.app import App
-from gingervane.lab.embedded import Embedded
-from gingervane.standins.vectors import VectorGrid
+from gingervane.experiments.embedded import Embedded
+from gingervane.fake_servers.vectors import VectorGrid
 from gingervane.vectors.points import Collection, order_of, shard_of
 from gingervane.vectors.topk import merge
 from gingervane.wire import http1
@@ -249,7 +249,7 @@
     fleet.app.vectors.ring.repairer.stop()  # so that it stays behind
     assert fleet.put(5) == 200
     # Its query is settled, so nothing more is sent; what was sent before must end, or it may still be done.
-    eventually(lambda: fleet.app.vectors is not None and not fleet.app.vectors.cores[1].calls_held)
+    eventually(lambda: fleet.app.vectors is not None and not fleet.app.vectors.cores[1].requests_in_flight)
     assert fleet.of(5).count(None) == 1
     lost.schedule.faults.clear()
     body = {"vector": [1, 0, 0, 0], "limit": 3}
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -10,7 +10,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from gingervane.fronts.tiles import ShardIndex
+from gingervane.fronts.shard_matching import ShardIndex
 from gingervane.merge import series as merging
 from gingervane.wire import protobuf as pb
 from gingervane.wire import remote_read, snappy
