--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -306,14 +306,14 @@
         elif delta:
             module.handle(now, [delta.event])
             plain_module.handle(now, [delta.event])
-    servers = list(module.servers.values())
-    held, width = module.held_by, settings.cells_per_replica
+    servers = list(module.membership.replicas.values())
+    held, width = module.membership.holders_by_cell, settings.cells_per_replica
     for cell in range(count):
         timed("holders of a tile, by index", lambda c=cell: held[c])  # type: ignore[misc]
         timed(
             "holders of a tile, by scan",
             lambda c=cell: [  # type: ignore[misc]
-                s for s in servers if (s.listed.cell - c) % count < width
+                s for s in servers if (s.endpoint.cell - c) % count < width
             ],
         )
     print(f"{len(bodies[0]) / 1024:.0f} KiB, {count} nodes, 3 changes a list")
--- /dev/null
+++ b/gingervane/decisions/admission.py
@@ -0,0 +1,110 @@
+"""Admission: queries that would miss their latency objective at the present load are rejected at once."""
+
+from __future__ import annotations
+
+from collections import defaultdict
+from math import log, sqrt
+
+from gingervane import interface as api
+from gingervane.decisions.attempt_dispatch import AttemptDispatcher
+from gingervane.decisions.batch_context import BatchContext
+from gingervane.decisions.latency import LatencyEstimator
+from gingervane.decisions.membership import Membership
+from gingervane.decisions.query_state import Part, Query
+from gingervane.decisions.replica_selection import is_head_of_line_blocked
+from gingervane.decisions.replica_state import KnownReplica
+from gingervane.decisions.sliding_window import TRAFFIC_WINDOW, SlidingWindowCount
+
+# Share of the time to the objective that the slowest part may be expected to take (design page: admission).
+ADMISSION_LIMIT = 0.9
+# The same for a tenant that is over its quota (design page: admission).
+ADMISSION_LIMIT_OVER_QUOTA = 0.65
+# Standard deviations by which what a tenant has sent must be over its quota: a few queries by chance, times
+# many co-ordinators, are no excess (design page: over a tenant's share).
+QUOTA_TOLERANCE = 1.5
+# Added to a number of replicas so that its logarithm approximates the harmonic number, and that number for 0
+# replicas: minus Euler's constant.
+HARMONIC_OFFSET = 0.5
+HARMONIC_CONSTANT = -0.58
+# Error of a sum of weights as the wire rounds them.
+WEIGHT_ERROR = 1e-6
+
+
+class AdmissionControl:
+    """Estimates latency at the present load, counts tenants' queries, and finds what is over capacity."""
+
+    def __init__(
+        self,
+        settings: api.Settings,
+        context: BatchContext,
+        *,
+        membership: Membership,
+        latency: LatencyEstimator,
+        dispatcher: AttemptDispatcher,
+    ) -> None:
+        self._context = context
+        self._membership = membership
+        self._latency = latency
+        self._dispatcher = dispatcher
+        self._coordinator_count = settings.coordinator_count
+        self._quotas = dict(enumerate(settings.tenant_quotas))
+        self._queries_by_tenant = defaultdict[int, SlidingWindowCount](self._new_count)
+
+    @staticmethod
+    def _new_count() -> SlidingWindowCount:
+        return SlidingWindowCount(TRAFFIC_WINDOW)
+
+    def record_query(self, tenant: int) -> None:
+        """Count a query of a tenant."""
+        self._queries_by_tenant[tenant].add(self._context.now)
+
+    def expected_latency(self) -> float:
+        """Mean latency of a part anywhere, at the present load."""
+        open_requests = len(self._dispatcher.open_attempts) / max(self._membership.ready_count, 1)
+        return self._latency.expected(open_requests, self._context.now)
+
+    def _expected_latency_at(self, replicas: list[KnownReplica]) -> float:
+        """Mean latency of a part at these replicas, at the present load."""
+        if not replicas:
+            return self.expected_latency()
+        open_requests = sum(len(replica.requests) for replica in replicas) / len(replicas)
+        return self._latency.expected(open_requests, self._context.now)
+
+    def is_over_capacity(self, query: Query, parts: list[Part], replicas: list[KnownReplica]) -> bool:
+        """Whether the query would miss its objective if its parts went to these replicas.
+
+        So it would if its slowest part is expected too late, or it needs a part at a blocked replica.
+        """
+        now = self._context.now
+        limit = ADMISSION_LIMIT_OVER_QUOTA if self._is_over_quota(query.arrived.tenant) else ADMISSION_LIMIT
+        limit /= 2 if query.query_class.second_step_parts else 1
+        slowest = self._expected_latency_at(replicas) * self._slowest_over_mean(query, replicas)
+        if slowest > limit * (query.objective_at - now):
+            return True
+        assigned = dict(zip(map(id, parts), replicas, strict=True))
+
+        def is_missing(part: Part) -> bool:
+            return part.lost or is_head_of_line_blocked(assigned[id(part)], query, now)
+
+        return query.is_unanswerable_without(is_missing)
+
+    def _is_over_quota(self, tenant: int) -> bool:
+        quota = self._quotas.get(tenant)
+        if not quota:
+            return False
+        queries = self._queries_by_tenant[tenant].count(self._context.now)
+        excess = queries - QUOTA_TOLERANCE * sqrt(queries)
+        return excess * self._coordinator_count > TRAFFIC_WINDOW * quota
+
+    @staticmethod
+    def _slowest_over_mean(query: Query, replicas: list[KnownReplica]) -> float:
+        """Latency of the slowest replica that the query needs, in means, for exponential latencies.
+
+        It is the harmonic number of the replicas less that of those that it can do without. The parts of one
+        request end together, so that replicas count and not parts.
+        """
+        count = len(set(replicas))
+        needed = min(query.query_class.complete_coverage, query.query_class.required_coverage)
+        unneeded = int(count * (1.0 - needed) + WEIGHT_ERROR)
+        least = log(unneeded + HARMONIC_OFFSET) if unneeded else HARMONIC_CONSTANT
+        return max(log(count + HARMONIC_OFFSET) - least, 1.0)
--- /dev/null
+++ b/gingervane/decisions/attempt_dispatch.py
@@ -0,0 +1,133 @@
+"""Sends attempts, under every rule on sending, and keeps those that have not ended."""
+
+from __future__ import annotations
+
+from collections import Counter
+from collections.abc import Callable
+from math import inf
+
+from gingervane import interface as api
+from gingervane.decisions.batch_context import BatchContext
+from gingervane.decisions.idle_connections import IdleConnectionLimit
+from gingervane.decisions.query_state import Attempt, Part
+from gingervane.decisions.replica_selection import ReplicaSelector
+from gingervane.decisions.replica_state import KnownReplica, RequestKey
+from gingervane.decisions.retry_budget import RetryBudget
+from gingervane.decisions.sliding_window import SlidingWindowCount
+from gingervane.decisions.slow_start import SlowStart
+
+
+class AttemptDispatcher:
+    """All sends pass `send`; all endings pass `close`."""
+
+    def __init__(
+        self,
+        settings: api.Settings,
+        context: BatchContext,
+        *,
+        selector: ReplicaSelector,
+        slow_start: SlowStart,
+        retry_budget: RetryBudget,
+        idle_connections: IdleConnectionLimit,
+        first_sends: SlidingWindowCount,
+        time_margin: float,
+        start_hedge_timer: Callable[[Attempt], None],
+    ) -> None:
+        self._settings = settings
+        self._context = context
+        self._selector = selector
+        self._slow_start = slow_start
+        self._retry_budget = retry_budget
+        self._idle_connections = idle_connections
+        self._first_sends = first_sends
+        self._time_margin = time_margin
+        self._start_hedge_timer = start_hedge_timer
+        self.open_attempts = dict[tuple[int, int], Attempt]()  # by part and number
+        self._parts_sent = Counter[KnownReplica]()  # in this batch
+
+    def begin_batch(self) -> None:
+        """Parts of different batches never share a request."""
+        self._parts_sent.clear()
+
+    def send(self, part: Part, replica: KnownReplica, hedged: bool = False) -> bool:
+        """Send a part to a replica if all rules permit it, and say whether it was sent."""
+        if not self._may_send(part, replica, hedged):
+            return False
+        now = self._context.now
+        if part.attempts_made:
+            self._retry_budget.record_further_attempt()
+        else:
+            self._first_sends.add(now)
+        part.may_have_run[part.attempts_made] = now
+        replica.slow_start_tokens -= 1.0
+        self._selector.record_send(replica)
+        attempt = self._open(part, replica, hedged)
+        self._context.actions.append(api.Send(part.arrived.id, replica.endpoint.id, part.query.answer_by))
+        self._start_hedge_timer(attempt)
+        return True
+
+    def _open(self, part: Part, replica: KnownReplica, hedged: bool) -> Attempt:
+        """Make the attempt and put it into the books of the part and the replica."""
+        now = self._context.now
+        batch = self._context.batch
+        request = RequestKey(now, batch, self._parts_sent[replica] // self._settings.max_parts_per_request)
+        self._parts_sent[replica] += 1
+        ahead = sum(key.batch < batch for key in replica.requests)
+        idle = self._idle_connections.prepare_send(replica)
+        attempt = Attempt(part, part.attempts_made, replica, request, hedged, idle, ahead)
+        replica.requests[request] = replica.requests.get(request, 0) + 1
+        self.open_attempts[part.arrived.id, attempt.number] = attempt
+        part.attempts_made += 1
+        part.attempts.append(attempt)
+        part.tried_replicas.append(replica)
+        return attempt
+
+    def _may_send(self, part: Part, replica: KnownReplica, hedged: bool) -> bool:
+        """Check the rules: time left, attempts left, the replica, copies allowed, effects and the budget."""
+        query = part.query
+        if query.settled or part.done or self._context.now >= query.answer_by:
+            return False
+        if part.attempts_made >= self._settings.max_attempts or not self._slow_start.may_send(replica):
+            return False
+        if part.attempts and not self._settings.hedging_allowed:
+            return False
+        if part.may_have_run and not self._may_run_again(part):
+            return False
+        return not part.attempts_made or self._retry_budget.allows_further_attempt(hedged)
+
+    def _may_run_again(self, part: Part) -> bool:
+        """No effect twice: what may have run goes again if idempotent, or within the window of its key."""
+        query_class = part.query.query_class
+        if query_class.retry_safety is api.RetrySafety.IDEMPOTENT:
+            window = inf
+        elif query_class.retry_safety is api.RetrySafety.NOT_IDEMPOTENT:
+            window = 0.0
+        else:
+            window = query_class.idempotency_window or 0.0
+        first_run_at = min(part.may_have_run.values())
+        return self._context.now < first_run_at + window - self._time_margin
+
+    def close(self, event: api.AttemptEnded) -> Attempt | None:
+        """Take an attempt that has ended out of the books; none if it is not known."""
+        attempt = self.open_attempts.pop((event.part, event.attempt), None)
+        if attempt is None:
+            return None
+        attempt.open = False
+        requests = attempt.replica.requests
+        requests[attempt.request] -= 1
+        if not requests[attempt.request]:
+            del requests[attempt.request]
+        attempt.part.attempts.remove(attempt)
+        if event.outcome.never_ran:
+            del attempt.part.may_have_run[event.attempt]
+        return attempt
+
+    def cancel(self, part: Part) -> None:
+        """Be done with a part, and cancel what is still out of it."""
+        part.done = True
+        if not self._settings.cancellation_allowed:
+            return
+        for attempt in part.attempts:
+            if attempt.open:
+                attempt.open = False
+                self._context.actions.append(api.Cancel(part.arrived.id, attempt.number))
--- /dev/null
+++ b/gingervane/decisions/hedging.py
@@ -0,0 +1,140 @@
+"""Hedged requests: a part that is late goes to a second replica, and the first good answer wins."""
+
+from __future__ import annotations
+
+from functools import partial
+
+from gingervane import interface as api
+from gingervane.decisions.admission import AdmissionControl
+from gingervane.decisions.attempt_dispatch import AttemptDispatcher
+from gingervane.decisions.batch_context import BatchContext
+from gingervane.decisions.circuit_breaker import CircuitBreaker
+from gingervane.decisions.idle_connections import IdleConnectionLimit
+from gingervane.decisions.latency import LatencyEstimator
+from gingervane.decisions.outlier_ejection import FAILURE_WEIGHT, MAX_EJECTION, OutlierDetector
+from gingervane.decisions.query_state import Attempt, Part
+from gingervane.decisions.replica_selection import ReplicaSelector
+from gingervane.decisions.sliding_window import TRAFFIC_WINDOW, SlidingWindowCount
+
+# Share of the class's parts that end within the hedge delay (design page).
+HEDGE_PERCENTILE = 0.95
+# Hedge delays after which an attempt that nothing has overtaken counts as without response (design page).
+NO_RESPONSE_DELAYS = 2
+# Largest share of the open attempts that may be hedges (design page: cap on copies).
+MAX_HEDGED_SHARE = 0.25
+# Hedges that a query may have in any case, as a share of its parts (design page: cap on copies).
+MIN_HEDGED_SHARE_OF_QUERY = 0.10
+# Expected latency, as a multiple of the class's baseline, above which replicas are taken to queue (design
+# page: no copy under queueing).
+QUEUEING_LATENCY = 2.0
+# Weight of a query that is missing at most where its late parts are stragglers and not queued (design page).
+MAX_STRAGGLER_WEIGHT = 0.10
+# Seconds for which a replica that does not respond is met on a new connection.
+RECONNECT_PERIOD = 2 * MAX_EJECTION
+
+
+class Hedging:
+    """Watches over open attempts, and sends one hedge for a part that is late."""
+
+    def __init__(
+        self,
+        context: BatchContext,
+        *,
+        admission: AdmissionControl,
+        dispatcher: AttemptDispatcher,
+        first_sends: SlidingWindowCount,
+        idle_connections: IdleConnectionLimit,
+        latency: LatencyEstimator,
+        outlier_detector: OutlierDetector,
+        selector: ReplicaSelector,
+    ) -> None:
+        self._context = context
+        self._admission = admission
+        self._dispatcher = dispatcher
+        self._first_sends = first_sends
+        self._idle_connections = idle_connections
+        self._latency = latency
+        self._outlier_detector = outlier_detector
+        self._selector = selector
+        self._hedges = CircuitBreaker(TRAFFIC_WINDOW)
+        self.failures = CircuitBreaker(TRAFFIC_WINDOW)
+
+    def record_failure(self) -> None:
+        """Count an attempt that failed: many failures stop hedges."""
+        self.failures.add(self._context.now)
+
+    def start_timer(self, attempt: Attempt) -> None:
+        """Come back to an attempt after the hedge delay."""
+        delay = self._latency.percentile(attempt.part.query.arrived.query_class, HEDGE_PERCENTILE)
+        self._context.set_timer(delay, partial(self._on_timer, attempt))
+
+    def _on_timer(self, attempt: Attempt) -> None:
+        """Judge a silent replica, and send a hedge if the part is still out and a hedge can be of use."""
+        if not attempt.open:
+            return
+        self.start_timer(attempt)
+        attempt.hedge_delays += 1
+        if attempt.hedge_delays % NO_RESPONSE_DELAYS == 0:
+            self._check_response(attempt)
+        part = attempt.part
+        breakers_open = self._breakers_open()
+        if not attempt.replica.ejected_for and (breakers_open or self._is_queueing(part)):
+            return  # what an ejected replica holds counts as failed, not as late
+        if self._is_useful(part) and self._is_below_cap(part):
+            self._send_hedge(part)
+
+    def _check_response(self, attempt: Attempt) -> None:
+        """Take an attempt for unanswered if no part sent as late or later has been answered there."""
+        replica = attempt.replica
+        if replica.last_answered_send_at >= attempt.request.sent_at:
+            return
+        replica.last_unresponsive_at = self._context.now
+        self._outlier_detector.record_outcome(replica, FAILURE_WEIGHT, api.EjectionReason.NO_RESPONSE)
+        replica.unresponsive_until = self._context.now + RECONNECT_PERIOD
+        self._idle_connections.record_no_response(attempt)
+
+    def _breakers_open(self) -> bool:
+        """Ask both breakers, as each changes its state only when asked."""
+        now = self._context.now
+        parts = self._first_sends.count(now)
+        hedges_open = self._hedges.is_open(now, parts)
+        failures_open = self.failures.is_open(now, parts)
+        return hedges_open or failures_open
+
+    def _is_queueing(self, part: Part) -> bool:
+        """Whether the replicas queue, so that a hedge would only lengthen the queues.
+
+        With nearly all of its query received, a part is late by itself.
+        """
+        query = part.query
+        usual = self._latency.baseline[query.arrived.query_class]
+        queueing = self._admission.expected_latency() > QUEUEING_LATENCY * usual
+        return queueing and query.weight_received < 1 - MAX_STRAGGLER_WEIGHT
+
+    def _is_useful(self, part: Part) -> bool:
+        """Whether a hedge is safe, and can come in before the objective.
+
+        There is one hedge; where both it and the first attempt are at ejected replicas both count as failed,
+        and another attempt may follow.
+        """
+        query = part.query
+        if query.query_class.retry_safety is not api.RetrySafety.IDEMPOTENT:
+            return False
+        if len(part.attempts) != 1 and not all(a.replica.ejected_for for a in part.attempts):
+            return False
+        median = self._latency.percentile(query.arrived.query_class, 0.5)
+        return self._context.now + median <= query.objective_at
+
+    def _is_below_cap(self, part: Part) -> bool:
+        """Whether there are few enough hedges open."""
+        attempts = self._dispatcher.open_attempts
+        hedges = sum(attempt.hedged for attempt in attempts.values())
+        cap = max(MAX_HEDGED_SHARE * len(attempts), MIN_HEDGED_SHARE_OF_QUERY * len(part.query.parts))
+        return hedges < cap
+
+    def _send_hedge(self, part: Part) -> None:
+        replica = self._selector.substitute(part)
+        if replica is None or not self._selector.is_preferred(replica, part.query):
+            return
+        if self._dispatcher.send(part, replica, hedged=True):
+            self._hedges.add(self._context.now)
--- /dev/null
+++ b/gingervane/decisions/replica_selection.py
@@ -0,0 +1,138 @@
+"""Which replica gets a part.
+
+The holders of each shard in order of their ids are its positions. A query takes the position with the fewest
+open requests for all its parts, and a part leaves it only if its replica there should not be sent to.
+"""
+
+from __future__ import annotations
+
+from math import inf
+
+from gingervane import interface as api
+from gingervane.decisions.batch_context import BatchContext
+from gingervane.decisions.latency import relative_latency
+from gingervane.decisions.membership import Membership
+from gingervane.decisions.query_state import Part, Query
+from gingervane.decisions.replica_state import KnownReplica
+from gingervane.decisions.slow_start import SlowStart
+
+# Age of a replica's oldest request, as a share of the time to the objective, from which on a new part behind
+# it would be late (design page: backed-up server).
+MAX_REQUEST_AGE = 0.35
+# Open requests that sending to another zone counts as (design page: own-zone row).
+ZONE_CROSSING_COST = 0.5
+# Relative latency, as a multiple of the best holder's, above which a replica is left for it (design page:
+# pace of servers).
+MAX_RELATIVE_LATENCY = 2.5
+# Share of a query's parts, one at least, that may be sent to ejected replicas as trials (design page:
+# probation).
+MAX_TRIAL_SHARE = 0.10
+
+
+def is_head_of_line_blocked(replica: KnownReplica, query: Query, now: float) -> bool:
+    """Whether the replica's oldest request is old.
+
+    Requests that later ones have overtaken do not count: their parts are lost, not queued.
+    """
+    answered = replica.last_answered_send_at
+    oldest = next((key.sent_at for key in replica.requests if key.sent_at > answered), now)
+    return now - oldest > MAX_REQUEST_AGE * (query.objective_at - now)
+
+
+class ReplicaSelector:
+    """Assigns replicas to the parts of a query."""
+
+    def __init__(
+        self, settings: api.Settings, context: BatchContext, membership: Membership, slow_start: SlowStart
+    ) -> None:
+        self._zone = settings.zone
+        self._context = context
+        self._membership = membership
+        self._slow_start = slow_start
+        self._trials = 0  # parts sent to ejected replicas in this batch
+
+    def begin_batch(self) -> None:
+        """Forget the trials of the last batch."""
+        self._trials = 0
+
+    def record_send(self, replica: KnownReplica) -> None:
+        """Count a trial if the replica is ejected."""
+        self._trials += replica.ejected_for > 0
+
+    def has_holder(self, part: Part) -> bool:
+        """Whether some holder of the part may be sent to."""
+        may_send = self._slow_start.may_send
+        return any(may_send(replica) for replica in self._membership.holders(part.arrived.shard))
+
+    def is_preferred(self, replica: KnownReplica, query: Query) -> bool:
+        """Whether a part of the query should go to the replica if it is its turn.
+
+        It must be healthy or due for a trial, not blocked and not cold. A query of many parts that tried all
+        ejected replicas at once would wait for each, so trials are few.
+        """
+        now = self._context.now
+        if replica.ejected_for:
+            due = now >= replica.ejected_until and not replica.requests
+            if not due or self._trials >= max(1.0, MAX_TRIAL_SHARE * len(query.parts)):
+                return False
+        if is_head_of_line_blocked(replica, query, now):
+            return False
+        return self._slow_start.may_send(replica, conservative=True)
+
+    def substitute(self, part: Part) -> KnownReplica | None:
+        """Another holder than those that the part is out at.
+
+        One that is preferred and untried comes first, then any preferred one, then any that may be sent to.
+        """
+        occupied = [attempt.replica for attempt in part.attempts]
+        others = [
+            replica
+            for replica in self._membership.holders(part.arrived.shard)
+            if self._slow_start.may_send(replica) and replica not in occupied
+        ]
+        if not others:
+            return None
+        return min(others, key=lambda replica: self._substitution_rank(replica, part))
+
+    def _substitution_rank(self, replica: KnownReplica, part: Part) -> tuple[bool, bool, float, bool]:
+        return (
+            not self.is_preferred(replica, part.query),
+            replica in part.tried_replicas,
+            len(replica.requests) + relative_latency(replica, self._context.now),
+            replica.endpoint.zone != self._zone,
+        )
+
+    def assign(self, parts: list[Part]) -> list[KnownReplica]:
+        """The replicas of the position with the fewest open requests, one for each part."""
+        holders = [self._usable_holders(part) for part in parts]
+        positions = max(map(len, holders), default=1)
+        candidates = [[row[index % len(row)] for row in holders] for index in range(positions)]
+        # One candidate more, of the holders in the own zone where there are any, saves the price of crossing.
+        own_zone = [[r for r in row if r.endpoint.zone == self._zone] or row for row in holders]
+        if own_zone != holders:
+            candidates.append([row[self._context.batch % len(row)] for row in own_zone])
+        loads = [sum(map(self._load, candidate)) for candidate in candidates]
+        # At random among equals: many idle co-ordinators must not all take the same position.
+        random = self._context.random.random
+        best = min(range(len(candidates)), key=lambda index: (loads[index], random()))
+        return candidates[best]
+
+    def _load(self, replica: KnownReplica) -> float:
+        """Open requests of a replica, and the price of crossing to its zone."""
+        return len(replica.requests) + ZONE_CROSSING_COST * (replica.endpoint.zone != self._zone)
+
+    def _usable_holders(self, part: Part) -> list[KnownReplica]:
+        """The part's holders by position, with a substitute in place of each that should not be sent to."""
+        query = part.query
+        now = self._context.now
+        holders = self._membership.holders(part.arrived.shard)
+        latencies = [
+            relative_latency(replica, now) if self.is_preferred(replica, query) else inf
+            for replica in holders
+        ]
+        most = MAX_RELATIVE_LATENCY * min(latencies, default=0.0)
+        usable = [latency < inf and latency <= most for latency in latencies]
+        substitute = None if all(usable) else self.substitute(part)
+        if substitute is None:
+            return list(holders)
+        return [replica if ok else substitute for replica, ok in zip(holders, usable, strict=True)]
--- /dev/null
+++ b/gingervane/decisions/retry_budget.py
@@ -0,0 +1,43 @@
+"""The budget of further attempts: retries and hedges, bounded by the parts and queries that came."""
+
+from __future__ import annotations
+
+from gingervane import interface as api
+from gingervane.decisions.batch_context import BatchContext
+from gingervane.decisions.sliding_window import SlidingWindowCount
+
+# Share of the budget's free attempts that hedges must leave to retries (design page: retries before copies).
+RESERVED_FOR_RETRIES = 1 / 2
+
+
+class RetryBudget:
+    """Counts requests and further attempts, each on the safe side of the stated window.
+
+    An attempt may leave later than it was decided, and the host's timers have a granularity: attempts count
+    for that much longer than the window, requests for that much less.
+    """
+
+    def __init__(self, settings: api.Settings, context: BatchContext, time_margin: float) -> None:
+        self._context = context
+        self._free = settings.retry_budget_free
+        self._share = settings.retry_budget_share or 0.0
+        window = settings.retry_budget_window or 0.0
+        self._further_attempts = SlidingWindowCount(window + time_margin)
+        self._requests = SlidingWindowCount(window - time_margin)
+
+    def record_request(self) -> None:
+        """Count a query or a part that came."""
+        self._requests.add(self._context.now)
+
+    def record_further_attempt(self) -> None:
+        """Count an attempt at a part that is not its first."""
+        self._further_attempts.add(self._context.now)
+
+    def allows_further_attempt(self, hedged: bool) -> bool:
+        """Whether the budget has room for a retry, or with more to spare for a hedge."""
+        now = self._context.now
+        if self._free is None:
+            return True
+        left = self._share * self._requests.count(now) - self._further_attempts.count(now)
+        needed = 1 + (self._free * RESERVED_FOR_RETRIES if hedged else 0.0)
+        return self._free + left >= needed
--- a/gingervane/experiments/fault_mutants.py
+++ b/gingervane/experiments/fault_mutants.py
@@ -75,9 +75,11 @@
         return step(self, now, told)
 
     driving.Driver.step = warm  # type: ignore[method-assign]
-    from gingervane.decisions import engine
+    from gingervane.decisions.outlier_ejection import OutlierDetector
 
-    engine.DecisionEngine._judge = lambda self, server, bad, why=None: None  # type: ignore[method-assign]
+    OutlierDetector.record_outcome = (  # type: ignore[method-assign]
+        lambda self, replica, failure_weight, reason=None: None
+    )
 
 
 def honest() -> None:
--- a/tests/recordings/codec.py
+++ b/tests/recordings/codec.py
@@ -69,7 +69,7 @@
 
 def random_generator(coordinator: DecisionEngine) -> random.Random:
     """The one source of randomness of the decision module."""
-    return coordinator.random
+    return coordinator.context.random
 
 
 def encode(value: Any) -> JsonValue:
--- a/tests/recordings/record_driver.py
+++ b/tests/recordings/record_driver.py
@@ -8,7 +8,7 @@
 Measured with `--lines` when the recordings were made, within functions: every line of driver.py, timers.py,
 attempt_outcome.py, response_time_reserve.py, shard_placement.py, process_pause.py and retry_after.py is taken. Not
 taken: in replica_start_times.py the one that forgets the oldest of more than 8192 starts (it would need a large
-fixture), in types.py the body of `InvalidReply`, which the driver never sees. Of decisions/engine.py, which has
+fixture), in types.py the body of `InvalidReply`, which the driver never sees. Of the package `decisions`, which has
 recordings of its own, the lines that keep counts short after a long time and a few others.
 """
 
@@ -48,8 +48,7 @@
 WATCHED = (
     *(COORDINATOR / f"{name}.py" for name in ("driver", "types", "timers", "starts", "endings", "reserve")),
     *(COORDINATOR / f"{name}.py" for name in ("holders", "standstill", "advice")),
-    COORDINATOR.parent / "decisions/engine.py",
-    COORDINATOR.parent / "decisions/completeness.py",
+    *sorted((COORDINATOR.parent / "decisions").glob("*.py")),
 )
 FAILURES = {
     api.AttemptOutcome.ERROR: 0.06,
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -518,7 +518,7 @@
     core, sock = platform.node.core, platform.client()
     turning.go.clear()
     module: Any = core._driver._module
-    module.latency[0].extend([0.4] * 25)  # after which a copy follows
+    module.latency.samples[0].extend([0.4] * 25)  # after which a copy follows
 
     def out() -> list[tuple[Replica, Part]]:
         return [(replica, part) for replica in replicas for part in replica.parts.items]
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -102,7 +102,8 @@
             ),
         )
         monkeypatch.setattr(
-            "gingervane.decisions.engine.DecisionEngine._judge", lambda self, server, bad, why="": None
+            "gingervane.decisions.outlier_ejection.OutlierDetector.record_outcome",
+            lambda self, server, bad, why="": None,
         )
     report = emulate(small())
     assert not report["rules"][rule]["kept"], report["rules"]
--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -69,7 +69,7 @@
 def told_away(fleet: Embedded, number: int) -> bool:
     """Whether the decision module itself has taken in that a replica is not ready."""
     module: Any = fleet.app.core._driver._module
-    return number in module.servers and not module.servers[number].ready
+    return number in module.membership.replicas and not module.membership.replicas[number].ready
 
 
 WRONG = (
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -602,7 +602,8 @@
     driver = platform.node.core._driver
     assert len(driver._addresses) == 2 and not driver._parts and not driver._queries
     module = driver._module
-    assert len(module.servers) == 2 and not module.queries  # type: ignore[attr-defined]
+    assert len(module.membership.replicas) == 2  # type: ignore[attr-defined]
+    assert not module.completion.queries  # type: ignore[attr-defined]
 
 
 # ---- signals
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -84,13 +84,13 @@
     """A copy that wins must not make the class look fast: the cancelled twin would have been the tail."""
     host = Host()
     host.warm_up()
-    before = max(host.module.latency[0])
+    before = max(host.module.latency.samples[0])
     for _ in range(20):
         part = part_of(host, host.query(0))
         host.wait(0.15)
         host.finish(part, attempt=len(host.sends[part]) - 1)
         host.wait(2.0)
-    assert max(host.module.latency[0]) >= 0.15 > before
+    assert max(host.module.latency.samples[0]) >= 0.15 > before
 
 
 def test_rescues_from_silence_do_not_raise_the_delay() -> None:
@@ -105,7 +105,7 @@
             host.finish(part, attempt=1)
         host.wait(3.0)
     kind = host.module.settings.query_classes[0]
-    ranked = sorted(host.module.latency[0])
+    ranked = sorted(host.module.latency.samples[0])
     assert ranked[int(0.95 * (len(ranked) - 1))] <= 0.31 < kind.latency_objective
 
 
@@ -114,7 +114,7 @@
     host = Host(BASE._replace(query_classes=(query_class(aim=1.0),)), replicas=6)
     host.warm_up(60, latency=0.3)
     host.wait(15.0)
-    host.module.mean, host.module.outcome_at = 0.25, host.now
+    host.module.latency.mean, host.module.latency.mean_at = 0.25, host.now
     part = part_of(host, host.query(0))
     host.wait(0.32)
     assert len(host.sends[part]) == 2
@@ -124,13 +124,13 @@
     """Found at a wide site: a percentile of the last 200 parts, two queries, climbs with the queue."""
     host = Host(replicas=6)
     host.warm_up(60)
-    usual = host.module.usual[0]
-    host.module.latency[0].extend([0.6] * 200)
-    host.module.mean, host.module.outcome_at = 0.5, host.now
+    usual = host.module.latency.baseline[0]
+    host.module.latency.samples[0].extend([0.6] * 200)
+    host.module.latency.mean, host.module.latency.mean_at = 0.5, host.now
     part = part_of(host, host.query(0))
     host.wait(0.62)
     assert len(host.sends[part]) == 1
-    assert usual < host.module.usual[0] < 0.2
+    assert usual < host.module.latency.baseline[0] < 0.2
 
 
 def test_one_copy_only() -> None:
@@ -142,7 +142,7 @@
 
 def test_no_copy_that_would_come_after_the_aim() -> None:
     host = Host(BASE._replace(query_classes=(query_class(aim=2.0, deadline=9.0),)), replicas=3)
-    host.module.latency[0].extend([1.2] * 20)  # learned: half of the parts take as long
+    host.module.latency.samples[0].extend([1.2] * 20)  # learned: half of the parts take as long
     part = part_of(host, host.query(0))
     host.wait(2.3)
     assert len(host.sends[part]) == 1
@@ -165,9 +165,9 @@
 
 
 def test_breaker_opens_on_the_share_of_copies_and_closes_lower() -> None:
-    from gingervane.decisions.engine import _Count
+    from gingervane.decisions.circuit_breaker import CircuitBreaker
 
-    breaker = _Count(10.0)
+    breaker = CircuitBreaker(10.0)
     for i in range(16):
         breaker.add(float(i) / 10)
     assert breaker.is_open(2.0, 100)
@@ -491,7 +491,7 @@
 def test_an_ejected_server_comes_back_by_a_trial() -> None:
     host = Host(replicas=4)
     host.warm_up()
-    while not host.module.servers[10].ejected_for:
+    while not host.module.membership.replicas[10].ejected_for:
         part = part_of(host, host.query(0))
         host.finish(part, AttemptOutcome.ERROR if host.where(part) == 10 else AttemptOutcome.OK)
         if part not in host.ok:
@@ -501,7 +501,7 @@
     while host.where(part) != 10:
         part = part_of(host, host.query(0))
     host.finish(part)
-    assert not host.module.servers[10].ejected_for
+    assert not host.module.membership.replicas[10].ejected_for
 
 
 def test_never_more_than_half_are_ejected() -> None:
@@ -512,7 +512,7 @@
             if (part, attempt) in host.out:
                 host.finish(part, AttemptOutcome.ERROR, attempt)
         host.wait(0.1)
-    assert sum(bool(s.ejected_for) for s in host.module.servers.values()) <= 2
+    assert sum(bool(s.ejected_for) for s in host.module.membership.replicas.values()) <= 2
 
 
 def test_one_part_overtaken_by_its_copy_ejects_a_server_of_which_little_is_known() -> None:
@@ -523,7 +523,7 @@
     part = part_of(host, host.query(0))
     host.wait(0.15)
     host.finish(part, OK, 1)
-    assert host.module.servers[host.where(part)].ejected_for
+    assert host.module.membership.replicas[host.where(part)].ejected_for
 
 
 def test_good_parts_of_the_last_seconds_vouch_for_a_server() -> None:
@@ -532,7 +532,7 @@
     part = part_of(host, host.query(0))
     host.wait(0.15)
     host.finish(part, OK, 1)
-    assert not host.module.servers[host.where(part)].ejected_for
+    assert not host.module.membership.replicas[host.where(part)].ejected_for
 
 
 def test_ejection_sends_nothing_again_at_once() -> None:
@@ -543,7 +543,7 @@
     query = host.query(0, 0, 0, 0)
     where = host.where(part_of(host, query))
     actions = host.finish(part_of(host, query), AttemptOutcome.ERROR)
-    assert host.module.servers[where].ejected_for
+    assert host.module.membership.replicas[where].ejected_for
     assert [a.part for a in sends(actions)] == [part_of(host, query)]
     assert not [a for a in actions if isinstance(a, api.Cancel)]
 
@@ -555,10 +555,10 @@
     host.wait(10.0)
     stuck = part_of(host, host.query(0))
     for _ in range(100):
-        host.module.failures.add(host.now)
+        host.module.hedging.failures.add(host.now)
     host.wait(0.12)
     assert len(host.sends[stuck]) == 1
-    server = host.module.servers[host.where(stuck)]
+    server = host.module.membership.replicas[host.where(stuck)]
     server.ejected_for, server.ejected_until = 2.0, host.now + 2.0
     host.wait(0.12)
     assert len(host.sends[stuck]) == 2
@@ -574,9 +574,9 @@
     host.wait(0.12)
     assert len(host.sends[part]) == 2
     for attempt in range(ejected):
-        server = host.module.servers[host.where(part, attempt)]
+        server = host.module.membership.replicas[host.where(part, attempt)]
         server.ejected_for, server.ejected_until = 4.0, host.now + 4.0
-    host.module.servers[host.where(part, 1)].reached = host.now
+    host.module.membership.replicas[host.where(part, 1)].last_answered_send_at = host.now
     for _ in range(8):  # leaves room under the cap on copies
         host.query(0)
     host.wait(0.09)
@@ -588,7 +588,7 @@
     query = host.query(*range(parts))
     for part in host.step_parts[query][missing:]:
         host.finish(part)
-    host.module.mean, host.module.outcome_at = 2.2, host.now
+    host.module.latency.mean, host.module.latency.mean_at = 2.2, host.now
     return host.step_parts[query][:missing]
 
 
@@ -611,7 +611,7 @@
         for _ in range(10):
             bad = part_of(host, host.query(0))
         host.finish(bad, AttemptOutcome.ERROR)
-        terms.append(host.module.servers[host.where(bad)].ejected_for)
+        terms.append(host.module.membership.replicas[host.where(bad)].ejected_for)
     assert terms == [9.0, 2.0]  # nine servers, a part a second; those who would tell shorten it
 
 
@@ -619,7 +619,10 @@
     """Found with ageing servers: each co-ordinator met one in seconds, waited for it and came again."""
     host = Host(replicas=3)
     host.warm_up(60)
-    host.module.servers[10].pace, host.module.servers[10].paced_at = 4.0, host.now
+    (
+        host.module.membership.replicas[10].relative_latency,
+        host.module.membership.replicas[10].relative_latency_at,
+    ) = 4.0, host.now
     placed = [host.where(part_of(host, host.query(0))) for _ in range(4)]
     assert 10 not in placed
     for part in list(host.out):
@@ -631,8 +634,8 @@
 def test_all_slow_alike_keep_their_positions() -> None:
     host = Host(replicas=3)
     host.warm_up(60)
-    for server in host.module.servers.values():
-        server.pace, server.paced_at = 5.0, host.now
+    for server in host.module.membership.replicas.values():
+        server.relative_latency, server.relative_latency_at = 5.0, host.now
     assert {host.where(part_of(host, host.query(0))) for _ in range(9)} == {10, 11, 12}
 
 
@@ -644,9 +647,9 @@
     other = Host(BASE._replace(gossip_allowed=True, coordinator_count=9), replicas=4)
     other.wait(10.0)
     other.feed(api.PeerMessageReceived(1, told[0].payload))
-    assert not other.module.servers[where].ejected_for
+    assert not other.module.membership.replicas[where].ejected_for
     actions = other.feed(api.PeerMessageReceived(3, told[0].payload))
-    assert other.module.servers[where].ejected_for
+    assert other.module.membership.replicas[where].ejected_for
     assert not [a for a in actions if isinstance(a, api.SendToPeers)]  # hearsay is not passed on
     for odd in (b"", b"x", bytes(256)):
         other.feed(api.PeerMessageReceived(1, odd))
@@ -657,20 +660,23 @@
     host = Host(BASE._replace(gossip_allowed=True, coordinator_count=200), replicas=3)
     host.warm_up()  # 40 parts in 6 s: the fleet sends some 530 a second to each server
     # Whatever this one knows of them has faded, and it still sends.
-    for server in host.module.servers.values():
-        server.badness = 0.0
+    for server in host.module.membership.replicas.values():
+        server.failure_score = 0.0
     word = (10).to_bytes(8, "big")
     for peer in range(20):
         host.feed(api.PeerMessageReceived(peer, word))
-    assert not host.module.servers[10].ejected_for
+    assert not host.module.membership.replicas[10].ejected_for
     for peer in range(20, 199):  # most of the fleet: this is no chance
         host.feed(api.PeerMessageReceived(peer, word))
-    assert host.module.servers[10].ejected_for
+    assert host.module.membership.replicas[10].ejected_for
     # A word that comes once the term is over does not double it: a trial part tells whether it is still bad.
-    term = host.module.servers[10].ejected_for
+    term = host.module.membership.replicas[10].ejected_for
     host.now += term + 0.1
     host.feed(api.PeerMessageReceived(1, word))
-    assert host.module.servers[10].ejected_for == term and host.module.servers[10].ejected_until < host.now
+    assert (
+        host.module.membership.replicas[10].ejected_for == term
+        and host.module.membership.replicas[10].ejected_until < host.now
+    )
 
 
 def test_a_new_process_does_not_eject_on_two_words_of_a_large_fleet() -> None:
@@ -681,7 +687,7 @@
     )
     host.query(0)
     host.now += 0.5
-    word, server = (10).to_bytes(8, "big"), host.module.servers[10]
+    word, server = (10).to_bytes(8, "big"), host.module.membership.replicas[10]
     for peer in (1, 2, 3):
         host.feed(api.PeerMessageReceived(peer, word))
     assert not server.ejected_for
@@ -699,7 +705,7 @@
     where, host.log = host.where(bad), []
     host.finish(bad, AttemptOutcome.ERROR)
     host.finish(bad, OK, 1)
-    server = host.module.servers[where]
+    server = host.module.membership.replicas[where]
     for late, back in ((0.5, False), (0.05, True)):
         host.wait(20.0)
         for _ in range(12):
@@ -721,7 +727,7 @@
     """Found on the full fleet: each of 200 tried each dead server by itself, at every end of a term."""
     host = Host(BASE._replace(gossip_allowed=True, coordinator_count=9), replicas=4)
     host.wait(10.0)
-    word, server = (10).to_bytes(8, "big"), host.module.servers[10]
+    word, server = (10).to_bytes(8, "big"), host.module.membership.replicas[10]
     for peer in (1, 2):
         host.feed(api.PeerMessageReceived(peer, word + b"\1"))
     until, term = server.ejected_until, server.ejected_for
@@ -743,8 +749,8 @@
     host = Host(
         BASE._replace(gossip_allowed=True, coordinator_count=9, cell_count=8, cells_per_replica=2), replicas=8
     )
-    for server in host.module.servers.values():
-        if server.listed.id % 2:
+    for server in host.module.membership.replicas.values():
+        if server.endpoint.id % 2:
             server.ejected_for = server.ejected_until = 1.0
     parts = host.step_parts[host.query(0, 2, 4, 6)]
     tried = [p for p in parts if host.where(p) % 2]
@@ -764,11 +770,11 @@
     first = part_of(host, host.query(0))
     where = host.where(first)
     actions = host.finish(first, AttemptOutcome.REJECTED)
-    assert not host.module.servers[where].ejected_for
+    assert not host.module.membership.replicas[where].ejected_for
     assert not [a for a in actions if isinstance(a, api.SendToPeers)]
     second = next(p for p in (part_of(host, host.query(0)) for _ in range(9)) if host.where(p) == where)
     actions = host.finish(second, AttemptOutcome.REJECTED)
-    assert host.module.servers[where].ejected_for
+    assert host.module.membership.replicas[where].ejected_for
     assert not [a for a in actions if isinstance(a, api.SendToPeers)]
 
 
@@ -780,7 +786,7 @@
             if (part, 0) in host.out and host.where(part) != 10:
                 host.finish(part, AttemptOutcome.CONNECT_FAILED)
         host.wait(0.2)
-    out = {s.listed.id for s in host.module.servers.values() if s.ejected_for}
+    out = {s.endpoint.id for s in host.module.membership.replicas.values() if s.ejected_for}
     assert len(out) > 3, out
 
 
@@ -819,12 +825,12 @@
 
 def test_holders_are_worked_out_once_a_list() -> None:
     host = Host(BASE._replace(cell_count=6, cells_per_replica=3), replicas=12)
-    before = host.module.held_by
+    before = host.module.membership.holders_by_cell
     for i in range(20):
         host.query(i % 6)
-    assert host.module.held_by is before
+    assert host.module.membership.holders_by_cell is before
     host.members(MembershipUpdateKind.DELTA, replica(10, state=ReplicaState.GONE))
-    assert host.module.held_by is not before
+    assert host.module.membership.holders_by_cell is not before
 
 
 def test_equal_positions_are_spread() -> None:
@@ -857,12 +863,12 @@
     sent = sum(bool(h.sends[p]) and h.where(p) == 10 for h in hosts for p in h.step_parts[h.query(0, 0)])
     ready_one = coordinators * 2 / 3
     assert sent <= 1 + 1.5 * ready_one * settings.slow_start_capacity
-    before = sum(h.module.servers[10].credit for h in hosts)
+    before = sum(h.module.membership.replicas[10].slow_start_tokens for h in hosts)
     for host in hosts:  # ten seconds of the ramp, at the floors, as nothing is answered
         for _ in range(20):
-            host.module.now += 0.5
-            host.module._permitted(host.module.servers[10])
-    earned = sum(h.module.servers[10].credit for h in hosts) - before
+            host.module.context.now += 0.5
+            host.module.slow_start.may_send(host.module.membership.replicas[10])
+    earned = sum(h.module.membership.replicas[10].slow_start_tokens for h in hosts) - before
     # Half a part in each fall time of 2 s, at the share surely there, times half of what pushes it over.
     assert 0.2 < earned <= 4
 
@@ -937,7 +943,7 @@
 def test_an_idle_coordinator_does_not_go_on_refusing() -> None:
     """Found on an overloaded day: after a spike all was refused with nothing out, while it was remembered."""
     host = Host(replicas=3)
-    host.module.mean, host.module.outcome_at = 3.0, host.now
+    host.module.latency.mean, host.module.latency.mean_at = 3.0, host.now
     assert isinstance(host.ended[host.query(0)], api.Reject)
     host.wait(7.0)
     assert host.query(0) not in host.ended
@@ -964,7 +970,7 @@
         for _ in range(count):
             query = host.query(0)
             host.finish(part_of(host, query))
-        host.module.mean, host.module.outcome_at = 1.5, host.now  # between the two limits
+        host.module.latency.mean, host.module.latency.mean_at = 1.5, host.now  # between the two limits
         refused.append(host.query(0) in host.ended)
     assert refused == [False, True]
 
@@ -1014,8 +1020,8 @@
     """Found at a quiet site: after any silence nearly every connection was shut before each send."""
     host = Host(BASE._replace(query_classes=(query_class(aim=4.0, deadline=9.0),)), replicas=3)
     host.warm_up()
-    for server in host.module.servers.values():
-        server.used = host.now - 0.3
+    for server in host.module.membership.replicas.values():
+        server.last_sent_at = host.now - 0.3
     host.query(0)
     host.wait(0.5)  # silence
     seen = len(host.log)
@@ -1052,7 +1058,7 @@
     host.warm_up()
     host.wait(15.0)
     part = part_of(host, host.query(0))
-    where, learned = host.where(part), list(host.module.latency[0])
+    where, learned = host.where(part), list(host.module.latency.samples[0])
     due = [label for _, label in sorted(host.timers)]
     host.now += 1.0
     del host.out[part, 0]
@@ -1061,8 +1067,8 @@
     fired = [api.TimerFired(label) for label in due]
     actions = host.feed(*fired, api.AttemptEnded(part, 0, where, OK, 1.0))
     assert not sends(actions) and any(isinstance(a, api.Answer) for a in actions)
-    assert not host.module.servers[where].ejected_for
-    assert list(host.module.latency[0]) == learned
+    assert not host.module.membership.replicas[where].ejected_for
+    assert list(host.module.latency.samples[0]) == learned
 
 
 # ---- completion
@@ -1232,7 +1238,7 @@
     gc.disable()
     try:
         answered, left = host.query(0), host.query(0)
-        over = [weakref.ref(host.module.queries[number]) for number in (answered, left)]
+        over = [weakref.ref(host.module.completion.queries[number]) for number in (answered, left)]
         host.wait(0.1)
         host.finish(part_of(host, answered))
         host.wait(20.0)
--- a/tests/test_vectors.py
+++ b/tests/test_vectors.py
@@ -256,11 +256,13 @@
     seen = set()
 
     modules: list[Any] = [core._driver._module for core in fleet.app.vectors.cores]
-    servers = [server for module in modules for server in module.servers.values()]
+    servers = [server for module in modules for server in module.membership.replicas.values()]
 
     def told() -> bool:
         for server in servers:
-            server.pace = 1.0  # one slow reply of a busy machine would leave a holder out for half a minute
+            server.relative_latency = (
+                1.0  # one slow reply of a busy machine would leave a holder out for half a minute
+            )
         status, found, headers = fleet.call("POST", "cos/points/search", body)
         assert status == 200
         there = any(p["id"] == 5 for p in found["result"])
