--- a/gingervane/decisions/admission.py
+++ b/gingervane/decisions/admission.py
@@ -64,14 +64,12 @@
         return self._latency.expected(open_requests, self._context.now)
 
     def _expected_latency_at(self, replicas: list[KnownReplica]) -> float:
-        """Mean latency of a part at these replicas, at the present load."""
-        if not replicas:
-            return self.expected_latency()
+        """Mean latency of a part at these replicas, one at least, at the present load."""
         open_requests = sum(len(replica.requests) for replica in replicas) / len(replicas)
         return self._latency.expected(open_requests, self._context.now)
 
     def is_over_capacity(self, query: Query, parts: list[Part], replicas: list[KnownReplica]) -> bool:
-        """Whether the query would miss its objective if its parts went to these replicas.
+        """Whether the query would miss its objective if its parts, one at least, went to these replicas.
 
         So it would if its slowest part is expected too late, or it needs a part at a blocked replica.
         """
