--- a/tests/test_shares.py
+++ b/tests/test_completeness.py
@@ -3,12 +3,12 @@
 from __future__ import annotations
 
 import pytest
+from hosts import query_class
 from hypothesis import given
 from hypothesis import strategies as st
 
+from gingervane.decisions.completeness import Coverage, QueryState, is_complete, may_answer, required_coverage
 from gingervane.interface import QueryClass
-from gingervane.decisions.completeness import Coverage, QueryState, is_complete, required_coverage, may_answer
-from hosts import query_class
 
 WHOLE, SHORT, MOST = query_class(), query_class(least=0.5), query_class(least=0.75, whole=0.75)
 
--- a/tests/test_pinned_wire.py
+++ b/tests/test_pinned_wire.py
@@ -45,7 +45,7 @@
 from gingervane.wire.remote_read import Match, Matcher, Query
 from hosts import BASE, Host
 from platform_standins import PATIENCE, Platform, Replica, Waiter
-from test_policy import part_of
+from decision_helpers import part_of
 
 
 def plainly(value: Any) -> Any:
