--- a/gingervane/coordinator/core.py
+++ b/gingervane/coordinator/core.py
@@ -18,7 +18,8 @@
 from gingervane import interface as api
 from gingervane.coordinator import types as t
 from gingervane.coordinator.retry_after import RetryAfterEstimate
-from gingervane.coordinator.driver import Counts, Driver, Module
+from gingervane.coordinator.driver import Driver, Module
+from gingervane.coordinator.driver_counts import Counts
 from gingervane.coordinator.request_senders import SenderLimits, RequestSenders
 from gingervane.decisions.engine import DecisionEngine
 from gingervane.wire.local_failures import start_thread
@@ -212,8 +213,7 @@
         """`gather`: seconds between the starts of two turns, at least; what comes meanwhile makes one batch."""
         self.settings = settings
         self.admission = Admission(bounds, settings.max_retry_after if settings.retry_after_allowed else 0.0)
-        self._driver = Driver(module, settings)
-        self._driver.observe = observer.attempt_finished
+        self._driver = Driver(module, settings, observer.attempt_finished)
         self.observer, self._outside = observer, outside or ClusterPorts()
         self._inbox: SimpleQueue[list[t.Input]] = SimpleQueue()
         self._senders = senders(self._take_endings)
--- a/gingervane/experiments/fault_mutants.py
+++ b/gingervane/experiments/fault_mutants.py
@@ -27,13 +27,13 @@
 
 def lost() -> None:
     """One query in eight is never settled."""
-    settle = driving.Driver._settle
+    settle = driving.Driver._complete_query
 
-    def forget(self: driving.Driver, now: float, number: int, *args: Any, **kwargs: Any) -> None:
-        if number % 8:
-            settle(self, now, number, *args, **kwargs)
+    def forget(self: driving.Driver, now: float, query_id: int, *args: Any, **kwargs: Any) -> None:
+        if query_id % 8:
+            settle(self, now, query_id, *args, **kwargs)
 
-    driving.Driver._settle = forget  # type: ignore[method-assign]
+    driving.Driver._complete_query = forget  # type: ignore[method-assign]
 
 
 def duplicate() -> None:
--- a/tests/recordings/driver_codec.py
+++ b/tests/recordings/driver_codec.py
@@ -252,8 +252,7 @@
         self.settings: api.Settings = decode(settings)
         self._scripted = None if script is None else ScriptedModule([list(decode(a)) for a in script])
         module = self._scripted or DecisionEngine(self.settings, seed)
-        self.driver = Driver(module, self.settings)
-        self.driver.observe = self._observe
+        self.driver = Driver(module, self.settings, self._observe)
         self.calls: list[t.BatchRequest] = []
         self.errands: list[t.AttemptRequest] = []
         self._exchanges: dict[int, RecordedExchange] = {}
--- a/tests/recordings/record_driver.py
+++ b/tests/recordings/record_driver.py
@@ -5,11 +5,12 @@
     PYTHONPATH=.:tests python -m recordings.record_driver            # write the fixtures
     PYTHONPATH=.:tests python -m recordings.record_driver --lines    # print lines that the runs do not take
 
-Measured with `--lines` when the recordings were made, within functions: every line of driver.py, timers.py,
-attempt_outcome.py, response_time_reserve.py, shard_placement.py, process_pause.py and retry_after.py is taken. Not
-taken: in replica_start_times.py the one that forgets the oldest of more than 8192 starts (it would need a large
-fixture), in types.py the body of `InvalidReply`, which the driver never sees. Of decisions/engine.py, which has
-recordings of its own, the lines that keep counts short after a long time and a few others.
+Measured with `--lines` when the recordings were made, within functions: every line of driver.py (since split into
+open_queries.py, attempt_tracking.py, batch_assembly.py, query_completion.py and driver_counts.py, measured anew),
+timers.py, attempt_outcome.py, response_time_reserve.py, shard_placement.py, process_pause.py and retry_after.py is
+taken. Not taken: in replica_start_times.py the one that forgets the oldest of more than 8192 starts (it would need a
+large fixture), in types.py the body of `InvalidReply`, which the driver never sees. Of decisions/engine.py, which
+has recordings of its own, the lines that keep counts short after a long time and a few others.
 """
 
 from __future__ import annotations
@@ -46,8 +47,17 @@
 KEYED, UNSAFE = api.RetrySafety.IDEMPOTENCY_KEY, api.RetrySafety.NOT_IDEMPOTENT
 COORDINATOR = Path(t.__file__).parent
 WATCHED = (
-    *(COORDINATOR / f"{name}.py" for name in ("driver", "types", "timers", "starts", "endings", "reserve")),
-    *(COORDINATOR / f"{name}.py" for name in ("holders", "standstill", "advice")),
+    *(
+        COORDINATOR / f"{name}.py"
+        for name in ("driver", "open_queries", "attempt_tracking", "batch_assembly")
+    ),
+    *(COORDINATOR / f"{name}.py" for name in ("query_completion", "driver_counts", "types", "timers")),
+    *(
+        COORDINATOR / f"{name}.py"
+        for name in ("replica_start_times", "attempt_outcome", "response_time_reserve")
+    ),
+    *(COORDINATOR / f"{name}.py" for name in ("process_pause", "retry_after")),
+    COORDINATOR.parent / "writes/shard_placement.py",
     COORDINATOR.parent / "decisions/engine.py",
     COORDINATOR.parent / "decisions/completeness.py",
 )
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -600,7 +600,7 @@
     for number in range(5):
         served(platform.ask(f"r{number}", {0: 1.0}), f"r{number}", 0)
     driver = platform.node.core._driver
-    assert len(driver._addresses) == 2 and not driver._parts and not driver._queries
+    assert len(driver._addresses) == 2 and not driver._open.parts and not driver._open.queries
     module = driver._module
     assert len(module.servers) == 2 and not module.queries  # type: ignore[attr-defined]
 
