--- a/gingervane/daemon/app.py
+++ b/gingervane/daemon/app.py
@@ -16,7 +16,8 @@
 
 from gingervane import interface as api
 from gingervane.coordinator import types as t
-from gingervane.coordinator.core import AdmissionLimits, QueryCoordinator, CoordinatorFactory
+from gingervane.coordinator.admission import AdmissionLimits
+from gingervane.coordinator.core import CoordinatorFactory, QueryCoordinator
 from gingervane.coordinator.request_senders import SenderLimits
 from gingervane.telemetry import daemon_log
 from gingervane.telemetry.daemon_metrics import Metrics
--- a/gingervane/emulator/coordinator.py
+++ b/gingervane/emulator/coordinator.py
@@ -13,7 +13,7 @@
 
 from gingervane.coordinator import attempt_outcome
 from gingervane.coordinator import types as t
-from gingervane.coordinator.core import Admission, AdmissionLimits, Rejected
+from gingervane.coordinator.admission import Admission, AdmissionLimits, Rejected
 from gingervane.coordinator.driver import Driver
 from gingervane.coordinator.attempt_outcome import ExchangePhase
 from gingervane.coordinator.response_time_reserve import ResponseTimeReserve
--- a/gingervane/fronts/remote_read.py
+++ b/gingervane/fronts/remote_read.py
@@ -16,7 +16,8 @@
 from urllib.parse import parse_qsl
 
 from gingervane.coordinator import types as t
-from gingervane.coordinator.core import QueryCoordinator, Rejected
+from gingervane.coordinator.admission import Rejected
+from gingervane.coordinator.core import QueryCoordinator
 from gingervane.coordinator.dispatch import QueryDispatcher, QueryRequest
 from gingervane.fronts import http_server
 from gingervane.fronts import subtree_codec
--- a/gingervane/node/client_front.py
+++ b/gingervane/node/client_front.py
@@ -14,7 +14,8 @@
 import orjson
 
 from gingervane.coordinator import types as t
-from gingervane.coordinator.core import QueryCoordinator, Rejected
+from gingervane.coordinator.admission import Rejected
+from gingervane.coordinator.core import QueryCoordinator
 from gingervane.fronts.http_server import Exchange, Reply, plain
 from gingervane.node.replica_connection import FrameTravel, Value
 from gingervane.wire.frames import Asked
--- a/gingervane/node/service.py
+++ b/gingervane/node/service.py
@@ -19,7 +19,9 @@
 
 from gingervane import interface as api
 from gingervane.coordinator import types as t
-from gingervane.coordinator.core import AdmissionLimits, QueryCoordinator, ClusterPorts
+from gingervane.coordinator.admission import AdmissionLimits
+from gingervane.coordinator.core import QueryCoordinator
+from gingervane.coordinator.ports import ClusterPorts
 from gingervane.fronts.connections import MOST_ENDING
 from gingervane.fronts.http_server import HttpServer, ServerLimits
 from gingervane.node import config as configuration
@@ -146,7 +148,7 @@
             CoreLog(telemetry, config.class_names, reader.host),
             lambda report: ReplicaConnections(limits, report, on_end=self._link_ended),
             ClusterPorts(self._subscribe, self._tell_peers),
-            gather=settings.timer_granularity,
+            batch_interval=settings.timer_granularity,
         )
         self.front = ClientFront(self.core, config.class_names, config.shards)
         # Where lists are pushed, all counts as told as soon as discovery is back: a call that hangs since before
--- a/gingervane/tree/wide_query_runner.py
+++ b/gingervane/tree/wide_query_runner.py
@@ -14,7 +14,9 @@
 from typing import Any, NamedTuple
 
 from gingervane.coordinator import types as t
-from gingervane.coordinator.core import ResultQueue, QueryCoordinator, Rejected, PendingQuery
+from gingervane.coordinator.admission import Rejected
+from gingervane.coordinator.core import QueryCoordinator
+from gingervane.coordinator.pending_queries import PendingQuery, ResultQueue
 from gingervane.tree.subquery_context import Ask, Got, LeafContent, SubqueryContext
 from gingervane.tree.wide_query import (
     Action,
--- a/gingervane/vectors/front.py
+++ b/gingervane/vectors/front.py
@@ -23,7 +23,7 @@
 import orjson
 
 from gingervane.coordinator import types as t
-from gingervane.coordinator.core import Rejected
+from gingervane.coordinator.admission import Rejected
 from gingervane.writes.missed_writes import Place
 from gingervane.coordinator.dispatch import QueryDispatcher, QueryRequest, DispatchResult
 from gingervane.writes.idempotency import Do, State
--- a/gingervane/vectors/service.py
+++ b/gingervane/vectors/service.py
@@ -6,7 +6,8 @@
 import zlib
 from collections.abc import Callable
 
-from gingervane.coordinator.core import QueryCoordinator, CoordinatorFactory, QueryObserver
+from gingervane.coordinator.core import CoordinatorFactory, QueryCoordinator
+from gingervane.coordinator.ports import QueryObserver
 from gingervane.writes.missed_writes import Budget
 from gingervane.writes.replicated_shards import Keys, Replicated, Ring
 from gingervane.settings.daemon_settings import Config
--- a/gingervane/writes/quorum_writes.py
+++ b/gingervane/writes/quorum_writes.py
@@ -18,7 +18,8 @@
 from gingervane import interface as api
 from gingervane.coordinator import types as t
 from gingervane.coordinator.boot_clock import seconds as real_seconds
-from gingervane.coordinator.core import ResultQueue, Rejected, PendingQuery
+from gingervane.coordinator.admission import Rejected
+from gingervane.coordinator.pending_queries import PendingQuery, ResultQueue
 from gingervane.writes.missed_writes import Place
 from gingervane.coordinator.dispatch import QueryDispatcher
 from gingervane.writes.shard_placement import MOST_CELLS, ShardPlacement
--- a/gingervane/writes/replicated_shards.py
+++ b/gingervane/writes/replicated_shards.py
@@ -16,7 +16,8 @@
 from gingervane import interface as api
 from gingervane.coordinator import types as t
 from gingervane.coordinator.boot_clock import seconds as real_seconds
-from gingervane.coordinator.core import QueryCoordinator, QueryObserver
+from gingervane.coordinator.core import QueryCoordinator
+from gingervane.coordinator.ports import QueryObserver
 from gingervane.writes.missed_writes import Budget, MissedWrites, Place
 from gingervane.coordinator.dispatch import QueryDispatcher
 from gingervane.writes.shard_placement import ShardPlacement
--- a/tests/recordings/driver_tools.py
+++ b/tests/recordings/driver_tools.py
@@ -14,7 +14,7 @@
 from gingervane.coordinator import attempt_outcome
 from gingervane.coordinator import types as t
 from gingervane.coordinator.retry_after import RetryAfterEstimate
-from gingervane.coordinator.core import Admission, AdmissionLimits, Rejected
+from gingervane.coordinator.admission import Admission, AdmissionLimits, Rejected
 from gingervane.writes.shard_placement import ShardPlacement
 from gingervane.coordinator.response_time_reserve import ResponseTimeReserve
 from gingervane.coordinator.process_pause import ProcessPauseDetector
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -20,7 +20,8 @@
 
 import pytest
 
-from gingervane.coordinator.core import Admission, QueryCoordinator
+from gingervane.coordinator.admission import Admission
+from gingervane.coordinator.core import QueryCoordinator
 from gingervane.fronts import connections as connections_module
 from gingervane.fronts.http_server import HttpServer
 from gingervane.fronts.connections import LINGER_BYTES, MOST_ENDING, After, Connection, Connections, _unread
@@ -652,7 +653,7 @@
 
     for sockets in (256, 1024, 4096):
         platform = Platform(tmp_path, sockets=sockets)
-        links = platform.node.core._senders
+        links = platform.node.core._transport
         assert isinstance(links, ReplicaConnections)
         clients = connections_of(platform)._bounds.connections + MOST_ENDING
         assert clients + links._limits.links + SPARE + OWN_DESCRIPTORS == sockets
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -71,7 +71,7 @@
 
 
 def links_of(platform: Platform) -> ReplicaConnections:
-    links = platform.node.core._senders
+    links = platform.node.core._transport
     assert isinstance(links, ReplicaConnections)
     return links
 
--- a/tests/test_intents.py
+++ b/tests/test_intents.py
@@ -428,7 +428,8 @@
     """A third protocol: words counted at replicas that speak plain lines, by the same desk and core."""
     from gingervane import interface as api
     from gingervane.coordinator import types as t
-    from gingervane.coordinator.core import AdmissionLimits, QueryCoordinator
+    from gingervane.coordinator.admission import AdmissionLimits
+    from gingervane.coordinator.core import QueryCoordinator
     from gingervane.coordinator.request_senders import SenderLimits, RequestSenders
     from gingervane.daemon.app import _Branches
     from gingervane.telemetry.daemon_metrics import Metrics
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -436,7 +436,7 @@
     replicas = [Replica(0) for _ in range(24)]
     before = {thread.ident for thread in threading.enumerate()}
     platform = Platform(tmp_path, *replicas, sockets=72)
-    links = platform.node.core._senders
+    links = platform.node.core._transport
     assert isinstance(links, ReplicaConnections)
     start, taken = links.start, list[bool]()
 
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -271,7 +271,7 @@
 def test_an_epoll_that_fails_ends_no_deciding(tmp_path: Path, call: str) -> None:
     """A registration that failed on the decision thread ended it, and with it all queries."""
     platform = Platform(tmp_path)
-    links = platform.node.core._senders
+    links = platform.node.core._transport
     assert isinstance(links, ReplicaConnections)
     poll = FailingPoll(links._poll)
     links._poll = poll  # type: ignore[assignment]
