--- a/gingervane/coordinator/ports.py
+++ b/gingervane/coordinator/ports.py
@@ -38,16 +38,18 @@
     def in_flight(self) -> int:
         """Batch requests taken that have not ended."""
 
-    def start(self, call: t.BatchRequest) -> bool:
+    def start(self, batch: t.BatchRequest) -> bool:
         """Take a batch request; each of its attempts is reported once. False: no capacity, and nothing was begun."""
 
     def maintain(self) -> None:
         """Go on with what could not be done at once; called at each turn."""
 
-    def cancel(self, call: t.BatchRequest) -> None:
+    def cancel(self, batch: t.BatchRequest) -> None:
         """Drop a batch request: none of its attempts is waited for any more."""
 
-    def abandon(self, call: t.BatchRequest, errand: t.AttemptRequest, tell: bool, over: bool) -> None:
+    def abandon(
+        self, batch: t.BatchRequest, attempt: t.AttemptRequest, notify_replica: bool, expired: bool
+    ) -> None:
         """Drop a claimed attempt, as `types.AbandonAttempt` has it."""
 
     def close_idle(self, address: tuple[str, int]) -> None:
--- a/gingervane/coordinator/request_senders.py
+++ b/gingervane/coordinator/request_senders.py
@@ -1,191 +1,265 @@
-"""Carries out calls: threads that each do one blocking exchange at a time.
+"""Sends batch requests: threads that each do one blocking exchange at a time.
 
-Owners: a call belongs to the sender thread that took it, but for its lease, through which the decision thread may
-shut its connection. The thread reports every errand of the call exactly once, whatever happens; the driver drops
-what came too late. No decision is made here: every time-out comes with the call or from the settings.
+Owners: a batch request belongs to the sender thread that took it, but for its lease, through which the decision
+thread may shut its connection. The thread reports every attempt of the batch exactly once, whatever happens; the
+driver drops what comes too late. No decision is made here: every time-out comes with the batch or from the settings.
 """
 
 from __future__ import annotations
 
 import time
 from collections import Counter
-from collections.abc import Callable
+from collections.abc import Callable, Iterable
+from dataclasses import dataclass
 from queue import SimpleQueue
 from threading import Lock, Thread
 from typing import NamedTuple, cast
 
-from gingervane.coordinator import attempt_outcome
 from gingervane.coordinator import types as t
-from gingervane.coordinator.attempt_outcome import ExchangePhase
+from gingervane.coordinator.attempt_outcome import (
+    ExchangePhase,
+    outcome_of_invalid_reply,
+    outcome_of_transport_error,
+)
 from gingervane.interface import AttemptOutcome
-from gingervane.wire.http1 import Closed, HttpError
+from gingervane.wire.http1 import Closed, HttpError, Response
 from gingervane.wire.pool import Connection, Lease, Pool, WriteError
 from gingervane.wire.socket_recorder import SOCKET_RECORDER
 
+MIN_CONNECT_TIMEOUT = 0.001  # seconds, where the batch's time is as good as up
+BODILESS_STATUSES = (204, 304)
+
 
 class SenderLimits(NamedTuple):
-    """`threads`: calls out at once; `waiting`: calls that may wait for a thread; times in seconds.
+    """How much is sent at once."""
+
+    threads: int  # batch requests that are being sent
+    waiting: int  # batch requests that wait for a thread
+    max_per_replica: int  # batch requests to one replica, and so connections in use to it
+    connect_timeout: float  # seconds
+
+
+class _Failure(NamedTuple):
+    """Why an exchange brought no results."""
+
+    outcome: AttemptOutcome
+    detail: str
+
+
+_CANCELLED = _Failure(AttemptOutcome.NEVER_SENT, "called off")
+
 
-    `each`: calls out to one replica, and so connections that are in use to it.
-    """
+class _Reply(NamedTuple):
+    """A reply that has been read as a whole."""
 
-    threads: int
-    waiting: int
-    each: int
-    connect_timeout: float
+    response: Response
+    body: bytes
+    received_at: float
+
+
+@dataclass(slots=True)
+class _Exchange:
+    """One batch request on its connection, and how far it has come."""
+
+    batch: t.BatchRequest
+    lease: Lease
+    connection: Connection | None
+    phase: ExchangePhase = ExchangePhase.CONNECTING
+    bytes_written: int = 0
+
+    def run(self, connection: Connection, attempts: list[t.AttemptRequest]) -> _Reply:
+        """Write the request of these attempts and read the reply."""
+        batch = self.batch
+        contents = [attempt.content for attempt in attempts]
+        connection.until = batch.expires_at
+        data = batch.codec.encode(contents, batch.seconds_left(attempts, time.monotonic()), batch.address)
+        connection.write(data)
+        self.phase = ExchangePhase.READING
+        self.bytes_written = len(data)
+        response = connection.reader.response()
+        bodiless = response.status in BODILESS_STATUSES
+        body = connection.reader.body(response.headers, is_response=True, none=bodiless)
+        received_at = time.monotonic()
+        SOCKET_RECORDER.put("got", connection.near, connection.far, bytes=len(body))
+        return _Reply(response, body, received_at)
+
+    def transport_failure(self, error: OSError | Closed) -> _Failure:
+        """Say what an error of the transport proves, from how far the exchange had come."""
+        cause: Exception = error
+        written = self.bytes_written
+        if isinstance(error, WriteError):
+            cause = error.cause
+            written = error.wrote
+        outcome = outcome_of_transport_error(self.phase, written, isinstance(cause, TimeoutError))
+        return _Failure(outcome, f"{self.phase.value}: {cause}")
+
+    def drop_connection(self) -> None:
+        """Close the connection, whose state is not known."""
+        self.lease.end()
+        if self.connection:
+            self.connection.close()
 
 
 class RequestSenders:
-    """A pool of sender threads that grows to its bound as calls come."""
+    """A pool of sender threads that grows to its bound as batch requests come."""
 
     def __init__(
         self, pool: Pool, limits: SenderLimits, report: Callable[[list[t.AttemptFinished]], None]
     ) -> None:
-        self._pool, self._limits, self._report = pool, limits, report
-        self._calls: SimpleQueue[t.BatchRequest | None] = SimpleQueue()
-        self._lock = Lock()
-        self._held = 0  # calls waiting or being carried out
-        self._held_by = Counter[int]()  # the same, by replica
+        """`report` takes the ends of attempts, on a sender thread."""
+        self._pool = pool
+        self._limits = limits
+        self._report = report
+        self._batches: SimpleQueue[t.BatchRequest | None] = SimpleQueue()  # None: a thread is to end
+        self._lock = Lock()  # over the two counts
+        self._in_flight = 0  # batch requests that wait or are being sent
+        self._in_flight_by_replica = Counter[int]()
         self._threads: list[Thread] = []
 
     @property
     def in_flight(self) -> int:
-        return self._held
+        """Batch requests that wait for a thread or are being sent."""
+        return self._in_flight
 
-    def start(self, call: t.BatchRequest) -> bool:
-        """Hand over a call; False if no more may wait. Never blocks; from the decision thread only."""
+    def start(self, batch: t.BatchRequest) -> bool:
+        """Take a batch request; false if no more may wait. Never blocks; from the decision thread only."""
+        limits = self._limits
         with self._lock:
-            full = self._held >= self._limits.threads + self._limits.waiting
-            if full or self._held_by[call.replica] >= self._limits.each:
+            full = self._in_flight >= limits.threads + limits.waiting
+            if full or self._in_flight_by_replica[batch.replica] >= limits.max_per_replica:
                 return False
-            self._held += 1
-            self._held_by[call.replica] += 1
-            grow = self._held > len(self._threads) < self._limits.threads
-        call.transport_token = Lease()
+            self._in_flight += 1
+            self._in_flight_by_replica[batch.replica] += 1
+            grow = self._in_flight > len(self._threads) < limits.threads
+        batch.transport_token = Lease()
         if grow:
             thread = Thread(target=self._work, name=f"sender-{len(self._threads)}", daemon=True)
             self._threads.append(thread)
             thread.start()
-        self._calls.put(call)
+        self._batches.put(batch)
         return True
 
-    def cancel(self, call: t.BatchRequest) -> None:
-        """Shut the call's connection, or keep it from being used; does not block."""
-        if isinstance(call.transport_token, Lease):
-            call.transport_token.call_off()
+    def cancel(self, batch: t.BatchRequest) -> None:
+        """Shut the connection of a batch request, or keep it from being used; does not block."""
+        if isinstance(batch.transport_token, Lease):
+            batch.transport_token.call_off()
 
     def maintain(self) -> None:
-        """Nothing waits here but for a thread."""
+        """Do nothing: what waits here waits for a thread."""
 
-    def abandon(self, call: t.BatchRequest, errand: t.AttemptRequest, tell: bool, over: bool) -> None:
-        """A request is given up as a whole, by `call_off`: HTTP/1.1 cannot take back one part of it."""
+    def abandon(
+        self, batch: t.BatchRequest, attempt: t.AttemptRequest, notify_replica: bool, expired: bool
+    ) -> None:
+        """Do nothing: HTTP/1.1 cannot take back a part of a request, which `cancel` drops as a whole."""
 
     def close_idle(self, address: tuple[str, int]) -> None:
+        """Close the idle connections to an address."""
         self._pool.drop(address)
 
     def close(self) -> None:
-        """Let the threads end once their present calls have."""
+        """Let the threads end once their present exchanges have."""
         for _ in self._threads:
-            self._calls.put(None)
+            self._batches.put(None)
+
+    # ---- sender threads
 
     def _work(self) -> None:
-        while (call := self._calls.get()) is not None:
+        while (batch := self._batches.get()) is not None:
             try:
-                ended = self._carry_out(call)
-            except Exception as error:  # a bug must not leave an attempt without an ending
-                ended = _all(
-                    call, lambda e: AttemptOutcome.ERROR, f"internal: {type(error).__name__}: {error}"
-                )
+                finished = self._carry_out(batch)
+            except Exception as error:  # noqa: BLE001 - a bug must not leave an attempt without an end
+                detail = f"internal: {type(error).__name__}: {error}"
+                finished = _fail(batch.attempts, _Failure(AttemptOutcome.ERROR, detail))
             with self._lock:
-                self._held -= 1
-                self._held_by[call.replica] -= 1
-            self._report(ended)
+                self._in_flight -= 1
+                self._in_flight_by_replica[batch.replica] -= 1
+            self._report(finished)
 
-    def _carry_out(self, call: t.BatchRequest) -> list[t.AttemptFinished]:
-        lease: Lease = call.transport_token
+    def _carry_out(self, batch: t.BatchRequest) -> list[t.AttemptFinished]:
+        """Return the ends of the batch's attempts; those that waited too long are reported on the way."""
+        lease: Lease = batch.transport_token
         if lease.off:
-            return _all(call, lambda e: AttemptOutcome.NEVER_SENT, "called off")
-        phase, wrote, connection = ExchangePhase.CONNECTING, 0, self._pool.take(call.address)
-        exchange = cast(t.HttpCodec, call.codec)
+            return _fail(batch.attempts, _CANCELLED)
+        exchange = _Exchange(batch, lease, self._pool.take(batch.address))
         try:
-            if connection is None:
-                left = min(self._limits.connect_timeout, call.expires_at - time.monotonic())
-                connection = self._pool.connect(call.address, max(left, 0.001))
-            phase = ExchangePhase.WRITING
-            if not lease.begin(connection):
-                return self._leave(call, connection, lease)
-            # From here on these may run; what was ended before its claim stays behind, and so does what waited.
-            errands, stale = call.claim_sendable(time.monotonic())
-            if stale:  # ended here and now, whatever becomes of the others
-                now = time.monotonic()
-                self._report(
-                    [
-                        t.AttemptFinished(
-                            e.part, e.attempt, AttemptOutcome.NEVER_SENT, now, None, "waited too long"
-                        )
-                        for e in stale
-                    ]
-                )
-            if not errands:
-                return self._leave(call, connection, lease)
-            contents = [errand.content for errand in errands]
-            connection.until = call.expires_at
-            data = exchange.encode(contents, call.seconds_left(errands, time.monotonic()), call.address)
-            connection.write(data)
-            phase, wrote = ExchangePhase.READING, len(data)
-            reply = connection.reader.response()
-            body = connection.reader.body(reply.headers, is_response=True, none=reply.status in (204, 304))
-            at = time.monotonic()
-            SOCKET_RECORDER.put("got", connection.near, connection.far, bytes=len(body))
-        except (WriteError, OSError, Closed) as error:
-            wrote = error.wrote if isinstance(error, WriteError) else wrote
-            cause = error.cause if isinstance(error, WriteError) else error
-            outcome = attempt_outcome.outcome_of_transport_error(
-                phase, wrote, isinstance(cause, TimeoutError)
-            )
-            self._drop(connection, lease)
-            return _all(call, lambda e: outcome, f"{phase.value}: {cause or type(cause).__name__}")
+            connection = self._connect(exchange)
+            attempts = self._claim(batch) if lease.begin(connection) else []
+            if not attempts:
+                # Not a byte has left: the connection is as good as before, unless it was shut.
+                self._give_back(exchange, connection, reusable=True)
+                return _fail(batch.attempts, _CANCELLED)
+            reply = exchange.run(connection, attempts)
+        except (OSError, Closed) as error:
+            failure = exchange.transport_failure(error)
+            exchange.drop_connection()
+            return _fail(batch.attempts, failure)
         except HttpError as error:
-            self._drop(connection, lease)
-            return _all(call, lambda e: AttemptOutcome.ERROR, error.what)
-        if lease.end() and reply.keep_alive:
-            self._pool.put(call.address, connection)
+            exchange.drop_connection()
+            return _fail(batch.attempts, _Failure(AttemptOutcome.ERROR, error.what))
+        self._give_back(exchange, connection, reply.response.keep_alive)
+        return _results(batch, attempts, reply)
+
+    def _connect(self, exchange: _Exchange) -> Connection:
+        connection = exchange.connection
+        if connection is None:
+            batch = exchange.batch
+            left = min(self._limits.connect_timeout, batch.expires_at - time.monotonic())
+            connection = self._pool.connect(batch.address, max(left, MIN_CONNECT_TIMEOUT))
+            exchange.connection = connection
+        exchange.phase = ExchangePhase.WRITING
+        return connection
+
+    def _claim(self, batch: t.BatchRequest) -> list[t.AttemptRequest]:
+        """Claim the attempts that may be sent, which may run from here on; end those that waited too long.
+
+        What was ended before its claim is in neither.
+        """
+        sendable, overdue = batch.claim_sendable(time.monotonic())
+        if overdue:  # ended here and now, whatever becomes of the others
+            self._report(_fail(overdue, _Failure(AttemptOutcome.NEVER_SENT, "waited too long")))
+        return sendable
+
+    def _give_back(self, exchange: _Exchange, connection: Connection, reusable: bool) -> None:
+        """Put a connection into the pool, or close it if it is not reusable or was shut meanwhile."""
+        if exchange.lease.end() and reusable:
+            self._pool.put(exchange.batch.address, connection)
         else:
             connection.close()
-        try:
-            results = exchange.decode(contents, reply.status, reply.headers.get, body)
-        except t.InvalidReply as error:
-            proof, busy = error.proves_not_executed, error.overloaded
-            return _all(
-                call,
-                lambda e: attempt_outcome.outcome_of_invalid_reply(e.semantics, proof, busy),
-                str(error),
-                at,
-            )
+
+
+def _results(
+    batch: t.BatchRequest, attempts: list[t.AttemptRequest], reply: _Reply
+) -> list[t.AttemptFinished]:
+    """Return a result for each attempt that was sent, or the end of all where the reply does not count."""
+    codec = cast(t.HttpCodec, batch.codec)
+    response = reply.response
+    contents = [attempt.content for attempt in attempts]
+    try:
+        results = codec.decode(contents, response.status, response.headers.get, reply.body)
+    except t.InvalidReply as error:
+        detail = str(error)
         return [
-            t.AttemptFinished(e.part, e.attempt, AttemptOutcome.OK, at, result)
-            for e, result in zip(errands, results, strict=True)
+            _finish(attempt, _invalid_reply_failure(attempt, error, detail), reply.received_at)
+            for attempt in batch.attempts
         ]
+    return [
+        t.AttemptFinished(attempt.part, attempt.attempt, AttemptOutcome.OK, reply.received_at, result)
+        for attempt, result in zip(attempts, results, strict=True)
+    ]
 
-    def _leave(self, call: t.BatchRequest, connection: Connection, lease: Lease) -> list[t.AttemptFinished]:
-        """Called off before a byte left: the connection is as good as before, unless it was shut."""
-        if lease.end():
-            self._pool.put(call.address, connection)
-        else:
-            connection.close()
-        return _all(call, lambda e: AttemptOutcome.NEVER_SENT, "called off")
 
-    def _drop(self, connection: Connection | None, lease: Lease) -> None:
-        lease.end()
-        if connection:
-            connection.close()
+def _invalid_reply_failure(attempt: t.AttemptRequest, error: t.InvalidReply, detail: str) -> _Failure:
+    outcome = outcome_of_invalid_reply(attempt.semantics, error.proves_not_executed, error.overloaded)
+    return _Failure(outcome, detail)
 
 
-def _all(
-    call: t.BatchRequest,
-    outcome: Callable[[t.AttemptRequest], AttemptOutcome],
-    why: str,
-    at: float | None = None,
-) -> list[t.AttemptFinished]:
-    now = time.monotonic() if at is None else at
-    return [t.AttemptFinished(e.part, e.attempt, outcome(e), now, None, why) for e in call.attempts]
+def _fail(attempts: Iterable[t.AttemptRequest], failure: _Failure) -> list[t.AttemptFinished]:
+    """Return the ends of attempts that failed alike, now."""
+    now = time.monotonic()
+    return [_finish(attempt, failure, now) for attempt in attempts]
+
+
+def _finish(attempt: t.AttemptRequest, failure: _Failure, finished_at: float) -> t.AttemptFinished:
+    return t.AttemptFinished(
+        attempt.part, attempt.attempt, failure.outcome, finished_at, None, failure.detail
+    )
--- a/gingervane/emulator/coordinator.py
+++ b/gingervane/emulator/coordinator.py
@@ -222,7 +222,10 @@
 
     def _start(self, call: t.BatchRequest) -> None:
         bounds = self._bounds
-        full = self._held >= bounds.threads + bounds.waiting or self._held_by[call.replica] >= bounds.each
+        full = (
+            self._held >= bounds.threads + bounds.waiting
+            or self._held_by[call.replica] >= bounds.max_per_replica
+        )
         if full:
             self._end(call, call.attempts, AttemptOutcome.NEVER_SENT, free=False)
             return
