--- a/gingervane/coordinator/admission.py
+++ b/gingervane/coordinator/admission.py
@@ -69,11 +69,11 @@
                 raise Rejected(self._closed_reason, self._max_retry_after)
             max_open = self._limits.max_open
             if self._open + size > max_open:
-                wait = self._open_estimate.until(self._now(), self._open + size - max_open)
+                wait = self._open_estimate.seconds_until_free(self._now(), self._open + size - max_open)
                 raise Rejected(f"{self._open} of {max_open} queries and parts are open", wait)
             excess = self._reserved_bytes + open_result_bytes - self._limits.max_result_bytes
             if excess > 0:
-                wait = self._bytes_estimate.until(self._now(), excess)
+                wait = self._bytes_estimate.seconds_until_free(self._now(), excess)
                 raise Rejected(f"results held take {excess} bytes more than the bound", wait)
             self._open += size
 
--- a/gingervane/coordinator/boot_clock.py
+++ b/gingervane/coordinator/boot_clock.py
@@ -1,8 +1,8 @@
-"""Real time that a stepped wall clock does not touch, and that goes on across restarts of this process.
+"""Real time that a step of the wall clock does not touch, and that goes on across restarts of this process.
 
 `CLOCK_BOOTTIME` runs on from the machine's start, sleep included, and is the same for all processes until the machine
-starts anew. So a time that was kept on disk means something as long as the boot's id is the same; else nothing is
-known of how long ago it was.
+boots again. So a time that was stored on disk means something as long as the id of the boot is the same; else it is
+not known how long ago it was.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 @cache
 def boot_id() -> str:
-    """The id of this boot; empty if the system does not tell, and then no kept moment is of this boot."""
+    """Return the id of this boot; empty if the system gives none, and then no stored moment is of this boot."""
     try:
         return _BOOT_ID.read_text().strip()
     except OSError:
@@ -32,17 +32,17 @@
 
 
 def seconds() -> float:
-    """Seconds since this boot."""
+    """Return the seconds since this boot."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 def moment() -> Moment:
-    """Now."""
+    """Return the present moment."""
     return Moment(boot_id(), seconds())
 
 
-def since(kept: Moment) -> float | None:
-    """Seconds since a moment that was kept; None if it was before another boot."""
-    if not kept.boot or kept.boot != boot_id():
+def since(stored: Moment) -> float | None:
+    """Return the seconds since a stored moment; None if it was before another boot."""
+    if not stored.boot or stored.boot != boot_id():
         return None
-    return max(seconds() - kept.seconds, 0.0)
+    return max(seconds() - stored.seconds, 0.0)
--- a/gingervane/coordinator/dispatch.py
+++ b/gingervane/coordinator/dispatch.py
@@ -1,8 +1,8 @@
-"""What every front does with a core: hand over a question, and wait for its one final answer.
+"""What every front does with a coordinator: hand over a query, and wait for its one result.
 
-A front gives a class of its own, parts with weights, an exchange that asks replicas and checks their replies, and a
-merge. The desk gives the time to answer (what is left after merging and writing, learned by class) and the ticket
-that ends once. Nothing here knows a protocol.
+A front gives a class of its own, parts with weights, a codec that asks replicas and checks their replies, and a
+merge. The dispatcher gives the time to answer (what is left after merging and writing, learned by class) and the
+pending query, which is completed once. Nothing here knows a protocol.
 """
 
 from __future__ import annotations
@@ -18,70 +18,71 @@
 
 
 class Client(Protocol):
-    """Who asked."""
+    """Who sent the query."""
 
     def watch(self, gone: Callable[[], None]) -> None:
-        """Have `gone` called, once, if it leaves before the reply."""
+        """Have `gone` called, once, if the client disconnects before the reply."""
 
 
 class QueryRequest(NamedTuple):
-    """A query that a front has read. `name`: its class, for logs; `number`: that class's in the module."""
+    """A query that a front has read."""
 
-    name: str
-    number: int
+    class_name: str  # for logs
+    class_index: int  # in the settings of the decision module
     parts: Sequence[t.PartPlan]
     codec: t.HttpCodec
-    arrived: float
-    deadline: float  # the client's time
+    arrived_at: float
+    deadline: float  # when the client's time is up
 
 
 class DispatchResult(NamedTuple):
-    """Its one end. `done` must be called once the reply is written or cannot be."""
+    """The end of a query. `release` must be called once the reply is written or cannot be."""
 
     result: t.QueryResult
-    seconds: float  # from its handing over
+    seconds: float  # since it was submitted
     release: Callable[[], None]
 
 
 class QueryDispatcher:
-    """One core's, shared by front threads."""
+    """Dispatches to one coordinator; shared by front threads."""
 
-    def __init__(self, core: QueryCoordinator, names: Iterable[str]) -> None:
-        """`names`: of classes."""
+    def __init__(self, core: QueryCoordinator, class_names: Iterable[str]) -> None:
         self.core = core
-        self._reserves, self._lock = {name: ResponseTimeReserve() for name in names}, Lock()
+        self._lock = Lock()  # over the reserves
+        self._reserves = {name: ResponseTimeReserve() for name in class_names}
 
-    def reserve(self, name: str, parts: int, span: float) -> float:
-        """Seconds of `span` to keep for merging and writing."""
+    def reserve(self, class_name: str, parts: int, client_time: float) -> float:
+        """Seconds of `client_time` to reserve for merging and writing."""
         with self._lock:
-            return self._reserves[name].get(parts, span)
+            return self._reserves[class_name].get(parts, client_time)
 
-    def learn(self, name: str, parts: int, settled: float) -> None:
-        """A query settled at `settled` has been written."""
+    def learn(self, class_name: str, parts: int, completed_at: float) -> None:
+        """Note that a query that was completed then has been written now."""
         with self._lock:
-            self._reserves[name].learn(parts, time.monotonic() - settled)
+            self._reserves[class_name].learn(parts, time.monotonic() - completed_at)
 
     def dispatch(
-        self, question: QueryRequest, client: Client | None, deadline: float | None = None
+        self, request: QueryRequest, client: Client | None, deadline: float | None = None
     ) -> DispatchResult:
-        """Hand over and wait. Raises Refused, and then nothing was begun.
+        """Submit a query and wait for its result, or raise `Rejected`, and then nothing was begun.
 
-        `deadline`: when the answer must be in; left out: the client's time, less what merging and writing take.
+        `deadline`: when the result must be in; None: the client's time, less what merging and writing take.
         """
-        name, parts = question.name, tuple(question.parts)
+        class_name = request.class_name
+        parts = tuple(request.parts)
         if deadline is None:
-            deadline = question.deadline - self.reserve(
-                name, len(parts), question.deadline - question.arrived
-            )
-        began = time.monotonic()
-        ticket = self.core.submit(t.QueryPlan(question.number, deadline, parts, question.codec, name))
+            client_time = request.deadline - request.arrived_at
+            deadline = request.deadline - self.reserve(class_name, len(parts), client_time)
+        submitted_at = time.monotonic()
+        plan = t.QueryPlan(request.class_index, deadline, parts, request.codec, class_name)
+        query = self.core.submit(plan)
         if client is not None:
-            client.watch(ticket.abandon)
-        final = ticket.wait()
-        settled = time.monotonic()
+            client.watch(query.abandon)
+        result = query.wait()
+        completed_at = time.monotonic()
 
-        def done() -> None:
-            ticket.release()
-            self.learn(name, len(parts), settled)
+        def release() -> None:
+            query.release()
+            self.learn(class_name, len(parts), completed_at)
 
-        return DispatchResult(final, settled - began, done)
+        return DispatchResult(result, completed_at - submitted_at, release)
--- a/gingervane/coordinator/retry_after.py
+++ b/gingervane/coordinator/retry_after.py
@@ -1,39 +1,40 @@
-"""When to come back after a refusal for want of room. Free of I/O; time is handed in.
+"""Estimates when a rejected query may be retried. Free of I/O; its caller does the locking.
 
-Room comes as queries are replied to. How fast it came lately says how long it takes until as much is free as the
-refused query lacks; where nothing left lately nothing is known, and the longest advice is given.
+Capacity comes free as queries are replied to. The rate at which it did lately says how long it takes until as much is
+free as the rejected query lacks; where nothing came free lately nothing is known, and the longest wait is given.
 """
 
 from __future__ import annotations
 
 from collections import deque
 
-SPAN = 2.0  # seconds over which the rate is taken
-LEAST = 0.02  # seconds: sooner than that nobody need come
+RATE_WINDOW = 2.0  # seconds over which the rate is taken
+MIN_RETRY_AFTER = 0.02  # seconds; also the shortest time over which a rate is taken
 
 
 class RetryAfterEstimate:
-    """Learns how fast room comes free; its caller sees to locking."""
+    """Learns how fast capacity comes free."""
 
-    def __init__(self, longest: float) -> None:
-        self._longest = longest
-        self._left: deque[tuple[float, int]] = deque()
-        self._sum = 0
+    def __init__(self, max_retry_after: float) -> None:
+        """`max_retry_after`: seconds."""
+        self._max_retry_after = max_retry_after
+        self._freed: deque[tuple[float, int]] = deque()  # when and how much, within the window
+        self._freed_total = 0
 
     def freed(self, now: float, size: int) -> None:
-        """So much room came free."""
-        self._left.append((now, size))
-        self._sum += size
-        self._forget(now)
-
-    def until(self, now: float, lacking: int) -> float:
-        """Seconds until `lacking` more should be free."""
-        self._forget(now)
-        if not self._sum:
-            return self._longest
-        span = max(min(now - self._left[0][0], SPAN), LEAST)
-        return min(max(lacking * span / self._sum, LEAST), self._longest)
-
-    def _forget(self, now: float) -> None:
-        while self._left and self._left[0][0] < now - SPAN:
-            self._sum -= self._left.popleft()[1]
+        """Note that so much capacity came free."""
+        self._freed.append((now, size))
+        self._freed_total += size
+        self._expire(now)
+
+    def seconds_until_free(self, now: float, missing: int) -> float:
+        """Seconds until `missing` more should be free."""
+        self._expire(now)
+        if not self._freed_total:
+            return self._max_retry_after
+        span = max(min(now - self._freed[0][0], RATE_WINDOW), MIN_RETRY_AFTER)
+        return min(max(missing * span / self._freed_total, MIN_RETRY_AFTER), self._max_retry_after)
+
+    def _expire(self, now: float) -> None:
+        while self._freed and self._freed[0][0] < now - RATE_WINDOW:
+            self._freed_total -= self._freed.popleft()[1]
--- a/gingervane/coordinator/timers.py
+++ b/gingervane/coordinator/timers.py
@@ -1,7 +1,7 @@
-"""Timers of the decision thread: due times with an item each. Free of I/O; a time is whatever the caller says.
+"""Timers of the decision thread: due times with a label each. Free of I/O; a time is whatever the caller says.
 
-Two structures with one face. The wheel is the one in use; `benchmarks/timers.py` compares them on the mix that the
-module makes (one hedge timer a part, nearly all of which fire late or for nothing).
+Two structures with one interface. The wheel is the one in use; `benchmarks/timers.py` compares them on the mix that
+the decision module makes (one hedge timer a part, nearly all of which fire late or for nothing).
 """
 
 from __future__ import annotations
@@ -16,57 +16,62 @@
     """A binary heap: exact order, O(log n) each."""
 
     def __init__(self) -> None:
-        self._heap: list[tuple[float, int, Hashable]] = []
-        self._count = 0
+        self._heap: list[tuple[float, int, Hashable]] = []  # due time, order of adding, label
+        self._added = 0
 
     def __len__(self) -> int:
         return len(self._heap)
 
-    def add(self, due: float, item: Hashable) -> None:
-        self._count += 1
-        heapq.heappush(self._heap, (due, self._count, item))
+    def add(self, due: float, label: Hashable) -> None:
+        """Have a label come due at a time."""
+        self._added += 1
+        heapq.heappush(self._heap, (due, self._added, label))
 
     def next_due(self) -> float:
-        """When something is due; infinity if nothing is."""
+        """When the first label comes due; infinity if there is none."""
         return self._heap[0][0] if self._heap else inf
 
     def pop_due(self, now: float) -> list[Hashable]:
-        """All that is due, earliest first."""
-        out = []
+        """Remove and return what is due, earliest first."""
+        labels = []
         while self._heap and self._heap[0][0] <= now:
-            out.append(heapq.heappop(self._heap)[2])
-        return out
+            labels.append(heapq.heappop(self._heap)[2])
+        return labels
 
 
 class WheelTimers:
     """Buckets of one tick; a heap holds the bucket numbers only, so that many timers share one heap entry.
 
-    An item comes due at the end of its tick: up to one tick late, never early.
+    A label comes due at the end of its tick: up to one tick late, never early.
     """
 
     def __init__(self, tick: float) -> None:
+        """`tick`: seconds."""
         self._tick = tick
-        self._buckets: defaultdict[int, list[Hashable]] = defaultdict(list)
-        self._order: list[int] = []
+        self._buckets: defaultdict[int, list[Hashable]] = defaultdict(list)  # labels, by number of the tick
+        self._ticks: list[int] = []  # a heap of the numbers of non-empty buckets
         self._count = 0
 
     def __len__(self) -> int:
         return self._count
 
-    def add(self, due: float, item: Hashable) -> None:
-        slot = ceil(due / self._tick)
-        bucket = self._buckets[slot]
+    def add(self, due: float, label: Hashable) -> None:
+        """Have a label come due at the end of the tick that holds a time."""
+        tick_number = ceil(due / self._tick)
+        bucket = self._buckets[tick_number]
         if not bucket:
-            heapq.heappush(self._order, slot)
-        bucket.append(item)
+            heapq.heappush(self._ticks, tick_number)
+        bucket.append(label)
         self._count += 1
 
     def next_due(self) -> float:
-        return self._order[0] * self._tick if self._order else inf
+        """When the first labels come due; infinity if there are none."""
+        return self._ticks[0] * self._tick if self._ticks else inf
 
     def pop_due(self, now: float) -> list[Hashable]:
-        out: list[Hashable] = []
-        while self._order and self._order[0] * self._tick <= now:
-            out += self._buckets.pop(heapq.heappop(self._order))
-        self._count -= len(out)
-        return out
+        """Remove and return what is due, earliest tick first, in order of adding within one."""
+        labels: list[Hashable] = []
+        while self._ticks and self._ticks[0] * self._tick <= now:
+            labels += self._buckets.pop(heapq.heappop(self._ticks))
+        self._count -= len(labels)
+        return labels
--- a/gingervane/coordinator/types.py
+++ b/gingervane/coordinator/types.py
@@ -1,4 +1,4 @@
-"""What the co-ordinator's driver is handed and what it hands back. Times: seconds on one monotonic clock."""
+"""Inputs and effects of the coordinator's driver. Times are seconds on one monotonic clock."""
 
 from __future__ import annotations
 
@@ -12,33 +12,40 @@
 from gingervane import interface as api
 
 
-# Seconds that a further attempt may leave after it was decided, the last byte of its frame included. The module is
-# told so, and keeps budgets and windows by so much, as they hold for what leaves the sockets.
+# Seconds after its decision by which a retry or hedged request must have been sent, the last byte of its frame
+# included. The decision module knows it and keeps its budgets and windows tighter by as much, as they hold for what
+# leaves the sockets.
 MAX_SEND_DELAY = 0.05
 
 
 class Codec(Protocol):
-    """How parts of one protocol travel to a replica in one call. Free of I/O; called from sending threads."""
+    """Encodes parts of one protocol as one request to a replica. Free of I/O; called from sending threads."""
 
     def encode(self, contents: list[Any], seconds_left: list[float], address: tuple[str, int]) -> bytes:
-        """The whole request for these parts. `seconds_left`: of each; where a request has one time for all of them,
-        it is the least, so that no replica is told more time than a client has."""
+        """Return the whole request for these parts.
+
+        `seconds_left`: of each. Where a request has one time for all of them, it is the least, so that no replica is
+        told more time than a client has.
+        """
 
     def result_size(self, result: Any) -> int:
-        """Bytes that a result holds in memory, roughly."""
+        """Return roughly the bytes that a result takes in memory."""
 
 
 class HttpCodec(Codec, Protocol):
-    """Where a call is one request on a connection of its own, and its reply holds a result for each part."""
+    """A codec whose batch is one request on a connection of its own, with a result for each part in the reply."""
 
     def decode(
         self, contents: list[Any], status: int, header: Callable[[str], str], body: bytes
     ) -> list[Any]:
-        """A result for each part; raises BadReply for a reply that may not count."""
+        """Return a result for each part; raises `InvalidReply` for a reply that does not count."""
 
 
 class InvalidReply(Exception):
-    """A replica's reply that does not count, and why. `proven_idle`: it says that nothing was begun."""
+    """A reply of a replica that does not count, and why.
+
+    `proves_not_executed`: it says that nothing was begun. `overloaded`: the replica rejected it for want of capacity.
+    """
 
     def __init__(self, what: str, proves_not_executed: bool = False, overloaded: bool = False) -> None:
         super().__init__(what)
@@ -46,10 +53,10 @@
 
 
 class PartPlan(NamedTuple):
-    """One part of a query: what to ask the holders of a shard, and its share of the whole answer.
+    """One part of a query: what to ask the replicas of a shard, and its share of the complete answer.
 
-    `most_runs`: attempts that may run, for parts whose attempts were granted from above; the driver holds back what
-    would be one more. `by_run`: contents by how many attempts had run or were out before, in place of `content`.
+    `max_executions`: attempts that may run, for parts with a quota of attempts; the driver withholds any more.
+    `content_by_execution`: contents by how many attempts had run or were in flight before, in place of `content`.
     """
 
     shard: int
@@ -59,7 +66,7 @@
     content_by_execution: tuple[Any, ...] = ()
 
 
-# The parts of a class's second step, of the first step's results (by index in the plan) and whether it was whole.
+# Makes the parts of a second step from the results of the first (by index in the plan) and whether it was complete.
 SecondStep = Callable[[dict[int, Any], bool], tuple[PartPlan, ...]]
 
 
@@ -67,8 +74,8 @@
 class QueryPlan:
     """A query that a front has read. `deadline`: when the client's time is up. `tag`: for logs.
 
-    `is_repeat`: the client says that it asked before. `predicted_cost`: seconds of work, 0 where nothing tells.
-    `second_step`: for classes that have one; called on the decision thread as the first step ends.
+    `is_client_retry`: the client says that it sent the query before. `predicted_cost`: seconds of work, 0 where it is
+    not known. `second_step`: for classes that have one; called on the decision thread as the first step ends.
     """
 
     query_class: int
@@ -88,27 +95,27 @@
     PARTIAL = "short"
     REJECTED = "refused"
     FAILED = "failed"
-    CLIENT_DISCONNECTED = "left"  # the client went; nobody is there to answer
+    CLIENT_DISCONNECTED = "left"  # nobody is there to answer
 
 
 class AttemptRecord(NamedTuple):
-    """One attempt in a query's path, for logs, tables and the client's tool."""
+    """One ended attempt of a query, for logs, tables and the client's tool."""
 
     shard: int
     attempt: int
     replica: int
     outcome: str
     seconds: float
-    earlier_executions: int = 0  # attempts that had run or were out before it
+    earlier_executions: int = 0  # attempts that had run or were in flight before it
     never_ran: bool = False
 
 
 @dataclass
 class QueryResult:
-    """The one end of a query. `results`: by index of the plan's parts, of those that are in.
+    """The one end of a query. `results`: of the parts that were received, by index in the plan.
 
-    After a second step they are that step's, whose indexes go on after the plan's. `marked_whole`: the module's
-    word, which a class's `whole_share` may let it give with a part missing.
+    After a second step they are that step's, whose indexes go on after the plan's. `marked_complete`: as the decision
+    module has it, which a class's `complete_coverage` may permit with a part missing.
     """
 
     status: QueryStatus
@@ -116,30 +123,32 @@
     retry_after: float = 0.0
     detail: str = ""
     attempts: list[AttemptRecord] = field(default_factory=list)
-    coverage: float = 0.0  # share of the weight that is in
+    coverage: float = 0.0  # share of the weight that was received
     result_bytes: int = 0
     marked_complete: bool = False
     reason: api.QueryEndReason = api.QueryEndReason.UNSTATED
-    step: int = 1  # in which it ended
+    step: int = 1  # the step in which it ended
     parts_requested: int = 0  # parts of that step
-    parts_received: int = 0  # of those, answered; also where the verdict gives no results
+    parts_received: int = 0  # of those, answered; also where the status gives no results
 
 
-# Where a query's one final answer goes. Called once, on the decision thread; must not block.
+# Takes the one result of a query. Called once, on the decision thread; must not block.
 ResultCallback = Callable[[QueryResult], None]
 
 
-# ---- what the driver takes
+# ---- inputs of the driver
 
 
 class QuerySubmitted(NamedTuple):
+    """A query has been admitted."""
+
     id: int
     plan: QueryPlan
     on_result: ResultCallback
 
 
 class AttemptFinished(NamedTuple):
-    """A call's word on one of its attempts. `ended_at` is stamped where it was seen, not where it is read."""
+    """An attempt has ended. `finished_at` is stamped where the end was seen, not where it is read."""
 
     part: int
     attempt: int
@@ -156,18 +165,18 @@
 
 
 class EndpointsUpdated(NamedTuple):
-    """A membership list, and where its replicas are reached."""
+    """A change of membership, and the addresses of its replicas."""
 
     membership: api.MembershipChanged
     addresses: dict[int, tuple[str, int]]
 
 
 class Shutdown(NamedTuple):
-    """End all that is held: refused where that is harmless, else failed."""
+    """End all open queries: rejected where a client may repeat them without harm, else failed."""
 
 
 class PeerMessageReceived(NamedTuple):
-    """A message from another co-ordinator, by its number in the settings."""
+    """A message from another coordinator, by its number in the settings."""
 
     sender: int
     payload: bytes
@@ -178,15 +187,15 @@
 )
 
 
-# ---- what the driver asks for
+# ---- effects of the driver
 
 
 class AttemptRequest:
-    """One attempt as a member of a call.
+    """One attempt in a batch request.
 
-    Whether it goes out is settled by `claim`, which is true for its first caller alone: the sender claims it just
-    before it writes, the driver when it ends the attempt on its own. So what the driver ended first never leaves,
-    and an ending that the driver makes can prove that nothing had left.
+    Whether it is sent is settled by `claim`, which is true for its first caller alone: the sender claims it just
+    before it writes, the driver when it ends the attempt itself. So what the driver ended first is never sent, and an
+    end that the driver makes can prove that nothing was sent.
     """
 
     __slots__ = ("part", "attempt", "content", "semantics", "expires_at", "_unclaimed")
@@ -199,12 +208,13 @@
         semantics: api.RetrySafety,
         expires_at: float = inf,
     ) -> None:
-        """`stop_at`: when its own client's time is up; the call's is the latest of its errands'."""
+        """`expires_at`: when the time of its own client is up; the batch expires with the last of its attempts."""
         self.part, self.attempt, self.content, self.semantics = part, attempt, content, semantics
         self.expires_at = expires_at
         self._unclaimed = deque((True,))
 
     def claim(self) -> bool:
+        """Take the right to send it or to end it unsent; true for the first caller alone."""
         try:
             return self._unclaimed.pop()
         except IndexError:
@@ -213,7 +223,10 @@
 
 @dataclass
 class BatchRequest:
-    """Parts that travel to one replica in one request. `token` is the I/O side's own; `decided_at`: see `go`."""
+    """Attempts that go to one replica in one request.
+
+    `transport_token` is the transport's own. `decided_at`: see `claim_sendable`.
+    """
 
     id: int
     replica: int
@@ -226,10 +239,11 @@
     decided_at: float = 0.0
 
     def claim_sendable(self, now: float) -> tuple[list[AttemptRequest], list[AttemptRequest]]:
-        """Claim what may leave now, just before it is written: the errands that do, and those that may not any more.
+        """Claim the attempts just before they are written: those to send, and those that are overdue.
 
         Budgets and windows were counted from the decision. A first attempt that waited for a sender is only late; a
-        further one that waited longer than `HAND_OVER` was allowed for another moment, and ends as never sent.
+        retry or hedged request that waited longer than `MAX_SEND_DELAY` was allowed for another moment, and ends as
+        never sent.
         """
         claimed = [errand for errand in self.attempts if errand.claim()]
         late = self.is_send_overdue(now)
@@ -239,30 +253,32 @@
         )
 
     def seconds_left(self, attempts: list[AttemptRequest], now: float) -> list[float]:
-        """Of each of its errands, which are parts of different queries: what its replica may be told."""
+        """Return the time left of each attempt, which may be of different queries, for its replica to know."""
         return [min(errand.expires_at, self.expires_at) - now for errand in attempts]
 
     def is_send_overdue(self, now: float) -> bool:
-        """Whether no byte of a further attempt may leave any more."""
+        """Whether no byte of a retry or hedged request may be sent any more."""
         return now - self.decided_at > MAX_SEND_DELAY
 
 
 class StartRequest(NamedTuple):
+    """Send a batch request."""
+
     request: BatchRequest
 
 
 class CancelRequest(NamedTuple):
-    """Nobody waits for this call any more: shut its connection."""
+    """Cancel a batch request of which no attempt is waited for any more: shut its connection."""
 
     request: BatchRequest
 
 
 class AbandonAttempt(NamedTuple):
-    """Nobody waits for this errand any more, which had been claimed; others of its call may be waited for.
+    """Abandon a claimed attempt; others of its batch may still be waited for.
 
-    `tell`: whether its replica may be told. Where it may not, what has left as a whole goes on there; a frame of
-    which only a part has left must not be finished all the same. `over`: its time has passed, so that its ending is
-    not reported any more.
+    `notify_replica`: whether its replica may be notified. Where it may not, what was sent as a whole goes on there;
+    a frame of which only a part was sent must not be finished all the same. `expired`: its end is recorded already,
+    so that none is to be reported.
     """
 
     request: BatchRequest
@@ -272,33 +288,37 @@
 
 
 class CloseIdleConnections(NamedTuple):
+    """Close the idle connections to an address."""
+
     address: tuple[str, int]
 
 
 class CompleteQuery(NamedTuple):
+    """Give a query its result."""
+
     on_result: ResultCallback
     result: QueryResult
     id: int
 
 
 class LogMessage(NamedTuple):
-    """A line for the log."""
+    """Write a line to the log."""
 
     text: str
 
 
 class ReplicaHealthChanged(NamedTuple):
-    """A replica was ejected or reinstated: a line for the log."""
+    """Log that a replica was ejected or reinstated."""
 
     change: api.ReplicaHealthChange
 
 
 class WatchMembership(NamedTuple):
-    """Ask for membership changes to be pushed from now on."""
+    """Have membership changes pushed from now on."""
 
 
 class SendToPeers(NamedTuple):
-    """A message to every other co-ordinator."""
+    """Send a message to every other coordinator."""
 
     payload: bytes
 
--- a/gingervane/emulator/coordinator.py
+++ b/gingervane/emulator/coordinator.py
@@ -132,7 +132,7 @@
     def stall(self, seconds: float) -> None:
         now = self._clock.now
         self._free = max(self._free, now) + seconds
-        self._still.held(now, now + seconds)
+        self._still.record_pause(now, now + seconds)
 
     def kill(self) -> None:
         self.alive = False
@@ -150,8 +150,8 @@
         now = self._clock.now
         asked.read(now)
         reserve = self._reserves[asked.name]
-        self._still.runs(now)
-        until = self._still.came(now) + asked.timeout
+        self._still.mark_running(now)
+        until = self._still.arrival_time(now) + asked.timeout
         if until <= now:
             asked.answer(None, now)
             return
--- a/gingervane/fronts/http_server.py
+++ b/gingervane/fronts/http_server.py
@@ -144,7 +144,7 @@
         self._stop.set()
 
     def _tick(self) -> None:
-        while not self._stop.wait(process_pause.EVERY):
+        while not self._stop.wait(process_pause.TICK_INTERVAL):
             self._still.tick(time.monotonic())
 
     @property
@@ -190,7 +190,7 @@
     def _exchange(self, one: Connection, reading: _Reading, began: float, replied: float) -> After:
         """One request and its reply. `began`: its first byte came; `replied`: the one before it was done with."""
         sock, reader = one.sock, reading.reader
-        arrived = self._still.came(began, replied)
+        arrived = self._still.arrival_time(began, replied)
         reading.timed.until = began + self._limits.head  # the time for a head runs from its first byte
         what = "request head"
         try:
--- a/gingervane/node/discovery.py
+++ b/gingervane/node/discovery.py
@@ -73,7 +73,7 @@
 
     def alive(self) -> None:
         """A line has come, whatever is in it: up to now nothing else has changed."""
-        self._starts.heard()
+        self._starts.message_received()
 
     def host(self, replica: int) -> str:
         """The name of a replica, for logs. Any thread; a replica long gone is told by its number."""
--- a/tests/recordings/driver_tools.py
+++ b/tests/recordings/driver_tools.py
@@ -109,7 +109,7 @@
 
 
 TOOLS = (
-    Tool(Starts, (lambda o, *a: o.clock.set(*a), Starts.place, lambda o: o.starts.heard())),
+    Tool(Starts, (lambda o, *a: o.clock.set(*a), Starts.place, lambda o: o.starts.message_received())),
     Tool(Proofs, (Proofs.broken, Proofs.refused)),
     Tool(ResponseTimeReserve, (ResponseTimeReserve.learn, ResponseTimeReserve.get)),
     Tool(WheelTimers, (WheelTimers.add, WheelTimers.next_due, WheelTimers.pop_due, WheelTimers.__len__)),
@@ -119,13 +119,13 @@
         ProcessPauseDetector,
         (
             ProcessPauseDetector.tick,
-            ProcessPauseDetector.held,
-            ProcessPauseDetector.runs,
-            ProcessPauseDetector.came,
+            ProcessPauseDetector.record_pause,
+            ProcessPauseDetector.mark_running,
+            ProcessPauseDetector.arrival_time,
             lambda o: o.count,
         ),
     ),
-    Tool(RetryAfterEstimate, (RetryAfterEstimate.freed, RetryAfterEstimate.until)),
+    Tool(RetryAfterEstimate, (RetryAfterEstimate.freed, RetryAfterEstimate.seconds_until_free)),
     Tool(
         Admitting,
         (
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -290,12 +290,12 @@
 
 def test_advice_follows_how_fast_room_comes() -> None:
     advice = RetryAfterEstimate(1.0)
-    assert advice.until(10.0, 5) == 1.0, "nothing is known"
+    assert advice.seconds_until_free(10.0, 5) == 1.0, "nothing is known"
     for tick in range(100):
         advice.freed(10.0 + tick * 0.02, 2)  # a hundred a second
-    assert 0.08 <= advice.until(12.0, 10) <= 0.12
-    assert advice.until(12.0, 1) == 0.02 and advice.until(12.0, 10_000) == 1.0
-    assert advice.until(20.0, 10) == 1.0, "old rates are forgotten"
+    assert 0.08 <= advice.seconds_until_free(12.0, 10) <= 0.12
+    assert advice.seconds_until_free(12.0, 1) == 0.02 and advice.seconds_until_free(12.0, 10_000) == 1.0
+    assert advice.seconds_until_free(20.0, 10) == 1.0, "old rates are forgotten"
 
 
 def test_what_waited_too_long_for_a_sender() -> None:
@@ -322,14 +322,14 @@
     still = ProcessPauseDetector(100.0)
     for n in range(20):
         still.tick(100.0 + n * 0.05)
-    assert still.came(101.0) == 101.0 and still.count == 0
-    assert still.came(102.0) == 100.95, "woken before the ticker"
+    assert still.arrival_time(101.0) == 101.0 and still.count == 0
+    assert still.arrival_time(102.0) == 100.95, "woken before the ticker"
     still.tick(102.0)
-    assert still.count == 1 and still.came(102.05) == 100.95
-    assert still.came(102.05, since=101.5) == 101.5, "not before the exchange that went before it"
+    assert still.count == 1 and still.arrival_time(102.05) == 100.95
+    assert still.arrival_time(102.05, since=101.5) == 101.5, "not before the exchange that went before it"
     for n in range(5):
         still.tick(102.0 + n * 0.05)
-    assert still.came(102.2) == 102.2 and still.count == 1
+    assert still.arrival_time(102.2) == 102.2 and still.count == 1
 
 
 def test_what_no_cancel_may_stop_is_kept_back_while_it_has_not_begun() -> None:
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -30,7 +30,7 @@
     clocks = Clocks()
     assert clocks.told(a=990.0, b=0.0) == pytest.approx({"a": 990.0, "b": 0.0})
     clocks.now = 1010.0
-    clocks.starts.heard()
+    clocks.starts.message_received()
     clocks.now = 1012.0
     assert clocks.told(c=1010.5) == pytest.approx({"c": 1010.5}) and not clocks.starts.corrections
 
@@ -41,7 +41,7 @@
     clocks = Clocks(ahead)
     clocks.told(a=500.0, b=800.0)
     clocks.now = 1030.0
-    clocks.starts.heard()
+    clocks.starts.message_received()
     clocks.now = 1032.0
     (placed,) = clocks.told(c=1031.0).values()
     assert 1031.0 - LISTING_LAG <= placed <= 1032.0
@@ -72,7 +72,7 @@
     """A replica that started long after the kept list and long before this process is warm."""
     clocks = Clocks()
     clocks.told(cached=True, a=100.0)
-    clocks.starts.heard()
+    clocks.starts.message_received()
     assert clocks.told(a=100.0, b=600.0) == pytest.approx({"a": 100.0, "b": 600.0})
     assert not clocks.starts.corrections
 
@@ -106,7 +106,7 @@
     for number, (gap, lag, step) in enumerate(events):
         clocks.now += gap
         clocks.ahead += step
-        clocks.starts.heard()
+        clocks.starts.message_received()
         started = clocks.now - lag
         (placed,) = clocks.starts.place({number: 1e9 + started}).values()
         assert started - LISTING_LAG - 1e-3 <= placed <= clocks.now
