--- a/gingervane/emulator/coordinator.py
+++ b/gingervane/emulator/coordinator.py
@@ -13,7 +13,7 @@
 
 from gingervane.coordinator import attempt_outcome
 from gingervane.coordinator import types as t
-from gingervane.coordinator.core import Admission, AdmissionLimits, Rejected
+from gingervane.coordinator.admission import Admission, AdmissionLimits, Rejected
 from gingervane.coordinator.driver import Driver
 from gingervane.coordinator.attempt_outcome import ExchangePhase
 from gingervane.coordinator.response_time_reserve import ResponseTimeReserve
@@ -132,7 +132,7 @@
     def stall(self, seconds: float) -> None:
         now = self._clock.now
         self._free = max(self._free, now) + seconds
-        self._still.held(now, now + seconds)
+        self._still.record_pause(now, now + seconds)
 
     def kill(self) -> None:
         self.alive = False
@@ -150,8 +150,8 @@
         now = self._clock.now
         asked.read(now)
         reserve = self._reserves[asked.name]
-        self._still.runs(now)
-        until = self._still.came(now) + asked.timeout
+        self._still.mark_running(now)
+        until = self._still.arrival_time(now) + asked.timeout
         if until <= now:
             asked.answer(None, now)
             return
@@ -222,7 +222,10 @@
 
     def _start(self, call: t.BatchRequest) -> None:
         bounds = self._bounds
-        full = self._held >= bounds.threads + bounds.waiting or self._held_by[call.replica] >= bounds.each
+        full = (
+            self._held >= bounds.threads + bounds.waiting
+            or self._held_by[call.replica] >= bounds.max_per_replica
+        )
         if full:
             self._end(call, call.attempts, AttemptOutcome.NEVER_SENT, free=False)
             return
--- a/tests/recordings/driver_tools.py
+++ b/tests/recordings/driver_tools.py
@@ -14,7 +14,7 @@
 from gingervane.coordinator import attempt_outcome
 from gingervane.coordinator import types as t
 from gingervane.coordinator.retry_after import RetryAfterEstimate
-from gingervane.coordinator.core import Admission, AdmissionLimits, Rejected
+from gingervane.coordinator.admission import Admission, AdmissionLimits, Rejected
 from gingervane.writes.shard_placement import ShardPlacement
 from gingervane.coordinator.response_time_reserve import ResponseTimeReserve
 from gingervane.coordinator.process_pause import ProcessPauseDetector
@@ -109,7 +109,7 @@
 
 
 TOOLS = (
-    Tool(Starts, (lambda o, *a: o.clock.set(*a), Starts.place, lambda o: o.starts.heard())),
+    Tool(Starts, (lambda o, *a: o.clock.set(*a), Starts.place, lambda o: o.starts.message_received())),
     Tool(Proofs, (Proofs.broken, Proofs.refused)),
     Tool(ResponseTimeReserve, (ResponseTimeReserve.learn, ResponseTimeReserve.get)),
     Tool(WheelTimers, (WheelTimers.add, WheelTimers.next_due, WheelTimers.pop_due, WheelTimers.__len__)),
@@ -119,13 +119,13 @@
         ProcessPauseDetector,
         (
             ProcessPauseDetector.tick,
-            ProcessPauseDetector.held,
-            ProcessPauseDetector.runs,
-            ProcessPauseDetector.came,
+            ProcessPauseDetector.record_pause,
+            ProcessPauseDetector.mark_running,
+            ProcessPauseDetector.arrival_time,
             lambda o: o.count,
         ),
     ),
-    Tool(RetryAfterEstimate, (RetryAfterEstimate.freed, RetryAfterEstimate.until)),
+    Tool(RetryAfterEstimate, (RetryAfterEstimate.freed, RetryAfterEstimate.seconds_until_free)),
     Tool(
         Admitting,
         (
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -436,7 +436,7 @@
     replicas = [Replica(0) for _ in range(24)]
     before = {thread.ident for thread in threading.enumerate()}
     platform = Platform(tmp_path, *replicas, sockets=72)
-    links = platform.node.core._senders
+    links = platform.node.core._transport
     assert isinstance(links, ReplicaConnections)
     start, taken = links.start, list[bool]()
 
@@ -600,7 +600,7 @@
     for number in range(5):
         served(platform.ask(f"r{number}", {0: 1.0}), f"r{number}", 0)
     driver = platform.node.core._driver
-    assert len(driver._addresses) == 2 and not driver._parts and not driver._queries
+    assert len(driver._addresses) == 2 and not driver._open.parts and not driver._open.queries
     module = driver._module
     assert len(module.membership.replicas) == 2  # type: ignore[attr-defined]
     assert not module.completion.queries  # type: ignore[attr-defined]
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -194,7 +194,7 @@
 
     for server in serve(handler):
         start = time.monotonic() - 1.0
-        server._still.held(start, time.monotonic() + PATIENCE)
+        server._still.record_pause(start, time.monotonic() + PATIENCE)
         assert asked(server)[0] == 200 and arrivals == [start]
 
 
@@ -271,7 +271,7 @@
 def test_an_epoll_that_fails_ends_no_deciding(tmp_path: Path, call: str) -> None:
     """A registration that failed on the decision thread ended it, and with it all queries."""
     platform = Platform(tmp_path)
-    links = platform.node.core._senders
+    links = platform.node.core._transport
     assert isinstance(links, ReplicaConnections)
     poll = FailingPoll(links._poll)
     links._poll = poll  # type: ignore[assignment]
