--- a/benchmarks/vectors.py
+++ b/benchmarks/vectors.py
@@ -19,14 +19,14 @@
 import orjson
 from common import Fleet, closed_loop, machine
 
-from gingervane.writes.write_ahead_log import WriteAheadLog, frame
-from gingervane.writes.idempotency import IdempotencyRecords, Limits
+from gingervane.writes.write_ahead_log import WriteAheadLog, encode_frame
+from gingervane.writes.idempotency import IdempotencyRecords, IdempotencyLimits
 from gingervane.fronts.client import Client
 from gingervane.experiments.listing import FileListing, Row
 from gingervane.fake_servers.capacity import Model
-from gingervane.writes.quorum_writes import Clock, recovered
+from gingervane.writes.quorum_writes import VersionClock, restore_records
 from gingervane.vectors.points import order_of, shard_of
-from gingervane.vectors.topk import merge
+from gingervane.vectors.topk import merge_hits
 from gingervane.wire import http1
 from gingervane.wire.http1 import Limits as WireLimits
 from gingervane.wire.pool import Pool, exchange
@@ -49,7 +49,7 @@
             built, plain = [], []
             for _ in range(5):
                 began = time.perf_counter()
-                found = merge(lists, 0, k, True)
+                found = merge_hits(lists, 0, k, True)
                 built.append(time.perf_counter() - began)
                 began = time.perf_counter()
                 best = sorted(
@@ -68,28 +68,31 @@
         rows = []
         for n in range(segment * per, (segment + 1) * per):
             result = {"result": {"operation_id": n, "status": "completed"}, "status": "ok", "time": 0.01}
-            rows.append(frame(orjson.dumps([f"c/key-{n:09d}", "done", f"{n:032x}", n, now, now, result])))
+            rows.append(
+                encode_frame(orjson.dumps([f"c/key-{n:09d}", "done", f"{n:032x}", n, now, now, result]))
+            )
         (folder / f"intents-{segment + 1:08d}.log").write_bytes(b"".join(rows))
     size = sum(path.stat().st_size for path in folder.iterdir())
-    intents = IdempotencyRecords(Limits(most=2 * count))
+    intents = IdempotencyRecords(IdempotencyLimits(max_records=2 * count))
     began = time.perf_counter()
     made = WriteAheadLog(folder, 1e9, time.time)
     found = made.recover()
     read = time.perf_counter() - began
-    recovered(intents, found.entries, Clock(1))
+    restore_records(intents, found.records, VersionClock(1))
     took = time.perf_counter() - began
     print(
-        f"intent log, {found.records} entries, {size / 1e6:.0f} MB: read in {read:.2f} s, taken up in {took:.2f} s"
+        f"intent log, {found.record_count} entries, {size / 1e6:.0f} MB: "
+        f"read in {read:.2f} s, taken up in {took:.2f} s"
     )
     for writers in (1, 16, 64):
         done = [0]
         stop = time.monotonic() + 3.0
 
         def write(number: int, done: list[int] = done, stop: float = stop) -> None:
-            entry = next(iter(found.entries.values()))
+            entry = next(iter(found.records.values()))
             turn = 0
             while time.monotonic() < stop:
-                made.intend(f"w{number}-{turn}", entry)
+                made.append_durably(f"w{number}-{turn}", entry)
                 turn += 1
                 done[0] += 1
 
--- a/gingervane/daemon/app.py
+++ b/gingervane/daemon/app.py
@@ -334,7 +334,7 @@
             "subtrees_open": self.branch.admission.open if self.branch else 0,
             "uptime_seconds": time.monotonic() - self._began,
             "server_list_age_seconds": self.membership.nodes.age(time.monotonic()),
-            **(self.vectors.figures() if self.vectors else {}),
+            **(self.vectors.metrics() if self.vectors else {}),
             "consul_calls": self.membership.calls,
             "consul_registered": self.membership.registered,
         }
--- a/gingervane/fake_servers/vectors.py
+++ b/gingervane/fake_servers/vectors.py
@@ -22,7 +22,7 @@
 from gingervane.fake_servers.fleet import Orders, serve
 from gingervane.fake_servers.node import MODEL, Node, Recorder
 from gingervane.fake_servers.capacity import Model
-from gingervane.vectors.points import Collection, order_of, passes
+from gingervane.vectors.points import Collection, order_of, matches_filter
 from gingervane.wire import http1
 from gingervane.wire.http1 import Request
 
@@ -57,7 +57,7 @@
             if least is None or sign * score <= sign * least
         ]
         if wanted:
-            found = [f for f in found if passes(f[2]["id"], f[2]["payload"], wanted)]
+            found = [f for f in found if matches_filter(f[2]["id"], f[2]["payload"], wanted)]
         found.sort(key=lambda f: f[:2])
         return [self._point(sign * score, row, asked) for score, _, row in found[: asked["limit"]]]
 
--- a/gingervane/vectors/codec.py
+++ b/gingervane/vectors/codec.py
@@ -16,10 +16,10 @@
 from gingervane.coordinator import types as t
 from gingervane.fronts.routing import BEGAN_HEADER
 from gingervane.vectors.points import Collection, RequestError, read_id, shard_of
-from gingervane.vectors.topk import in_order
+from gingervane.vectors.topk import is_sorted
 from gingervane.wire import http1
 
-KEY_HEADER, VERSION_HEADER, FRESH_HEADER = "Idempotency-Key", "Gingervane-Version", "Gingervane-Freshness"
+KEY_HEADER, VERSION_HEADER, FRESHNESS_HEADER = "Idempotency-Key", "Gingervane-Version", "Gingervane-Freshness"
 TIMEOUT_HEADER = "Gingervane-Timeout-Ms"
 
 
@@ -30,31 +30,31 @@
     searches: tuple[dict[str, Any], ...]
 
 
-class Hits(NamedTuple):
+class ShardHits(NamedTuple):
     """A shard's answer: a list a search, its own newest version, and the bytes that it came in."""
 
     lists: list[list[dict[str, Any]]]
     freshness: int
-    bytes: int
+    byte_count: int
 
 
 class ShardWrite(NamedTuple):
     """The content of one part of a write: a shard, what is to be done there, and the holder that it is for."""
 
     shard: int
-    kind: str
+    operation: str
     body: dict[str, Any]
-    holder: int
+    replica: int
 
 
-class Ack(NamedTuple):
+class WriteAcknowledgement(NamedTuple):
     """A holder has done its part. `repeat`: it had done so before, by the key."""
 
     shard: int
-    repeat: bool
+    replayed: bool
 
 
-def request(
+def encode_request(
     method: str,
     target: str,
     address: tuple[str, int],
@@ -79,7 +79,7 @@
     )
 
 
-def result_of(status: int, header: Callable[[str], str], body: bytes) -> Any:
+def decode_result(status: int, header: Callable[[str], str], body: bytes) -> Any:
     """The `result` of a reply. Raises BadReply."""
     if status != 200:
         idle = header(BEGAN_HEADER.lower()) == "no" and status in (429, 503)
@@ -91,7 +91,7 @@
         raise t.InvalidReply(f"body: {error!r}") from None
 
 
-class SearchExchange:
+class SearchCodec:
     """Searches of one collection. Shared by all its requests, so that parts for one replica travel together."""
 
     def __init__(self, collection: Collection, shards: int) -> None:
@@ -100,25 +100,27 @@
     def encode(self, contents: list[Any], seconds_left: list[float], address: tuple[str, int]) -> bytes:
         searches = [{**one, "shard_key": f"s{c.shard}"} for c in contents for one in c.searches]
         target = f"/collections/{self._collection.name}/points/search/batch"
-        return request("POST", target, address, orjson.dumps({"searches": searches}), min(seconds_left))
+        return encode_request(
+            "POST", target, address, orjson.dumps({"searches": searches}), min(seconds_left)
+        )
 
     def decode(
         self, contents: list[Any], status: int, header: Callable[[str], str], body: bytes
     ) -> list[Any]:
-        lists = result_of(status, header, body)
+        lists = decode_result(status, header, body)
         count = sum(len(c.searches) for c in contents)
         if not isinstance(lists, list) or len(lists) != count:
             raise t.InvalidReply(
                 f"{len(lists) if isinstance(lists, list) else type(lists).__name__} results for {count}"
             )
-        fresh = _freshness(header(FRESH_HEADER.lower()))
-        out: list[Hits] = []
+        fresh = _freshness(header(FRESHNESS_HEADER.lower()))
+        out: list[ShardHits] = []
         at = iter(lists)
         for content in contents:
             mine = [next(at) for _ in content.searches]
             for asked, found in zip(content.searches, mine, strict=True):
                 self._check(content.shard, asked, found)
-            out.append(Hits(mine, fresh.get(content.shard, 0), len(body) // len(contents)))
+            out.append(ShardHits(mine, fresh.get(content.shard, 0), len(body) // len(contents)))
         return out
 
     def _check(self, shard: int, asked: dict[str, Any], found: Any) -> None:
@@ -133,14 +135,14 @@
                 raise t.InvalidReply(f"shard {shard}: point {number!r} has no finite score and version")
             if shard_of(number, self._shards) != shard:
                 raise t.InvalidReply(f"shard {shard}: point {number!r} lives elsewhere")
-        if not in_order(found, self._collection.greater_is_nearer):
+        if not is_sorted(found, self._collection.greater_is_nearer):
             raise t.InvalidReply(f"shard {shard}: not in order")
 
     def result_size(self, result: Any) -> int:
-        return 3 * int(result.bytes)  # decoded JSON takes about so much more
+        return 3 * int(result.byte_count)  # decoded JSON takes about so much more
 
 
-class WriteExchange:
+class WriteCodec:
     """One write request, to each holder of each of its shards."""
 
     def __init__(
@@ -155,10 +157,10 @@
         self._collection, self._key, self._version, self._acked = collection, key, version, acked
 
     def encode(self, contents: list[Any], seconds_left: list[float], address: tuple[str, int]) -> bytes:
-        operations = [{c.kind: {**c.body, "shard_key": f"s{c.shard}"}} for c in contents]
+        operations = [{c.operation: {**c.body, "shard_key": f"s{c.shard}"}} for c in contents]
         target = f"/collections/{self._collection.name}/points/batch?wait=true"
         fields = ((KEY_HEADER, self._key),) if self._key else ()
-        return request(
+        return encode_request(
             "POST",
             target,
             address,
@@ -170,14 +172,17 @@
     def decode(
         self, contents: list[Any], status: int, header: Callable[[str], str], body: bytes
     ) -> list[Any]:
-        found = result_of(status, header, body)
+        found = decode_result(status, header, body)
         if not isinstance(found, list) or len(found) != len(contents):
             raise t.InvalidReply("not a result for each operation")
         if any(not isinstance(one, dict) or one.get("status") != "completed" for one in found):
             raise t.InvalidReply("an operation was not completed")
         for content in contents:
-            self._acked(content.shard, content.holder)
-        return [Ack(c.shard, bool(one.get("repeat"))) for c, one in zip(contents, found, strict=True)]
+            self._acked(content.shard, content.replica)
+        return [
+            WriteAcknowledgement(c.shard, bool(one.get("repeat")))
+            for c, one in zip(contents, found, strict=True)
+        ]
 
     def result_size(self, result: Any) -> int:
         return 64
--- a/gingervane/vectors/front.py
+++ b/gingervane/vectors/front.py
@@ -24,18 +24,18 @@
 
 from gingervane.coordinator import types as t
 from gingervane.coordinator.core import Rejected
-from gingervane.writes.missed_writes import Place
+from gingervane.writes.missed_writes import ShardKey
 from gingervane.coordinator.dispatch import QueryDispatcher, QueryRequest, DispatchResult
-from gingervane.writes.idempotency import Do, State
-from gingervane.writes.quorum_writes import Outcome, Work, QuorumWrites
+from gingervane.writes.idempotency import KeyAction, WriteState
+from gingervane.writes.quorum_writes import WriteOutcome, ReplicatedWrite, QuorumWrites
 from gingervane.fronts.routing import ClassOf, Route, coverage_fields, duration, flag, refusal_fields
 from gingervane.fronts.http_server import Exchange, Reply
 from gingervane.limits.fair_queue import QueueFull
 from gingervane.limits.concurrency_limit import Gate
 from gingervane.vectors import points as reading
-from gingervane.vectors.points import Bounds, Collection, RequestError, Search, Write
-from gingervane.vectors.topk import merge
-from gingervane.vectors.codec import KEY_HEADER, Hits, SearchExchange, ShardSearch, ShardWrite, WriteExchange
+from gingervane.vectors.points import RequestLimits, Collection, RequestError, SearchRequest, PointWrite
+from gingervane.vectors.topk import merge_hits
+from gingervane.vectors.codec import KEY_HEADER, ShardHits, SearchCodec, ShardSearch, ShardWrite, WriteCodec
 from gingervane.wire.http1 import HttpError, Request
 
 NAME = "vectors"
@@ -43,17 +43,17 @@
 DONE_HEADER, STALE_HEADER = "Gingervane-Holders-Done", "Gingervane-Stale-Shards"
 
 
-class VectorSetting(NamedTuple):
+class VectorFrontSettings(NamedTuple):
     """What the front stands on. `quorum`: holders of a shard that must have done a write, of `width`."""
 
     collections: Mapping[str, Collection]
-    shards: int
-    width: int
-    quorum: int
+    shard_count: int
+    replication_factor: int
+    write_quorum: int
     search_class: str
     upsert_class: str
     add_class: str
-    bounds: Bounds
+    request_limits: RequestLimits
 
 
 _Then = Callable[[Exchange], Reply]  # what is left to do with a request that has been read
@@ -75,13 +75,13 @@
         self,
         search: QueryDispatcher,
         writes: QuorumWrites,
-        setting: VectorSetting,
+        setting: VectorFrontSettings,
         classes: dict[str, ClassOf],
         gate: Gate,
     ) -> None:
         self._gate, self._longest = gate, max(kind.deadline for kind in classes.values())
         self._desk, self._writes, self._set, self._classes = search, writes, setting, classes
-        self._exchanges = {c.name: SearchExchange(c, setting.shards) for c in setting.collections.values()}
+        self._exchanges = {c.name: SearchCodec(c, setting.shard_count) for c in setting.collections.values()}
         self._lock = threading.Lock()
         self._stale_shards = 0
 
@@ -155,14 +155,14 @@
             {
                 "status": "green",
                 "optimizer_status": "ok",
-                "segments_count": self._set.shards,
+                "segments_count": self._set.shard_count,
                 "payload_schema": {},
                 "config": {
                     "params": {
                         "vectors": {"size": collection.dims, "distance": collection.distance},
-                        "shard_number": self._set.shards,
-                        "replication_factor": self._set.width,
-                        "write_consistency_factor": self._set.quorum,
+                        "shard_number": self._set.shard_count,
+                        "replication_factor": self._set.replication_factor,
+                        "write_consistency_factor": self._set.write_quorum,
                         "on_disk_payload": False,
                     },
                     "hnsw_config": {"m": 0, "ef_construct": 100, "full_scan_threshold": 10000},
@@ -187,7 +187,7 @@
         request: Request,
         arrived: float,
     ) -> _Then:
-        one = reading.read_search(body, collection, self._set.bounds)
+        one = reading.read_search(body, collection, self._set.request_limits)
         return self._find(collection, [one], request, arrived, lambda found: found[0])
 
     def _query(
@@ -197,7 +197,7 @@
         request: Request,
         arrived: float,
     ) -> _Then:
-        one = reading.read_search(body, collection, self._set.bounds)
+        one = reading.read_search(body, collection, self._set.request_limits)
         return self._find(collection, [one], request, arrived, lambda found: {"points": found[0]})
 
     def _search_batch(
@@ -207,7 +207,7 @@
         request: Request,
         arrived: float,
     ) -> _Then:
-        asked = reading.read_searches(body, collection, self._set.bounds)
+        asked = reading.read_searches(body, collection, self._set.request_limits)
         return self._find(collection, asked, request, arrived, lambda found: found)
 
     def _query_batch(
@@ -217,7 +217,7 @@
         request: Request,
         arrived: float,
     ) -> _Then:
-        asked = reading.read_searches(body, collection, self._set.bounds)
+        asked = reading.read_searches(body, collection, self._set.request_limits)
         return self._find(
             collection, asked, request, arrived, lambda found: [{"points": one} for one in found]
         )
@@ -225,13 +225,13 @@
     def _find(
         self,
         collection: Collection,
-        asked: list[Search],
+        asked: list[SearchRequest],
         request: Request,
         arrived: float,
         shape: Callable[[list[Any]], Any],
     ) -> _Then:
         """Ask every shard, and merge."""
-        ask, shards = self._ask_of(request, arrived, self._set.search_class), self._set.shards
+        ask, shards = self._ask_of(request, arrived, self._set.search_class), self._set.shard_count
         bodies = tuple(one.body for one in asked)
         parts = [t.PartPlan(s, 1.0 / shards, ShardSearch(s, bodies)) for s in range(shards)]
         number = ask.kind.lenient if ask.partial else ask.kind.strict
@@ -250,21 +250,23 @@
     def _found(
         self,
         collection: Collection,
-        asked: list[Search],
+        asked: list[SearchRequest],
         ask: _Ask,
         settled: DispatchResult,
         arrived: float,
         shape: Callable[[list[Any]], Any],
     ) -> Reply:
         """The reply to searches that have come to their end."""
-        final, shards = settled.result, self._set.shards
+        final, shards = settled.result, self._set.shard_count
         whole = final.status is t.QueryStatus.COMPLETE and len(final.results) == shards
         if final.status not in (t.QueryStatus.COMPLETE, t.QueryStatus.PARTIAL) or not (whole or ask.partial):
             reply = _not_answered(final, ask.until, proof=False)
             return reply._replace(done=settled.release)
-        hits: dict[int, Hits] = final.results
+        hits: dict[int, ShardHits] = final.results
         found = [
-            merge((h.lists[i] for h in hits.values()), one.offset, one.limit, collection.greater_is_nearer)
+            merge_hits(
+                (h.lists[i] for h in hits.values()), one.offset, one.limit, collection.greater_is_nearer
+            )
             for i, one in enumerate(asked)
         ]
         missing = [f"s{s}" for s in range(shards) if s not in hits]
@@ -273,10 +275,12 @@
             fields.append((STALE_HEADER, ",".join(f"s{s}" for s in stale)))
         return _result(shape(found), arrived, fields)._replace(until=ask.until, done=settled.release)
 
-    def _stale(self, collection: Collection, hits: dict[int, Hits]) -> list[int]:
+    def _stale(self, collection: Collection, hits: dict[int, ShardHits]) -> list[int]:
         """Shards whose answer came from a holder that lacks a write which this co-ordinator has acknowledged."""
         stale = [
-            s for s, h in sorted(hits.items()) if h.freshness < self._writes.acked(Place(collection.name, s))
+            s
+            for s, h in sorted(hits.items())
+            if h.freshness < self._writes.acknowledged_version(ShardKey(collection.name, s))
         ]
         with self._lock:
             self._stale_shards += len(stale)
@@ -291,7 +295,7 @@
         request: Request,
         arrived: float,
     ) -> _Then:
-        write = reading.read_upsert(body, collection, self._set.bounds, self._set.shards)
+        write = reading.read_upsert(body, collection, self._set.request_limits, self._set.shard_count)
         return self._keyed(collection, write, request, arrived)
 
     def _delete(
@@ -302,7 +306,10 @@
         arrived: float,
     ) -> _Then:
         return self._keyed(
-            collection, reading.read_delete(body, self._set.bounds, self._set.shards), request, arrived
+            collection,
+            reading.read_delete(body, self._set.request_limits, self._set.shard_count),
+            request,
+            arrived,
         )
 
     def _payload(
@@ -314,58 +321,58 @@
     ) -> _Then:
         values = dict(parse_qsl(request.target.partition("?")[2], keep_blank_values=True))
         add = flag(values.get("increment", "0"), "parameter increment")
-        write = reading.read_payload(body, self._set.bounds, self._set.shards, add)
+        write = reading.read_payload(body, self._set.request_limits, self._set.shard_count, add)
         if not add:
             return self._keyed(collection, write, request, arrived)
         # Additions have no key that replicas would know: each is sent again only on proof that it did not run.
         ask = self._ask_of(request, arrived, self._set.add_class)
         work = self._work(collection, write, ask)
-        return lambda client: self._reply(self._writes.unkeyed(work), arrived, ask.until)
+        return lambda client: self._reply(self._writes.write_without_key(work), arrived, ask.until)
 
-    def _keyed(self, collection: Collection, write: Write, request: Request, arrived: float) -> _Then:
+    def _keyed(self, collection: Collection, write: PointWrite, request: Request, arrived: float) -> _Then:
         """A write that replicas know by its key."""
         ask = self._ask_of(request, arrived, self._set.upsert_class)
         key = request.headers.get(KEY_HEADER.lower())
         if len(key) > _MOST_KEY or not key.isascii():
             raise RequestError(f"header {KEY_HEADER}: more than {_MOST_KEY} characters, or not ASCII")
         digest = hashlib.blake2b(
-            orjson.dumps([write.kind, sorted(write.by_shard.items())], option=orjson.OPT_SORT_KEYS),
+            orjson.dumps([write.operation, sorted(write.by_shard.items())], option=orjson.OPT_SORT_KEYS),
             digest_size=16,
         ).hexdigest()
         name = f"{collection.name}/{key or uuid.uuid4().hex}"
         work = self._work(collection, write, ask)
-        return lambda client: self._reply(self._writes.keyed(name, digest, work), arrived, ask.until)
+        return lambda client: self._reply(self._writes.write_with_key(name, digest, work), arrived, ask.until)
 
-    def _work(self, collection: Collection, write: Write, ask: _Ask) -> Work:
+    def _work(self, collection: Collection, write: PointWrite, ask: _Ask) -> ReplicatedWrite:
         contents = {
-            shard: lambda holder, s=shard, b=body: ShardWrite(s, write.kind, b, holder)
+            shard: lambda holder, s=shard, b=body: ShardWrite(s, write.operation, b, holder)
             for shard, body in write.by_shard.items()
         }
 
-        def exchange(key: str, version: int, acked: Callable[[int, int], None]) -> WriteExchange:
-            return WriteExchange(collection, key, version, acked)
+        def exchange(key: str, version: int, acked: Callable[[int, int], None]) -> WriteCodec:
+            return WriteCodec(collection, key, version, acked)
 
-        return Work(collection.name, contents, exchange, ask.name, ask.kind.lenient, ask.until)
+        return ReplicatedWrite(collection.name, contents, exchange, ask.name, ask.kind.lenient, ask.until)
 
-    def _reply(self, outcome: Outcome, arrived: float, until: float) -> Reply:
-        match outcome.do:
-            case Do.TOO_LATE:
+    def _reply(self, outcome: WriteOutcome, arrived: float, until: float) -> Reply:
+        match outcome.action:
+            case KeyAction.WINDOW_EXPIRED:
                 what = "may have run, and replicas no longer know its key: look before you write again"
                 return _error(409, f"failed: {what}")._replace(until=until)
-            case Do.MISMATCH:
+            case KeyAction.KEY_REUSED:
                 return _error(422, f"header {KEY_HEADER}: was used for another content")._replace(until=until)
-            case Do.FULL:
+            case KeyAction.OVER_CAPACITY:
                 return _refused("too many keys are in their window", 1.0, until)
         match outcome.state:
-            case State.DONE:
-                fields = [(DONE_HEADER, f"{outcome.share:.3f}")]
-                fields += [("Gingervane-Repeat", "yes")] if outcome.repeat else []
+            case WriteState.COMPLETED:
+                fields = [(DONE_HEADER, f"{outcome.replicated_share:.3f}")]
+                fields += [("Gingervane-Repeat", "yes")] if outcome.replayed else []
                 result = {"operation_id": outcome.version, "status": "completed"}
                 return _result(result, arrived, fields)._replace(until=until)
-            case State.IDLE:
-                return _refused(outcome.why, outcome.wait, until)
+            case WriteState.NOT_EXECUTED:
+                return _refused(outcome.detail, outcome.retry_after, until)
             case _:
-                return _error(502, f"failed: {outcome.why}")._replace(until=until)
+                return _error(502, f"failed: {outcome.detail}")._replace(until=until)
 
 
 def _json(status: int, content: Any, fields: list[tuple[str, str]]) -> Reply:
--- a/gingervane/vectors/points.py
+++ b/gingervane/vectors/points.py
@@ -15,7 +15,7 @@
 import orjson
 
 PointId = int | str
-MOST_FILTER_DEPTH, MOST_CONDITIONS = 8, 256
+MAX_FILTER_DEPTH, MAX_CONDITIONS = 8, 256
 _SEARCH_KEYS = {
     "vector",
     "query",
@@ -49,15 +49,15 @@
         return self.distance != "Euclid"
 
 
-class Bounds(NamedTuple):
+class RequestLimits(NamedTuple):
     """`most`: offset and limit together; `points`: of one write; `searches`: of one batch."""
 
-    most: int = 10_000
-    points: int = 10_000
-    searches: int = 64
+    max_results: int = 10_000
+    max_points: int = 10_000
+    max_searches: int = 64
 
 
-class Search(NamedTuple):
+class SearchRequest(NamedTuple):
     """One search. `body`: what a shard is asked, without the shard: the first offset + limit, from its first on."""
 
     limit: int
@@ -65,10 +65,10 @@
     body: dict[str, Any]
 
 
-class Write(NamedTuple):
+class PointWrite(NamedTuple):
     """One write, split by shard. `kind` is the name of Qdrant's batch operation; `points`: how many in all."""
 
-    kind: str
+    operation: str
     by_shard: dict[int, dict[str, Any]]
     points: int
 
@@ -118,7 +118,9 @@
     return value
 
 
-def read_search(body: dict[str, Any], collection: Collection, bounds: Bounds, where: str = "") -> Search:
+def read_search(
+    body: dict[str, Any], collection: Collection, bounds: RequestLimits, where: str = ""
+) -> SearchRequest:
     """A search, or a query that is one."""
     for key in body:
         if key not in _SEARCH_KEYS:
@@ -128,10 +130,10 @@
     if isinstance(vector, dict) and set(vector) == {"nearest"}:
         vector, name = vector["nearest"], "query.nearest"
     vector = read_vector(vector, collection.dims, where + name)
-    limit = _whole(body.get("limit", 10), 1, bounds.most, where + "limit")
-    offset = _whole(body.get("offset") or 0, 0, bounds.most, where + "offset")
-    if offset + limit > bounds.most:
-        raise RequestError(f"{where}limit: {offset} + {limit} is over the bound of {bounds.most}")
+    limit = _whole(body.get("limit", 10), 1, bounds.max_results, where + "limit")
+    offset = _whole(body.get("offset") or 0, 0, bounds.max_results, where + "offset")
+    if offset + limit > bounds.max_results:
+        raise RequestError(f"{where}limit: {offset} + {limit} is over the bound of {bounds.max_results}")
     asked: dict[str, Any] = {"vector": vector, "limit": offset + limit}
     if (least := body.get("score_threshold")) is not None:
         if type(least) not in (int, float) or not isfinite(least):
@@ -144,13 +146,13 @@
     for key, given in (("with_payload", body.get("with_payload")), ("with_vector", vectors)):
         if given is not None:
             asked[key] = _selector(given, where + key)
-    return Search(limit, offset, asked)
+    return SearchRequest(limit, offset, asked)
 
 
-def read_searches(body: dict[str, Any], collection: Collection, bounds: Bounds) -> list[Search]:
+def read_searches(body: dict[str, Any], collection: Collection, bounds: RequestLimits) -> list[SearchRequest]:
     found = body.get("searches")
-    if not isinstance(found, list) or not 0 < len(found) <= bounds.searches:
-        raise RequestError(f"searches: must be a list of 1 to {bounds.searches}")
+    if not isinstance(found, list) or not 0 < len(found) <= bounds.max_searches:
+        raise RequestError(f"searches: must be a list of 1 to {bounds.max_searches}")
     out = []
     for index, one in enumerate(found):
         if not isinstance(one, dict):
@@ -159,8 +161,10 @@
     return out
 
 
-def read_upsert(body: dict[str, Any], collection: Collection, bounds: Bounds, shards: int) -> Write:
-    points = _list(body, "points", bounds.points)
+def read_upsert(
+    body: dict[str, Any], collection: Collection, bounds: RequestLimits, shards: int
+) -> PointWrite:
+    points = _list(body, "points", bounds.max_points)
     by_shard: dict[int, dict[str, Any]] = {}
     seen: dict[PointId, int] = {}
     for index, point in enumerate(points):
@@ -177,10 +181,10 @@
             raise RequestError(f"{where}.payload: must be an object")
         made["payload"] = payload or {}
         by_shard.setdefault(shard_of(number, shards), {"points": []})["points"].append(made)
-    return Write("upsert", by_shard, len(points))
+    return PointWrite("upsert", by_shard, len(points))
 
 
-def read_payload(body: dict[str, Any], bounds: Bounds, shards: int, increment: bool) -> Write:
+def read_payload(body: dict[str, Any], bounds: RequestLimits, shards: int, increment: bool) -> PointWrite:
     """Set payload; with `increment`, whole numbers are added to what is there."""
     payload = body.get("payload")
     if not isinstance(payload, dict) or not payload:
@@ -192,18 +196,24 @@
     ids = _ids(body, bounds)
     grouped = _by_shard(ids, shards)
     kind = "increment_payload" if increment else "set_payload"
-    return Write(kind, {s: {"payload": payload, "points": found} for s, found in grouped.items()}, len(ids))
+    return PointWrite(
+        kind, {s: {"payload": payload, "points": found} for s, found in grouped.items()}, len(ids)
+    )
 
 
-def read_delete(body: dict[str, Any], bounds: Bounds, shards: int) -> Write:
+def read_delete(body: dict[str, Any], bounds: RequestLimits, shards: int) -> PointWrite:
     ids = _ids(body, bounds)
-    return Write("delete", {s: {"points": found} for s, found in _by_shard(ids, shards).items()}, len(ids))
+    return PointWrite(
+        "delete", {s: {"points": found} for s, found in _by_shard(ids, shards).items()}, len(ids)
+    )
 
 
-def _ids(body: dict[str, Any], bounds: Bounds) -> list[PointId]:
+def _ids(body: dict[str, Any], bounds: RequestLimits) -> list[PointId]:
     if body.get("filter") is not None:
         raise RequestError("filter: writes by filter are not served here; name points")
-    found = [read_id(value, f"points[{i}]") for i, value in enumerate(_list(body, "points", bounds.points))]
+    found = [
+        read_id(value, f"points[{i}]") for i, value in enumerate(_list(body, "points", bounds.max_points))
+    ]
     return list(dict.fromkeys(found))
 
 
@@ -236,8 +246,8 @@
 
 
 def _filter(value: Any, where: str, depth: int, count: list[int]) -> None:
-    if depth > MOST_FILTER_DEPTH:
-        raise RequestError(f"{where}: deeper than {MOST_FILTER_DEPTH}")
+    if depth > MAX_FILTER_DEPTH:
+        raise RequestError(f"{where}: deeper than {MAX_FILTER_DEPTH}")
     if not isinstance(value, dict):
         raise RequestError(f"{where}: must be an object")
     for key, found in value.items():
@@ -250,8 +260,8 @@
 
 def _condition(value: Any, where: str, depth: int, count: list[int]) -> None:
     count[0] += 1
-    if count[0] > MOST_CONDITIONS:
-        raise RequestError(f"{where}: more than {MOST_CONDITIONS} conditions")
+    if count[0] > MAX_CONDITIONS:
+        raise RequestError(f"{where}: more than {MAX_CONDITIONS} conditions")
     if not isinstance(value, dict) or not value:
         raise RequestError(f"{where}: must be an object")
     if unknown := set(value) - _CONDITION_KEYS:
@@ -287,7 +297,7 @@
     return None
 
 
-def passes(point: PointId, payload: dict[str, Any], value: dict[str, Any]) -> bool:
+def matches_filter(point: PointId, payload: dict[str, Any], value: dict[str, Any]) -> bool:
     """Whether a point is let through by a filter that has been checked."""
 
     def all_of(key: str) -> list[Any]:
@@ -304,7 +314,7 @@
 
 def _holds(point: PointId, payload: dict[str, Any], condition: dict[str, Any]) -> bool:
     if condition.keys() & {"must", "should", "must_not"}:
-        return passes(point, payload, condition)
+        return matches_filter(point, payload, condition)
     if "has_id" in condition:
         return point in condition["has_id"]
     if "is_empty" in condition:
--- a/gingervane/vectors/service.py
+++ b/gingervane/vectors/service.py
@@ -7,16 +7,16 @@
 from collections.abc import Callable
 
 from gingervane.coordinator.core import QueryCoordinator, CoordinatorFactory, QueryObserver
-from gingervane.writes.missed_writes import Budget
-from gingervane.writes.replicated_shards import Keys, Replicated, Ring
+from gingervane.writes.missed_writes import RepairBudget
+from gingervane.writes.replicated_shards import IdempotencySettings, ReplicatedShards, ReplicationSettings
 from gingervane.settings.daemon_settings import Config
 from gingervane.fronts.routing import ClassOf
 from gingervane.limits.concurrency_limit import Gate
 from gingervane.membership.service import MembershipService, Rings
-from gingervane.vectors.front import VectorFront, VectorSetting
-from gingervane.vectors.points import Bounds as PointBounds
+from gingervane.vectors.front import VectorFront, VectorFrontSettings
+from gingervane.vectors.points import RequestLimits as PointBounds
 from gingervane.vectors.points import Collection
-from gingervane.vectors.replica_client import NodeRemote
+from gingervane.vectors.replica_client import VectorReplicaClient
 
 
 class VectorService:
@@ -38,24 +38,24 @@
         collections = {c.name: Collection(c.name, c.dims, c.distance) for c in table.collections}
         window = next(c.repeat_window or 0.0 for c in config.classes if c.name == table.upsert_class)
         lenient = tuple(kind.lenient for kind in classes.values())
-        self.ring = Replicated(
-            Ring(tuple(collections), table.cells, table.width, table.quorum, lenient),
-            Keys(
+        self.shards = ReplicatedShards(
+            ReplicationSettings(tuple(collections), table.cells, table.width, table.quorum, lenient),
+            IdempotencySettings(
                 window,
                 max(table.keep_keys, 2 * window),
                 table.most_keys,
                 table.intents,
                 zlib.crc32(f"{address}".encode()),
             ),
-            Budget(table.repair_rate, 2 * table.repair_rate, table.repair_sweep),
+            RepairBudget(table.repair_rate, 2 * table.repair_rate, table.repair_sweep),
             config.module_settings(),
-            NodeRemote(cores.pool),
+            VectorReplicaClient(cores.pool),
             lambda settings, seen: cores.make(settings, seen, 7),
             observer,
             complain,
             classes,
         )
-        setting = VectorSetting(
+        setting = VectorFrontSettings(
             collections,
             table.cells,
             table.width,
@@ -65,14 +65,14 @@
             table.add_class,
             PointBounds(table.max_k, table.max_points, table.max_searches),
         )
-        self.front = VectorFront(self.ring.reads, self.ring.writes, setting, classes, gate)
+        self.front = VectorFront(self.shards.reads, self.shards.writes, setting, classes, gate)
         self.membership = MembershipService(
             table.membership,
             config.fleet,
             None,
             Rings(table.cells),
             address,
-            self.ring.listed,
+            self.shards.endpoints_updated,
             lambda listed: None,
             complain,
             random.Random(),
@@ -80,23 +80,23 @@
 
     @property
     def cores(self) -> list[QueryCoordinator]:
-        return self.ring.cores
+        return self.shards.cores
 
     def start(self) -> None:
         """Raises ListError if the list cannot be read and nothing stands in for it."""
-        self.ring.start()
+        self.shards.start()
         self.membership.start()
-        self.ring.repair()
+        self.shards.start_repair()
 
     def stop(self) -> None:
         """Ends what is not a core: those are stopped with the daemon's others."""
         self.membership.stop()
-        self.ring.stop()
+        self.shards.stop()
 
     def close(self) -> None:
         """After the cores have ended."""
-        self.ring.close()
+        self.shards.close()
 
-    def figures(self) -> dict[str, float]:
+    def metrics(self) -> dict[str, float]:
         found = {f"vector_{name}": float(value) for name, value in self.front.counts.items()}
-        return found | {f"vector_{name}": value for name, value in self.ring.repairer.figures().items()}
+        return found | {f"vector_{name}": value for name, value in self.shards.repairer.metrics().items()}
--- a/gingervane/vectors/topk.py
+++ b/gingervane/vectors/topk.py
@@ -12,7 +12,7 @@
 Point = dict[str, Any]  # id, version, score, and payload and vector as asked
 
 
-def merge(lists: Iterable[list[Point]], offset: int, limit: int, greater_is_nearer: bool) -> list[Point]:
+def merge_hits(lists: Iterable[list[Point]], offset: int, limit: int, greater_is_nearer: bool) -> list[Point]:
     """The points from `offset` on, `limit` at most, of lists that are each in order.
 
     Ties are broken by id. A point that stands in more than one list (a shard was split, or a replica has not dropped
@@ -53,7 +53,7 @@
             yield point
 
 
-def in_order(points: list[Point], greater_is_nearer: bool) -> bool:
+def is_sorted(points: list[Point], greater_is_nearer: bool) -> bool:
     """Whether a shard's list is in the order that `merge` takes for given."""
     sign = -1.0 if greater_is_nearer else 1.0
     keys = [(sign * p["score"], order_of(p["id"])) for p in points]
--- a/gingervane/writes/idempotency.py
+++ b/gingervane/writes/idempotency.py
@@ -22,124 +22,124 @@
 from typing import Any, NamedTuple
 
 
-class State(Enum):
+class WriteState(Enum):
     """Of one key."""
 
-    OPEN = "open"  # being worked on by this process
-    DONE = "done"
-    IDLE = "idle"  # proven: nothing of it ran
+    IN_PROGRESS = "open"  # being worked on by this process
+    COMPLETED = "done"
+    NOT_EXECUTED = "idle"  # proven: nothing of it ran
     UNKNOWN = "unknown"  # some of it may have run
 
 
-class Do(Enum):
+class KeyAction(Enum):
     """What to do about a request."""
 
     SEND = "send"
-    ANSWER = "answer"  # with the result that is kept
+    REPLAY_RESULT = "answer"  # with the result that is kept
     WAIT = "wait"  # for the same key's end
-    TOO_LATE = "too late"  # it may have run, and replicas no longer drop repeats
-    MISMATCH = "mismatch"
-    FULL = "full"
+    WINDOW_EXPIRED = "too late"  # it may have run, and replicas no longer drop repeats
+    KEY_REUSED = "mismatch"
+    OVER_CAPACITY = "full"
 
 
-class Decision(NamedTuple):
+class KeyDecision(NamedTuple):
     """`until`: after which nothing of it may be sent. `version`: to send it under, the same for every try."""
 
-    do: Do
+    action: KeyAction
     version: int = 0
-    until: float = 0.0
+    send_deadline: float = 0.0
     result: Any = None
 
 
 class IdempotencyRecord(NamedTuple):
     """`first`: the first moment at which it may have been sent."""
 
-    state: State
+    state: WriteState
     digest: str
     version: int
-    first: float
-    at: float  # of the last news
+    first_sent_at: float
+    updated_at: float  # of the last news
     result: Any = None
 
 
-class Limits(NamedTuple):
+class IdempotencyLimits(NamedTuple):
     """Seconds; `most`: keys."""
 
     window: float = 10.0
-    margin: float = 0.5
-    keep: float = 3600.0
-    most: int = 1_000_000
+    safety_margin: float = 0.5
+    retention: float = 3600.0
+    max_records: int = 1_000_000
 
 
 class IdempotencyRecords:
     """Keys and what is known of them. The caller sees to locking, and to writing down what `begin` says to send."""
 
-    def __init__(self, limits: Limits) -> None:
+    def __init__(self, limits: IdempotencyLimits) -> None:
         self._limits = limits
-        self._entries: OrderedDict[str, IdempotencyRecord] = OrderedDict()  # oldest news first
+        self._records: OrderedDict[str, IdempotencyRecord] = OrderedDict()  # oldest news first
 
     def __len__(self) -> int:
-        return len(self._entries)
+        return len(self._records)
 
     def get(self, key: str) -> IdempotencyRecord | None:
-        return self._entries.get(key)
+        return self._records.get(key)
 
-    def begin(self, key: str, digest: str, version: int, now: float) -> Decision:
+    def begin(self, key: str, digest: str, version: int, now: float) -> KeyDecision:
         """A request with this key has come. `version`: for it, if the key is new."""
-        self._expire(now)
-        entry = self._entries.get(key)
+        self._remove_expired(now)
+        entry = self._records.get(key)
         if entry is None:
-            if len(self._entries) >= self._limits.most and not self._make_room(now):
-                return Decision(Do.FULL)
-            return self._send(key, digest, version, now, now)
+            if len(self._records) >= self._limits.max_records and not self._evict_oldest(now):
+                return KeyDecision(KeyAction.OVER_CAPACITY)
+            return self._start_attempt(key, digest, version, now, now)
         if entry.digest != digest:
-            return Decision(Do.MISMATCH)
+            return KeyDecision(KeyAction.KEY_REUSED)
         match entry.state:
-            case State.DONE:
-                return Decision(Do.ANSWER, entry.version, result=entry.result)
-            case State.OPEN:
-                return Decision(Do.WAIT, entry.version)
-            case State.IDLE:  # none of it ran: as if new, but under the version that it was given
-                return self._send(key, digest, entry.version, now, now)
-        until = entry.first + self._limits.window - self._limits.margin
+            case WriteState.COMPLETED:
+                return KeyDecision(KeyAction.REPLAY_RESULT, entry.version, result=entry.result)
+            case WriteState.IN_PROGRESS:
+                return KeyDecision(KeyAction.WAIT, entry.version)
+            case WriteState.NOT_EXECUTED:  # none of it ran: as if new, but under the version that it was given
+                return self._start_attempt(key, digest, entry.version, now, now)
+        until = entry.first_sent_at + self._limits.window - self._limits.safety_margin
         if now >= until:
-            return Decision(Do.TOO_LATE, entry.version)
-        return self._send(key, digest, entry.version, entry.first, now)
+            return KeyDecision(KeyAction.WINDOW_EXPIRED, entry.version)
+        return self._start_attempt(key, digest, entry.version, entry.first_sent_at, now)
 
-    def end(self, key: str, state: State, now: float, result: Any = None) -> None:
+    def finish(self, key: str, state: WriteState, now: float, result: Any = None) -> None:
         """The key's write has ended: DONE with its result, IDLE on proof that nothing ran, else UNKNOWN."""
-        entry = self._entries.get(key)
-        if entry is not None and entry.state is State.OPEN:
-            self._put(key, entry._replace(state=state, at=now, result=result))
+        entry = self._records.get(key)
+        if entry is not None and entry.state is WriteState.IN_PROGRESS:
+            self._store(key, entry._replace(state=state, updated_at=now, result=result))
 
     def restore(self, key: str, entry: IdempotencyRecord) -> None:
         """Take up what was written down; a key that was open when the process ended may have run."""
-        state = State.UNKNOWN if entry.state is State.OPEN else entry.state
-        self._put(key, entry._replace(state=state))
+        state = WriteState.UNKNOWN if entry.state is WriteState.IN_PROGRESS else entry.state
+        self._store(key, entry._replace(state=state))
 
     def entries(self) -> Iterator[tuple[str, IdempotencyRecord]]:
         """All that is held, oldest news first."""
-        return iter(self._entries.items())
+        return iter(self._records.items())
 
-    def _send(self, key: str, digest: str, version: int, first: float, now: float) -> Decision:
-        self._put(key, IdempotencyRecord(State.OPEN, digest, version, first, now))
-        return Decision(Do.SEND, version, first + self._limits.window - self._limits.margin)
+    def _start_attempt(self, key: str, digest: str, version: int, first: float, now: float) -> KeyDecision:
+        self._store(key, IdempotencyRecord(WriteState.IN_PROGRESS, digest, version, first, now))
+        return KeyDecision(KeyAction.SEND, version, first + self._limits.window - self._limits.safety_margin)
 
-    def _put(self, key: str, entry: IdempotencyRecord) -> None:
-        self._entries[key] = entry
-        self._entries.move_to_end(key)
+    def _store(self, key: str, entry: IdempotencyRecord) -> None:
+        self._records[key] = entry
+        self._records.move_to_end(key)
 
-    def _expire(self, now: float) -> None:
-        while self._entries:
-            key, entry = next(iter(self._entries.items()))
-            if entry.state is State.OPEN or now - entry.at < self._limits.keep:
+    def _remove_expired(self, now: float) -> None:
+        while self._records:
+            key, entry = next(iter(self._records.items()))
+            if entry.state is WriteState.IN_PROGRESS or now - entry.updated_at < self._limits.retention:
                 return
-            del self._entries[key]
+            del self._records[key]
 
-    def _make_room(self, now: float) -> bool:
+    def _evict_oldest(self, now: float) -> bool:
         """Drop the oldest key if its window is over."""
-        key, entry = next(iter(self._entries.items()))
-        if entry.state is State.OPEN or now - entry.at < self._limits.window:
+        key, entry = next(iter(self._records.items()))
+        if entry.state is WriteState.IN_PROGRESS or now - entry.updated_at < self._limits.window:
             return False
-        del self._entries[key]
+        del self._records[key]
         return True
--- a/gingervane/writes/missed_writes.py
+++ b/gingervane/writes/missed_writes.py
@@ -17,7 +17,7 @@
 from typing import NamedTuple
 
 
-class Place(NamedTuple):
+class ShardKey(NamedTuple):
     """A shard of a collection."""
 
     collection: str
@@ -29,103 +29,117 @@
     """Of a shard: since when, when to compare next, and how often that has come to nothing."""
 
     since: float
-    due: float
-    tries: int = 0
+    next_attempt_at: float
+    failed_attempts: int = 0
 
 
-class Budget(NamedTuple):
+class RepairBudget(NamedTuple):
     """Points copied: at most `burst` at once and `rate` a second. `sweep`: seconds in which every shard is compared
     once even without a debt; `first` and `most`: pause after a try that failed."""
 
-    rate: float = 500.0
-    burst: float = 1000.0
-    sweep: float = 600.0
-    first: float = 0.5
-    most: float = 60.0
+    points_per_second: float = 500.0
+    burst_points: float = 1000.0
+    sweep_interval: float = 600.0
+    initial_backoff: float = 0.5
+    max_backoff: float = 60.0
 
 
 class MissedWrites:
     """Debts by shard, and the order of comparing."""
 
-    def __init__(self, budget: Budget, places: Iterable[Place], now: float) -> None:
+    def __init__(self, budget: RepairBudget, places: Iterable[ShardKey], now: float) -> None:
         self._budget = budget
-        self._debts: OrderedDict[Place, MissedWrite] = OrderedDict()
+        self._debts: OrderedDict[ShardKey, MissedWrite] = OrderedDict()
         self._places = list(places)
         self._next_sweep, self._swept = now, 0
-        self._tokens, self._at = budget.burst, now
-        self.paid = self.conflicts = self.copied = 0
+        self._tokens, self._at = budget.burst_points, now
+        self.repaired = self.conflicts = self.points_copied = 0
 
     def __len__(self) -> int:
         return len(self._debts)
 
-    def owes(self, place: Place, now: float) -> None:
+    def add(self, place: ShardKey, now: float) -> None:
         """Some holder did not say that it did a write, or has come back from being gone."""
         if place not in self._debts:
-            self._debts[place] = MissedWrite(since=now, due=now + self._budget.first)
+            self._debts[place] = MissedWrite(since=now, next_attempt_at=now + self._budget.initial_backoff)
 
-    def oldest(self, now: float) -> float:
+    def oldest_age(self, now: float) -> float:
         """Seconds since the oldest debt that still stands; 0 if there is none."""
         return max((now - debt.since for debt in self._debts.values()), default=0.0)
 
-    def next(self, now: float) -> Place | None:
+    def next_shard(self, now: float) -> ShardKey | None:
         """The shard to compare now, if any is due and the budget has room."""
         self._refill(now)
         if self._tokens < 1.0:
             return None
-        due = min(((debt.due, place) for place, debt in self._debts.items() if debt.due <= now), default=None)
+        due = min(
+            (
+                (debt.next_attempt_at, place)
+                for place, debt in self._debts.items()
+                if debt.next_attempt_at <= now
+            ),
+            default=None,
+        )
         if due is not None:
             return due[1]
         if not self._places or now < self._next_sweep:
             return None
         place = self._places[self._swept % len(self._places)]
         self._swept += 1
-        self._next_sweep = max(self._next_sweep, now - 1.0) + self._budget.sweep / len(self._places)
+        self._next_sweep = max(self._next_sweep, now - 1.0) + self._budget.sweep_interval / len(self._places)
         return place
 
-    def room(self, now: float) -> int:
+    def capacity(self, now: float) -> int:
         """Points that may be copied now."""
         self._refill(now)
         return int(self._tokens)
 
-    def compared(self, place: Place, now: float, copied: int, conflicts: int, whole: bool) -> None:
+    def record_comparison(
+        self, place: ShardKey, now: float, copied: int, conflicts: int, whole: bool
+    ) -> None:
         """A comparing has ended. `whole`: every holder was there, and nothing is left to copy."""
         self._tokens -= copied
-        self.copied += copied
+        self.points_copied += copied
         self.conflicts += conflicts
         debt = self._debts.get(place)
         if debt is None:
             return
         if whole:
-            self.paid += 1
+            self.repaired += 1
             del self._debts[place]
             return
         # What is being paid goes on as the budget allows; what cannot be is tried ever more seldom.
-        debt.tries = 0 if copied else debt.tries + 1
-        debt.due = now + min(self._budget.first * 2.0 ** min(debt.tries, 16), self._budget.most)
+        debt.failed_attempts = 0 if copied else debt.failed_attempts + 1
+        debt.next_attempt_at = now + min(
+            self._budget.initial_backoff * 2.0 ** min(debt.failed_attempts, 16), self._budget.max_backoff
+        )
 
     def _refill(self, now: float) -> None:
-        self._tokens = min(self._budget.burst, self._tokens + max(now - self._at, 0.0) * self._budget.rate)
+        self._tokens = min(
+            self._budget.burst_points,
+            self._tokens + max(now - self._at, 0.0) * self._budget.points_per_second,
+        )
         self._at = now
 
 
-class Expected:
+class PendingAcknowledgements:
     """Holders that a write has been sent to and that have not said yet that they did it: a write is answered by the
     first of them, and what the others make of it comes later, or becomes a debt. At most `most` writes; of more, what
     is missing is a debt at once."""
 
     def __init__(self, most: int = 100_000) -> None:
         self._most = most
-        self._waiting: OrderedDict[tuple[Place, int], tuple[float, set[int]]] = OrderedDict()
-        self._over: list[Place] = []
+        self._waiting: OrderedDict[tuple[ShardKey, int], tuple[float, set[int]]] = OrderedDict()
+        self._over: list[ShardKey] = []
 
-    def sent(self, place: Place, version: int, holders: Iterable[int], due: float) -> None:
+    def add(self, place: ShardKey, version: int, holders: Iterable[int], due: float) -> None:
         """A write under `version` goes to these holders, and can have been done up to `due`."""
         if len(self._waiting) >= self._most:
             (oldest, _), _ = self._waiting.popitem(last=False)
             self._over.append(oldest)
         self._waiting[place, version] = due, set(holders)
 
-    def did(self, place: Place, version: int, holder: int) -> None:
+    def acknowledge(self, place: ShardKey, version: int, holder: int) -> None:
         """One of them says that it did it."""
         found = self._waiting.get((place, version))
         if found is not None:
@@ -133,11 +147,11 @@
             if not found[1]:
                 del self._waiting[place, version]
 
-    def idle(self, place: Place, version: int) -> None:
+    def discard(self, place: ShardKey, version: int) -> None:
         """It is proven that no holder did it: nothing is owed."""
         self._waiting.pop((place, version), None)
 
-    def overdue(self, now: float) -> list[Place]:
+    def pop_overdue(self, now: float) -> list[ShardKey]:
         """Where something has not been said in time: debts now."""
         out, self._over = self._over, []
         for key, (due, _) in list(self._waiting.items()):
@@ -148,21 +162,21 @@
         return out
 
 
-class Mark(NamedTuple):
+class PointState(NamedTuple):
     """What a holder has of a point. `ops`: additions since it was last written whole; `digest`: of its content,
     deleted or not. The greatest stands."""
 
     version: int
-    ops: int
+    additions: int
     digest: int
 
     @property
-    def known(self) -> tuple[int, int]:
+    def recency(self) -> tuple[int, int]:
         """What tells newer from older; two contents under the same are a conflict."""
-        return self.version, self.ops
+        return self.version, self.additions
 
 
-class Copy(NamedTuple):
+class PointCopy(NamedTuple):
     """Points that `source` has newest, and holders that lack them."""
 
     source: int
@@ -170,18 +184,18 @@
     points: tuple[str, ...]
 
 
-def plan(held: dict[int, dict[str, Mark]], most: int) -> tuple[list[Copy], int, int]:
+def plan_copies(held: dict[int, dict[str, PointState]], most: int) -> tuple[list[PointCopy], int, int]:
     """What to copy so that all holders agree: copies of at most `most` points in all, how many more there are, and
     how many points stand under one version with different contents.
 
     `held`: by holder, its points (ids as text). A deleted point is one too, with the version of its deletion.
     """
-    best: dict[str, tuple[Mark, int]] = {}
+    best: dict[str, tuple[PointState, int]] = {}
     conflicts: set[str] = set()
     for holder, points in sorted(held.items()):
         for number, mark in points.items():
             known = best.get(number)
-            if known is not None and known[0].known == mark.known and known[0].digest != mark.digest:
+            if known is not None and known[0].recency == mark.recency and known[0].digest != mark.digest:
                 conflicts.add(number)
             if known is None or mark > known[0]:
                 best[number] = mark, holder
@@ -190,11 +204,11 @@
         for holder, points in held.items():
             if points.get(number) != mark:
                 lacking.setdefault((source, holder), []).append(number)
-    copies: list[Copy] = []
+    copies: list[PointCopy] = []
     left = 0
     for (source, target), numbers in sorted(lacking.items()):
         room = max(most - sum(len(c.points) for c in copies), 0)
         if numbers[:room]:
-            copies.append(Copy(source, target, tuple(numbers[:room])))
+            copies.append(PointCopy(source, target, tuple(numbers[:room])))
         left += len(numbers) - len(numbers[:room])
     return copies, left, len(conflicts)
--- a/gingervane/writes/quorum_writes.py
+++ b/gingervane/writes/quorum_writes.py
@@ -19,53 +19,53 @@
 from gingervane.coordinator import types as t
 from gingervane.coordinator.boot_clock import seconds as real_seconds
 from gingervane.coordinator.core import ResultQueue, Rejected, PendingQuery
-from gingervane.writes.missed_writes import Place
+from gingervane.writes.missed_writes import ShardKey
 from gingervane.coordinator.dispatch import QueryDispatcher
-from gingervane.writes.shard_placement import MOST_CELLS, ShardPlacement
+from gingervane.writes.shard_placement import MAX_CELLS, ShardPlacement
 from gingervane.writes.write_ahead_log import WriteAheadLog
-from gingervane.writes.idempotency import Do, IdempotencyRecord, IdempotencyRecords, State
+from gingervane.writes.idempotency import KeyAction, IdempotencyRecord, IdempotencyRecords, WriteState
 
 
-class Work(NamedTuple):
+class ReplicatedWrite(NamedTuple):
     """One write as a front has read it.
 
     `contents`: for each shard, what a holder of it is to do; `exchange`: made for a key (empty: none), a version, and
     whom to tell of each holder's success, by shard and holder. `until`: the client's time, on the monotonic clock.
     """
 
-    space: str  # what the shards are of
-    contents: Mapping[int, Callable[[int], Any]]
-    exchange: Callable[[str, int, Callable[[int, int], None]], t.HttpCodec]
-    name: str  # the class's
-    number: int  # the class's in the module that decides writes
-    until: float
+    collection: str  # what the shards are of
+    content_by_shard: Mapping[int, Callable[[int], Any]]
+    make_codec: Callable[[str, int, Callable[[int, int], None]], t.HttpCodec]
+    class_name: str  # the class's
+    class_number: int  # the class's in the module that decides writes
+    deadline: float
 
 
-class Outcome(NamedTuple):
+class WriteOutcome(NamedTuple):
     """What became of one write. `do`: SEND if it was sent, else why not; `share` of the holders that had done it."""
 
-    do: Do
-    state: State = State.IDLE
-    why: str = ""
-    wait: float = 0.0
-    share: float = 0.0
+    action: KeyAction
+    state: WriteState = WriteState.NOT_EXECUTED
+    detail: str = ""
+    retry_after: float = 0.0
+    replicated_share: float = 0.0
     version: int = 0
-    repeat: bool = False  # answered from what was known of the key
+    replayed: bool = False  # answered from what was known of the key
 
 
-class Owed(Protocol):
+class WriteTracker(Protocol):
     """Told of each write's holders, and of what each of them says."""
 
-    def sent(
-        self, place: Place, version: int, holders: Iterable[int], absent: bool, until: float
+    def write_sent(
+        self, place: ShardKey, version: int, holders: Iterable[int], absent: bool, until: float
     ) -> None: ...
 
-    def did(self, place: Place, version: int, holder: int) -> None: ...
+    def write_acknowledged(self, place: ShardKey, version: int, holder: int) -> None: ...
 
-    def idle(self, place: Place, version: int) -> None: ...
+    def write_not_executed(self, place: ShardKey, version: int) -> None: ...
 
 
-class Clock:
+class VersionClock:
     """Versions: milliseconds of Unix time with a count and this co-ordinator's mark below, never the same twice."""
 
     def __init__(self, mark: int, now: Callable[[], float] = time.time) -> None:
@@ -77,7 +77,7 @@
             self._last = max(int(self._now() * 1000) << 4, self._last + 1)
             return (self._last << 10) | self._mark
 
-    def seen(self, version: int) -> None:
+    def observe(self, version: int) -> None:
         """A version of somebody else's: the next is later."""
         with self._lock:
             self._last = max(self._last, version >> 10)
@@ -94,8 +94,8 @@
         width: int,
         intents: IdempotencyRecords,
         log: WriteAheadLog | None,
-        clock: Clock,
-        owed: Owed,
+        clock: VersionClock,
+        owed: WriteTracker,
         remark: Callable[[str], None],
         now: Callable[[], float] = real_seconds,
     ) -> None:
@@ -105,104 +105,116 @@
         self._remark, self._now = remark, now
         self._lock = threading.Lock()
         self._waiting: dict[str, threading.Event] = {}
-        self._acked: dict[Place, int] = {}
+        self._acked: dict[ShardKey, int] = {}
         self.counts = dict.fromkeys(("writes", "repeats", "late_successes", "too_late", "mismatches"), 0)
 
-    def acked(self, place: Place) -> int:
+    def acknowledged_version(self, place: ShardKey) -> int:
         """The newest version of a shard that this co-ordinator has told a client was done."""
         with self._lock:
             return self._acked.get(place, 0)
 
-    def unkeyed(self, work: Work) -> Outcome:
+    def write_without_key(self, work: ReplicatedWrite) -> WriteOutcome:
         """A write without a key: sent once, and again only on proof that it did not run."""
-        return self._send(work, "", self._clock.next(), work.until)
+        return self._send(work, "", self._clock.next(), work.deadline)
 
-    def keyed(self, key: str, digest: str, work: Work) -> Outcome:
+    def write_with_key(self, key: str, digest: str, work: ReplicatedWrite) -> WriteOutcome:
         """A write that holders know by its key. `digest`: of its content."""
         while True:
             with self._lock:
                 decision = self._intents.begin(key, digest, self._clock.next(), self._now())
                 event, entry = self._waiting.get(key), self._intents.get(key)
-                if decision.do is Do.SEND:
+                if decision.action is KeyAction.SEND:
                     self._waiting[key] = threading.Event()
-            if decision.do is not Do.WAIT:
+            if decision.action is not KeyAction.WAIT:
                 break
-            if event is None or not event.wait(max(work.until - time.monotonic(), 0.0)):
-                return Outcome(Do.WAIT, State.UNKNOWN, "the same key is still being worked on")
-        if decision.do is not Do.SEND:
-            return self._known(decision.do, decision.version, decision.result)
+            if event is None or not event.wait(max(work.deadline - time.monotonic(), 0.0)):
+                return WriteOutcome(
+                    KeyAction.WAIT, WriteState.UNKNOWN, "the same key is still being worked on"
+                )
+        if decision.action is not KeyAction.SEND:
+            return self._known(decision.action, decision.version, decision.result)
         assert entry is not None
-        outcome = Outcome(Do.SEND, State.IDLE, "the write could not be begun", 1.0)
+        outcome = WriteOutcome(KeyAction.SEND, WriteState.NOT_EXECUTED, "the write could not be begun", 1.0)
         try:
             if self._log:
-                self._log.intend(key, entry, work.until)
+                self._log.append_durably(key, entry, work.deadline)
             # Whatever goes wrong from here on, some of it may have run.
-            outcome = Outcome(Do.SEND, State.UNKNOWN, "internal: the write was not seen to its end")
-            left = decision.until - self._now()
-            outcome = self._send(work, key, decision.version, min(work.until, time.monotonic() + left))
+            outcome = WriteOutcome(
+                KeyAction.SEND, WriteState.UNKNOWN, "internal: the write was not seen to its end"
+            )
+            left = decision.send_deadline - self._now()
+            outcome = self._send(work, key, decision.version, min(work.deadline, time.monotonic() + left))
         except OSError as error:
-            outcome = outcome._replace(why=f"the intent log: {error}")
+            outcome = outcome._replace(detail=f"the intent log: {error}")
         finally:
             self._end(key, outcome)
         return outcome
 
-    def _known(self, do: Do, version: int, result: Any) -> Outcome:
+    def _known(self, do: KeyAction, version: int, result: Any) -> WriteOutcome:
         """A key that needs no sending."""
         with self._lock:
             for what, count in (
-                (Do.ANSWER, "repeats"),
-                (Do.TOO_LATE, "too_late"),
-                (Do.MISMATCH, "mismatches"),
+                (KeyAction.REPLAY_RESULT, "repeats"),
+                (KeyAction.WINDOW_EXPIRED, "too_late"),
+                (KeyAction.KEY_REUSED, "mismatches"),
             ):
                 self.counts[count] += do is what
-        if do is Do.ANSWER:
-            return Outcome(Do.ANSWER, State.DONE, share=float(result["share"]), version=version, repeat=True)
-        return Outcome(do, version=version)
+        if do is KeyAction.REPLAY_RESULT:
+            return WriteOutcome(
+                KeyAction.REPLAY_RESULT,
+                WriteState.COMPLETED,
+                replicated_share=float(result["share"]),
+                version=version,
+                replayed=True,
+            )
+        return WriteOutcome(do, version=version)
 
-    def _end(self, key: str, outcome: Outcome) -> None:
+    def _end(self, key: str, outcome: WriteOutcome) -> None:
         """Whatever became of a key's write, it is known, and whoever waits for it goes on."""
-        result = {"share": outcome.share} if outcome.state is State.DONE else None
+        result = {"share": outcome.replicated_share} if outcome.state is WriteState.COMPLETED else None
         with self._lock:
-            self._intents.end(key, outcome.state, self._now(), result)
+            self._intents.finish(key, outcome.state, self._now(), result)
             entry, event = self._intents.get(key), self._waiting.pop(key, None)
         if event:
             event.set()
         if self._log and entry is not None:
             try:
-                self._log.note(key, entry)
+                self._log.append(key, entry)
             except OSError as error:
                 self._remark(f"the end of key {key!r} could not be written down: {error}")
 
-    def _send(self, work: Work, key: str, version: int, until: float) -> Outcome:
+    def _send(self, work: ReplicatedWrite, key: str, version: int, until: float) -> WriteOutcome:
         """Have every holder of every shard do its part; wait for all shards' ends."""
         with self._lock:
             self.counts["writes"] += 1
         failed = threading.Event()
-        exchange = work.exchange(
-            key, version, lambda shard, holder: self._did(failed, Place(work.space, shard), holder, version)
+        exchange = work.make_codec(
+            key,
+            version,
+            lambda shard, holder: self._did(failed, ShardKey(work.collection, shard), holder, version),
         )
         plans: dict[int, tuple[list[int], tuple[t.PartPlan, ...]]] = {}
-        for shard, content in sorted(work.contents.items()):
-            ready = [h for h in self._holders.of(shard) if h.state is api.ReplicaState.READY]
+        for shard, content in sorted(work.content_by_shard.items()):
+            ready = [h for h in self._holders.replicas_of(shard) if h.state is api.ReplicaState.READY]
             if len(ready) < self._quorum:
                 why = f"shard s{shard}: {len(ready)} holders are ready, {self._quorum} must do a write"
-                return Outcome(Do.SEND, State.IDLE, why, 1.0, version=version)
+                return WriteOutcome(KeyAction.SEND, WriteState.NOT_EXECUTED, why, 1.0, version=version)
             share = 1.0 / len(ready)
             plans[shard] = (
                 [h.replica for h in ready],
                 tuple(t.PartPlan(h.cell, share, content(h.replica)) for h in ready),
             )
-        reserve = self._desk.reserve(work.name, len(plans), max(until - time.monotonic(), 0.0))
+        reserve = self._desk.reserve(work.class_name, len(plans), max(until - time.monotonic(), 0.0))
         answers, tickets = ResultQueue(), dict[PendingQuery, int]()
         refused: Rejected | None = None
         for shard, (numbers, parts) in plans.items():
-            place = Place(work.space, shard)
-            self._owed.sent(place, version, numbers, len(numbers) < self._width, until)
+            place = ShardKey(work.collection, shard)
+            self._owed.write_sent(place, version, numbers, len(numbers) < self._width, until)
             try:
-                query = t.QueryPlan(work.number, until - reserve, parts, exchange, work.name)
+                query = t.QueryPlan(work.class_number, until - reserve, parts, exchange, work.class_name)
                 tickets[self._desk.core.submit(query, answers)] = shard
             except Rejected as error:
-                self._owed.idle(place, version)
+                self._owed.write_not_executed(place, version)
                 refused = error
                 break
         finals: dict[int, t.QueryResult] = {}
@@ -210,8 +222,8 @@
             ticket, final = answers.get()
             finals[tickets[ticket]] = final
             ticket.release()
-        outcome = self._judge(work.space, finals, refused, version)
-        if outcome.state is State.UNKNOWN:
+        outcome = self._judge(work.collection, finals, refused, version)
+        if outcome.state is WriteState.UNKNOWN:
             failed.set()
         return outcome
 
@@ -221,27 +233,27 @@
         finals: dict[int, t.QueryResult],
         refused: Rejected | None,
         version: int,
-    ) -> Outcome:
+    ) -> WriteOutcome:
         """What came of a write, from what came of each of its shards."""
         done = {shard: len(final.results) for shard, final in finals.items()}
         proven = {shard for shard, final in finals.items() if final.status is t.QueryStatus.REJECTED}
         wait = max([f.retry_after for f in finals.values()] + [refused.retry_after if refused else 0.0])
         why = str(refused or "") or next((f.detail for f in finals.values() if f.detail), "no answer in time")
         for shard in proven:
-            self._owed.idle(Place(space, shard), version)
+            self._owed.write_not_executed(ShardKey(space, shard), version)
         if refused is None and done and all(count >= self._quorum for count in done.values()):
             with self._lock:
                 for shard in done:
-                    place = Place(space, shard)
+                    place = ShardKey(space, shard)
                     self._acked[place] = max(version, self._acked.get(place, 0))
             share = sum(min(count / self._width, 1.0) for count in done.values()) / len(done)
-            return Outcome(Do.SEND, State.DONE, share=share, version=version)
-        state = State.IDLE if len(proven) == len(finals) else State.UNKNOWN
-        return Outcome(Do.SEND, state, why, wait, version=version)
+            return WriteOutcome(KeyAction.SEND, WriteState.COMPLETED, replicated_share=share, version=version)
+        state = WriteState.NOT_EXECUTED if len(proven) == len(finals) else WriteState.UNKNOWN
+        return WriteOutcome(KeyAction.SEND, state, why, wait, version=version)
 
-    def _did(self, failed: threading.Event, place: Place, holder: int, version: int) -> None:
+    def _did(self, failed: threading.Event, place: ShardKey, holder: int, version: int) -> None:
         """A holder's success, on a sender's thread; it may be long after the answer."""
-        self._owed.did(place, version, holder)
+        self._owed.write_acknowledged(place, version, holder)
         if failed.is_set():
             with self._lock:
                 self.counts["late_successes"] += 1
@@ -261,12 +273,14 @@
         for i, c in enumerate(base.query_classes)
     )
     return base._replace(
-        query_classes=classes, cell_count=MOST_CELLS, cells_per_replica=1, cancellation_allowed=False
+        query_classes=classes, cell_count=MAX_CELLS, cells_per_replica=1, cancellation_allowed=False
     )
 
 
-def recovered(intents: IdempotencyRecords, entries: dict[str, IdempotencyRecord], clock: Clock) -> None:
+def restore_records(
+    intents: IdempotencyRecords, entries: dict[str, IdempotencyRecord], clock: VersionClock
+) -> None:
     """Take up what the log had at a start."""
-    for key, entry in sorted(entries.items(), key=lambda item: item[1].at):
+    for key, entry in sorted(entries.items(), key=lambda item: item[1].updated_at):
         intents.restore(key, entry)
-        clock.seen(entry.version)
+        clock.observe(entry.version)
--- a/gingervane/writes/shard_placement.py
+++ b/gingervane/writes/shard_placement.py
@@ -34,9 +34,9 @@
         self._addresses: dict[int, tuple[str, int]] = {}
         self._by_shard: dict[int, tuple[ShardReplica, ...]] = {}
         self._gone: set[int] = set()
-        self.back: set[int] = set()  # that the last list brought back from being gone
+        self.returned: set[int] = set()  # that the last list brought back from being gone
 
-    def listed(self, listed: EndpointsUpdated) -> EndpointsUpdated:
+    def endpoints_updated(self, listed: EndpointsUpdated) -> EndpointsUpdated:
         """Take a list; the same one for the module that decides writes."""
         event = listed.membership
         if event.kind is not api.MembershipUpdateKind.DELTA:
@@ -46,8 +46,8 @@
             self._rows[row.id] = row
             self._own.setdefault(row.id, len(self._own))
         gone = {n for n, row in self._rows.items() if row.state is api.ReplicaState.GONE}
-        self.back = self._gone & (set(self._rows) - gone)
-        self._gone = (self._gone | gone) - self.back
+        self.returned = self._gone & (set(self._rows) - gone)
+        self._gone = (self._gone | gone) - self.returned
         by_shard: dict[int, list[ShardReplica]] = {shard: [] for shard in range(self._cells)}
         for number, row in sorted(self._rows.items()):
             if row.state is not api.ReplicaState.GONE:
@@ -64,9 +64,9 @@
         """Shards that a replica holds."""
         return tuple(s for s, found in self._by_shard.items() if any(h.replica == replica for h in found))
 
-    def of(self, shard: int) -> tuple[ShardReplica, ...]:
+    def replicas_of(self, shard: int) -> tuple[ShardReplica, ...]:
         """Replicas that are listed for a shard and not gone."""
         return self._by_shard.get(shard, ())
 
 
-MOST_CELLS = 1 << 20  # of the module that decides writes: replicas that may ever be listed
+MAX_CELLS = 1 << 20  # of the module that decides writes: replicas that may ever be listed
--- a/gingervane/writes/write_ahead_log.py
+++ b/gingervane/writes/write_ahead_log.py
@@ -38,51 +38,59 @@
 import orjson
 
 from gingervane.coordinator import boot_clock
-from gingervane.writes.idempotency import IdempotencyRecord, State
+from gingervane.writes.idempotency import IdempotencyRecord, WriteState
 
 _NO_BOOT = "no boot"  # where the system tells no id: no entry is of the same boot
 _HEAD = struct.Struct("<II")
-MOST_RECORD = 1 << 20
-MOST_WAITING = 100_000  # records that may wait for the disk
+MAX_RECORD_BYTES = 1 << 20
+MAX_PENDING_RECORDS = 100_000  # records that may wait for the disk
 
 
-class LogError(OSError):
+class WriteAheadLogError(OSError):
     """The log cannot take an intent: nothing of the write may be sent."""
 
 
-class Found(NamedTuple):
+class RecoveredLog(NamedTuple):
     """What a start read: entries by key, the last word on each, and what was wrong."""
 
-    entries: dict[str, IdempotencyRecord]
+    records: dict[str, IdempotencyRecord]
     faults: list[str]
-    records: int
+    record_count: int
 
 
-def frame(content: bytes) -> bytes:
+def encode_frame(content: bytes) -> bytes:
     return _HEAD.pack(len(content), zlib.crc32(content)) + content
 
 
-def pack(key: str, entry: IdempotencyRecord) -> bytes:
+def encode_record(key: str, entry: IdempotencyRecord) -> bytes:
     """One record. Results are kept as they are, and must be JSON."""
-    return frame(
+    return encode_frame(
         orjson.dumps(
-            [key, entry.state.value, entry.digest, entry.version, entry.first, entry.at, entry.result]
+            [
+                key,
+                entry.state.value,
+                entry.digest,
+                entry.version,
+                entry.first_sent_at,
+                entry.updated_at,
+                entry.result,
+            ]
         )
     )
 
 
-def unpack(content: bytes) -> tuple[str, IdempotencyRecord]:
+def decode_record(content: bytes) -> tuple[str, IdempotencyRecord]:
     """Raises ValueError."""
     key, state, digest, version, first, at, result = orjson.loads(content)
-    return key, IdempotencyRecord(State(state), digest, version, first, at, result)
+    return key, IdempotencyRecord(WriteState(state), digest, version, first, at, result)
 
 
-def boot_record(boot: str) -> bytes:
+def encode_boot_id(boot: str) -> bytes:
     """Says that the times of what follows are of this boot."""
-    return frame(orjson.dumps(["", boot]))
+    return encode_frame(orjson.dumps(["", boot]))
 
 
-def read(
+def read_segment(
     data: bytes, into: dict[str, IdempotencyRecord], boot: str = "", now: float = 0.0
 ) -> tuple[int, int, str]:
     """Records of one segment: how many, how many bytes of it are good, and what is wrong after them.
@@ -97,7 +105,7 @@
             return count, at, "torn head"
         length, crc = _HEAD.unpack_from(data, at)
         content = data[at + _HEAD.size : at + _HEAD.size + length]
-        if length > MOST_RECORD or len(content) < length:
+        if length > MAX_RECORD_BYTES or len(content) < length:
             return count, at, "torn record"
         if zlib.crc32(content) != crc:
             return count, at, "a record does not fit its checksum"
@@ -106,10 +114,12 @@
                 _, written_in = orjson.loads(content)
                 at += _HEAD.size + length
                 continue
-            key, entry = unpack(content)
+            key, entry = decode_record(content)
         except (ValueError, TypeError) as error:
             return count, at, f"a record makes no sense: {error}"
-        into[key] = entry if written_in == boot or not boot else entry._replace(first=-inf, at=now)
+        into[key] = (
+            entry if written_in == boot or not boot else entry._replace(first_sent_at=-inf, updated_at=now)
+        )
         at += _HEAD.size + length
         count += 1
     return count, at, ""
@@ -121,15 +131,15 @@
     def __init__(
         self,
         folder: Path,
-        keep: float,
+        retention: float,
         now: Callable[[], float],
         segment_bytes: int = 8 << 20,
         write: Callable[[int, bytes], int] = os.write,
-        force: Callable[[int], None] = os.fdatasync,
+        sync: Callable[[int], None] = os.fdatasync,
     ) -> None:
         """`now`: as `boot_clock.seconds`. `write` and `force` stand for the disk."""
-        self._folder, self._keep, self._now, self._size = folder, keep, now, segment_bytes
-        self._write_to, self._force = write, force
+        self._folder, self._keep, self._now, self._size = folder, retention, now, segment_bytes
+        self._write_to, self._force = write, sync
         self._turn = threading.Condition()
         self._waiting: list[tuple[bytes, threading.Event | None, list[BaseException]]] = []
         self._stopped = False
@@ -138,14 +148,14 @@
         self._number, self._file, self._at = 0, -1, 0
         self._thread = threading.Thread(target=self._run, name="intents", daemon=True)
 
-    def recover(self) -> Found:
+    def recover(self) -> RecoveredLog:
         """Read what is there, cut a torn tail off, and start to write. Called once, before anything else."""
         entries: dict[str, IdempotencyRecord] = {}
         faults: list[str] = []
         records = 0
         paths = sorted(self._folder.glob("intents-*.log"))
         for path in paths:
-            count, good, fault = read(
+            count, good, fault = read_segment(
                 path.read_bytes(), entries, boot_clock.boot_id() or _NO_BOOT, self._now()
             )
             records += count
@@ -159,20 +169,20 @@
             self._number = int(path.stem.rpartition("-")[2])
         self._open_next()
         self._thread.start()
-        return Found(entries, faults, records)
+        return RecoveredLog(entries, faults, records)
 
-    def intend(self, key: str, entry: IdempotencyRecord, until: float = inf) -> None:
+    def append_durably(self, key: str, entry: IdempotencyRecord, until: float = inf) -> None:
         """Returns once the intent is on the disk. Raises LogError if it is not known to be by `until` (monotonic)."""
         done, failed = threading.Event(), list[BaseException]()
-        self._put(pack(key, entry), done, failed)
+        self._put(encode_record(key, entry), done, failed)
         if not done.wait(None if until == inf else max(until - time.monotonic(), 0.0)):
-            raise LogError("the intent was not on the disk in time")
+            raise WriteAheadLogError("the intent was not on the disk in time")
         if failed:
-            raise LogError(f"the intent could not be written: {failed[0]}") from failed[0]
+            raise WriteAheadLogError(f"the intent could not be written: {failed[0]}") from failed[0]
 
-    def note(self, key: str, entry: IdempotencyRecord) -> None:
+    def append(self, key: str, entry: IdempotencyRecord) -> None:
         """Write down an end, behind."""
-        self._put(pack(key, entry), None, [])
+        self._put(encode_record(key, entry), None, [])
 
     def close(self) -> None:
         """Write what waits, and end."""
@@ -183,13 +193,13 @@
             self._thread.join(10.0)
 
     def _put(self, data: bytes, done: threading.Event | None, failed: list[BaseException]) -> None:
-        if len(data) > MOST_RECORD:
-            raise LogError(f"a record of {len(data)} bytes is over the bound of {MOST_RECORD}")
+        if len(data) > MAX_RECORD_BYTES:
+            raise WriteAheadLogError(f"a record of {len(data)} bytes is over the bound of {MAX_RECORD_BYTES}")
         with self._turn:
             if self._stopped:
-                raise LogError("the log is closed")
-            if len(self._waiting) >= MOST_WAITING:
-                raise LogError(f"{len(self._waiting)} records wait for the disk")
+                raise WriteAheadLogError("the log is closed")
+            if len(self._waiting) >= MAX_PENDING_RECORDS:
+                raise WriteAheadLogError(f"{len(self._waiting)} records wait for the disk")
             self._waiting.append((data, done, failed))
             self._turn.notify()
 
@@ -260,7 +270,7 @@
                 os.fsync(folder)
             finally:
                 os.close(folder)
-            head = boot_record(boot_clock.boot_id())
+            head = encode_boot_id(boot_clock.boot_id())
             if self._write_to(self._file, head) != len(head):
                 raise OSError(errno.ENOSPC, "a short write at the head of a segment")
             self._at = len(head)
--- a/tests/recordings/driver_tools.py
+++ b/tests/recordings/driver_tools.py
@@ -73,11 +73,11 @@
         self.holders = ShardPlacement(cells, width)
 
     def listed(self, item: t.EndpointsUpdated) -> tuple[Any, ...]:
-        found = self.holders.listed(item)
-        return found, tuple(sorted(self.holders.back))
+        found = self.holders.endpoints_updated(item)
+        return found, tuple(sorted(self.holders.returned))
 
     def of(self, shard: int) -> tuple[Any, ...]:
-        return tuple(tuple(holder) for holder in self.holders.of(shard))
+        return tuple(tuple(holder) for holder in self.holders.replicas_of(shard))
 
 
 class Proofs:
--- a/tests/stored/make_fixtures.py
+++ b/tests/stored/make_fixtures.py
@@ -26,7 +26,7 @@
 from gingervane import interface as api
 from gingervane.coordinator import boot_clock
 from gingervane.writes.write_ahead_log import WriteAheadLog
-from gingervane.writes.idempotency import IdempotencyRecord, State
+from gingervane.writes.idempotency import IdempotencyRecord, WriteState
 from gingervane.fronts.leaf_codec import Asked, RemoteReadExchange, Tile
 from gingervane.experiments.scenario import Scenario, VectorDay
 from gingervane.experiments.store import Run, RunStore
@@ -138,14 +138,17 @@
 def entries() -> list[tuple[str, IdempotencyRecord]]:
     """Records of the intent log, in the order of writing: each state, a result, a name that is not ASCII."""
     return [
-        ("cos/plain", IdempotencyRecord(State.OPEN, "00ff", 101, 4_000.25, 4_000.25)),
-        ("cos/done", IdempotencyRecord(State.OPEN, "11ee", 102, 4_001.0, 4_001.0)),
-        ("cos/done", IdempotencyRecord(State.DONE, "11ee", 102, 4_001.0, 4_001.5, {"share": 0.667})),
-        ("cos/idle", IdempotencyRecord(State.IDLE, "22dd", 103, 4_002.0, 4_002.5)),
-        ("cos/unknown", IdempotencyRecord(State.UNKNOWN, "33cc", 104, 4_003.0, 4_003.5)),
+        ("cos/plain", IdempotencyRecord(WriteState.IN_PROGRESS, "00ff", 101, 4_000.25, 4_000.25)),
+        ("cos/done", IdempotencyRecord(WriteState.IN_PROGRESS, "11ee", 102, 4_001.0, 4_001.0)),
+        (
+            "cos/done",
+            IdempotencyRecord(WriteState.COMPLETED, "11ee", 102, 4_001.0, 4_001.5, {"share": 0.667}),
+        ),
+        ("cos/idle", IdempotencyRecord(WriteState.NOT_EXECUTED, "22dd", 103, 4_002.0, 4_002.5)),
+        ("cos/unknown", IdempotencyRecord(WriteState.UNKNOWN, "33cc", 104, 4_003.0, 4_003.5)),
         (
             "cos/sk\u00f8yte \u2603",
-            IdempotencyRecord(State.DONE, "44bb", 1 << 52, 4_004.0, 4_004.5, {"share": 1.0}),
+            IdempotencyRecord(WriteState.COMPLETED, "44bb", 1 << 52, 4_004.0, 4_004.5, {"share": 1.0}),
         ),
     ]
 
@@ -156,7 +159,7 @@
         log = WriteAheadLog(folder, 3600.0, lambda: 4_010.0, segment_bytes=200)
         log.recover()
         for key, entry in entries():
-            log.intend(key, entry)
+            log.append_durably(key, entry)
         log.close()
     torn = folder.with_name(folder.name + "-torn")
     shutil.copytree(folder, torn)
--- a/tests/test_intents.py
+++ b/tests/test_intents.py
@@ -19,11 +19,24 @@
 
 from gingervane.coordinator import boot_clock
 from gingervane.writes import write_ahead_log
-from gingervane.writes.missed_writes import Budget, MissedWrites, Mark, Place, plan
-from gingervane.writes.write_ahead_log import WriteAheadLog, LogError, frame, pack, read
-from gingervane.writes.idempotency import Decision, Do, IdempotencyRecord, IdempotencyRecords, Limits, State
-
-LIMITS = Limits(window=10.0, margin=0.5, keep=40.0, most=6)
+from gingervane.writes.missed_writes import RepairBudget, MissedWrites, PointState, ShardKey, plan_copies
+from gingervane.writes.write_ahead_log import (
+    WriteAheadLog,
+    WriteAheadLogError,
+    encode_frame,
+    encode_record,
+    read_segment,
+)
+from gingervane.writes.idempotency import (
+    KeyDecision,
+    KeyAction,
+    IdempotencyRecord,
+    IdempotencyRecords,
+    IdempotencyLimits,
+    WriteState,
+)
+
+LIMITS = IdempotencyLimits(window=10.0, safety_margin=0.5, retention=40.0, max_records=6)
 
 
 class Machine(RuleBasedStateMachine):
@@ -34,7 +47,7 @@
         self.now, self.version = 100.0, 0
         self.intents = IdempotencyRecords(LIMITS)
         self.logged: dict[str, IdempotencyRecord] = {}  # what is on the disk
-        self.open: dict[str, tuple[Decision, str]] = {}
+        self.open: dict[str, tuple[KeyDecision, str]] = {}
         self.first_seen: dict[str, float] = {}  # by the replica
         self.effects: dict[tuple[str, int], int] = {}
         self.refused: set[str] = set()
@@ -44,39 +57,47 @@
         self.version += 1
         known = self.intents.get(key)
         decision = self.intents.begin(key, digest, self.version, self.now)
-        if decision.do is Do.SEND:
+        if decision.action is KeyAction.SEND:
             entry = self.intents.get(key)
-            assert entry is not None and key not in self.open and decision.until > self.now
+            assert entry is not None and key not in self.open and decision.send_deadline > self.now
             self.logged[key] = entry
             self.open[key] = decision, digest
-        elif decision.do is Do.MISMATCH:
+        elif decision.action is KeyAction.KEY_REUSED:
             assert known is not None and known.digest != digest
-        elif decision.do is Do.ANSWER:
-            assert known is not None and known.state is State.DONE
-        elif decision.do is Do.WAIT:
+        elif decision.action is KeyAction.REPLAY_RESULT:
+            assert known is not None and known.state is WriteState.COMPLETED
+        elif decision.action is KeyAction.WAIT:
             assert key in self.open
-        elif decision.do is Do.FULL:
-            assert len(self.intents) == LIMITS.most
+        elif decision.action is KeyAction.OVER_CAPACITY:
+            assert len(self.intents) == LIMITS.max_records
 
     @precondition(lambda self: bool(self.open))
-    @rule(data=st.data(), reach=st.booleans(), end=st.sampled_from(list(State)), late=st.booleans())
-    def work(self, data: Any, reach: bool, end: State, late: bool) -> None:
+    @rule(data=st.data(), reach=st.booleans(), end=st.sampled_from(list(WriteState)), late=st.booleans())
+    def work(self, data: Any, reach: bool, end: WriteState, late: bool) -> None:
         """An open write reaches its replica, or not, and comes to an end, or not yet."""
         key = data.draw(st.sampled_from(sorted(self.open)))
         decision, _ = self.open[key]
         if late:
-            self.now = max(self.now, decision.until - 0.01)
-        if reach and self.now < decision.until:
+            self.now = max(self.now, decision.send_deadline - 0.01)
+        if reach and self.now < decision.send_deadline:
             seen = self.first_seen.get(key)
             if seen is None or self.now - seen >= LIMITS.window:
                 self.first_seen[key] = self.now
                 name = key, decision.version
                 self.effects[name] = self.effects.get(name, 0) + 1
-        if end is State.OPEN or (end is State.IDLE and reach) or (end is State.DONE and not reach):
+        if (
+            end is WriteState.IN_PROGRESS
+            or (end is WriteState.NOT_EXECUTED and reach)
+            or (end is WriteState.COMPLETED and not reach)
+        ):
             return
-        if end is State.IDLE and key in self.first_seen and self.effects.get((key, decision.version)):
+        if (
+            end is WriteState.NOT_EXECUTED
+            and key in self.first_seen
+            and self.effects.get((key, decision.version))
+        ):
             return  # an earlier try ran: no proof that none did
-        self.intents.end(key, end, self.now, {"version": decision.version})
+        self.intents.finish(key, end, self.now, {"version": decision.version})
         entry = self.intents.get(key)
         assert entry is not None
         if data.draw(st.booleans()):  # the end's record is lost if a crash comes first
@@ -87,7 +108,7 @@
     def crash(self, down: float) -> None:
         self.now += down
         self.intents = IdempotencyRecords(LIMITS)
-        for key, entry in sorted(self.logged.items(), key=lambda item: item[1].at):
+        for key, entry in sorted(self.logged.items(), key=lambda item: item[1].updated_at):
             self.intents.restore(key, entry)
         self.open.clear()
 
@@ -107,31 +128,35 @@
 def test_what_each_state_means() -> None:
     intents = IdempotencyRecords(LIMITS)
     first = intents.begin("k", "x", 7, 100.0)
-    assert first == Decision(Do.SEND, 7, 109.5)
-    assert intents.begin("k", "x", 8, 101.0).do is Do.WAIT
-    assert intents.begin("k", "y", 8, 101.0).do is Do.MISMATCH
-    intents.end("k", State.UNKNOWN, 102.0)
-    assert intents.begin("k", "x", 9, 105.0) == Decision(Do.SEND, 7, 109.5), "the same version, the same end"
-    intents.end("k", State.UNKNOWN, 106.0)
-    assert intents.begin("k", "x", 9, 109.6).do is Do.TOO_LATE
+    assert first == KeyDecision(KeyAction.SEND, 7, 109.5)
+    assert intents.begin("k", "x", 8, 101.0).action is KeyAction.WAIT
+    assert intents.begin("k", "y", 8, 101.0).action is KeyAction.KEY_REUSED
+    intents.finish("k", WriteState.UNKNOWN, 102.0)
+    assert intents.begin("k", "x", 9, 105.0) == KeyDecision(
+        KeyAction.SEND, 7, 109.5
+    ), "the same version, the same end"
+    intents.finish("k", WriteState.UNKNOWN, 106.0)
+    assert intents.begin("k", "x", 9, 109.6).action is KeyAction.WINDOW_EXPIRED
     intents.begin("i", "x", 1, 100.0)
-    intents.end("i", State.IDLE, 101.0)
-    assert intents.begin("i", "x", 2, 130.0) == Decision(Do.SEND, 1, 139.5), "none of it ran: a new window"
-    intents.end("i", State.DONE, 131.0, {"a": 1})
-    assert intents.begin("i", "x", 2, 150.0) == Decision(Do.ANSWER, 1, result={"a": 1})
-    assert intents.begin("k", "x", 30, 190.0).do is Do.SEND, "forgotten in the end"
+    intents.finish("i", WriteState.NOT_EXECUTED, 101.0)
+    assert intents.begin("i", "x", 2, 130.0) == KeyDecision(
+        KeyAction.SEND, 1, 139.5
+    ), "none of it ran: a new window"
+    intents.finish("i", WriteState.COMPLETED, 131.0, {"a": 1})
+    assert intents.begin("i", "x", 2, 150.0) == KeyDecision(KeyAction.REPLAY_RESULT, 1, result={"a": 1})
+    assert intents.begin("k", "x", 30, 190.0).action is KeyAction.SEND, "forgotten in the end"
 
 
-def entry(number: int, state: State = State.OPEN) -> IdempotencyRecord:
+def entry(number: int, state: WriteState = WriteState.IN_PROGRESS) -> IdempotencyRecord:
     return IdempotencyRecord(state, f"digest {number}", number, float(number), float(number), {"r": number})
 
 
 def test_a_log_cut_at_every_byte() -> None:
-    records = [pack(f"k{n}", entry(n)) for n in range(4)]
+    records = [encode_record(f"k{n}", entry(n)) for n in range(4)]
     data, ends = b"".join(records), [sum(map(len, records[: n + 1])) for n in range(4)]
     for cut in range(len(data) + 1):
         found: dict[str, IdempotencyRecord] = {}
-        count, good, fault = read(data[:cut], found)
+        count, good, fault = read_segment(data[:cut], found)
         whole = sum(end <= cut for end in ends)
         assert count == whole and good == ([0, *ends][whole]) and bool(fault) == (good != cut)
         assert found == {f"k{n}": entry(n) for n in range(whole)}
@@ -139,37 +164,37 @@
         bent = bytearray(data)
         bent[at] ^= 4
         found = {}
-        count, good, fault = read(bytes(bent), found)
+        count, good, fault = read_segment(bytes(bent), found)
         assert fault and all(found[k] == entry(int(k[1:])) for k in found) and good <= at
 
 
 def test_a_log_is_recovered_in_its_folder(tmp_path: Path) -> None:
     clock = [1000.0]
     log = WriteAheadLog(tmp_path, 50.0, lambda: clock[0], segment_bytes=200)
-    assert log.recover().records == 0
+    assert log.recover().record_count == 0
     for n in range(12):
-        log.intend(f"k{n}", entry(n))
-    log.note("k3", entry(3, State.DONE))
+        log.append_durably(f"k{n}", entry(n))
+    log.append("k3", entry(3, WriteState.COMPLETED))
     log.close()
-    with pytest.raises(LogError):
-        log.intend("late", entry(1))
+    with pytest.raises(WriteAheadLogError):
+        log.append_durably("late", entry(1))
     paths = sorted(tmp_path.glob("intents-*.log"))
     assert len(paths) > 3, "in segments"
     with paths[-1].open("ab") as file:
-        file.write(pack("torn", entry(99))[:-5])
+        file.write(encode_record("torn", entry(99))[:-5])
     bent = bytearray(paths[1].read_bytes())
     bent[-3] ^= 1
     paths[1].write_bytes(bytes(bent))
     again = WriteAheadLog(tmp_path, 50.0, lambda: clock[0], segment_bytes=200)
     found = again.recover()
-    assert "torn" not in found.entries and found.entries["k3"].state is State.DONE
+    assert "torn" not in found.records and found.records["k3"].state is WriteState.COMPLETED
     assert len(found.faults) == 1 and str(paths[1]) in found.faults[0] and "checksum" in found.faults[0]
     again.close()
     third = WriteAheadLog(tmp_path, 50.0, lambda: clock[0], segment_bytes=200)
     assert len(third.recover().faults) == 1, "what was torn has been cut off"
     clock[0] += 60.0
     for n in range(12):
-        third.intend(f"n{n}", entry(n))
+        third.append_durably(f"n{n}", entry(n))
     third.close()
     assert not set(paths) & set(tmp_path.glob("intents-*.log")), "old segments go"
 
@@ -193,7 +218,7 @@
             log = WriteAheadLog(tmp_path, 1e9, time.time, 2000, write)
             log.recover()
             for n in range(1000):
-                log.intend(f"{turn}-{n}", entry(n))
+                log.append_durably(f"{turn}-{n}", entry(n))
                 os.write(into, f"{turn}-{n} {n}\n".encode())
             os._exit(1)
         os.close(into)
@@ -205,7 +230,7 @@
     found = log.recover()
     log.close()
     assert not found.faults and len(promised) > 20
-    assert all(found.entries[key] == entry(n) for key, n in promised.items())
+    assert all(found.records[key] == entry(n) for key, n in promised.items())
 
 
 def test_a_disk_that_fails_promises_nothing(tmp_path: Path) -> None:
@@ -219,17 +244,17 @@
 
     log = WriteAheadLog(tmp_path, 1e9, time.time, write=write)
     log.recover()
-    log.intend("a", entry(1))
+    log.append_durably("a", entry(1))
     broken[0] = True
-    with pytest.raises(LogError, match="No space left"):
-        log.intend("b", entry(2))
+    with pytest.raises(WriteAheadLogError, match="No space left"):
+        log.append_durably("b", entry(2))
     broken[0] = False
-    log.intend("c", entry(3))
+    log.append_durably("c", entry(3))
     log.close()
     again = WriteAheadLog(tmp_path, 1e9, time.time)
     found = again.recover()
     again.close()
-    assert set(found.entries) == {"a", "c"} and not found.faults
+    assert set(found.records) == {"a", "c"} and not found.faults
 
 
 class FailingDisk:
@@ -257,7 +282,7 @@
 
 
 def logged(folder: Path, disk: FailingDisk) -> WriteAheadLog:
-    log = WriteAheadLog(folder, 1e9, boot_clock.seconds, write=disk.write, force=disk.force)
+    log = WriteAheadLog(folder, 1e9, boot_clock.seconds, write=disk.write, sync=disk.force)
     log.recover()
     return log
 
@@ -267,7 +292,7 @@
     log.close()
     found: dict[str, IdempotencyRecord] = {}
     for path in folder.glob("intents-*.log"):
-        read(path.read_bytes(), found)
+        read_segment(path.read_bytes(), found)
     return set(found)
 
 
@@ -275,11 +300,11 @@
     """The kernel drops what it could not write and marks it clean: a later forcing proves nothing of it."""
     disk = FailingDisk()
     log = logged(tmp_path, disk)
-    log.intend("a", entry(1))
+    log.append_durably("a", entry(1))
     disk.force_fails = 1
-    with pytest.raises(LogError):
-        log.intend("b", entry(2))
-    log.intend("c", entry(3))
+    with pytest.raises(WriteAheadLogError):
+        log.append_durably("b", entry(2))
+    log.append_durably("c", entry(3))
     log.close()
     assert len(disk.forced) == 2 and disk.forced[0] != disk.forced[1], "in another file"
     assert {"a", "c"} <= entries_of(tmp_path)
@@ -294,7 +319,7 @@
     """A new file whose folder was not forced was kept in use: its name, and all in it, could be lost."""
     disk = FailingDisk()
     log = logged(tmp_path, disk)
-    log.intend("a", entry(1))
+    log.append_durably("a", entry(1))
     name = "ftruncate" if call == "cut" else "fsync"
     real, failing = getattr(os, name), [call != "head"]
 
@@ -305,14 +330,14 @@
 
     monkeypatch.setattr(os, name, fails)
     disk.force_fails = 1
-    with pytest.raises(LogError):
-        log.intend("b", entry(2))
+    with pytest.raises(WriteAheadLogError):
+        log.append_durably("b", entry(2))
     if call != "cut":  # the next segment cannot be begun either
         disk.write_fails = call == "head"
-        with pytest.raises(LogError):
-            log.intend("b2", entry(2))
+        with pytest.raises(WriteAheadLogError):
+            log.append_durably("b2", entry(2))
     failing[0] = False
-    log.intend("c", entry(3))
+    log.append_durably("c", entry(3))
     log.close()
     assert {"a", "c"} <= entries_of(tmp_path)
 
@@ -321,21 +346,21 @@
     disk = FailingDisk()
     log = logged(tmp_path, disk)
     disk.held.clear()
-    with pytest.raises(LogError, match="in time"):
-        log.intend("a", entry(1), time.monotonic() + 0.05)
+    with pytest.raises(WriteAheadLogError, match="in time"):
+        log.append_durably("a", entry(1), time.monotonic() + 0.05)
     disk.held.set()
-    log.intend("b", entry(2), time.monotonic() + 30.0)
+    log.append_durably("b", entry(2), time.monotonic() + 30.0)
     log.close()
 
 
 def test_what_waits_for_a_disk_is_bounded(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(write_ahead_log, "MOST_WAITING", 5)
+    monkeypatch.setattr(write_ahead_log, "MAX_PENDING_RECORDS", 5)
     disk = FailingDisk()
     log = logged(tmp_path, disk)
     disk.held.clear()
-    with pytest.raises(LogError, match="wait for the disk"):
+    with pytest.raises(WriteAheadLogError, match="wait for the disk"):
         for number in range(50):
-            log.note(f"k{number}", entry(number))
+            log.append(f"k{number}", entry(number))
     disk.held.set()
     log.close()
 
@@ -347,16 +372,16 @@
     """Nothing tells how long ago it may have been sent: the safe side is not to send it again."""
     now = boot_clock.seconds()
     log = logged(tmp_path, FailingDisk())
-    log.intend("k", IdempotencyRecord(State.OPEN, "d", 1, now, now))
+    log.append_durably("k", IdempotencyRecord(WriteState.IN_PROGRESS, "d", 1, now, now))
     log.close()
-    for boot, expected in ((boot_clock.boot_id(), Do.SEND), ("another", Do.TOO_LATE)):
+    for boot, expected in ((boot_clock.boot_id(), KeyAction.SEND), ("another", KeyAction.WINDOW_EXPIRED)):
         monkeypatch.setattr(boot_clock, "boot_id", lambda boot=boot: boot)
         intents = IdempotencyRecords(LIMITS)
         again = WriteAheadLog(tmp_path, 1e9, boot_clock.seconds)
-        found = again.recover().entries["k"]
+        found = again.recover().records["k"]
         again.close()
         intents.restore("k", found)
-        assert intents.begin("k", "d", 2, boot_clock.seconds()).do is expected
+        assert intents.begin("k", "d", 2, boot_clock.seconds()).action is expected
 
 
 def test_many_intents_share_a_forcing(tmp_path: Path) -> None:
@@ -366,9 +391,9 @@
         forced[0] += 1
         gate.wait(30.0)
 
-    log = WriteAheadLog(tmp_path, 1e9, time.time, force=force)
+    log = WriteAheadLog(tmp_path, 1e9, time.time, sync=force)
     log.recover()
-    threads = [threading.Thread(target=log.intend, args=(f"k{n}", entry(n))) for n in range(40)]
+    threads = [threading.Thread(target=log.append_durably, args=(f"k{n}", entry(n))) for n in range(40)]
     for thread in threads:
         thread.start()
     gate.set()
@@ -376,19 +401,19 @@
         thread.join()
     log.close()
     assert forced[0] < 40
-    assert len(frame(b"x")) == 9
+    assert len(encode_frame(b"x")) == 9
 
 
-marks = st.builds(Mark, st.integers(1, 4), st.integers(0, 2), st.integers(0, 2))
+marks = st.builds(PointState, st.integers(1, 4), st.integers(0, 2), st.integers(0, 2))
 holders = st.dictionaries(st.integers(0, 2), st.dictionaries(st.sampled_from("abcde"), marks), min_size=2)
 
 
 @given(holders, st.integers(1, 6))
 @profile(max_examples=200, deadline=None)
-def test_repair_brings_holders_together(held: dict[int, dict[str, Mark]], most: int) -> None:
+def test_repair_brings_holders_together(held: dict[int, dict[str, PointState]], most: int) -> None:
     newest = {n: max(p[n] for p in held.values() if n in p) for n in {n for p in held.values() for n in p}}
     for _ in range(40):
-        copies, left, _ = plan(held, most)
+        copies, left, _ = plan_copies(held, most)
         assert sum(len(c.points) for c in copies) <= most
         for copy in copies:
             for number in copy.points:
@@ -401,27 +426,37 @@
 
 
 def test_debts_are_paid_within_the_budget() -> None:
-    a, b = Place("c", 1), Place("c", 2)
-    debts = MissedWrites(Budget(rate=10.0, burst=20.0, sweep=100.0, first=0.5, most=8.0), [a, b], 0.0)
-    debts.owes(b, 0.0)
-    assert debts.next(0.1) == a, "the sweep"
-    debts.compared(a, 0.1, 0, 0, True)
-    assert debts.next(0.2) is None and debts.next(0.6) == b and debts.room(0.6) == 20
-    debts.compared(b, 0.6, 20, 1, False)
-    assert debts.next(0.65) is None, "no room"
-    assert debts.room(1.6) == 10 and debts.next(1.7) == b and debts.conflicts == 1
+    a, b = ShardKey("c", 1), ShardKey("c", 2)
+    debts = MissedWrites(
+        RepairBudget(
+            points_per_second=10.0,
+            burst_points=20.0,
+            sweep_interval=100.0,
+            initial_backoff=0.5,
+            max_backoff=8.0,
+        ),
+        [a, b],
+        0.0,
+    )
+    debts.add(b, 0.0)
+    assert debts.next_shard(0.1) == a, "the sweep"
+    debts.record_comparison(a, 0.1, 0, 0, True)
+    assert debts.next_shard(0.2) is None and debts.next_shard(0.6) == b and debts.capacity(0.6) == 20
+    debts.record_comparison(b, 0.6, 20, 1, False)
+    assert debts.next_shard(0.65) is None, "no room"
+    assert debts.capacity(1.6) == 10 and debts.next_shard(1.7) == b and debts.conflicts == 1
     waits, now = [], 1.7
     for _ in range(8):  # a holder that is away: ever more seldom
-        debts.compared(b, now, 0, 0, False)
+        debts.record_comparison(b, now, 0, 0, False)
         start = now
-        while debts.next(now) != b:
-            if debts.next(now) == a:
-                debts.compared(a, now, 0, 0, True)
+        while debts.next_shard(now) != b:
+            if debts.next_shard(now) == a:
+                debts.record_comparison(a, now, 0, 0, True)
             now += 0.25
         waits.append(now - start)
-    assert waits[0] <= 1.25 and waits[-1] >= 8.0 and debts.oldest(now) == now
-    debts.compared(b, now, 3, 0, True)
-    assert not len(debts) and debts.paid == 1 and debts.copied == 23
+    assert waits[0] <= 1.25 and waits[-1] >= 8.0 and debts.oldest_age(now) == now
+    debts.record_comparison(b, now, 3, 0, True)
+    assert not len(debts) and debts.repaired == 1 and debts.points_copied == 23
 
 
 def test_a_toy_front_needs_nothing_of_the_core(tmp_path: Path) -> None:
--- a/tests/test_pinned_wire.py
+++ b/tests/test_pinned_wire.py
@@ -38,7 +38,7 @@
 from gingervane.tree import coverage
 from gingervane.tree.subquery_context import Ask, SubqueryContext
 from gingervane.vectors.points import Collection, shard_of
-from gingervane.vectors.codec import SearchExchange, ShardSearch, ShardWrite, WriteExchange
+from gingervane.vectors.codec import SearchCodec, ShardSearch, ShardWrite, WriteCodec
 from gingervane.wire import frames, http1, remote_read, snappy
 from gingervane.wire.http1 import Headers, Limits, Request
 from gingervane.wire.pool import Pool
@@ -479,13 +479,13 @@
     part = ShardSearch(3, ({"vector": [1.0], "limit": 2},))
     body = b'{"searches":[{"vector":[1.0],"limit":2,"shard_key":"s3"}]}'
     lines = ["POST /collections/cos/points/search/batch HTTP/1.1", *VECTOR_HEAD, "Content-Length: 58", "\r\n"]
-    assert SearchExchange(COSINE, 6).encode([part], [0.75], PLACE) == "\r\n".join(lines).encode() + body
+    assert SearchCodec(COSINE, 6).encode([part], [0.75], PLACE) == "\r\n".join(lines).encode() + body
 
 
 @pytest.mark.parametrize("key", ["cos/k", ""])
 def test_a_write_of_a_shard(key: str) -> None:
     part = ShardWrite(3, "upsert", {"points": []}, 1)
-    data = WriteExchange(COSINE, key, 17, lambda shard, holder: None).encode([part], [0.75], PLACE)
+    data = WriteCodec(COSINE, key, 17, lambda shard, holder: None).encode([part], [0.75], PLACE)
     lines = [
         "POST /collections/cos/points/batch?wait=true HTTP/1.1",
         *VECTOR_HEAD,
@@ -503,7 +503,7 @@
     body = json.dumps({"result": [found], "status": "ok", "time": 0.0}).encode()
     part = ShardSearch(shard_of(1, 6), ({"vector": [1.0], "limit": 2},))
     fresh = {"gingervane-freshness": f"s{part.shard}=17,s0=x"}
-    (hits,) = SearchExchange(COSINE, 6).decode([part], 200, lambda name: fresh.get(name, ""), body)
+    (hits,) = SearchCodec(COSINE, 6).decode([part], 200, lambda name: fresh.get(name, ""), body)
     assert tuple(hits)[:2] == ([found], 17)
 
 
--- a/tests/test_stored_files.py
+++ b/tests/test_stored_files.py
@@ -22,7 +22,13 @@
 from gingervane.coordinator import boot_clock
 from gingervane.writes import write_ahead_log
 from gingervane.writes.write_ahead_log import WriteAheadLog
-from gingervane.writes.idempotency import Do, IdempotencyRecord, IdempotencyRecords, Limits, State
+from gingervane.writes.idempotency import (
+    KeyAction,
+    IdempotencyRecord,
+    IdempotencyRecords,
+    IdempotencyLimits,
+    WriteState,
+)
 from gingervane.experiments.figures import compare, table
 from gingervane.experiments.store import Run, RunStore
 from gingervane.membership import endpoint_file
@@ -318,8 +324,13 @@
     for log, (entries, faults, count) in opened(folder):
         assert by_position(entries) == INTENTS and list(entries) == list(INTENTS)
         assert faults == [] and count == 6
-        log.intend("cos/new", IdempotencyRecord(State.OPEN, "55aa", 105, 4_090.0, 4_090.0))
-        log.note("cos/plain", IdempotencyRecord(State.DONE, "00ff", 101, 4_000.25, 4_091.0, {"share": 1.0}))
+        log.append_durably(
+            "cos/new", IdempotencyRecord(WriteState.IN_PROGRESS, "55aa", 105, 4_090.0, 4_090.0)
+        )
+        log.append(
+            "cos/plain",
+            IdempotencyRecord(WriteState.COMPLETED, "00ff", 101, 4_000.25, 4_091.0, {"share": 1.0}),
+        )
     assert [path.name for path in sorted(folder.iterdir())] == [
         "intents-00000001.log",
         "intents-00000002.log",
@@ -354,21 +365,26 @@
 
 def test_what_a_restart_makes_of_the_kept_intents(stored: Path, same_boot: None) -> None:
     """Done: the same answer again. Idle: as new, its version kept. Open or unknown: may have run."""
-    known = IdempotencyRecords(Limits(window=10.0, margin=0.5, keep=3600.0))
+    known = IdempotencyRecords(IdempotencyLimits(window=10.0, safety_margin=0.5, retention=3600.0))
     for _, (entries, _, _) in opened(stored / "intents"):
         for key, entry in entries.items():
             known.restore(key, entry)
-    assert known.begin("cos/done", "11ee", 900, 4_005.0) == (Do.ANSWER, 102, 0.0, {"share": 0.667})
-    assert known.begin("cos/done", "00", 900, 4_005.0)[0] is Do.MISMATCH
-    assert known.begin("cos/idle", "22dd", 900, 4_005.0)[:3] == (Do.SEND, 103, 4_014.5)
-    assert known.begin("cos/unknown", "33cc", 900, 4_005.0)[:3] == (Do.SEND, 104, 4_012.5)
-    assert known.begin("cos/plain", "00ff", 900, 4_050.0)[:2] == (Do.TOO_LATE, 101)
+    assert known.begin("cos/done", "11ee", 900, 4_005.0) == (
+        KeyAction.REPLAY_RESULT,
+        102,
+        0.0,
+        {"share": 0.667},
+    )
+    assert known.begin("cos/done", "00", 900, 4_005.0)[0] is KeyAction.KEY_REUSED
+    assert known.begin("cos/idle", "22dd", 900, 4_005.0)[:3] == (KeyAction.SEND, 103, 4_014.5)
+    assert known.begin("cos/unknown", "33cc", 900, 4_005.0)[:3] == (KeyAction.SEND, 104, 4_012.5)
+    assert known.begin("cos/plain", "00ff", 900, 4_050.0)[:2] == (KeyAction.WINDOW_EXPIRED, 101)
 
 
 def test_the_same_intents_are_written_to_the_same_bytes(stored: Path) -> None:
     """An earlier version that is put back reads what a later one has written."""
-    written = write_ahead_log.boot_record(BOOT) + b"".join(
-        write_ahead_log.pack(key, IdempotencyRecord(State(row[0]), *row[1:]))
+    written = write_ahead_log.encode_boot_id(BOOT) + b"".join(
+        write_ahead_log.encode_record(key, IdempotencyRecord(WriteState(row[0]), *row[1:]))
         for key, row in list(INTENTS.items())[2:]
     )
     assert written == (stored / "intents" / "intents-00000002.log").read_bytes()
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -25,7 +25,7 @@
 from gingervane.coordinator import boot_clock
 from gingervane.coordinator import types as t
 from gingervane.coordinator.driver import Driver
-from gingervane.writes.idempotency import Do, IdempotencyRecords, Limits, State
+from gingervane.writes.idempotency import KeyAction, IdempotencyRecords, IdempotencyLimits, WriteState
 from gingervane.fronts import connections as connections_module
 from gingervane.fronts.http_server import Exchange, Handler, HttpServer, Reply, ServerLimits, plain
 from gingervane.fronts.leaf_codec import RemoteReadExchange
@@ -449,15 +449,15 @@
 @pytest.mark.parametrize("step", [3600.0, -3600.0])
 def test_a_key_s_window_is_a_span_of_real_time(monkeypatch: pytest.MonkeyPatch, step: float) -> None:
     """By the wall clock a step forward ended a window early; one back let a key be sent again after it."""
-    intents = IdempotencyRecords(Limits(window=10.0, margin=0.5, keep=3600.0))
+    intents = IdempotencyRecords(IdempotencyLimits(window=10.0, safety_margin=0.5, retention=3600.0))
     now = boot_clock.seconds()
-    assert intents.begin("k", "d", 1, now).do is Do.SEND
-    intents.end("k", State.UNKNOWN, now)
+    assert intents.begin("k", "d", 1, now).action is KeyAction.SEND
+    intents.finish("k", WriteState.UNKNOWN, now)
     real = time.time
     monkeypatch.setattr(time, "time", lambda: real() + step)
-    assert intents.begin("k", "d", 1, boot_clock.seconds()).do is Do.SEND, "within its window"
-    intents.end("k", State.UNKNOWN, boot_clock.seconds())
-    assert intents.begin("k", "d", 1, boot_clock.seconds() + 10.0).do is Do.TOO_LATE
+    assert intents.begin("k", "d", 1, boot_clock.seconds()).action is KeyAction.SEND, "within its window"
+    intents.finish("k", WriteState.UNKNOWN, boot_clock.seconds())
+    assert intents.begin("k", "d", 1, boot_clock.seconds() + 10.0).action is KeyAction.WINDOW_EXPIRED
 
 
 def test_moments_of_another_boot_tell_nothing() -> None:
--- a/tests/test_vectors.py
+++ b/tests/test_vectors.py
@@ -19,7 +19,7 @@
 from gingervane.experiments.embedded import Embedded
 from gingervane.fake_servers.vectors import VectorGrid
 from gingervane.vectors.points import Collection, order_of, shard_of
-from gingervane.vectors.topk import merge
+from gingervane.vectors.topk import merge_hits
 from gingervane.wire import http1
 from gingervane.wire.http1 import Limits
 from gingervane.wire.pool import Pool, exchange
@@ -232,12 +232,12 @@
     assert found["result"]["status"] == "completed"
     assert headers.get("gingervane-holders-done") == "0.667"
     assert lost.shards["cos", shard].points.get(5) is None
-    repair = fleet.app.vectors.ring.repairer
-    eventually(lambda: repair.figures()["shards_owed"] >= 1)
+    repair = fleet.app.vectors.shards.repairer
+    eventually(lambda: repair.metrics()["shards_owed"] >= 1)
     lost.schedule.faults.clear()
     eventually(lambda: None not in fleet.of(5))
-    eventually(lambda: repair.figures()["shards_owed"] == 0)
-    assert len({row["version"] for row in fleet.of(5)}) == 1 and repair.figures()["points_repaired"] >= 1
+    eventually(lambda: repair.metrics()["shards_owed"] == 0)
+    assert len({row["version"] for row in fleet.of(5)}) == 1 and repair.metrics()["points_repaired"] >= 1
 
 
 def test_a_holder_that_lacks_a_write_is_told_as_stale(fleet: Fleet) -> None:
@@ -246,7 +246,7 @@
     # The holder in the co-ordinator's own zone, which searches prefer.
     lost = next(n for n in fleet.vectors.nodes if ("cos", shard) in n.shards and n.id % 3 == 0)
     lost.fault("fail_fast", 600.0, 1.0)
-    fleet.app.vectors.ring.repairer.stop()  # so that it stays behind
+    fleet.app.vectors.shards.repairer.stop()  # so that it stays behind
     assert fleet.put(5) == 200
     # Its query is settled, so nothing more is sent; what was sent before must end, or it may still be done.
     eventually(lambda: fleet.app.vectors is not None and not fleet.app.vectors.cores[1].requests_in_flight)
@@ -290,7 +290,9 @@
     holders = [n.id for n in fleet.vectors.nodes if ("cos", shard) in n.shards]
     fleet.write_vectors({n: "draining" for n in holders[:2]})
     service = fleet.app.vectors
-    eventually(lambda: sum(h.state.value == "ready" for h in service.ring.holders.of(shard)) == 1)
+    eventually(
+        lambda: sum(h.state.value == "ready" for h in service.shards.placement.replicas_of(shard)) == 1
+    )
     status, found, headers = fleet.call("PUT", "cos/points", {"points": [{"id": 9, "vector": [1, 0, 0, 0]}]})
     assert status == 503 and "1 holders are ready, 2 must" in found["status"]["error"]
     assert headers.get("gingervane-began") == "no" and headers.get("retry-after")
@@ -387,7 +389,7 @@
             if p["id"] not in best or p["version"] > best[p["id"]]["version"]:
                 best[p["id"]] = p
     rng.shuffle(shards)
-    found = merge(shards, offset, limit, greater)
+    found = merge_hits(shards, offset, limit, greater)
     versions = {(p["id"], p["version"]) for p in best.values()}
     assert {(p["id"], p["version"]) for p in found} <= versions
     assert [sign * p["score"] for p in found] == sorted(sign * p["score"] for p in found)
