--- a/gingervane/writes/write_ahead_log.py
+++ b/gingervane/writes/write_ahead_log.py
@@ -1,24 +1,23 @@
-"""The intents on disk: a log in segments, durable in groups, bounded, read back at a start.
+"""Write-ahead log of idempotency records: segment files, group commit, bounded size, recovery at start-up.
 
-A record is a head (length and CRC-32 of its content, little-endian) and a JSON list. A write waits in `intend` until
-its record is on the disk; one thread writes all that wait and forces it once. An end is written behind: one that is
-lost in a crash leaves an intent that may have run, which is safe. A segment that has grown to its size is closed; one
-whose every record is older than what is kept is removed.
+A frame is a head (length and CRC-32 of its content, little-endian) and a JSON list. `append_durably` returns once
+its record is on the disk: one thread writes all records that wait, and syncs the file once for all of them.
+`append` does not wait: an end that is lost in a crash leaves a write that may have been executed, which is safe. A
+segment that has reached its size is closed; one whose every record is older than the retention is removed.
 
-Read back, a torn tail of the last segment is cut off: what it held had not been promised to anyone. Damage anywhere
-else is told with its place; the rest of that segment is passed over, and the log says so (`damaged`), as keys in it
-may have run.
+On recovery, a torn tail of the last segment is cut off: what it held had not been promised to anyone. Damage
+anywhere else is reported with its position, and the rest of that segment is skipped.
 
-Times are of `boot_clock.seconds`, which no step of the wall clock touches. Each segment says of which boot of the
-machine
-they are: of an entry from before another boot it is not known how long ago its key may have been sent, so it counts
+Times are of `boot_clock.seconds`, which no step of the wall clock touches. Each segment names the boot of the machine
+that its times belong to: how long ago a key of another boot may have been sent is not known, so such a record counts
 as out of its window.
 
-A disk that fails: a segment whose writing or forcing failed is left, since after a failed forcing the same descriptor
-proves nothing of what it held, and the next record opens a new one. What such a segment may hold beyond what was
-promised reads as a write that may have run, which is safe. A disk that hangs holds up nobody past its own time.
+A disk that fails: after a failed sync, the same descriptor proves nothing about what it held. So a segment whose
+write or sync failed is abandoned, and the next record opens a new one. Records that an abandoned segment holds beyond
+what was promised read as writes that may have been executed, which is safe. A disk that hangs delays nobody beyond
+the deadline of the caller.
 
-Owners: `_lock` is over what waits to be written; the file is the writer thread's.
+Ownership: `_condition` guards the pending records; the file belongs to the writer thread.
 """
 
 from __future__ import annotations
@@ -31,6 +30,7 @@
 import zlib
 from collections.abc import Callable
 from contextlib import suppress
+from dataclasses import dataclass
 from math import inf
 from pathlib import Path
 from typing import NamedTuple
@@ -40,93 +40,127 @@
 from gingervane.coordinator import boot_clock
 from gingervane.writes.idempotency import IdempotencyRecord, WriteState
 
-_NO_BOOT = "no boot"  # where the system tells no id: no entry is of the same boot
-_HEAD = struct.Struct("<II")
 MAX_RECORD_BYTES = 1 << 20
 MAX_PENDING_RECORDS = 100_000  # records that may wait for the disk
 
+_HEAD = struct.Struct("<II")  # length and CRC-32 of the content
+_BOOT_ID_PREFIX = b'["",'  # content of the frame that names the boot: a list with an empty key
+_NO_BOOT_ID = "no boot"  # where the system gives no id: no record is of the same boot
+_TORN_HEAD = "torn head"
+_TORN_RECORD = "torn record"
+_CLOSE_TIMEOUT = 10.0  # seconds to wait for the writer thread
+
 
 class WriteAheadLogError(OSError):
-    """The log cannot take an intent: nothing of the write may be sent."""
+    """The log cannot take a record: nothing of the write may be sent."""
 
 
 class RecoveredLog(NamedTuple):
-    """What a start read: entries by key, the last word on each, and what was wrong."""
+    """What `recover` found."""
 
-    records: dict[str, IdempotencyRecord]
+    records: dict[str, IdempotencyRecord]  # the last one of each key
     faults: list[str]
     record_count: int
 
 
+class SegmentRead(NamedTuple):
+    """What `read_segment` found."""
+
+    record_count: int
+    valid_bytes: int
+    fault: str  # what is wrong after the valid bytes; empty if nothing is
+
+    @property
+    def is_torn(self) -> bool:
+        """Whether the segment ends within a frame, as after a crash."""
+        return self.fault in (_TORN_HEAD, _TORN_RECORD)
+
+
+@dataclass(slots=True)
+class _PendingRecord:
+    """A record that waits for the disk; `done` is missing if nobody waits for it."""
+
+    data: bytes
+    done: threading.Event | None
+    error: OSError | None = None
+
+
 def encode_frame(content: bytes) -> bytes:
+    """Put the head with length and checksum before a content."""
     return _HEAD.pack(len(content), zlib.crc32(content)) + content
 
 
-def encode_record(key: str, entry: IdempotencyRecord) -> bytes:
-    """One record. Results are kept as they are, and must be JSON."""
+def encode_record(key: str, record: IdempotencyRecord) -> bytes:
+    """Encode one record as a frame. Its result must be JSON."""
     return encode_frame(
         orjson.dumps(
             [
                 key,
-                entry.state.value,
-                entry.digest,
-                entry.version,
-                entry.first_sent_at,
-                entry.updated_at,
-                entry.result,
+                record.state.value,
+                record.digest,
+                record.version,
+                record.first_sent_at,
+                record.updated_at,
+                record.result,
             ]
         )
     )
 
 
 def decode_record(content: bytes) -> tuple[str, IdempotencyRecord]:
-    """Raises ValueError."""
-    key, state, digest, version, first, at, result = orjson.loads(content)
-    return key, IdempotencyRecord(WriteState(state), digest, version, first, at, result)
+    """Decode the content of a frame to its key and record.
+
+    Raises ValueError or TypeError if it is not a record.
+    """
+    key, state, digest, version, first_sent_at, updated_at, result = orjson.loads(content)
+    return key, IdempotencyRecord(WriteState(state), digest, version, first_sent_at, updated_at, result)
 
 
-def encode_boot_id(boot: str) -> bytes:
-    """Says that the times of what follows are of this boot."""
-    return encode_frame(orjson.dumps(["", boot]))
+def encode_boot_id(boot_id: str) -> bytes:
+    """Encode the frame which says that the times of all later frames are of this boot."""
+    return encode_frame(orjson.dumps(["", boot_id]))
 
 
 def read_segment(
-    data: bytes, into: dict[str, IdempotencyRecord], boot: str = "", now: float = 0.0
-) -> tuple[int, int, str]:
-    """Records of one segment: how many, how many bytes of it are good, and what is wrong after them.
+    data: bytes, into: dict[str, IdempotencyRecord], boot_id: str = "", now: float = 0.0
+) -> SegmentRead:
+    """Read the records of one segment into `into`, up to the first fault.
 
-    `boot` and `now`: of the reader. Entries of another boot are out of their window, as of now; a reader that gives
-    no boot takes all times as they are.
+    `boot_id` and `now` are of the reader. Records of another boot are put out of their window and count as updated
+    now; a reader that gives no boot takes all times as they are.
     """
-    at = count = 0
-    written_in = ""
-    while at < len(data):
-        if at + _HEAD.size > len(data):
-            return count, at, "torn head"
-        length, crc = _HEAD.unpack_from(data, at)
-        content = data[at + _HEAD.size : at + _HEAD.size + length]
+    position = record_count = 0
+    written_in_boot = ""
+    while position < len(data):
+        if position + _HEAD.size > len(data):
+            return SegmentRead(record_count, position, _TORN_HEAD)
+        length, checksum = _HEAD.unpack_from(data, position)
+        end = position + _HEAD.size + length
+        content = data[position + _HEAD.size : end]
         if length > MAX_RECORD_BYTES or len(content) < length:
-            return count, at, "torn record"
-        if zlib.crc32(content) != crc:
-            return count, at, "a record does not fit its checksum"
+            return SegmentRead(record_count, position, _TORN_RECORD)
+        if zlib.crc32(content) != checksum:
+            return SegmentRead(record_count, position, "a record does not fit its checksum")
         try:
-            if content.startswith(b'["",'):
-                _, written_in = orjson.loads(content)
-                at += _HEAD.size + length
-                continue
-            key, entry = decode_record(content)
+            if content.startswith(_BOOT_ID_PREFIX):
+                _, written_in_boot = orjson.loads(content)
+            else:
+                key, record = decode_record(content)
+                if boot_id and written_in_boot != boot_id:
+                    record = record._replace(first_sent_at=-inf, updated_at=now)
+                into[key] = record
+                record_count += 1
         except (ValueError, TypeError) as error:
-            return count, at, f"a record makes no sense: {error}"
-        into[key] = (
-            entry if written_in == boot or not boot else entry._replace(first_sent_at=-inf, updated_at=now)
-        )
-        at += _HEAD.size + length
-        count += 1
-    return count, at, ""
+            return SegmentRead(record_count, position, f"a record makes no sense: {error}")
+        position = end
+    return SegmentRead(record_count, position, "")
 
 
 class WriteAheadLog:
-    """A folder of segments `intents-N.log`. Raises OSError if it cannot be used."""
+    """A log in a folder of segments `intents-N.log`.
+
+    `recover` is called once, before anything else. Raises OSError if the folder cannot be used.
+    """
 
     def __init__(
         self,
@@ -137,144 +171,173 @@
         write: Callable[[int, bytes], int] = os.write,
         sync: Callable[[int], None] = os.fdatasync,
     ) -> None:
-        """`now`: as `boot_clock.seconds`. `write` and `force` stand for the disk."""
-        self._folder, self._keep, self._now, self._size = folder, retention, now, segment_bytes
-        self._write_to, self._force = write, sync
-        self._turn = threading.Condition()
-        self._waiting: list[tuple[bytes, threading.Event | None, list[BaseException]]] = []
+        """`retention` is in seconds of `now`, which is `boot_clock.seconds`; `write` and `sync` act on the disk."""
+        self._folder = folder
+        self._retention = retention
+        self._now = now
+        self._segment_bytes = segment_bytes
+        self._write_to = write
+        self._sync = sync
+        self._condition = threading.Condition()
+        self._pending: list[_PendingRecord] = []
         self._stopped = False
-        folder.mkdir(parents=True, exist_ok=True)
-        self._closed: dict[Path, float] = {}  # full segments and the time of their newest record
-        self._number, self._file, self._at = 0, -1, 0
+        self._closed: dict[Path, float] = {}  # closed segments and the time of their newest record
+        self._number = 0  # of the open segment
+        self._file = -1  # descriptor of the open segment, if there is one
+        self._position = 0  # bytes of the open segment that are on the disk
         self._thread = threading.Thread(target=self._run, name="intents", daemon=True)
+        folder.mkdir(parents=True, exist_ok=True)
 
     def recover(self) -> RecoveredLog:
-        """Read what is there, cut a torn tail off, and start to write. Called once, before anything else."""
-        entries: dict[str, IdempotencyRecord] = {}
+        """Read all segments, cut off a torn tail, and start the writer thread."""
+        records: dict[str, IdempotencyRecord] = {}
         faults: list[str] = []
-        records = 0
+        record_count = 0
         paths = sorted(self._folder.glob("intents-*.log"))
         for path in paths:
-            count, good, fault = read_segment(
-                path.read_bytes(), entries, boot_clock.boot_id() or _NO_BOOT, self._now()
-            )
-            records += count
-            if fault and path == paths[-1] and fault.startswith("torn"):
-                with path.open("r+b") as file:
-                    file.truncate(good)
-                    os.fsync(file.fileno())
-            elif fault:
-                faults.append(f"{path}: byte {good}: {fault}")
+            found = read_segment(path.read_bytes(), records, boot_clock.boot_id() or _NO_BOOT_ID, self._now())
+            record_count += found.record_count
+            if found.is_torn and path == paths[-1]:
+                _truncate(path, found.valid_bytes)
+            elif found.fault:
+                faults.append(f"{path}: byte {found.valid_bytes}: {found.fault}")
             self._closed[path] = self._now()
             self._number = int(path.stem.rpartition("-")[2])
-        self._open_next()
+        self._open_segment()
         self._thread.start()
-        return RecoveredLog(entries, faults, records)
+        return RecoveredLog(records, faults, record_count)
+
+    def append_durably(self, key: str, record: IdempotencyRecord, deadline: float = inf) -> None:
+        """Append a record and wait until it is on the disk.
 
-    def append_durably(self, key: str, entry: IdempotencyRecord, until: float = inf) -> None:
-        """Returns once the intent is on the disk. Raises LogError if it is not known to be by `until` (monotonic)."""
-        done, failed = threading.Event(), list[BaseException]()
-        self._put(encode_record(key, entry), done, failed)
-        if not done.wait(None if until == inf else max(until - time.monotonic(), 0.0)):
+        Raises WriteAheadLogError if it is not known to be there by `deadline` (monotonic clock).
+        """
+        done = threading.Event()
+        pending = _PendingRecord(encode_record(key, record), done)
+        self._enqueue(pending)
+        if not done.wait(None if deadline == inf else max(deadline - time.monotonic(), 0.0)):
             raise WriteAheadLogError("the intent was not on the disk in time")
-        if failed:
-            raise WriteAheadLogError(f"the intent could not be written: {failed[0]}") from failed[0]
+        if pending.error:
+            raise WriteAheadLogError(f"the intent could not be written: {pending.error}") from pending.error
 
-    def append(self, key: str, entry: IdempotencyRecord) -> None:
-        """Write down an end, behind."""
-        self._put(encode_record(key, entry), None, [])
+    def append(self, key: str, record: IdempotencyRecord) -> None:
+        """Append a record without waiting for the disk. Raises WriteAheadLogError if the log takes no more."""
+        self._enqueue(_PendingRecord(encode_record(key, record), None))
 
     def close(self) -> None:
-        """Write what waits, and end."""
-        with self._turn:
+        """Write what is pending, and stop the writer thread."""
+        with self._condition:
             self._stopped = True
-            self._turn.notify()
+            self._condition.notify()
         if self._thread.ident:
-            self._thread.join(10.0)
+            self._thread.join(_CLOSE_TIMEOUT)
 
-    def _put(self, data: bytes, done: threading.Event | None, failed: list[BaseException]) -> None:
-        if len(data) > MAX_RECORD_BYTES:
-            raise WriteAheadLogError(f"a record of {len(data)} bytes is over the bound of {MAX_RECORD_BYTES}")
-        with self._turn:
+    def _enqueue(self, pending: _PendingRecord) -> None:
+        size = len(pending.data)
+        if size > MAX_RECORD_BYTES:
+            raise WriteAheadLogError(f"a record of {size} bytes is over the bound of {MAX_RECORD_BYTES}")
+        with self._condition:
             if self._stopped:
                 raise WriteAheadLogError("the log is closed")
-            if len(self._waiting) >= MAX_PENDING_RECORDS:
-                raise WriteAheadLogError(f"{len(self._waiting)} records wait for the disk")
-            self._waiting.append((data, done, failed))
-            self._turn.notify()
+            if len(self._pending) >= MAX_PENDING_RECORDS:
+                raise WriteAheadLogError(f"{len(self._pending)} records wait for the disk")
+            self._pending.append(pending)
+            self._condition.notify()
+
+    # ---- on the writer thread
 
     def _run(self) -> None:
         while True:
-            with self._turn:
-                while not self._waiting and not self._stopped:
-                    self._turn.wait()
-                batch, self._waiting = self._waiting, []
+            with self._condition:
+                while not self._pending and not self._stopped:
+                    self._condition.wait()
+                batch = self._pending
+                self._pending = []
             if not batch:
                 if self._file >= 0:
                     os.close(self._file)
                 return
-            fault = self._write([data for data, _, _ in batch])
-            for _, done, failed in batch:
-                if fault:
-                    failed.append(fault)
-                if done:
-                    done.set()
-
-    def _write(self, records: list[bytes]) -> OSError | None:
-        """Write and force; after a fault the segment is left, so that nothing stands behind a tear."""
+            error = self._write_batch([pending.data for pending in batch])
+            for pending in batch:
+                pending.error = error
+                if pending.done:
+                    pending.done.set()
+
+    def _write_batch(self, records: list[bytes]) -> OSError | None:
+        """Write and sync. After an error the segment is abandoned, so that no record follows a torn one."""
         data = memoryview(b"".join(records))
         try:
-            if self._file < 0 or self._at >= self._size:
-                self._open_next()
-            done = 0
-            while done < len(data):
-                done += self._write_to(self._file, bytes(data[done:]))
-            self._force(self._file)
-            self._at += len(data)
+            if self._file < 0 or self._position >= self._segment_bytes:
+                self._open_segment()
+            written = 0
+            while written < len(data):
+                written += self._write_to(self._file, bytes(data[written:]))
+            self._sync(self._file)
+            self._position += len(data)
         except OSError as error:
-            self._leave()
+            self._abandon_segment()
             return error
         return None
 
-    def _leave(self) -> None:
-        """Be done with the segment. What the fault left is cut off if that can be; nothing rests on it."""
+    def _abandon_segment(self) -> None:
+        """Close a segment after an error, and cut off what the error left, if that is possible."""
         if self._file < 0:
             return
-        with suppress(OSError):
-            os.ftruncate(self._file, self._at)
-        self._close_file()
-
-    def _close_file(self) -> None:
-        file, self._file = self._file, -1
-        self._closed[self._folder / f"intents-{self._number:08d}.log"] = self._now()
+        with suppress(OSError):  # correctness does not depend on it
+            os.ftruncate(self._file, self._position)
+        self._close_segment()
+
+    def _close_segment(self) -> None:
+        file = self._file
+        self._file = -1
+        self._closed[self._segment_path()] = self._now()
         with suppress(OSError):
             os.close(file)
 
-    def _open_next(self) -> None:
-        """A new segment; old ones that hold nothing that is still kept are removed. Raises OSError."""
+    def _open_segment(self) -> None:
+        """Open the next segment, and remove old ones. Raises OSError."""
         now = self._now()
         if self._file >= 0:
-            self._close_file()
-        for path, newest in list(self._closed.items()):
-            if now - newest > self._keep:
-                with suppress(OSError):  # it only takes room; tried again with the next segment
-                    path.unlink(missing_ok=True)
-                    del self._closed[path]
+            self._close_segment()
+        self._remove_expired_segments(now)
         self._number += 1
-        path = self._folder / f"intents-{self._number:08d}.log"
-        self._file = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_APPEND | os.O_CLOEXEC, 0o644)
-        self._at = 0
+        flags = os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_APPEND | os.O_CLOEXEC
+        self._file = os.open(self._segment_path(), flags, 0o644)
+        self._position = 0
         try:
-            folder = os.open(self._folder, os.O_RDONLY | os.O_DIRECTORY)
-            try:
-                os.fsync(folder)
-            finally:
-                os.close(folder)
-            head = encode_boot_id(boot_clock.boot_id())
-            if self._write_to(self._file, head) != len(head):
-                raise OSError(errno.ENOSPC, "a short write at the head of a segment")
-            self._at = len(head)
+            _sync_folder(self._folder)
+            self._write_boot_id()
         except OSError:
             # Its name may not last, or its times cannot be read: nothing may be promised in it.
-            self._close_file()
+            self._close_segment()
             raise
+
+    def _write_boot_id(self) -> None:
+        frame = encode_boot_id(boot_clock.boot_id())
+        if self._write_to(self._file, frame) != len(frame):
+            raise OSError(errno.ENOSPC, "a short write at the head of a segment")
+        self._position = len(frame)
+
+    def _remove_expired_segments(self, now: float) -> None:
+        for path, newest in list(self._closed.items()):
+            if now - newest > self._retention:
+                with suppress(OSError):  # it only takes space; tried again with the next segment
+                    path.unlink(missing_ok=True)
+                    del self._closed[path]
+
+    def _segment_path(self) -> Path:
+        return self._folder / f"intents-{self._number:08d}.log"
+
+
+def _truncate(path: Path, size: int) -> None:
+    with path.open("r+b") as file:
+        file.truncate(size)
+        os.fsync(file.fileno())
+
+
+def _sync_folder(folder: Path) -> None:
+    descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
+    try:
+        os.fsync(descriptor)
+    finally:
+        os.close(descriptor)
