--- a/benchmarks/vectors.py
+++ b/benchmarks/vectors.py
@@ -24,7 +24,8 @@
 from gingervane.fronts.client import Client
 from gingervane.experiments.listing import FileListing, Row
 from gingervane.fake_servers.capacity import Model
-from gingervane.writes.quorum_writes import VersionClock, restore_records
+from gingervane.writes.quorum_writes import restore_records
+from gingervane.writes.version_clock import VersionClock
 from gingervane.vectors.points import order_of, shard_of
 from gingervane.vectors.topk import merge_hits
 from gingervane.wire import http1
--- a/gingervane/vectors/front.py
+++ b/gingervane/vectors/front.py
@@ -27,7 +27,8 @@
 from gingervane.writes.missed_writes import ShardKey
 from gingervane.coordinator.dispatch import QueryDispatcher, QueryRequest, DispatchResult
 from gingervane.writes.idempotency import KeyAction, WriteState
-from gingervane.writes.quorum_writes import WriteOutcome, ReplicatedWrite, QuorumWrites
+from gingervane.writes.quorum_writes import QuorumWrites
+from gingervane.writes.write_replication import ReplicatedWrite, WriteOutcome
 from gingervane.fronts.routing import ClassOf, Route, coverage_fields, duration, flag, refusal_fields
 from gingervane.fronts.http_server import Exchange, Reply
 from gingervane.limits.fair_queue import QueueFull
--- a/gingervane/vectors/replica_client.py
+++ b/gingervane/vectors/replica_client.py
@@ -8,7 +8,8 @@
 import orjson
 
 from gingervane.coordinator import types as t
-from gingervane.writes.missed_writes import PointState, ShardKey
+from gingervane.writes.missed_writes import ShardKey
+from gingervane.writes.repair_plan import PointState
 from gingervane.writes.shard_placement import ShardReplica
 from gingervane.vectors.codec import encode_request, decode_result
 from gingervane.wire.http1 import Closed, HttpError
--- a/gingervane/writes/missed_writes.py
+++ b/gingervane/writes/missed_writes.py
@@ -1,12 +1,10 @@
-"""What holders have not been heard to have done: debts, and which shard to compare next. Free of I/O.
+"""Missed writes: which shards have a replica that may lack a write, and which shard to compare next. Free of I/O.
 
-A write that was answered though a holder did not say that it did its part leaves a debt of that holder. So does a
-holder that comes back from being gone. Debts are paid by comparing digests of the shard's holders and copying what
-differs, newest version over older; within a budget of points, so that repair never crowds out work. What cannot be
-settled by versions (two holders that each have what the other lacks under the same version) is a conflict: it is
-counted and told, and the greater digest stands, the same everywhere.
+A write that was answered although a replica did not acknowledge its part is a missed write of that shard. So is a
+replica that returns after it was gone. A shard is repaired by comparing its replicas and copying what differs, within
+a budget of points, so that repair never crowds out other work. Besides, a sweep compares every shard now and then.
 
-One owner calls it under its lock; time is handed in.
+One owner calls these classes under its lock; the caller passes the time.
 """
 
 from __future__ import annotations
@@ -16,6 +14,9 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
+_MAX_BACKOFF_DOUBLINGS = 16
+_MAX_SWEEP_BACKLOG = 1.0  # seconds that the sweep may catch up after a delay
+
 
 class ShardKey(NamedTuple):
     """A shard of a collection."""
@@ -24,9 +25,9 @@
     shard: int
 
 
-@dataclass
+@dataclass(slots=True)
 class MissedWrite:
-    """Of a shard: since when, when to compare next, and how often that has come to nothing."""
+    """A shard of which a replica may lack a write."""
 
     since: float
     next_attempt_at: float
@@ -34,181 +35,147 @@
 
 
 class RepairBudget(NamedTuple):
-    """Points copied: at most `burst` at once and `rate` a second. `sweep`: seconds in which every shard is compared
-    once even without a debt; `first` and `most`: pause after a try that failed."""
+    """How much is copied, and when shards are compared."""
 
     points_per_second: float = 500.0
     burst_points: float = 1000.0
-    sweep_interval: float = 600.0
-    initial_backoff: float = 0.5
-    max_backoff: float = 60.0
+    sweep_interval: float = (
+        600.0  # seconds in which every shard is compared once, also without a missed write
+    )
+    initial_backoff: float = 0.5  # seconds after a failed attempt
+    max_backoff: float = 60.0  # seconds
 
 
 class MissedWrites:
-    """Debts by shard, and the order of comparing."""
+    """Shards with missed writes, and the order of comparing shards."""
 
-    def __init__(self, budget: RepairBudget, places: Iterable[ShardKey], now: float) -> None:
+    def __init__(self, budget: RepairBudget, shards: Iterable[ShardKey], now: float) -> None:
         self._budget = budget
-        self._debts: OrderedDict[ShardKey, MissedWrite] = OrderedDict()
-        self._places = list(places)
-        self._next_sweep, self._swept = now, 0
-        self._tokens, self._at = budget.burst_points, now
-        self.repaired = self.conflicts = self.points_copied = 0
+        self._missed: OrderedDict[ShardKey, MissedWrite] = OrderedDict()
+        self._shards = list(shards)
+        self._next_sweep_at = now
+        self._swept_count = 0
+        self._tokens = budget.burst_points
+        self._refilled_at = now
+        self.repaired = 0
+        self.conflicts = 0
+        self.points_copied = 0
 
     def __len__(self) -> int:
-        return len(self._debts)
+        return len(self._missed)
 
-    def add(self, place: ShardKey, now: float) -> None:
-        """Some holder did not say that it did a write, or has come back from being gone."""
-        if place not in self._debts:
-            self._debts[place] = MissedWrite(since=now, next_attempt_at=now + self._budget.initial_backoff)
+    def add(self, shard: ShardKey, now: float) -> None:
+        """Record that a replica did not acknowledge a write, or has returned after it was gone."""
+        if shard not in self._missed:
+            self._missed[shard] = MissedWrite(now, now + self._budget.initial_backoff)
 
     def oldest_age(self, now: float) -> float:
-        """Seconds since the oldest debt that still stands; 0 if there is none."""
-        return max((now - debt.since for debt in self._debts.values()), default=0.0)
+        """Return the seconds since the oldest missed write; 0 if there is none."""
+        return max((now - missed.since for missed in self._missed.values()), default=0.0)
 
     def next_shard(self, now: float) -> ShardKey | None:
-        """The shard to compare now, if any is due and the budget has room."""
+        """Return the shard to compare now, if one is due and the budget allows copying."""
         self._refill(now)
         if self._tokens < 1.0:
             return None
         due = min(
             (
-                (debt.next_attempt_at, place)
-                for place, debt in self._debts.items()
-                if debt.next_attempt_at <= now
+                (missed.next_attempt_at, shard)
+                for shard, missed in self._missed.items()
+                if missed.next_attempt_at <= now
             ),
             default=None,
         )
-        if due is not None:
-            return due[1]
-        if not self._places or now < self._next_sweep:
-            return None
-        place = self._places[self._swept % len(self._places)]
-        self._swept += 1
-        self._next_sweep = max(self._next_sweep, now - 1.0) + self._budget.sweep_interval / len(self._places)
-        return place
+        return due[1] if due is not None else self._next_of_sweep(now)
 
     def capacity(self, now: float) -> int:
-        """Points that may be copied now."""
+        """Return how many points may be copied now."""
         self._refill(now)
         return int(self._tokens)
 
     def record_comparison(
-        self, place: ShardKey, now: float, copied: int, conflicts: int, whole: bool
+        self, shard: ShardKey, now: float, copied: int, conflicts: int, complete: bool
     ) -> None:
-        """A comparing has ended. `whole`: every holder was there, and nothing is left to copy."""
+        """Record the end of a comparison.
+
+        `complete`: every replica took part, and nothing is left to copy.
+        """
         self._tokens -= copied
         self.points_copied += copied
         self.conflicts += conflicts
-        debt = self._debts.get(place)
-        if debt is None:
+        missed = self._missed.get(shard)
+        if missed is None:
             return
-        if whole:
+        if complete:
             self.repaired += 1
-            del self._debts[place]
+            del self._missed[shard]
             return
-        # What is being paid goes on as the budget allows; what cannot be is tried ever more seldom.
-        debt.failed_attempts = 0 if copied else debt.failed_attempts + 1
-        debt.next_attempt_at = now + min(
-            self._budget.initial_backoff * 2.0 ** min(debt.failed_attempts, 16), self._budget.max_backoff
-        )
+        # A repair that makes progress goes on as the budget allows; one that does not backs off.
+        missed.failed_attempts = 0 if copied else missed.failed_attempts + 1
+        doublings = min(missed.failed_attempts, _MAX_BACKOFF_DOUBLINGS)
+        backoff = min(self._budget.initial_backoff * 2.0**doublings, self._budget.max_backoff)
+        missed.next_attempt_at = now + backoff
+
+    def _next_of_sweep(self, now: float) -> ShardKey | None:
+        if not self._shards or now < self._next_sweep_at:
+            return None
+        shard = self._shards[self._swept_count % len(self._shards)]
+        self._swept_count += 1
+        pause = self._budget.sweep_interval / len(self._shards)
+        self._next_sweep_at = max(self._next_sweep_at, now - _MAX_SWEEP_BACKLOG) + pause
+        return shard
 
     def _refill(self, now: float) -> None:
-        self._tokens = min(
-            self._budget.burst_points,
-            self._tokens + max(now - self._at, 0.0) * self._budget.points_per_second,
-        )
-        self._at = now
-
+        refill = max(now - self._refilled_at, 0.0) * self._budget.points_per_second
+        self._tokens = min(self._budget.burst_points, self._tokens + refill)
+        self._refilled_at = now
 
-class PendingAcknowledgements:
-    """Holders that a write has been sent to and that have not said yet that they did it: a write is answered by the
-    first of them, and what the others make of it comes later, or becomes a debt. At most `most` writes; of more, what
-    is missing is a debt at once."""
-
-    def __init__(self, most: int = 100_000) -> None:
-        self._most = most
-        self._waiting: OrderedDict[tuple[ShardKey, int], tuple[float, set[int]]] = OrderedDict()
-        self._over: list[ShardKey] = []
-
-    def add(self, place: ShardKey, version: int, holders: Iterable[int], due: float) -> None:
-        """A write under `version` goes to these holders, and can have been done up to `due`."""
-        if len(self._waiting) >= self._most:
-            (oldest, _), _ = self._waiting.popitem(last=False)
-            self._over.append(oldest)
-        self._waiting[place, version] = due, set(holders)
-
-    def acknowledge(self, place: ShardKey, version: int, holder: int) -> None:
-        """One of them says that it did it."""
-        found = self._waiting.get((place, version))
-        if found is not None:
-            found[1].discard(holder)
-            if not found[1]:
-                del self._waiting[place, version]
-
-    def discard(self, place: ShardKey, version: int) -> None:
-        """It is proven that no holder did it: nothing is owed."""
-        self._waiting.pop((place, version), None)
 
-    def pop_overdue(self, now: float) -> list[ShardKey]:
-        """Where something has not been said in time: debts now."""
-        out, self._over = self._over, []
-        for key, (due, _) in list(self._waiting.items()):
-            if due > now:
-                break  # in order of sending; a later one may be due first and then waits a little longer
-            del self._waiting[key]
-            out.append(key[0])
-        return out
+class _AwaitedWrite(NamedTuple):
+    """A write, and the replicas that have not acknowledged it yet."""
 
+    due: float
+    replicas: set[int]
 
-class PointState(NamedTuple):
-    """What a holder has of a point. `ops`: additions since it was last written whole; `digest`: of its content,
-    deleted or not. The greatest stands."""
 
-    version: int
-    additions: int
-    digest: int
-
-    @property
-    def recency(self) -> tuple[int, int]:
-        """What tells newer from older; two contents under the same are a conflict."""
-        return self.version, self.additions
-
-
-class PointCopy(NamedTuple):
-    """Points that `source` has newest, and holders that lack them."""
-
-    source: int
-    target: int
-    points: tuple[str, ...]
+class PendingAcknowledgements:
+    """Replicas that a write was sent to and that have not acknowledged it.
 
+    A client is answered once a quorum has acknowledged; the other acknowledgements come later, or become missed
+    writes. At most `max_writes` are tracked; of further ones, the oldest becomes a missed write at once.
+    """
 
-def plan_copies(held: dict[int, dict[str, PointState]], most: int) -> tuple[list[PointCopy], int, int]:
-    """What to copy so that all holders agree: copies of at most `most` points in all, how many more there are, and
-    how many points stand under one version with different contents.
+    def __init__(self, max_writes: int = 100_000) -> None:
+        self._max_writes = max_writes
+        self._awaited: OrderedDict[tuple[ShardKey, int], _AwaitedWrite] = OrderedDict()
+        self._evicted: list[ShardKey] = []
+
+    def add(self, shard: ShardKey, version: int, replicas: Iterable[int], due: float) -> None:
+        """Expect acknowledgements of a write under `version` by these replicas until `due`."""
+        if len(self._awaited) >= self._max_writes:
+            (oldest_shard, _), _ = self._awaited.popitem(last=False)
+            self._evicted.append(oldest_shard)
+        self._awaited[shard, version] = _AwaitedWrite(due, set(replicas))
+
+    def acknowledge(self, shard: ShardKey, version: int, replica: int) -> None:
+        """Record that a replica has executed a write."""
+        awaited = self._awaited.get((shard, version))
+        if awaited is not None:
+            awaited.replicas.discard(replica)
+            if not awaited.replicas:
+                del self._awaited[shard, version]
+
+    def discard(self, shard: ShardKey, version: int) -> None:
+        """Forget a write that is proven not to have been executed by any replica."""
+        self._awaited.pop((shard, version), None)
 
-    `held`: by holder, its points (ids as text). A deleted point is one too, with the version of its deletion.
-    """
-    best: dict[str, tuple[PointState, int]] = {}
-    conflicts: set[str] = set()
-    for holder, points in sorted(held.items()):
-        for number, mark in points.items():
-            known = best.get(number)
-            if known is not None and known[0].recency == mark.recency and known[0].digest != mark.digest:
-                conflicts.add(number)
-            if known is None or mark > known[0]:
-                best[number] = mark, holder
-    lacking: dict[tuple[int, int], list[str]] = {}
-    for number, (mark, source) in sorted(best.items()):
-        for holder, points in held.items():
-            if points.get(number) != mark:
-                lacking.setdefault((source, holder), []).append(number)
-    copies: list[PointCopy] = []
-    left = 0
-    for (source, target), numbers in sorted(lacking.items()):
-        room = max(most - sum(len(c.points) for c in copies), 0)
-        if numbers[:room]:
-            copies.append(PointCopy(source, target, tuple(numbers[:room])))
-        left += len(numbers) - len(numbers[:room])
-    return copies, left, len(conflicts)
+    def pop_overdue(self, now: float) -> list[ShardKey]:
+        """Remove writes whose acknowledgements are overdue, and return their shards."""
+        overdue = self._evicted
+        self._evicted = []
+        for (shard, version), awaited in list(self._awaited.items()):
+            if awaited.due > now:
+                break  # in order of sending; a later one that is due earlier waits a little longer
+            del self._awaited[shard, version]
+            overdue.append(shard)
+        return overdue
--- a/gingervane/writes/repair.py
+++ b/gingervane/writes/repair.py
@@ -1,7 +1,8 @@
-"""Repairs what holders owe: compares their marks of a shard and copies what differs, within the budget.
+"""Repair of missed writes: compares the replicas of a shard, and copies what differs, within a budget.
 
-What to compare and when, and what to copy, `debts` says; how to ask a holder is the front's (`Remote`). Owner: the
-repairer's thread; `_lock` is over the debts, which front threads and the list's owner add to.
+`missed_writes` says what to compare and when, `repair_plan` what to copy; how to ask a replica is up to the front
+(`ShardReplicaClient`). The repairer has a thread of its own; `_lock` guards the missed writes, which the threads of
+fronts and the owner of the endpoint list add to.
 """
 
 from __future__ import annotations
@@ -9,133 +10,150 @@
 import threading
 import time
 from collections.abc import Callable, Iterable
-from typing import Protocol
+from typing import NamedTuple, Protocol
 
 from gingervane import interface as api
-from gingervane.writes.missed_writes import (
-    PointCopy,
-    MissedWrites,
-    PendingAcknowledgements,
-    PointState,
-    ShardKey,
-    plan_copies,
-)
-from gingervane.writes.shard_placement import ShardReplica, ShardPlacement
-
-_LOOK = 0.05  # seconds between two looks at whether something is due
-_HEARD_OUT = 0.5  # seconds after which a holder that has not said that it did a write owes it
-_A_COPY = 256  # points in one call at most
-_STOPPING = 10.0  # seconds that a stop waits for a comparing to end
+from gingervane.writes.missed_writes import MissedWrites, PendingAcknowledgements, ShardKey
+from gingervane.writes.repair_plan import CopyPlan, PointCopy, PointState, plan_copies
+from gingervane.writes.shard_placement import ShardPlacement, ShardReplica
+
+_POLL_INTERVAL = 0.05  # seconds
+_ACKNOWLEDGEMENT_GRACE = 0.5  # seconds after a write's deadline until a replica counts as having missed it
+_MAX_POINTS_PER_COPY = 256  # in one request
+_STOP_TIMEOUT = 10.0  # seconds to wait for a comparison to end
 
 
 class ShardReplicaClient(Protocol):
-    """Asks holders. None, or 0, for whatever went wrong; bounded in time."""
+    """Asks replicas. Every call is bounded in time, and reports a failure of any kind by None or 0."""
 
-    def point_states(self, holder: ShardReplica, place: ShardKey) -> dict[str, PointState] | None:
-        """What it has of a shard."""
+    def point_states(self, replica: ShardReplica, shard: ShardKey) -> dict[str, PointState] | None:
+        """Return what a replica has of a shard."""
 
     def copy_points(
-        self, place: ShardKey, source: ShardReplica, target: ShardReplica, points: tuple[str, ...]
+        self, shard: ShardKey, source: ShardReplica, target: ShardReplica, points: tuple[str, ...]
     ) -> int:
-        """Bring points from one to the other; how many."""
+        """Copy points from one replica to another; return how many were copied."""
+
+
+class _Comparison(NamedTuple):
+    """Result of comparing the replicas of a shard."""
+
+    copied: int
+    conflicts: int
+    complete: bool  # every replica took part, and nothing is left to copy
 
 
 class Repairer:
-    """A thread of its own. `start`, `stop`."""
+    """Tracks writes and repairs missed ones, on a thread of its own. A `WriteTracker`; thread-safe."""
 
     def __init__(
         self,
-        debts: MissedWrites,
-        holders: ShardPlacement,
-        width: int,
-        remote: ShardReplicaClient,
-        remark: Callable[[str], None],
+        missed_writes: MissedWrites,
+        placement: ShardPlacement,
+        replication_factor: int,
+        client: ShardReplicaClient,
+        log_message: Callable[[str], None],
     ) -> None:
-        self._debts, self._holders, self._width = debts, holders, width
-        self._remote, self._remark = remote, remark
-        self._expected = PendingAcknowledgements()
-        self._lock, self._stop = threading.Lock(), threading.Event()
+        self._missed_writes = missed_writes
+        self._placement = placement
+        self._replication_factor = replication_factor
+        self._client = client
+        self._log_message = log_message
+        self._pending = PendingAcknowledgements()
+        self._lock = threading.Lock()
+        self._stop = threading.Event()
         self._thread = threading.Thread(target=self._run, name="repair", daemon=True)
 
     def start(self) -> None:
+        """Start the thread."""
         self._thread.start()
 
     def stop(self) -> None:
+        """Stop the thread, and wait for it for a bounded time."""
         self._stop.set()
         if self._thread.ident:
-            self._thread.join(_STOPPING)
+            self._thread.join(_STOP_TIMEOUT)
 
     def write_sent(
-        self, place: ShardKey, version: int, holders: Iterable[int], absent: bool, until: float
+        self, shard: ShardKey, version: int, replicas: Iterable[int], absent: bool, deadline: float
     ) -> None:
-        """A write goes to these holders, and none is sent after `until`; `absent`: others cannot be sent it now and
-        owe it. From any thread."""
+        """Expect acknowledgements of a write that is not sent after `deadline`.
+
+        `absent`: further replicas of the shard cannot be sent the write now, and miss it.
+        """
         with self._lock:
-            self._expected.add(place, version, holders, until + _HEARD_OUT)
+            self._pending.add(shard, version, replicas, deadline + _ACKNOWLEDGEMENT_GRACE)
             if absent:
-                self._debts.add(place, time.monotonic())
+                self._missed_writes.add(shard, time.monotonic())
 
-    def write_acknowledged(self, place: ShardKey, version: int, holder: int) -> None:
-        """A holder has done a write; from any thread."""
+    def write_acknowledged(self, shard: ShardKey, version: int, replica: int) -> None:
+        """Record that a replica has executed a write."""
         with self._lock:
-            self._expected.acknowledge(place, version, holder)
+            self._pending.acknowledge(shard, version, replica)
 
-    def write_not_executed(self, place: ShardKey, version: int) -> None:
-        """It is proven that no holder did a write; from any thread."""
+    def write_not_executed(self, shard: ShardKey, version: int) -> None:
+        """Forget a write that is proven not to have been executed by any replica."""
         with self._lock:
-            self._expected.discard(place, version)
+            self._pending.discard(shard, version)
 
-    def replica_returned(self, places: Iterable[ShardKey]) -> None:
-        """A holder of these has come back from being gone, and may have missed anything; from any thread."""
+    def replica_returned(self, shards: Iterable[ShardKey]) -> None:
+        """Record that a replica of these shards is back after it was gone, and may have missed any write."""
         with self._lock:
-            for place in places:
-                self._debts.add(place, time.monotonic())
+            for shard in shards:
+                self._missed_writes.add(shard, time.monotonic())
 
     def metrics(self) -> dict[str, float]:
+        """Return values by the names that metrics give them."""
         with self._lock:
             return {
-                "shards_owed": len(self._debts),
-                "oldest_debt_seconds": self._debts.oldest_age(time.monotonic()),
-                "repairs": self._debts.repaired,
-                "points_repaired": self._debts.points_copied,
-                "conflicts": self._debts.conflicts,
+                "shards_owed": len(self._missed_writes),
+                "oldest_debt_seconds": self._missed_writes.oldest_age(time.monotonic()),
+                "repairs": self._missed_writes.repaired,
+                "points_repaired": self._missed_writes.points_copied,
+                "conflicts": self._missed_writes.conflicts,
             }
 
     def _run(self) -> None:
-        while not self._stop.wait(_LOOK):
+        while not self._stop.wait(_POLL_INTERVAL):
             with self._lock:
                 now = time.monotonic()
-                for owed in self._expected.pop_overdue(now):
-                    self._debts.add(owed, now)
-                place, room = self._debts.next_shard(now), self._debts.capacity(now)
-            if place is None:
-                continue
-            copied, conflicts, whole = self._compare(place, room)
-            with self._lock:
-                self._debts.record_comparison(place, time.monotonic(), copied, conflicts, whole)
-            if conflicts:
-                self._remark(
-                    f"{place.collection}/s{place.shard}: {conflicts} points differ under one version"
-                )
-
-    def _compare(self, place: ShardKey, room: int) -> tuple[int, int, bool]:
-        """One round over a shard's holders: points copied, conflicts, and whether nothing is left."""
+                for overdue in self._pending.pop_overdue(now):
+                    self._missed_writes.add(overdue, now)
+                shard = self._missed_writes.next_shard(now)
+                capacity = self._missed_writes.capacity(now)
+            if shard is not None:
+                self._repair(shard, capacity)
+
+    def _repair(self, shard: ShardKey, capacity: int) -> None:
+        copied, conflicts, complete = self._compare(shard, capacity)
+        with self._lock:
+            self._missed_writes.record_comparison(shard, time.monotonic(), copied, conflicts, complete)
+        if conflicts:
+            where = f"{shard.collection}/s{shard.shard}"
+            self._log_message(f"{where}: {conflicts} points differ under one version")
+
+    def _compare(self, shard: ShardKey, capacity: int) -> _Comparison:
+        """Compare the ready replicas of a shard once, and copy at most `capacity` points."""
         ready = {
-            h.replica: h for h in self._holders.replicas_of(place.shard) if h.state is api.ReplicaState.READY
+            replica.replica: replica
+            for replica in self._placement.replicas_of(shard.shard)
+            if replica.state is api.ReplicaState.READY
         }
-        held: dict[int, dict[str, PointState]] = {}
-        for number, holder in ready.items():
-            marks = self._remote.point_states(holder, place)
-            if marks is not None:
-                held[number] = marks
-        copies, left, conflicts = plan_copies(held, room) if len(held) > 1 else ([], 0, 0)
-        copied = sum(self._copy(place, ready, copy) for copy in copies)
-        wanted = sum(len(copy.points) for copy in copies)
-        return copied, conflicts, len(held) == self._width and copied == wanted and not left
-
-    def _copy(self, place: ShardKey, holders: dict[int, ShardReplica], copy: PointCopy) -> int:
-        source, target = holders[copy.source], holders[copy.target]
+        states: dict[int, dict[str, PointState]] = {}
+        for number, replica in ready.items():
+            found = self._client.point_states(replica, shard)
+            if found is not None:
+                states[number] = found
+        plan = plan_copies(states, capacity) if len(states) > 1 else CopyPlan([], 0, 0)
+        copied = sum(self._copy(shard, ready, copy) for copy in plan.copies)
+        planned = sum(len(copy.points) for copy in plan.copies)
+        all_compared = len(states) == self._replication_factor
+        return _Comparison(copied, plan.conflicts, all_compared and copied == planned and not plan.remaining)
+
+    def _copy(self, shard: ShardKey, replicas: dict[int, ShardReplica], copy: PointCopy) -> int:
+        source = replicas[copy.source]
+        target = replicas[copy.target]
         return sum(
-            self._remote.copy_points(place, source, target, copy.points[at : at + _A_COPY])
-            for at in range(0, len(copy.points), _A_COPY)
+            self._client.copy_points(shard, source, target, copy.points[at : at + _MAX_POINTS_PER_COPY])
+            for at in range(0, len(copy.points), _MAX_POINTS_PER_COPY)
         )
--- a/gingervane/writes/replicated_shards.py
+++ b/gingervane/writes/replicated_shards.py
@@ -1,9 +1,9 @@
-"""A ring of replicas that is read from and written to, put together for any protocol: two cores, who holds what, what
-is known of keys, and the repair of what holders owe.
+"""Replicated shards that are read and written, assembled for any protocol.
 
-Searches and reads go through one core, which picks a holder of each shard; writes through another, which asks every
-one. Both push the same replicas: each counts itself as one of twice as many co-ordinators, so that together they keep
-to one's share of a cold one.
+There are two coordinators: one for reads, which picks a replica of each shard, and one for writes, which sends to all
+replicas. They share the placement of shards; idempotency records and repair belong to the writes. Both coordinators
+send to the same replicas, so each counts itself as one of twice as many, and together they keep to one's share of a
+replica that is warming up.
 """
 
 from __future__ import annotations
@@ -15,141 +15,155 @@
 
 from gingervane import interface as api
 from gingervane.coordinator import types as t
-from gingervane.coordinator.boot_clock import seconds as real_seconds
+from gingervane.coordinator.boot_clock import seconds as boot_seconds
 from gingervane.coordinator.core import QueryCoordinator, QueryObserver
-from gingervane.writes.missed_writes import RepairBudget, MissedWrites, ShardKey
 from gingervane.coordinator.dispatch import QueryDispatcher
+from gingervane.writes.idempotency import IdempotencyLimits, IdempotencyRecords
+from gingervane.writes.missed_writes import MissedWrites, RepairBudget, ShardKey
+from gingervane.writes.quorum_writes import QuorumWrites, restore_records
+from gingervane.writes.repair import Repairer, ShardReplicaClient
 from gingervane.writes.shard_placement import ShardPlacement
+from gingervane.writes.version_clock import VersionClock
 from gingervane.writes.write_ahead_log import WriteAheadLog
-from gingervane.writes.idempotency import IdempotencyRecords, IdempotencyLimits
-from gingervane.writes.repair import ShardReplicaClient, Repairer
-from gingervane.writes.quorum_writes import VersionClock, QuorumWrites, restore_records, write_settings
+from gingervane.writes.write_replication import WriteReplicator, write_settings
 
+_MAX_SAFETY_MARGIN = 0.5  # seconds; of the window of a key
+_SAFETY_MARGIN_DIVISOR = 4  # the margin is at most this fraction of the window
 
-class ReplicationSettings(NamedTuple):
-    """Shards on a ring of `cells`, `width` holders each, `quorum` of which must have done a write.
 
-    `spaces`: what has shards of its own on the ring; `lenient`: the module's classes that writes are asked in.
-    """
+class ReplicationSettings(NamedTuple):
+    """Shards on a ring, and how they are replicated."""
 
-    collections: tuple[str, ...]
+    collections: tuple[str, ...]  # each with all shards of the ring
     cell_count: int
     replication_factor: int
-    write_quorum: int
-    write_classes: tuple[int, ...]
+    write_quorum: int  # replicas that must have executed a write
+    write_classes: tuple[int, ...]  # numbers of the query classes that writes are sent in
 
 
 class IdempotencySettings(NamedTuple):
-    """What is known of keyed writes: how long replicas drop repeats, how long and how many keys are kept, and the
-    folder of their log, if there is one. `mark`: this co-ordinator's in versions."""
+    """How idempotency keys are kept."""
 
-    window: float
-    retention: float
+    window: float  # seconds for which replicas drop repeats of a key
+    retention: float  # seconds
     max_keys: int
-    log_folder: Path | None
-    coordinator_mark: int
+    log_folder: Path | None  # no log if None
+    coordinator_mark: int  # of this coordinator, in versions
 
 
 class ReplicatedShards:
-    """Two cores and what they share. `listed` takes lists on one thread; `start`, `stop`, `close`."""
+    """Both coordinators and what they share."""
 
     def __init__(
         self,
-        ring: ReplicationSettings,
-        keys: IdempotencySettings,
+        replication: ReplicationSettings,
+        idempotency: IdempotencySettings,
         budget: RepairBudget,
-        base: api.Settings,
-        remote: ShardReplicaClient,
-        make: Callable[[api.Settings, QueryObserver], QueryCoordinator],
+        base_settings: api.Settings,
+        client: ShardReplicaClient,
+        make_coordinator: Callable[[api.Settings, QueryObserver], QueryCoordinator],
         observer: Callable[[str], QueryObserver],
-        complain: Callable[[str], None],
-        names: Iterable[str],
+        report_fault: Callable[[str], None],
+        class_names: Iterable[str],
     ) -> None:
-        """`base`: what a module is told, but for the ring; `make` makes a core; `names`: of classes.
+        """`base_settings` are completed by the ring; `observer` makes the observer of a coordinator by its name.
 
         Raises OSError if the log cannot be used.
         """
-        reads = base._replace(
-            coordinator_count=2 * base.coordinator_count,
-            cell_count=ring.cell_count,
-            cells_per_replica=ring.replication_factor,
+        read_settings = base_settings._replace(
+            coordinator_count=2 * base_settings.coordinator_count,
+            cell_count=replication.cell_count,
+            cells_per_replica=replication.replication_factor,
         )
-        writes = write_settings(reads, ring.write_classes, ring.write_quorum, ring.replication_factor)
-        names, seen = tuple(names), observer("write")
-        self._ring, self.placement = ring, ShardPlacement(ring.cell_count, ring.replication_factor)
-        self._places = [
-            ShardKey(space, shard) for space in ring.collections for shard in range(ring.cell_count)
+        class_names = tuple(class_names)
+        write_observer = observer("write")
+        self.placement = ShardPlacement(replication.cell_count, replication.replication_factor)
+        self._shards = [
+            ShardKey(collection, shard)
+            for collection in replication.collections
+            for shard in range(replication.cell_count)
         ]
         self.repairer = Repairer(
-            MissedWrites(budget, self._places, time.monotonic()),
+            MissedWrites(budget, self._shards, time.monotonic()),
             self.placement,
-            ring.replication_factor,
-            remote,
-            seen.log_message,
+            replication.replication_factor,
+            client,
+            write_observer.log_message,
         )
-        intents = IdempotencyRecords(
-            IdempotencyLimits(keys.window, min(0.5, keys.window / 4), keys.retention, keys.max_keys)
+        records = IdempotencyRecords(_limits(idempotency))
+        clock = VersionClock(idempotency.coordinator_mark)
+        self._log = _open_log(idempotency, records, clock, report_fault)
+        self._read_coordinator = make_coordinator(read_settings, observer("search"))
+        self._write_coordinator = make_coordinator(
+            write_settings(
+                read_settings,
+                replication.write_classes,
+                replication.write_quorum,
+                replication.replication_factor,
+            ),
+            write_observer,
         )
-        clock = VersionClock(keys.coordinator_mark)
-        self.log = self._open(keys, intents, clock, complain)
-        self._cores = make(reads, observer("search")), make(writes, seen)
-        self.reads = QueryDispatcher(self._cores[0], names)
-        self.writes = QuorumWrites(
-            QueryDispatcher(self._cores[1], names),
+        self.reads = QueryDispatcher(self._read_coordinator, class_names)
+        replicator = WriteReplicator(
+            QueryDispatcher(self._write_coordinator, class_names),
             self.placement,
-            ring.write_quorum,
-            ring.replication_factor,
-            intents,
-            self.log,
-            clock,
+            replication.write_quorum,
+            replication.replication_factor,
             self.repairer,
-            seen.log_message,
+            write_observer.log_message,
         )
-
-    def _open(
-        self,
-        keys: IdempotencySettings,
-        intents: IdempotencyRecords,
-        clock: VersionClock,
-        complain: Callable[[str], None],
-    ) -> WriteAheadLog | None:
-        """Read back what an earlier process knew, before anything is asked."""
-        if keys.log_folder is None:
-            return None
-        log = WriteAheadLog(keys.log_folder, keys.retention, real_seconds)
-        found = log.recover()
-        for fault in found.faults:
-            complain(fault)
-        restore_records(intents, found.records, clock)
-        return log
+        self.writes = QuorumWrites(replicator, records, self._log, clock, write_observer.log_message)
 
     @property
     def cores(self) -> list[QueryCoordinator]:
-        return list(self._cores)
-
-    def endpoints_updated(self, listed: t.EndpointsUpdated) -> None:
-        """News of replicas, for both cores and for what one that is back may have missed."""
-        for_writes = self.placement.endpoints_updated(listed)
-        self._cores[0].endpoints_updated(listed)
-        self._cores[1].endpoints_updated(for_writes)
+        """The coordinator of reads, and that of writes."""
+        return [self._read_coordinator, self._write_coordinator]
+
+    def endpoints_updated(self, update: t.EndpointsUpdated) -> None:
+        """Pass an endpoint list to both coordinators, and have returned replicas repaired. Called by one thread."""
+        update_for_writes = self.placement.endpoints_updated(update)
+        self._read_coordinator.endpoints_updated(update)
+        self._write_coordinator.endpoints_updated(update_for_writes)
         for replica in self.placement.returned:
             shards = set(self.placement.shards_of(replica))
-            self.repairer.replica_returned([place for place in self._places if place.shard in shards])
+            self.repairer.replica_returned([shard for shard in self._shards if shard.shard in shards])
 
     def start(self) -> None:
-        """Decide. Lists and queries that came before wait."""
-        for core in self._cores:
-            core.start()
+        """Start both coordinators. Endpoint lists and queries that came before wait until then."""
+        for coordinator in self.cores:
+            coordinator.start()
 
     def start_repair(self) -> None:
         """Start to repair, once replicas are known."""
         self.repairer.start()
 
     def stop(self) -> None:
-        """End repairing; the cores are their owner's to stop."""
+        """Stop repairing; whoever owns the coordinators stops them."""
         self.repairer.stop()
 
     def close(self) -> None:
-        """After the cores have ended."""
-        if self.log:
-            self.log.close()
+        """Close the log, after the coordinators have stopped."""
+        if self._log:
+            self._log.close()
+
+
+def _limits(settings: IdempotencySettings) -> IdempotencyLimits:
+    margin = min(_MAX_SAFETY_MARGIN, settings.window / _SAFETY_MARGIN_DIVISOR)
+    return IdempotencyLimits(settings.window, margin, settings.retention, settings.max_keys)
+
+
+def _open_log(
+    settings: IdempotencySettings,
+    records: IdempotencyRecords,
+    clock: VersionClock,
+    report_fault: Callable[[str], None],
+) -> WriteAheadLog | None:
+    """Open the log, if there is one, and take over what an earlier process knew."""
+    if settings.log_folder is None:
+        return None
+    log = WriteAheadLog(settings.log_folder, settings.retention, boot_seconds)
+    recovered = log.recover()
+    for fault in recovered.faults:
+        report_fault(fault)
+    restore_records(records, recovered.records, clock)
+    return log
--- a/gingervane/writes/shard_placement.py
+++ b/gingervane/writes/shard_placement.py
@@ -1,10 +1,10 @@
-"""Which replicas hold a shard, for what must reach every holder and not just one. Free of I/O.
+"""Which replicas hold a shard, for writes, which must reach every replica and not just one. Free of I/O.
 
-The decision module sends a part to one of a shard's holders. A write has a part for each holder instead: in the
-module that decides writes every replica is a cell of its own, so that a part's only holder is the one that it is
-for. All else (time, proof, windows, slow start) is decided as for any part.
+The decision engine sends a part to one replica of its shard. A write has a part for each replica instead: in the
+engine that decides writes, every replica is a cell of its own, so that the only candidate for a part is the replica
+that it is for. All else (deadlines, proof of non-execution, windows, slow start) is decided as for any part.
 
-Owner: the thread that is told of lists. Readers take what `of` saw last.
+Ownership: the thread that receives endpoint lists. Readers see the last complete placement.
 """
 
 from __future__ import annotations
@@ -14,59 +14,72 @@
 from gingervane import interface as api
 from gingervane.coordinator.types import EndpointsUpdated
 
+MAX_CELLS = 1 << 20  # in the engine that decides writes: replicas that may ever be listed
+
 
 class ShardReplica(NamedTuple):
-    """`cell`: the replica's own, in the module that decides writes."""
+    """A replica of a shard."""
 
     replica: int
-    cell: int
+    cell: int  # its own, in the engine that decides writes
     state: api.ReplicaState
     address: tuple[str, int]
 
 
 class ShardPlacement:
-    """Holders of each shard on a ring of `cells`, `width` of them each."""
+    """Replicas of each shard, on a ring of `cell_count` shards with `replication_factor` replicas each."""
 
-    def __init__(self, cells: int, width: int) -> None:
-        self._cells, self._width = cells, width
-        self._own: dict[int, int] = {}  # replica -> its own cell, for ever
-        self._rows: dict[int, api.Replica] = {}
+    def __init__(self, cell_count: int, replication_factor: int) -> None:
+        self._cell_count = cell_count
+        self._replication_factor = replication_factor
+        self._own_cells: dict[int, int] = {}  # by replica; never changes and never ends
+        self._replicas: dict[int, api.Replica] = {}
         self._addresses: dict[int, tuple[str, int]] = {}
         self._by_shard: dict[int, tuple[ShardReplica, ...]] = {}
         self._gone: set[int] = set()
-        self.returned: set[int] = set()  # that the last list brought back from being gone
-
-    def endpoints_updated(self, listed: EndpointsUpdated) -> EndpointsUpdated:
-        """Take a list; the same one for the module that decides writes."""
-        event = listed.membership
-        if event.kind is not api.MembershipUpdateKind.DELTA:
-            self._rows = {}
-        self._addresses |= listed.addresses
-        for row in event.replicas:
-            self._rows[row.id] = row
-            self._own.setdefault(row.id, len(self._own))
-        gone = {n for n, row in self._rows.items() if row.state is api.ReplicaState.GONE}
-        self.returned = self._gone & (set(self._rows) - gone)
-        self._gone = (self._gone | gone) - self.returned
-        by_shard: dict[int, list[ShardReplica]] = {shard: [] for shard in range(self._cells)}
-        for number, row in sorted(self._rows.items()):
-            if row.state is not api.ReplicaState.GONE:
-                for back in range(min(self._width, self._cells)):
-                    shard = (row.cell - back) % self._cells
-                    by_shard[shard].append(
-                        ShardReplica(number, self._own[number], row.state, self._addresses[number])
-                    )
-        self._by_shard = {shard: tuple(found) for shard, found in by_shard.items()}
-        rows = tuple(row._replace(cell=self._own[row.id]) for row in event.replicas)
-        return listed._replace(membership=event._replace(replicas=rows))
+        self.returned: set[int] = set()  # replicas that were gone until the last list
+
+    def endpoints_updated(self, update: EndpointsUpdated) -> EndpointsUpdated:
+        """Take an endpoint list, and return the same one for the engine that decides writes."""
+        membership = update.membership
+        if membership.kind is not api.MembershipUpdateKind.DELTA:
+            self._replicas = {}
+        self._addresses |= update.addresses
+        for replica in membership.replicas:
+            self._replicas[replica.id] = replica
+            self._own_cells.setdefault(replica.id, len(self._own_cells))
+        self._update_gone()
+        self._by_shard = self._place()
+        replicas = tuple(
+            replica._replace(cell=self._own_cells[replica.id]) for replica in membership.replicas
+        )
+        return update._replace(membership=membership._replace(replicas=replicas))
 
     def shards_of(self, replica: int) -> tuple[int, ...]:
-        """Shards that a replica holds."""
-        return tuple(s for s, found in self._by_shard.items() if any(h.replica == replica for h in found))
+        """Return the shards that a replica holds."""
+        return tuple(
+            shard
+            for shard, replicas in self._by_shard.items()
+            if any(found.replica == replica for found in replicas)
+        )
 
     def replicas_of(self, shard: int) -> tuple[ShardReplica, ...]:
-        """Replicas that are listed for a shard and not gone."""
+        """Return the replicas that are listed for a shard and not gone."""
         return self._by_shard.get(shard, ())
 
+    def _update_gone(self) -> None:
+        gone = {
+            number for number, replica in self._replicas.items() if replica.state is api.ReplicaState.GONE
+        }
+        self.returned = self._gone & (set(self._replicas) - gone)
+        self._gone = (self._gone | gone) - self.returned
 
-MAX_CELLS = 1 << 20  # of the module that decides writes: replicas that may ever be listed
+    def _place(self) -> dict[int, tuple[ShardReplica, ...]]:
+        by_shard: dict[int, list[ShardReplica]] = {shard: [] for shard in range(self._cell_count)}
+        for number, replica in sorted(self._replicas.items()):
+            if replica.state is api.ReplicaState.GONE:
+                continue
+            placed = ShardReplica(number, self._own_cells[number], replica.state, self._addresses[number])
+            for offset in range(min(self._replication_factor, self._cell_count)):
+                by_shard[(replica.cell - offset) % self._cell_count].append(placed)
+        return {shard: tuple(replicas) for shard, replicas in by_shard.items()}
--- a/tests/test_intents.py
+++ b/tests/test_intents.py
@@ -19,7 +19,8 @@
 
 from gingervane.coordinator import boot_clock
 from gingervane.writes import write_ahead_log
-from gingervane.writes.missed_writes import RepairBudget, MissedWrites, PointState, ShardKey, plan_copies
+from gingervane.writes.missed_writes import MissedWrites, RepairBudget, ShardKey
+from gingervane.writes.repair_plan import PointState, plan_copies
 from gingervane.writes.write_ahead_log import (
     WriteAheadLog,
     WriteAheadLogError,
