--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -27,11 +27,11 @@
 from gingervane.fronts.client import Client
 from gingervane.experiments.listing import ConsulListing, Row
 from gingervane.experiments.tables import toml
-from gingervane.membership.consul import Names, Pause, Reader
-from gingervane.membership.reconciliation import MassRemovalGuard, Reconciliation, Report
+from gingervane.membership.consul import EntryFieldNames, Backoff, EntryReader
+from gingervane.membership.reconciliation import MassRemovalGuard, Reconciliation, SourceReport
 from gingervane.membership.source_owner import EndpointSources
-from gingervane.membership.view import Member, View
-from gingervane.membership.consul_watcher import ConsulPlace, watch
+from gingervane.membership.view import Member, EndpointView
+from gingervane.membership.consul_watcher import ConsulService, create_watchers
 from gingervane.decisions.engine import DecisionEngine
 from gingervane.fake_servers.consul import Catalogue
 from gingervane.wire.remote_read import Match, Matcher, Query
@@ -94,7 +94,7 @@
                         print("told", now, number, replica.id, flush=True)
 
         sources = EndpointSources(("consul",), MassRemovalGuard(), tell, lambda what: None)
-        place = ConsulPlace(tuple((host, port) for host, port in agents), "grid", pause=Pause())
+        place = ConsulService(tuple((host, port) for host, port in agents), "grid", backoff=Backoff())
 
         def report(
             members: tuple[Member, ...],
@@ -105,7 +105,7 @@
         ) -> None:
             to.report("consul", members, age, index, sure)
 
-        for watcher in watch(place, ZONES, NODES, 0.0, report, lambda what: None, random.Random()):
+        for watcher in create_watchers(place, ZONES, NODES, 0.0, report, lambda what: None, random.Random()):
             watcher.start()
         made.append(sources)
     for sources in made:
@@ -280,26 +280,33 @@
         return found
 
     reader, merge, view = (
-        Reader(Names(), ZONES, count, 0.0),
+        EntryReader(EntryFieldNames(), ZONES, count, 0.0),
         Reconciliation(("consul",), MassRemovalGuard()),
-        View(),
+        EndpointView(),
+    )
+    module, plain_module, plain_view = (
+        DecisionEngine(settings, 1),
+        DecisionEngine(settings, 1),
+        EndpointView(),
     )
-    module, plain_module, plain_view = DecisionEngine(settings, 1), DecisionEngine(settings, 1), View()
     for turn, body in enumerate(bodies):
         now = 100.0 + turn * 0.1
         timed("decode, json", lambda b=body: json.loads(b))  # type: ignore[misc]
         decoded = timed("decode, orjson", lambda b=body: orjson.loads(b))  # type: ignore[misc]
-        timed("read, each entry anew", lambda d=decoded: Reader(Names(), ZONES, count, 0.0).read(d))  # type: ignore[misc]
+        timed(
+            "read, each entry anew",
+            lambda d=decoded: EntryReader(EntryFieldNames(), ZONES, count, 0.0).read(d),  # type: ignore[misc]
+        )
         members, _ = timed("read, entries kept", lambda d=decoded: reader.read(d))  # type: ignore[misc]
 
         def merged(members: tuple[Member, ...] = members, now: float = now, turn: int = turn) -> Any:
-            merge.report(Report("consul", members, 0.0, turn + 1), now)
+            merge.apply_report(SourceReport("consul", members, 0.0, turn + 1), now)
             return merge.refresh(now)
 
         changes = timed("merge", merged)
-        whole = tuple(known.member for known in merge.belief(now).servers.values())
-        full = timed("view, whole list", lambda w=whole, n=now: plain_view.take(w, n))  # type: ignore[misc]
-        delta = timed("view, delta", lambda c=changes, n=now: view.change(c, n))  # type: ignore[misc]
+        whole = tuple(known.member for known in merge.latest_view(now).servers.values())
+        full = timed("view, whole list", lambda w=whole, n=now: plain_view.apply_full_list(w, n))  # type: ignore[misc]
+        delta = timed("view, delta", lambda c=changes, n=now: view.apply_delta(c, n))  # type: ignore[misc]
         if turn and full and delta:
             timed("module, whole list", lambda f=full, n=now: plain_module.handle(n, [f.event]))  # type: ignore[misc]
             timed("module, delta", lambda d=delta, n=now: module.handle(n, [d.event]))  # type: ignore[misc]
--- a/gingervane/cli/main.py
+++ b/gingervane/cli/main.py
@@ -37,7 +37,7 @@
 def serve(path: Path, tap: Path | None) -> None:
     """Run a co-ordinator until SIGTERM or SIGINT."""
     from gingervane.daemon.app import App
-    from gingervane.membership.endpoint_file import ListError
+    from gingervane.membership.endpoint_file import EndpointFileError
 
     config = _load(path)
     daemon_log.configure(config.log.format, config.log.level)
@@ -45,8 +45,8 @@
         SOCKET_RECORDER.open(tap)
     try:
         sys.exit(App(config).run())
-    except (ListError, OSError) as error:
-        where = config.membership.file or path if isinstance(error, ListError) else path
+    except (EndpointFileError, OSError) as error:
+        where = config.membership.file or path if isinstance(error, EndpointFileError) else path
         click.echo("\n".join(f"{where}: {line}" for line in str(error).splitlines()), err=True)
         sys.exit(2)
 
--- a/gingervane/daemon/app.py
+++ b/gingervane/daemon/app.py
@@ -26,7 +26,7 @@
 from gingervane.fronts.http_server import HttpServer, Reply, ServerLimits, plain
 from gingervane.fronts.remote_read import FrontLimits, RemoteReadFront, TreeSetting
 from gingervane.fronts.shard_matching import ShardIndex
-from gingervane.membership.service import MembershipService, Rings
+from gingervane.membership.service import MembershipService, RingSizes
 from gingervane.tree import plan
 from gingervane.limits.concurrency_limit import Gate
 from gingervane.vectors import front as vectors
@@ -202,7 +202,7 @@
             ),
         )
         self._server.on_fault = lambda error: self._log.error("request broke", exc_info=error)
-        rings = Rings(config.shards.cells, config.tree.ring if config.tree else 1)
+        rings = RingSizes(config.shards.cells, config.tree.ring if config.tree else 1)
         self.membership = MembershipService(
             config.membership,
             config.fleet,
@@ -214,7 +214,7 @@
             lambda what: self._log.error("server list", fault=what),
             random.Random(),
         )
-        observer.answered = self.membership.nodes.answered
+        observer.answered = self.membership.nodes.record_response
         self.vectors: VectorService | None = None
         if config.vectors:
             self.vectors = VectorService(
@@ -283,7 +283,7 @@
     def stop(self) -> None:
         """Answer or refuse what is held, then end."""
         self._ready = False
-        self.membership.leave()
+        self.membership.drain()
         self.membership.stop()
         if self.vectors:
             self.vectors.stop()
@@ -295,7 +295,7 @@
         for thread in stopped:
             thread.join()
         self._server.stop(self.config.listen.write_timeout)
-        self.membership.gone()
+        self.membership.deregister()
         if self.vectors:
             self.vectors.close()
         self._pool.close()
@@ -335,7 +335,7 @@
             "uptime_seconds": time.monotonic() - self._began,
             "server_list_age_seconds": self.membership.nodes.age(time.monotonic()),
             **(self.vectors.figures() if self.vectors else {}),
-            "consul_calls": self.membership.calls,
+            "consul_calls": self.membership.consul_calls,
             "consul_registered": self.membership.registered,
         }
 
--- a/gingervane/emulator/coordinator.py
+++ b/gingervane/emulator/coordinator.py
@@ -23,7 +23,7 @@
 from gingervane.emulator.events import Clock
 from gingervane.emulator.node import Reply, SimNode
 from gingervane.interface import AttemptOutcome
-from gingervane.membership.view import Member, View
+from gingervane.membership.view import Member, EndpointView
 from gingervane.decisions.engine import DecisionEngine
 
 
@@ -98,7 +98,7 @@
             AdmissionLimits(limits.open, limits.result_bytes), settings.max_retry_after, lambda: clock.now
         )
         self._reserves: dict[str, ResponseTimeReserve] = defaultdict(ResponseTimeReserve)
-        self._view = View()
+        self._view = EndpointView()
         self._inbox: list[t.Input] = []
         self._free = clock.now  # when the processor is
         self._planned = self._wake = float("inf")
@@ -117,7 +117,7 @@
     # ---- what comes
 
     def listed(self, members: tuple[Member, ...], cached: bool = False) -> None:
-        found = self._view.take(members, self._clock.now, cached)
+        found = self._view.apply_full_list(members, self._clock.now, cached)
         if found:
             self._put(found)
 
--- a/gingervane/membership/atomic_file.py
+++ b/gingervane/membership/atomic_file.py
@@ -17,15 +17,15 @@
 from pathlib import Path
 
 MAGIC = b"gingervane-kept"
-CHUNK = 1 << 16
-MOST_BYTES = 64 << 20
+WRITE_CHUNK_BYTES = 1 << 16
+MAX_BYTES = 64 << 20
 
 
 class StoreError(ValueError):
     """A file that cannot be used, and why."""
 
 
-class NewerVersion(StoreError):
+class NewerVersionError(StoreError):
     """Written by a later version of this program."""
 
     def __init__(self, path: Path, version: int, own: int) -> None:
@@ -42,7 +42,7 @@
     def write(self, file: int, data: bytes) -> int:
         return os.write(file, data)
 
-    def force(self, file: int) -> None:
+    def fsync(self, file: int) -> None:
         os.fsync(file)
 
     def close(self, file: int) -> None:
@@ -51,7 +51,7 @@
     def rename(self, old: Path, new: Path) -> None:
         os.replace(old, new)
 
-    def force_folder(self, path: Path) -> None:
+    def fsync_directory(self, path: Path) -> None:
         folder = os.open(path, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
         try:
             os.fsync(folder)
@@ -64,7 +64,7 @@
 
     def __init__(self, path: Path, version: int, disk: Disk | None = None) -> None:
         self.path, self._version, self._disk = path, version, disk or Disk()
-        self._aside = 0  # version of what stands there and must not be written over
+        self._newer_version = 0  # version of what stands there and must not be written over
         self._lock = os.open(
             path.with_name(path.name + ".lock"), os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o644
         )
@@ -81,42 +81,42 @@
         """Version and content; None if nothing was ever kept. Raises StoreError, or OSError."""
         try:
             size = self.path.stat().st_size
-            if size > MOST_BYTES:
-                raise StoreError(f"{self.path}: {size} bytes, over the bound of {MOST_BYTES}")
+            if size > MAX_BYTES:
+                raise StoreError(f"{self.path}: {size} bytes, over the bound of {MAX_BYTES}")
             data = self.path.read_bytes()
         except FileNotFoundError:
             return None
         try:
             found = parse(data, self.path, self._version)
-        except NewerVersion as error:
-            self._aside = error.version
+        except NewerVersionError as error:
+            self._newer_version = error.version
             raise
         return found
 
     def save(self, content: bytes) -> None:
         """Keep `content` in place of what was kept. Raises StoreError, or OSError; the old content then stands."""
         data = frame(content, self._version)
-        if len(data) > MOST_BYTES:
-            raise StoreError(f"{self.path}: {len(data)} bytes, over the bound of {MOST_BYTES}")
+        if len(data) > MAX_BYTES:
+            raise StoreError(f"{self.path}: {len(data)} bytes, over the bound of {MAX_BYTES}")
         disk, part = self._disk, self.path.with_name(self.path.name + ".part")
         file = disk.create(part)
         try:
             view = memoryview(data)
             at = 0
             while at < len(data):
-                at += disk.write(file, bytes(view[at : at + CHUNK]))
-            disk.force(file)
+                at += disk.write(file, bytes(view[at : at + WRITE_CHUNK_BYTES]))
+            disk.fsync(file)
         except OSError:
             with suppress(OSError):
                 part.unlink()  # on a full disk it would only take room
             raise
         finally:
             disk.close(file)
-        if self._aside:
-            disk.rename(self.path, self.path.with_name(f"{self.path.name}.v{self._aside}"))
-            self._aside = 0
+        if self._newer_version:
+            disk.rename(self.path, self.path.with_name(f"{self.path.name}.v{self._newer_version}"))
+            self._newer_version = 0
         disk.rename(part, self.path)
-        disk.force_folder(self.path.parent)
+        disk.fsync_directory(self.path.parent)
 
 
 def frame(content: bytes, version: int) -> bytes:
@@ -133,7 +133,7 @@
     content = data[len(head) + 1 :]
     version, length = int(fields[1]), int(fields[2])
     if version > own:
-        raise NewerVersion(path, version, own)
+        raise NewerVersionError(path, version, own)
     if length != len(content):
         raise StoreError(f"{path}: torn: {len(content)} bytes of {length}")
     if fields[3] != b"%08x" % zlib.crc32(content):
@@ -141,26 +141,26 @@
     return version, content
 
 
-class Pace:
+class WriteSchedule:
     """When to write: at most once in `least` seconds, and after failures more and more seldom up to `most`."""
 
     def __init__(self, least: float = 1.0, most: float = 60.0) -> None:
-        self._least, self._most = least, most
-        self._next, self._wait, self.due = -1e18, least, False
+        self._min_interval, self._max_interval = least, most
+        self._not_before, self._interval, self.has_unsaved_changes = -1e18, least, False
 
-    def changed(self) -> None:
+    def mark_changed(self) -> None:
         """There is something to write."""
-        self.due = True
+        self.has_unsaved_changes = True
 
-    def ready(self, now: float) -> bool:
-        return self.due and now >= self._next
+    def is_due(self, now: float) -> bool:
+        return self.has_unsaved_changes and now >= self._not_before
 
-    def next(self) -> float:
+    def next_attempt_at(self) -> float:
         """When `ready` turns true without more news."""
-        return self._next if self.due else float("inf")
+        return self._not_before if self.has_unsaved_changes else float("inf")
 
-    def wrote(self, now: float, good: bool, due: bool = False) -> None:
+    def record_result(self, now: float, good: bool, due: bool = False) -> None:
         """A writing has ended; one that failed is still due, and so is what came meanwhile (`due`)."""
-        self.due = due or not good
-        self._wait = self._least if good else min(self._wait * 2, self._most)
-        self._next = now + self._wait
+        self.has_unsaved_changes = due or not good
+        self._interval = self._min_interval if good else min(self._interval * 2, self._max_interval)
+        self._not_before = now + self._interval
--- a/gingervane/membership/consul.py
+++ b/gingervane/membership/consul.py
@@ -17,15 +17,15 @@
 from gingervane import interface as api
 from gingervane.membership.view import Member
 
-MOST_ENTRIES, MOST_TEXT = 10_000, 512
-JITTER = 16  # Consul adds up to wait/16 to a wait
+MAX_ENTRIES, MAX_TEXT_LENGTH = 10_000, 512
+WAIT_JITTER_DIVISOR = 16  # Consul adds up to wait/16 to a wait
 
 
 class ConsulError(ValueError):
     """An answer that cannot be used, with the place in it."""
 
 
-class Names(NamedTuple):
+class EntryFieldNames(NamedTuple):
     """What in an entry tells what. Meta keys; `drain_tag`: a tag that marks a drain, besides the meta key."""
 
     zone: str = "zone"
@@ -36,7 +36,7 @@
     drain_tag: str = "drain"
 
 
-class Mode(Enum):
+class ConsistencyMode(Enum):
     """How fresh an answer must be: of any server, of the leader as it believes itself, or of a confirmed leader."""
 
     STALE = "stale"
@@ -44,7 +44,9 @@
     CONSISTENT = "consistent"
 
 
-def path(service: str, index: int, wait: float, mode: Mode, datacenter: str = "", filter_by: str = "") -> str:
+def health_query_path(
+    service: str, index: int, wait: float, mode: ConsistencyMode, datacenter: str = "", filter_by: str = ""
+) -> str:
     """The target of a blocking query for all entries of a service, critical ones too: a drain must be seen."""
     query = {"index": str(index), "wait": f"{max(int(wait * 1000), 1)}ms"} if index else {}
     if datacenter:
@@ -55,10 +57,10 @@
     return f"/v1/health/service/{quote(service, safe='')}" + (f"?{text}" if text else "")
 
 
-class Reader:
+class EntryReader:
     """Reads answers of one service. What an entry was read as is kept: one that has not changed is not read again."""
 
-    def __init__(self, names: Names, zones: tuple[str, ...], cells: int, offset: float) -> None:
+    def __init__(self, names: EntryFieldNames, zones: tuple[str, ...], cells: int, offset: float) -> None:
         """`offset` turns Unix time into the members' clock."""
         self._names, self._zones, self._cells, self._offset = names, zones, cells, offset
         self._read: dict[str, tuple[Any, Member]] = {}
@@ -71,8 +73,8 @@
         """
         if not isinstance(body, list):
             raise ConsulError(f"answer: {type(body).__name__}, not a list")
-        if len(body) > MOST_ENTRIES:
-            raise ConsulError(f"answer: {len(body)} entries, over the bound of {MOST_ENTRIES}")
+        if len(body) > MAX_ENTRIES:
+            raise ConsulError(f"answer: {len(body)} entries, over the bound of {MAX_ENTRIES}")
         members: dict[int, Member] = {}
         faults: list[str] = []
         read: dict[str, tuple[Any, Member]] = {}
@@ -101,7 +103,9 @@
         return tuple(members.values()), faults
 
 
-def _read(entry: dict[str, Any], names: Names, zones: tuple[str, ...], cells: int, offset: float) -> Member:
+def _read(
+    entry: dict[str, Any], names: EntryFieldNames, zones: tuple[str, ...], cells: int, offset: float
+) -> Member:
     service, node = entry["Service"], entry["Node"]
     meta = {**(node.get("Meta") or {}), **(service.get("Meta") or {})}
     name = _text(service["ID"], "Service.ID")
@@ -129,12 +133,12 @@
 
 
 def _text(value: Any, where: str) -> str:
-    if not isinstance(value, str) or not 0 < len(value) <= MOST_TEXT:
-        raise ValueError(f"{where}: {value!r:.60} is no text of 1 to {MOST_TEXT} characters")
+    if not isinstance(value, str) or not 0 < len(value) <= MAX_TEXT_LENGTH:
+        raise ValueError(f"{where}: {value!r:.60} is no text of 1 to {MAX_TEXT_LENGTH} characters")
     return value
 
 
-def _state(entry: dict[str, Any], meta: dict[str, str], names: Names) -> api.ReplicaState:
+def _state(entry: dict[str, Any], meta: dict[str, str], names: EntryFieldNames) -> api.ReplicaState:
     """A drain is a mark in meta or tags, or maintenance; any critical check is gone. A warning is still ready."""
     checks = entry.get("Checks") or []
     statuses = {check["Status"] for check in checks}
@@ -162,21 +166,21 @@
     return tuple(_text(name, f"datacenters[{index}]") for index, name in enumerate(body))
 
 
-class Pause(NamedTuple):
+class Backoff(NamedTuple):
     """Seconds. `least` between two calls of one watcher, `first` after a failure, doubling to `most`."""
 
-    least: float = 0.2
-    first: float = 0.5
-    most: float = 15.0
-    wait: float = 30.0  # of a blocking query
+    min_interval: float = 0.2
+    initial_delay: float = 0.5
+    max_delay: float = 15.0
+    blocking_wait: float = 30.0  # of a blocking query
 
     @property
-    def silence(self) -> float:
+    def max_silence(self) -> float:
         """Longest that an agent which is well says nothing: the wait, Consul's jitter on it, and the way."""
-        return self.wait * (1 + 1 / JITTER) + 2.0
+        return self.blocking_wait * (1 + 1 / WAIT_JITTER_DIVISOR) + 2.0
 
 
-def shares(agents: int, watchers: int, rng: random.Random) -> list[list[int]]:
+def assign_agents(agents: int, watchers: int, rng: random.Random) -> list[list[int]]:
     """Agents dealt out to watchers, so that no two ask the same one: an agent that hangs silences one of them only.
 
     In an order of its own for each co-ordinator, which spreads them over the agents. At most one watcher an agent.
@@ -185,72 +189,86 @@
     return [order[first::watchers] for first in range(min(watchers, agents))]
 
 
-class Asking:
+class BlockingQueryState:
     """When one watcher asks, how, from which index and of which of its agents."""
 
-    def __init__(self, agents: int, pause: Pause, rng: random.Random) -> None:
-        self._agents, self._pause, self._rng = agents, pause, rng
+    def __init__(self, agents: int, pause: Backoff, rng: random.Random) -> None:
+        self._agent_count, self._backoff, self._rng = agents, pause, rng
         self.agent, self.index = 0, 0
-        self.sure = False  # the next call is a consistent one, at once: the last answer was hard to believe
+        self.consistent = (
+            False  # the next call is a consistent one, at once: the last answer was hard to believe
+        )
         self._failures = 0
-        self._best = 0  # highest index seen, unless the leader has since vouched for a lower one
-        self._asked = -1e18
-        self._still = 0  # answers in a row that moved nothing though they came before the wait was over
-        self._named = 0
-        self.resets = 0
+        self._highest_index = 0  # highest index seen, unless the leader has since vouched for a lower one
+        self._requested_at = -1e18
+        self._unchanged_answers = (
+            0  # answers in a row that moved nothing though they came before the wait was over
+        )
+        self._entry_count = 0
+        self.index_resets = 0
 
     @property
     def wait(self) -> float:
-        return self._pause.wait
+        return self._backoff.blocking_wait
 
     @property
-    def blocks(self) -> bool:
+    def is_blocking(self) -> bool:
         """Whether the next call waits for a change."""
-        return self.index > 0 and not self.sure
+        return self.index > 0 and not self.consistent
 
     @property
-    def give_up(self) -> float:
+    def response_timeout(self) -> float:
         """Seconds after which the next call has hung."""
-        return self._pause.silence if self.blocks else self._pause.most
+        return self._backoff.max_silence if self.is_blocking else self._backoff.max_delay
 
-    def asks(self, now: float) -> None:
-        self._asked = now
+    def record_request(self, now: float) -> None:
+        self._requested_at = now
 
-    def good(self, index: int, leader: bool, now: float, named: int = 0) -> float:
+    def record_success(self, index: int, leader: bool, now: float, named: int = 0) -> float:
         """An answer came with `index` and `named` entries; seconds until the next call. `leader`: the agent knows
         one."""
         self._failures = 0
-        early = now - self._asked < self._pause.wait / 2
-        was_sure = self.sure
-        back, short = index < self._best and not was_sure, named < self._named / 2 and not was_sure
-        self._named, self._best = named, index if was_sure else max(index, self._best)
-        self.sure = back or short  # ask the leader before anything is made of it
+        early = now - self._requested_at < self._backoff.blocking_wait / 2
+        was_sure = self.consistent
+        back, short = (
+            index < self._highest_index and not was_sure,
+            named < self._entry_count / 2 and not was_sure,
+        )
+        self._entry_count, self._highest_index = named, index if was_sure else max(index, self._highest_index)
+        self.consistent = back or short  # ask the leader before anything is made of it
         if back:  # a lagging agent, one restored from a snapshot, or another cluster: begin anew
-            self.index, self._still = 0, 0
-            self.resets += 1
-            return self._spread(self._pause.first)
+            self.index, self._unchanged_answers = 0, 0
+            self.index_resets += 1
+            return self._jittered(self._backoff.initial_delay)
         # An index below 1 cannot be asked from: it would not block.
         moved, self.index = index > self.index, max(index, 1)
-        if self.sure:
-            return self._spread(self._pause.least)
-        self._still = 0 if moved or was_sure or not early else self._still + 1
+        if self.consistent:
+            return self._jittered(self._backoff.min_interval)
+        self._unchanged_answers = 0 if moved or was_sure or not early else self._unchanged_answers + 1
         if not leader:
-            return self._spread(self._pause.first)
-        if self._still:
-            return self._spread(min(self._pause.least * 2 ** min(self._still, 16), self._pause.most))
-        return max(self._pause.least - (now - self._asked), 0.0)
+            return self._jittered(self._backoff.initial_delay)
+        if self._unchanged_answers:
+            return self._jittered(
+                min(
+                    self._backoff.min_interval * 2 ** min(self._unchanged_answers, 16),
+                    self._backoff.max_delay,
+                )
+            )
+        return max(self._backoff.min_interval - (now - self._requested_at), 0.0)
 
-    def failed(self, now: float, retry_after: float = 0.0) -> float:
+    def record_failure(self, now: float, retry_after: float = 0.0) -> float:
         """A call failed or hung; seconds until the next one, which another agent gets. Jittered over the whole span,
         so that many co-ordinators that lost a catalogue at once do not come back to it at once."""
         self._failures += 1
-        self.agent = (self.agent + 1) % self._agents
+        self.agent = (self.agent + 1) % self._agent_count
         # Another agent may lag behind this one's index: what it has now must be seen before a change is waited for.
         # A consistent call that fails proves nothing, and is not tried over and over: time will tell.
-        self._best = 0 if self.sure else self._best
-        self.index, self.sure = 0 if self._agents > 1 else self.index, False
-        span = min(self._pause.first * 2 ** min(self._failures - 1, 16), self._pause.most)
-        return max(self._spread(span), min(retry_after, self._pause.most), self._pause.least)
-
-    def _spread(self, span: float) -> float:
-        return max(span * self._rng.uniform(0.5, 1.5), self._pause.least)
+        self._highest_index = 0 if self.consistent else self._highest_index
+        self.index, self.consistent = 0 if self._agent_count > 1 else self.index, False
+        span = min(self._backoff.initial_delay * 2 ** min(self._failures - 1, 16), self._backoff.max_delay)
+        return max(
+            self._jittered(span), min(retry_after, self._backoff.max_delay), self._backoff.min_interval
+        )
+
+    def _jittered(self, span: float) -> float:
+        return max(span * self._rng.uniform(0.5, 1.5), self._backoff.min_interval)
--- a/gingervane/membership/consul_watcher.py
+++ b/gingervane/membership/consul_watcher.py
@@ -17,27 +17,27 @@
 import orjson
 
 from gingervane.membership.consul import (
-    Asking,
+    BlockingQueryState,
     ConsulError,
-    Mode,
-    Names,
-    Pause,
-    Reader,
-    path,
+    ConsistencyMode,
+    EntryFieldNames,
+    Backoff,
+    EntryReader,
+    health_query_path,
     read_datacenters,
-    shares,
+    assign_agents,
 )
 from gingervane.membership.view import Member
 from gingervane.wire import http1
 from gingervane.wire.http1 import Closed, Headers, HttpError, Limits
 from gingervane.wire.pool import Pool, exchange
 
-LIMITS = Limits(16384, 32 << 20)
-WATCHERS = 2
+HTTP_LIMITS = Limits(16384, 32 << 20)
+WATCHERS_PER_SERVICE = 2
 Address = tuple[str, int]
 
 
-class ConsulPlace(NamedTuple):
+class ConsulService(NamedTuple):
     """Where a service is watched. `token_file`: read again for each call, as tokens change in service."""
 
     agents: tuple[Address, ...]
@@ -46,17 +46,17 @@
     stale: bool = True
     token_file: Path | None = None
     filter_by: str = ""
-    names: Names = Names()
-    pause: Pause = Pause()
+    names: EntryFieldNames = EntryFieldNames()
+    backoff: Backoff = Backoff()
 
 
-class Report(Protocol):
+class ReportCallback(Protocol):
     """Takes a list: its members, the age that it states in seconds, its index, and whether the leader vouched."""
 
     def __call__(self, members: tuple[Member, ...], age: float, index: int, sure: bool) -> None: ...
 
 
-def call(
+def get(
     pool: Pool,
     agent: Address,
     target: str,
@@ -75,23 +75,23 @@
 
     def __init__(
         self,
-        place: ConsulPlace,
+        place: ConsulService,
         agents: list[int],
         zones: tuple[str, ...],
         cells: int,
         offset: float,
-        report: Report,
+        report: ReportCallback,
         complain: Callable[[str], None],
         rng: random.Random,
     ) -> None:
         """`agents`: places in `place.agents`."""
-        self._place, self._agents = place, [place.agents[n] for n in agents]
-        self._report, self._complain = report, complain
-        self._reader = Reader(place.names, zones, cells, offset)
-        self.asking = Asking(len(agents), place.pause, rng)
-        self._pool = Pool(LIMITS, 1, place.pause.wait * 2)
+        self._service, self._agents = place, [place.agents[n] for n in agents]
+        self._report, self._log_warning = report, complain
+        self._reader = EntryReader(place.names, zones, cells, offset)
+        self.query_state = BlockingQueryState(len(agents), place.backoff, rng)
+        self._pool = Pool(HTTP_LIMITS, 1, place.backoff.blocking_wait * 2)
         self._stop = threading.Event()
-        self._said = ""
+        self._last_fault = ""
         self.calls = 0
         self._thread = threading.Thread(target=self._run, name="consul", daemon=True)
 
@@ -104,66 +104,72 @@
 
     def _run(self) -> None:
         while not self._stop.is_set():
-            self._stop.wait(self._turn())
+            self._stop.wait(self._poll())
         self._pool.close()  # guards an agent that ends with us against waiting for a connection nobody uses
 
-    def _turn(self) -> float:
+    def _poll(self) -> float:
         """One call; seconds until the next."""
-        asking, place = self.asking, self._place
-        address, sure = self._agents[asking.agent], asking.sure
-        mode = Mode.CONSISTENT if sure else Mode.STALE if place.stale else Mode.DEFAULT
-        target = path(
+        asking, place = self.query_state, self._service
+        address, sure = self._agents[asking.agent], asking.consistent
+        mode = (
+            ConsistencyMode.CONSISTENT
+            if sure
+            else ConsistencyMode.STALE
+            if place.stale
+            else ConsistencyMode.DEFAULT
+        )
+        target = health_query_path(
             place.service,
-            asking.index if asking.blocks else 0,
+            asking.index if asking.is_blocking else 0,
             asking.wait,
             mode,
             place.datacenter,
             place.filter_by,
         )
-        asking.asks(time.monotonic())
+        asking.record_request(time.monotonic())
         self.calls += 1
         try:
-            until = time.monotonic() + asking.give_up
-            status, headers, body = call(self._pool, address, target, place.token_file, until)
+            until = time.monotonic() + asking.response_timeout
+            status, headers, body = get(self._pool, address, target, place.token_file, until)
             if status != 200:
-                self._tell(f"{address[0]}:{address[1]}: status {status}: {body[:100]!r}")
-                return asking.failed(time.monotonic(), _seconds(headers, "retry-after", 3))
+                self._log_fault(f"{address[0]}:{address[1]}: status {status}: {body[:100]!r}")
+                return asking.record_failure(time.monotonic(), _whole_number(headers, "retry-after", 3))
             members, faults = self._reader.read(orjson.loads(body))
-            index = _seconds(headers, "x-consul-index", 19)
+            index = _whole_number(headers, "x-consul-index", 19)
         except (OSError, Closed, HttpError, ConsulError, ValueError, RecursionError) as error:
-            self._tell(f"{address[0]}:{address[1]}: {error or type(error).__name__}")
-            return asking.failed(time.monotonic())
-        self._tell("; ".join(faults[:3]))
-        self._report(members, _seconds(headers, "x-consul-lastcontact", 9) / 1000, int(index), sure)
+            self._log_fault(f"{address[0]}:{address[1]}: {error or type(error).__name__}")
+            return asking.record_failure(time.monotonic())
+        self._log_fault("; ".join(faults[:3]))
+        self._report(members, _whole_number(headers, "x-consul-lastcontact", 9) / 1000, int(index), sure)
         leader = headers.get("x-consul-knownleader", "true").lower() != "false"
-        return asking.good(int(index), leader, time.monotonic(), len(members))
+        return asking.record_success(int(index), leader, time.monotonic(), len(members))
 
-    def _tell(self, fault: str) -> None:
+    def _log_fault(self, fault: str) -> None:
         """Say a fault once, and when it is over."""
-        if fault != self._said:
-            self._complain(fault or "consul answers again")
-        self._said = fault
+        if fault != self._last_fault:
+            self._log_warning(fault or "consul answers again")
+        self._last_fault = fault
 
 
-def _seconds(headers: Headers, name: str, digits: int) -> float:
+def _whole_number(headers: Headers, name: str, digits: int) -> float:
     """A whole number in a header; 0 if it is none."""
     text = headers.get(name)
     return int(text) if text.isascii() and text.isdigit() and len(text) <= digits else 0
 
 
-def watch(
-    place: ConsulPlace,
+def create_watchers(
+    place: ConsulService,
     zones: tuple[str, ...],
     cells: int,
     offset: float,
-    report: Report,
+    report: ReportCallback,
     complain: Callable[[str], None],
     rng: random.Random,
 ) -> list[ConsulWatcher]:
     """Watchers of one service, not yet started, with the agents dealt out among them."""
     return [
         ConsulWatcher(place, agents, zones, cells, offset, report, complain, random.Random(rng.random()))
-        for agents in shares(len(place.agents), WATCHERS, rng)
+        for agents in assign_agents(len(place.agents), WATCHERS_PER_SERVICE, rng)
     ]
 
 
@@ -174,11 +180,11 @@
     patience: float,
 ) -> tuple[str, ...]:
     """Which of `wanted` the catalogue does not know; none of them if no agent answers in time."""
-    pool = Pool(LIMITS, 0, 1.0)
+    pool = Pool(HTTP_LIMITS, 0, 1.0)
     for agent in agents:
         try:
             until = time.monotonic() + patience
-            status, _, body = call(pool, agent, "/v1/catalog/datacenters", token_file, until)
+            status, _, body = get(pool, agent, "/v1/catalog/datacenters", token_file, until)
             if status == 200:
                 return tuple(sorted(set(wanted) - set(read_datacenters(orjson.loads(body)))))
         except (OSError, Closed, HttpError, ConsulError, ValueError):
--- a/gingervane/membership/endpoint_file.py
+++ b/gingervane/membership/endpoint_file.py
@@ -30,39 +30,39 @@
 _KEYS = {"id", "name", "address", "zone", "cell", "state", "started"}
 
 
-class ListError(ValueError):
+class EndpointFileError(ValueError):
     """A list that does not make sense: all that is wrong with it, a line each."""
 
 
-class Lists(NamedTuple):
+class EndpointLists(NamedTuple):
     """What one file names. Co-ordinators have the same keys as nodes; their `cell` is a place on their own ring."""
 
     nodes: tuple[Member, ...]
     coordinators: tuple[Member, ...]
 
 
-def parse(text: str, zones: tuple[str, ...], cells: int, offset: float, ring: int = 1) -> Lists:
+def parse(text: str, zones: tuple[str, ...], cells: int, offset: float, ring: int = 1) -> EndpointLists:
     """Read a list file. `offset` turns Unix time into the caller's clock, `ring` is the co-ordinators' number of
     places. Raises ListError with every fault."""
     try:
         table = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
-        raise ListError(str(error)) from None
+        raise EndpointFileError(str(error)) from None
     known = ("node", "coordinator")
     faults = [
         f"{key}: not a known table ([[node]] and [[coordinator]] are)" for key in table if key not in known
     ]
-    nodes = _members(table.get("node", []), "node", zones, cells, offset, faults)
-    coordinators = _members(table.get("coordinator", []), "coordinator", zones, ring, offset, faults)
+    nodes = _parse_members(table.get("node", []), "node", zones, cells, offset, faults)
+    coordinators = _parse_members(table.get("coordinator", []), "coordinator", zones, ring, offset, faults)
     if not nodes and not faults:
         # A file that is being rewritten may be read empty; nobody means to take every server away this way.
         faults.append("node: no server at all")
     if faults:
-        raise ListError("\n".join(faults))
-    return Lists(nodes, coordinators)
+        raise EndpointFileError("\n".join(faults))
+    return EndpointLists(nodes, coordinators)
 
 
-def _members(
+def _parse_members(
     rows: Any,
     table: str,
     zones: tuple[str, ...],
@@ -77,7 +77,7 @@
         return ()
     for index, row in enumerate(rows):
         where = f"{table}[{index}]"
-        found = _read(row, where, zones, cells, offset)
+        found = _parse_member(row, where, zones, cells, offset)
         faults += found if isinstance(found, list) else []
         if isinstance(found, Member):
             members.append(found)
@@ -91,7 +91,7 @@
     return tuple(members)
 
 
-def _read(
+def _parse_member(
     row: dict[str, Any], where: str, zones: tuple[str, ...], cells: int, offset: float
 ) -> Member | list[str]:
     faults = [f"{where}.{key}: not a known key" for key in row if key not in _KEYS]
@@ -135,13 +135,13 @@
         ring: int,
         interval: float,
         offset: float,
-        report: Callable[[Lists], None],
+        report: Callable[[EndpointLists], None],
         complain: Callable[[str], None],
     ) -> None:
         """`report` takes each good list, on the watcher's thread but for the first."""
         self._path, self._zones, self._cells, self._ring = path, zones, cells, ring
-        self._interval, self._offset, self._report, self._complain = interval, offset, report, complain
-        self._seen = (0, 0, 0)
+        self._interval, self._offset, self._report, self._log_warning = interval, offset, report, complain
+        self._last_stat = (0, 0, 0)
         self._stop = threading.Event()
         self._thread = threading.Thread(target=self._run, name="membership", daemon=True)
         self.error = ""
@@ -149,7 +149,7 @@
     def start(self) -> None:
         """Read the list and report it before returning; with a fault in `error` if there is one, and then again
         whenever the file changes."""
-        self._look()
+        self._poll()
         self._thread.start()
 
     def stop(self) -> None:
@@ -157,20 +157,20 @@
 
     def _run(self) -> None:
         while not self._stop.wait(self._interval):
-            self._look()
+            self._poll()
 
-    def _look(self) -> None:
+    def _poll(self) -> None:
         try:
             stat = os.stat(self._path)
             mark = stat.st_mtime_ns, stat.st_size, stat.st_ino
-            if mark == self._seen:
+            if mark == self._last_stat:
                 return
             lists = parse(self._path.read_text(), self._zones, self._cells, self._offset, self._ring)
-        except (ListError, OSError, UnicodeDecodeError) as error:
+        except (EndpointFileError, OSError, UnicodeDecodeError) as error:
             what = error.strerror or str(error) if isinstance(error, OSError) else str(error)
             if what != self.error:
                 self.error = what
-                self._complain(f"{self._path}: {what}; the last good list stays")
+                self._log_warning(f"{self._path}: {what}; the last good list stays")
             return
-        self._seen, self.error = mark, ""
+        self._last_stat, self.error = mark, ""
         self._report(lists)
--- a/gingervane/membership/registration.py
+++ b/gingervane/membership/registration.py
@@ -17,36 +17,38 @@
 from typing import Any, NamedTuple
 from urllib.parse import quote
 
-from gingervane.membership.consul import Pause
+from gingervane.membership.consul import Backoff
 from gingervane.wire import http1
 from gingervane.wire.http1 import Closed, HttpError, Limits
 from gingervane.wire.pool import Pool, exchange
 
 _LIMITS = Limits(16384, 1 << 20)
-_ANSWER = 5.0  # seconds that an agent has for one answer
-_LOOK = 0.1  # seconds between two looks at whether there is anything to register yet
-_LEAVING_CALLS = 4  # calls that a stop may spend on drain and removal, agents that do not answer included
+_ANSWER_TIMEOUT = 5.0  # seconds that an agent has for one answer
+_READINESS_POLL_INTERVAL = 0.1  # seconds between two looks at whether there is anything to register yet
+_MAX_DEREGISTRATION_CALLS = (
+    4  # calls that a stop may spend on drain and removal, agents that do not answer included
+)
 
 
-class Entry(NamedTuple):
+class ServiceEntry(NamedTuple):
     """What is registered. `ttl`: seconds after which the check is critical without an update."""
 
     name: str
     service: str
     address: tuple[str, int]
     zone: str
-    place: int  # on the ring of co-ordinators
+    ring_position: int  # on the ring of co-ordinators
     ttl: float = 10.0
     started: float = 0.0  # Unix time
 
-    def body(self) -> dict[str, Any]:
+    def registration_body(self) -> dict[str, Any]:
         """As /v1/agent/service/register takes it. Critical for long takes the entry out."""
         return {
             "ID": self.name,
             "Name": self.service,
             "Address": self.address[0],
             "Port": self.address[1],
-            "Meta": {"zone": self.zone, "cell": str(self.place), "started": f"{self.started:.3f}"},
+            "Meta": {"zone": self.zone, "cell": str(self.ring_position), "started": f"{self.started:.3f}"},
             "Check": {
                 "CheckID": f"service:{self.name}",
                 "TTL": f"{self.ttl:g}s",
@@ -60,16 +62,16 @@
     """One call to the agent."""
 
     REGISTER = "register"
-    PASS = "pass"
+    PASS_CHECK = "pass"
     DRAIN = "drain"
-    REMOVE = "remove"
+    DEREGISTER = "remove"
 
 
 class Registration:
     """What to say next. Agents take turns when one fails."""
 
-    def __init__(self, ttl: float, agents: int, pause: Pause, rng: random.Random) -> None:
-        self._ttl, self._agents, self._pause, self._rng = ttl, agents, pause, rng
+    def __init__(self, ttl: float, agents: int, pause: Backoff, rng: random.Random) -> None:
+        self._ttl, self._agent_count, self._backoff, self._rng = ttl, agents, pause, rng
         self.agent = 0
         self._next: RegistrationCall | None = RegistrationCall.REGISTER
         self._failures = 0
@@ -80,49 +82,49 @@
         """The next call; None once the entry has been taken out."""
         return self._next
 
-    def said(self, status: int | None) -> float:
+    def record_status(self, status: int | None) -> float:
         """The call had this status, None if there was no answer; seconds until the next."""
         if status == 200:
-            return self._good()
+            return self._record_success()
         if (
-            status == 404 and self._next is RegistrationCall.PASS
+            status == 404 and self._next is RegistrationCall.PASS_CHECK
         ):  # forgotten: at once, as peers see it critical or not at all
             self.registered, self._next = False, RegistrationCall.REGISTER
-            return self._spread(self._pause.least)
-        if status == 404 and self._next in (RegistrationCall.DRAIN, RegistrationCall.REMOVE):
+            return self._jittered(self._backoff.min_interval)
+        if status == 404 and self._next in (RegistrationCall.DRAIN, RegistrationCall.DEREGISTER):
             self._next = None
             return 0.0
         self._failures += 1
-        self.agent = (self.agent + 1) % self._agents
+        self.agent = (self.agent + 1) % self._agent_count
         # Another agent knows nothing of what this one was told.
-        if self._next is RegistrationCall.PASS and self._agents > 1:
+        if self._next is RegistrationCall.PASS_CHECK and self._agent_count > 1:
             self.registered, self._next = False, RegistrationCall.REGISTER
-        span = min(self._pause.first * 2 ** min(self._failures - 1, 16), self._pause.most)
+        span = min(self._backoff.initial_delay * 2 ** min(self._failures - 1, 16), self._backoff.max_delay)
         # Never so long that the check runs out between two tries at an agent that is back.
-        return self._spread(min(span, self._ttl / 3))
+        return self._jittered(min(span, self._ttl / 3))
 
-    def leave(self) -> None:
+    def drain(self) -> None:
         """The co-ordinator is about to stop: first marked as draining, then taken out."""
         self._next = RegistrationCall.DRAIN if self.registered else None
         self._failures = 0
 
-    def gone(self) -> None:
+    def deregister(self) -> None:
         """What it held has ended; take the entry out."""
-        self._next = RegistrationCall.REMOVE if self._next is not None or self.registered else None
+        self._next = RegistrationCall.DEREGISTER if self._next is not None or self.registered else None
 
-    def _good(self) -> float:
+    def _record_success(self) -> float:
         self._failures = 0
         match self._next:
-            case RegistrationCall.REGISTER | RegistrationCall.PASS:
-                self.registered, self._next = True, RegistrationCall.PASS
-                return self._spread(self._ttl / 3) / 1.5  # a third at most: two may be lost
+            case RegistrationCall.REGISTER | RegistrationCall.PASS_CHECK:
+                self.registered, self._next = True, RegistrationCall.PASS_CHECK
+                return self._jittered(self._ttl / 3) / 1.5  # a third at most: two may be lost
             case RegistrationCall.DRAIN:
-                self._next = RegistrationCall.REMOVE
+                self._next = RegistrationCall.DEREGISTER
             case _:
                 self.registered, self._next = False, None
         return 0.0
 
-    def _spread(self, span: float) -> float:
+    def _jittered(self, span: float) -> float:
         return span * self._rng.uniform(0.5, 1.5)
 
 
@@ -131,21 +133,21 @@
 
     def __init__(
         self,
-        entry: Entry,
+        entry: ServiceEntry,
         agents: tuple[tuple[str, int], ...],
         token_file: Path | None,
-        pause: Pause,
+        pause: Backoff,
         complain: Callable[[str], None],
         rng: random.Random,
         ready: Callable[[], bool] = lambda: True,
     ) -> None:
         """`ready`: whether this co-ordinator can be sent work; the entry is not made before."""
-        self._ready = ready
-        self._entry, self._agents, self._token_file, self._complain = entry, agents, token_file, complain
+        self._is_ready = ready
+        self._entry, self._agents, self._token_file, self._log_warning = entry, agents, token_file, complain
         self._registration = Registration(entry.ttl, len(agents), pause, rng)
         self._pool = Pool(_LIMITS, 1, entry.ttl)
         self._stop = threading.Event()
-        self._fault = ""
+        self._last_fault = ""
         self._thread = threading.Thread(target=self._run, name="registrar", daemon=True)
 
     @property
@@ -155,32 +157,32 @@
     def start(self) -> None:
         self._thread.start()
 
-    def leave(self) -> None:
+    def drain(self) -> None:
         """Mark the entry as draining, so that nobody sends new work here. Blocks for one answer at most."""
         self._stop.set()
-        self._thread.join(_ANSWER + 1.0)
-        self._registration.leave()
+        self._thread.join(_ANSWER_TIMEOUT + 1.0)
+        self._registration.drain()
         if self._registration.next is RegistrationCall.DRAIN:
-            self._turn()
+            self._send_next()
 
-    def gone(self) -> None:
+    def deregister(self) -> None:
         """Take the entry out; a few tries, then the TTL does it."""
-        self._registration.gone()
-        for _ in range(_LEAVING_CALLS):
+        self._registration.deregister()
+        for _ in range(_MAX_DEREGISTRATION_CALLS):
             if self._registration.next is None:
                 break
-            self._turn()
+            self._send_next()
         self._pool.close()
 
     def _run(self) -> None:
-        while not self._ready():
-            if self._stop.wait(_LOOK):
+        while not self._is_ready():
+            if self._stop.wait(_READINESS_POLL_INTERVAL):
                 return
         while self._registration.next is not None:
-            if self._stop.wait(self._turn()):
+            if self._stop.wait(self._send_next()):
                 return
 
-    def _turn(self) -> float:
+    def _send_next(self) -> float:
         """Say what is next; seconds until the call after it."""
         say, agent = self._registration.next, self._agents[self._registration.agent]
         if say is None:
@@ -188,23 +190,25 @@
         fault = ""
         status: int | None = None
         try:
-            status, _, body = exchange(self._pool, agent, self._call(say, agent), time.monotonic() + _ANSWER)
+            status, _, body = exchange(
+                self._pool, agent, self._request(say, agent), time.monotonic() + _ANSWER_TIMEOUT
+            )
             if status != 200:
                 fault = f"{agent[0]}:{agent[1]}: {say.value}: status {status}: {body[:100]!r}"
         except (OSError, Closed, HttpError) as error:
             fault = f"{agent[0]}:{agent[1]}: {say.value}: {error or type(error).__name__}"
-        if fault and fault != self._fault:
-            self._complain(fault)
-        self._fault = fault
-        return self._registration.said(status)
+        if fault and fault != self._last_fault:
+            self._log_warning(fault)
+        self._last_fault = fault
+        return self._registration.record_status(status)
 
-    def _call(self, say: RegistrationCall, agent: tuple[str, int]) -> bytes:
+    def _request(self, say: RegistrationCall, agent: tuple[str, int]) -> bytes:
         name = quote(self._entry.name, safe="")
         target, content = {
-            RegistrationCall.REGISTER: ("service/register", self._entry.body()),
-            RegistrationCall.PASS: (f"check/update/service:{name}", {"Status": "passing"}),
+            RegistrationCall.REGISTER: ("service/register", self._entry.registration_body()),
+            RegistrationCall.PASS_CHECK: (f"check/update/service:{name}", {"Status": "passing"}),
             RegistrationCall.DRAIN: (f"service/maintenance/{name}?enable=true&reason=stopping", None),
-            RegistrationCall.REMOVE: (f"service/deregister/{name}", None),
+            RegistrationCall.DEREGISTER: (f"service/deregister/{name}", None),
         }[say]
         body = b"" if content is None else json.dumps(content).encode()
         fields = [("Host", f"{agent[0]}:{agent[1]}"), ("Content-Length", str(len(body)))]
--- a/gingervane/membership/service.py
+++ b/gingervane/membership/service.py
@@ -14,21 +14,26 @@
 
 from gingervane.coordinator.types import EndpointsUpdated
 from gingervane.settings.daemon_settings import ConsulTable, Fleet, Membership, Tree
-from gingervane.membership.consul import Pause
+from gingervane.membership.consul import Backoff
 from gingervane.membership.snapshot import Snapshot
-from gingervane.membership.endpoint_file import FileWatcher, ListError, Lists
+from gingervane.membership.endpoint_file import FileWatcher, EndpointFileError, EndpointLists
 from gingervane.membership.reconciliation import MassRemovalGuard
-from gingervane.membership.registration import Entry, Registrar
+from gingervane.membership.registration import ServiceEntry, Registrar
 from gingervane.membership.source_owner import EndpointSources
 from gingervane.membership.atomic_file import StoreError
-from gingervane.membership.consul_watcher import ConsulPlace, ConsulWatcher, unknown_datacenters, watch
-
-_FILE_PATIENCE = 5.0  # a list that has been read is told within this
+from gingervane.membership.consul_watcher import (
+    ConsulService,
+    ConsulWatcher,
+    unknown_datacenters,
+    create_watchers,
+)
+
+_FILE_LIST_TIMEOUT = 5.0  # a list that has been read is told within this
 # Of a list that somebody writes: what it says counts as it stands, and at once.
-_WRITTEN = MassRemovalGuard(settle=0.0, settle_most=0.0)
+_FILE_ONLY_GUARD = MassRemovalGuard(readmission_delay=0.0, max_readmission_delay=0.0)
 
 
-class Rings(NamedTuple):
+class RingSizes(NamedTuple):
     """Places on the ring of shards and on that of co-ordinators."""
 
     cells: int
@@ -43,7 +48,7 @@
         table: Membership,
         fleet: Fleet,
         tree: Tree | None,
-        rings: Rings,
+        rings: RingSizes,
         address: tuple[str, int],
         tell: Callable[[EndpointsUpdated], None],
         tell_peers: Callable[[EndpointsUpdated], None],
@@ -51,14 +56,16 @@
         rng: random.Random,
     ) -> None:
         """`address`: where this co-ordinator is reached."""
-        self._table, self._zones, self._rings = table, fleet.zones, rings
-        self._complain, self._rng = complain, rng
+        self._table, self._zones, self._ring_sizes = table, fleet.zones, rings
+        self._log_warning, self._rng = complain, rng
         self._offset = time.monotonic() - time.time()  # fixed: a start must not seem to move between readings
         self._watchers: list[ConsulWatcher] = []
         consul = table.consul
-        fence = _WRITTEN if consul is None else fence_of(consul)
-        names = self._names(consul)
-        self.nodes = EndpointSources(names, fence, tell, complain, self._snapshot(), self._offset, ("file",))
+        fence = _FILE_ONLY_GUARD if consul is None else mass_removal_guard(consul)
+        names = self._node_source_names(consul)
+        self.nodes = EndpointSources(
+            names, fence, tell, complain, self._open_snapshot(), self._offset, ("file",)
+        )
         self.peers = EndpointSources(
             ("file", "consul"), fence, tell_peers, complain, None, self._offset, ("file",)
         )
@@ -70,7 +77,7 @@
                 rings.peers,
                 table.interval,
                 self._offset,
-                self._listed,
+                self._apply_file,
                 complain,
             )
             if table.file
@@ -84,33 +91,33 @@
             self._watchers += self._watch(consul, consul.service, datacenter, rings.cells, self.nodes, name)
         if consul.coordinators and tree is not None:
             self._watchers += self._watch(consul, consul.coordinators, "", rings.peers, self.peers, "consul")
-            entry = Entry(
+            entry = ServiceEntry(
                 tree.name, consul.coordinators, address, fleet.zone, tree.place, consul.ttl, time.time()
             )
             self._registrar = Registrar(
                 entry,
                 consul.addresses,
                 consul.token_file,
-                Pause(wait=consul.wait),
+                Backoff(blocking_wait=consul.wait),
                 complain,
                 rng,
                 lambda: self.known,
             )
 
-    def _names(self, consul: ConsulTable | None) -> tuple[str, ...]:
+    def _node_source_names(self, consul: ConsulTable | None) -> tuple[str, ...]:
         """Of the sources of nodes."""
         out = ("file",) if self._table.file else ()
         if consul is None:
             return out
         return (*out, *(f"consul/{name}" if name else "consul" for name in consul.datacenters or ("",)))
 
-    def _snapshot(self) -> Snapshot | None:
+    def _open_snapshot(self) -> Snapshot | None:
         if self._table.kept is None:
             return None
         try:
-            return Snapshot(self._table.kept, self._offset, len(self._zones), self._rings.cells)
+            return Snapshot(self._table.kept, self._offset, len(self._zones), self._ring_sizes.cells)
         except (OSError, StoreError) as error:
-            self._complain(f"the server list will not be kept: {error}")
+            self._log_warning(f"the server list will not be kept: {error}")
             return None
 
     def _watch(
@@ -122,26 +129,26 @@
         sources: EndpointSources,
         name: str,
     ) -> list[ConsulWatcher]:
-        place = ConsulPlace(
+        place = ConsulService(
             consul.addresses,
             service,
             datacenter,
             consul.stale,
             consul.token_file,
             consul.filter,
-            pause=Pause(wait=consul.wait),
+            backoff=Backoff(blocking_wait=consul.wait),
         )
-        return watch(
+        return create_watchers(
             place,
             self._zones,
             cells,
             self._offset,
             lambda members, age, index, sure: sources.report(name, members, age, index, sure),
-            self._complain,
+            self._log_warning,
             self._rng,
         )
 
-    def _listed(self, lists: Lists) -> None:
+    def _apply_file(self, lists: EndpointLists) -> None:
         self._peers_in_file = bool(lists.coordinators)
         self.nodes.report("file", lists.nodes)
         self.peers.report("file", lists.coordinators)
@@ -157,7 +164,7 @@
         return self._registrar is not None and self._registrar.registered
 
     @property
-    def calls(self) -> int:
+    def consul_calls(self) -> int:
         """Calls to Consul so far, of watchers."""
         return sum(watcher.calls for watcher in self._watchers)
 
@@ -173,11 +180,11 @@
             self._file.start()
         consul = self._table.consul
         read = self._file is not None and not self._file.error
-        patience = _FILE_PATIENCE if read else consul.start_patience if consul else 0.0
+        patience = _FILE_LIST_TIMEOUT if read else consul.start_patience if consul else 0.0
         if not self.nodes.start(patience) and consul is None:
             self.stop()
-            raise ListError(self._file.error if self._file else "no source")
-        self.peers.start(_FILE_PATIENCE if self._peers_in_file else 0.0)
+            raise EndpointFileError(self._file.error if self._file else "no source")
+        self.peers.start(_FILE_LIST_TIMEOUT if self._peers_in_file else 0.0)
         if self._registrar:
             self._registrar.start()
         if consul and consul.datacenters:
@@ -187,12 +194,12 @@
         for name in unknown_datacenters(
             consul.addresses, consul.datacenters, consul.token_file, consul.start_patience
         ):
-            self._complain(f"membership.consul.datacenters: the catalogue knows no {name!r}")
+            self._log_warning(f"membership.consul.datacenters: the catalogue knows no {name!r}")
 
-    def leave(self) -> None:
+    def drain(self) -> None:
         """This co-ordinator is about to stop: its peers are told to send it nothing new."""
         if self._registrar:
-            self._registrar.leave()
+            self._registrar.drain()
 
     def stop(self) -> None:
         """Watch no more."""
@@ -203,12 +210,12 @@
         self.nodes.stop()
         self.peers.stop()
 
-    def gone(self) -> None:
+    def deregister(self) -> None:
         """What this co-ordinator held has ended; its entry is taken out."""
         if self._registrar:
-            self._registrar.gone()
+            self._registrar.deregister()
 
 
-def fence_of(consul: ConsulTable) -> MassRemovalGuard:
+def mass_removal_guard(consul: ConsulTable) -> MassRemovalGuard:
     """How long an index that has gone back is doubted follows from how long a quiet agent may say nothing."""
-    return MassRemovalGuard(reset=Pause(wait=consul.wait).silence + 1.0)
+    return MassRemovalGuard(index_reset_delay=Backoff(blocking_wait=consul.wait).max_silence + 1.0)
--- a/gingervane/membership/snapshot.py
+++ b/gingervane/membership/snapshot.py
@@ -15,19 +15,19 @@
 
 from gingervane import interface as api
 from gingervane.coordinator import boot_clock
-from gingervane.membership.atomic_file import MAGIC, Disk, NewerVersion, AtomicFile, StoreError
+from gingervane.membership.atomic_file import MAGIC, Disk, NewerVersionError, AtomicFile, StoreError
 from gingervane.membership.view import Member
 
 VERSION = 3
 
 
-class Kept(NamedTuple):
+class StoredState(NamedTuple):
     """What was read back: the list, its age in seconds, and the states of merge and view if they were kept."""
 
     members: tuple[Member, ...]
     age: float
     offset: float  # turns the kept Unix times into the members' clock
-    merge: dict[str, Any] | None = None
+    reconciliation: dict[str, Any] | None = None
     view: dict[str, Any] | None = None
 
 
@@ -36,16 +36,16 @@
 
     def __init__(self, path: Path, offset: float, zones: int, cells: int, disk: Disk | None = None) -> None:
         """Raises StoreError if another process keeps it, OSError if its folder cannot be used."""
-        self._store = AtomicFile(path, VERSION, disk)
+        self._file = AtomicFile(path, VERSION, disk)
         self._offset, self._zones, self._cells = offset, zones, cells
 
     def close(self) -> None:
-        self._store.close()
+        self._file.close()
 
     def save(
         self,
         members: tuple[Member, ...],
-        merge: dict[str, Any] | None = None,
+        reconciliation: dict[str, Any] | None = None,
         view: dict[str, Any] | None = None,
     ) -> None:
         """Raises StoreError, or OSError; what was kept before then stands."""
@@ -54,30 +54,30 @@
             "boot": list(boot_clock.moment()),
             "offset": self._offset,
             "rows": _rows(members, self._offset),
-            "merge": merge,
+            "merge": reconciliation,
             "view": view,
         }
-        self._store.save(json.dumps(body, separators=(",", ":")).encode())
+        self._file.save(json.dumps(body, separators=(",", ":")).encode())
 
-    def load(self) -> Kept | None:
+    def load(self) -> StoredState | None:
         """What was kept; None if nothing ever was. Raises StoreError, or OSError."""
-        path = self._store.path
+        path = self._file.path
         try:
-            found = self._store.load()
+            found = self._file.load()
             if found is None:
                 return None
             body = json.loads(found[1])
-        except NewerVersion:
+        except NewerVersionError:
             raise
         except StoreError:
-            body = _old(path)
+            body = _load_legacy(path)
             if body is None:
                 raise
         except ValueError as error:
             raise StoreError(f"{path}: no JSON: {error}") from None
         return self._read(path, body)
 
-    def _read(self, path: Path, body: Any) -> Kept:
+    def _read(self, path: Path, body: Any) -> StoredState:
         try:
             age, offset = self._age(body)
             members = tuple(
@@ -93,7 +93,7 @@
                 )
                 for number, name, host, port, zone, cell, state, started, *created in body["rows"]
             )
-            kept = Kept(members, age, offset, body.get("merge"), body.get("view"))
+            kept = StoredState(members, age, offset, body.get("merge"), body.get("view"))
         except (ValueError, TypeError, KeyError, AttributeError) as error:
             raise StoreError(f"{path}: a row does not make sense: {error}") from None
         if not members or any(
@@ -127,13 +127,13 @@
             m.cell,
             m.state.value,
             None if m.started_at is None else m.started_at - offset,
-            m.created,
+            m.create_index,
         ]
         for m in members
     ]
 
 
-def _old(path: Path) -> dict[str, Any] | None:
+def _load_legacy(path: Path) -> dict[str, Any] | None:
     """The content of a file of version 1 or 2; None if it is neither. Raises StoreError if it is one and broken."""
     data = path.read_bytes()
     if data.startswith(MAGIC):
--- a/gingervane/membership/snapshot_writer.py
+++ b/gingervane/membership/snapshot_writer.py
@@ -12,67 +12,69 @@
 from typing import Any
 
 from gingervane.membership.snapshot import Snapshot
-from gingervane.membership.atomic_file import Pace, StoreError
+from gingervane.membership.atomic_file import WriteSchedule, StoreError
 from gingervane.membership.view import Member
 
-Content = tuple[tuple[Member, ...], dict[str, Any], dict[str, Any]]  # list, states of merge and view
+SnapshotContent = tuple[tuple[Member, ...], dict[str, Any], dict[str, Any]]  # list, states of merge and view
 
 
 class SnapshotWriter:
     """Keeps a snapshot up to date at its pace."""
 
-    def __init__(self, snapshot: Snapshot, complain: Callable[[str], None], pace: Pace | None = None) -> None:
-        self.snapshot, self._complain, self._pace = snapshot, complain, pace or Pace()
-        self._waiting: Content | None = None
-        self._busy = self._ended = False
-        self._turn = threading.Condition()
+    def __init__(
+        self, snapshot: Snapshot, complain: Callable[[str], None], pace: WriteSchedule | None = None
+    ) -> None:
+        self.snapshot, self._log_warning, self._schedule = snapshot, complain, pace or WriteSchedule()
+        self._submitted: SnapshotContent | None = None
+        self._writing = self._stopping = False
+        self._condition = threading.Condition()
         self._thread = threading.Thread(target=self._run, name="keeper", daemon=True)
 
     def start(self) -> None:
         self._thread.start()
 
-    def changed(self) -> None:
+    def mark_changed(self) -> None:
         """What there is to keep has changed."""
-        with self._turn:
-            self._pace.changed()
+        with self._condition:
+            self._schedule.mark_changed()
 
-    def wants(self, now: float) -> bool:
+    def is_write_due(self, now: float) -> bool:
         """Whether content that is made now would be written now."""
-        with self._turn:
-            return not self._busy and self._pace.ready(now)
+        with self._condition:
+            return not self._writing and self._schedule.is_due(now)
 
-    def next(self) -> float:
+    def next_write_at(self) -> float:
         """When `wants` turns true without more news, if no writing is under way."""
-        with self._turn:
-            return float("inf") if self._busy else self._pace.next()
+        with self._condition:
+            return float("inf") if self._writing else self._schedule.next_attempt_at()
 
     @property
-    def due(self) -> bool:
+    def has_unsaved_changes(self) -> bool:
         """Whether something has not been written yet."""
-        with self._turn:
-            return self._pace.due
+        with self._condition:
+            return self._schedule.has_unsaved_changes
 
-    def put(self, content: Content) -> None:
+    def submit(self, content: SnapshotContent) -> None:
         """Have it written."""
-        with self._turn:
-            self._waiting, self._busy, self._pace.due = content, True, False
-            self._turn.notify_all()
+        with self._condition:
+            self._submitted, self._writing, self._schedule.has_unsaved_changes = content, True, False
+            self._condition.notify_all()
 
-    def stop(self, last: Content | None, patience: float) -> None:
+    def stop(self, last: SnapshotContent | None, patience: float) -> None:
         """Write `last` if there is one, and end; a disk that does not come back in time is left alone."""
-        with self._turn:
-            self._waiting, self._ended = last or self._waiting, True
-            self._turn.notify_all()
+        with self._condition:
+            self._submitted, self._stopping = last or self._submitted, True
+            self._condition.notify_all()
         if self._thread.ident:
             self._thread.join(patience)
         self.snapshot.close()
 
     def _run(self) -> None:
         while True:
-            with self._turn:
-                while self._waiting is None and not self._ended:
-                    self._turn.wait()
-                content, self._waiting = self._waiting, None
+            with self._condition:
+                while self._submitted is None and not self._stopping:
+                    self._condition.wait()
+                content, self._submitted = self._submitted, None
             if content is None:
                 return
             fault = ""
@@ -80,8 +82,8 @@
                 self.snapshot.save(*content)
             except (OSError, StoreError) as error:
                 fault = str(error)
-            with self._turn:
-                self._busy = False
-                self._pace.wrote(time.monotonic(), not fault, self._pace.due)
+            with self._condition:
+                self._writing = False
+                self._schedule.record_result(time.monotonic(), not fault, self._schedule.has_unsaved_changes)
             if fault:
-                self._complain(f"the server list could not be kept: {fault}")
+                self._log_warning(f"the server list could not be kept: {fault}")
--- a/gingervane/membership/view.py
+++ b/gingervane/membership/view.py
@@ -31,42 +31,44 @@
     cell: int
     state: api.ReplicaState
     started_at: float | None
-    created: int = 0
+    create_index: int = 0
 
 
-class View:
+class EndpointView:
     """The last list, and what follows from how lists changed."""
 
     def __init__(self) -> None:
         self._members: dict[int, Member] = {}
-        self._started: dict[int, float] = {}
-        self._gone: set[int] = set()
-        self._first = True
-        self._told: float | None = None  # when the last list came that was not a kept one
+        self._start_times: dict[int, float] = {}
+        self._removed: set[int] = set()
+        self._awaiting_first_list = True
+        self._last_update_at: float | None = None  # when the last list came that was not a kept one
 
     @property
     def members(self) -> dict[int, Member]:
         return self._members
 
-    def take(self, members: tuple[Member, ...], now: float, cached: bool = False) -> EndpointsUpdated | None:
+    def apply_full_list(
+        self, members: tuple[Member, ...], now: float, cached: bool = False
+    ) -> EndpointsUpdated | None:
         """A whole list as it stands at `now`; None if it says nothing new."""
         named = {member.id: member for member in members}
-        if named == self._members and (not self._first or not named):
+        if named == self._members and (not self._awaiting_first_list or not named):
             return None
         for member in members:
-            self._note(member, now)
-        self._gone = (self._gone | set(self._members)) - {
+            self._record_start(member, now)
+        self._removed = (self._removed | set(self._members)) - {
             m.id for m in members if m.state is not api.ReplicaState.GONE
         }
-        self._members, self._first = named, False
-        self._told = self._told if cached else now
+        self._members, self._awaiting_first_list = named, False
+        self._last_update_at = self._last_update_at if cached else now
         kind = api.MembershipUpdateKind.CACHED if cached else api.MembershipUpdateKind.FULL
-        return self._listed(kind, members)
+        return self._as_update(kind, members)
 
-    def change(self, changes: Mapping[int, Member | None], now: float) -> EndpointsUpdated | None:
+    def apply_delta(self, changes: Mapping[int, Member | None], now: float) -> EndpointsUpdated | None:
         """Only what changed, None for what is named no more; the first time this is a whole list."""
-        if self._first:
-            return self.take(tuple(m for _, m in sorted(changes.items()) if m is not None), now)
+        if self._awaiting_first_list:
+            return self.apply_full_list(tuple(m for _, m in sorted(changes.items()) if m is not None), now)
         rows: list[Member] = []
         for number, member in changes.items():
             was = self._members.get(number)
@@ -76,23 +78,23 @@
                 assert was is not None
                 del self._members[number]
                 rows.append(was._replace(state=api.ReplicaState.GONE))
-                self._gone.add(number)
+                self._removed.add(number)
                 continue
-            self._note(member, now)
+            self._record_start(member, now)
             self._members[number] = member
-            (self._gone.add if member.state is api.ReplicaState.GONE else self._gone.discard)(number)
+            (self._removed.add if member.state is api.ReplicaState.GONE else self._removed.discard)(number)
             rows.append(member)
-        self._told = now
-        return self._listed(api.MembershipUpdateKind.DELTA, tuple(rows)) if rows else None
+        self._last_update_at = now
+        return self._as_update(api.MembershipUpdateKind.DELTA, tuple(rows)) if rows else None
 
-    def whole(self, kind: api.MembershipUpdateKind = api.MembershipUpdateKind.FULL) -> EndpointsUpdated:
+    def full_update(self, kind: api.MembershipUpdateKind = api.MembershipUpdateKind.FULL) -> EndpointsUpdated:
         """All that is held, as one list."""
-        return self._listed(kind, tuple(self._members.values()))
+        return self._as_update(kind, tuple(self._members.values()))
 
     def dump(self, offset: float) -> dict[str, Any]:
         """What slow start needs, as JSON can have it. `offset` turns Unix time into the members' clock."""
-        started = {str(n): at - offset for n, at in self._started.items() if at > 0.0}
-        return {"started": started, "gone": sorted(self._gone)}
+        started = {str(n): at - offset for n, at in self._start_times.items() if at > 0.0}
+        return {"started": started, "gone": sorted(self._removed)}
 
     def restore(self, kept: dict[str, Any], members: tuple[Member, ...], offset: float) -> None:
         """Take up `dump` and the list of its moment, before any list. Raises ValueError if it is none."""
@@ -102,33 +104,35 @@
         except (KeyError, TypeError, ValueError, AttributeError) as error:
             raise ValueError(f"no state of a view: {error!r}") from None
         self._members = {member.id: member for member in members}
-        self._started, self._gone, self._first = started, gone, False
+        self._start_times, self._removed, self._awaiting_first_list = started, gone, False
         for member in members:
             if member.started_at is not None:
-                self._started[member.id] = member.started_at
+                self._start_times[member.id] = member.started_at
 
-    def _note(self, member: Member, now: float) -> None:
+    def _record_start(self, member: Member, now: float) -> None:
         """When a replica counts as started, by what of it has changed."""
         was = self._members.get(member.id)
-        back = member.id in self._gone and member.state is not api.ReplicaState.GONE
+        back = member.id in self._removed and member.state is not api.ReplicaState.GONE
         moved = was is not None and was.address != member.address
         if member.started_at is not None:
-            if was is None or was.started_at != member.started_at or member.id not in self._started:
-                self._started[member.id] = self._placed(member.started_at, now, restarted=was is not None)
-        elif not self._first and (back or moved or was is None):
-            self._started[member.id] = now
-
-    def _placed(self, started: float, now: float, restarted: bool) -> float:
+            if was is None or was.started_at != member.started_at or member.id not in self._start_times:
+                self._start_times[member.id] = self._bounded_start(
+                    member.started_at, now, restarted=was is not None
+                )
+        elif not self._awaiting_first_list and (back or moved or was is None):
+            self._start_times[member.id] = now
+
+    def _bounded_start(self, started: float, now: float, restarted: bool) -> float:
         """A start as far as it can be: not after it was told of, and that of a member that has restarted not long
         before the list behind which it came. So a wall clock that is off makes no cold replica pass for a warm one.
 
         A member that is listed for the first time may have run for long: lists are written by people too.
         """
-        if restarted and is_too_early(started, self._told):
+        if restarted and is_too_early(started, self._last_update_at):
             return now
         return min(started, now)
 
-    def _listed(self, kind: api.MembershipUpdateKind, members: tuple[Member, ...]) -> EndpointsUpdated:
-        started = self._started
+    def _as_update(self, kind: api.MembershipUpdateKind, members: tuple[Member, ...]) -> EndpointsUpdated:
+        started = self._start_times
         rows = tuple(api.Replica(m.id, m.cell, m.zone, 1.0, m.state, started.get(m.id, 0.0)) for m in members)
         return EndpointsUpdated(api.MembershipChanged(kind, rows), {m.id: m.address for m in members})
--- a/gingervane/node/discovery.py
+++ b/gingervane/node/discovery.py
@@ -36,25 +36,25 @@
 from gingervane.wire.json_values import JsonValues, TooLong
 from gingervane.wire.local_failures import start_thread
 
-SILENCE = 3.0  # seconds: an empty line is due every 2 s, and one that is late by half is not coming
+SILENCE_TIMEOUT = 3.0  # seconds: an empty line is due every 2 s, and one that is late by half is not coming
 _STATES = {
     "SERVING": api.ReplicaState.READY,
     "DRAINING": api.ReplicaState.DRAINING,
     "DELETED": api.ReplicaState.GONE,
 }
-_MOST_NAMES = 8192  # of replicas, kept for logs; the oldest go first
-_MOST_VALUE = 1 << 20  # bytes; a list of 1,024 replicas takes 400 to 600 for each, indented
+_MAX_NAMES = 8192  # of replicas, kept for logs; the oldest go first
+_MAX_VALUE_BYTES = 1 << 20  # bytes; a list of 1,024 replicas takes 400 to 600 for each, indented
 
 
 class WatchState(Enum):
     """What the watch is doing."""
 
     IDLE = "idle"  # nobody wants changes, or the module has yet to say when to call again
-    CALLING = "calling"  # a call is under way
-    FOLLOWING = "following"  # a list or a change has come on it
+    CONNECTING = "calling"  # a call is under way
+    WATCHING = "following"  # a list or a change has come on it
 
 
-class ListError(Exception):
+class EndpointListError(Exception):
     """Something that discovery sent and that cannot be used."""
 
 
@@ -63,19 +63,19 @@
     return int.from_bytes(hashlib.blake2b(host.encode(), digest_size=8).digest(), "big")
 
 
-class ListReader:
+class EndpointListReader:
     """Turns discovery's lists into the driver's input."""
 
     def __init__(self, zones: tuple[str, ...], starts: ReplicaStartTimes, log: Log) -> None:
-        self._zones, self._starts, self._log = zones, starts, log
+        self._zones, self._start_times, self._log = zones, starts, log
         self._hosts: dict[int, str] = {}
         self.version = 0
 
-    def alive(self) -> None:
+    def record_activity(self) -> None:
         """A line has come, whatever is in it: up to now nothing else has changed."""
-        self._starts.heard()
+        self._start_times.heard()
 
-    def host(self, replica: int) -> str:
+    def host_name(self, replica: int) -> str:
         """The name of a replica, for logs. Any thread; a replica long gone is told by its number."""
         return self._hosts.get(replica, str(replica))
 
@@ -89,9 +89,9 @@
         try:
             version, whole, hosts = int(data["seq"]), bool(data["whole"]), data["hosts"]
         except (TypeError, KeyError, ValueError):
-            raise ListError("discovery: not a list with seq, whole and hosts") from None
+            raise EndpointListError("discovery: not a list with seq, whole and hosts") from None
         if not isinstance(hosts, list):
-            raise ListError("discovery: hosts is no list")
+            raise EndpointListError("discovery: hosts is no list")
         if version < self.version and not (whole and anew) or version == self.version and not whole:
             return (
                 t.EndpointsUpdated(api.MembershipChanged(api.MembershipUpdateKind.DELTA, ()), {})
@@ -105,7 +105,7 @@
         names: dict[int, str] = {}
         for entry in hosts:
             try:
-                replica, where = self._entry(entry)
+                replica, where = self._parse_entry(entry)
             except (TypeError, KeyError, ValueError) as error:
                 self._log(
                     "list_entry_skipped", error=f"{type(error).__name__}: {error}", entry=str(entry)[:200]
@@ -113,13 +113,13 @@
                 continue
             found[replica.id] = replica, where
             names[replica.id] = str(entry["host"])
-        self._remember(names, whole)
-        found = self._placed(found, cached)
+        self._remember_names(names, whole)
+        found = self._with_monotonic_starts(found, cached)
         for replica, _ in found.values():
             if not whole or replica.state is not api.ReplicaState.READY:
                 self._log(
                     "replica_listed",
-                    replica=self.host(replica.id),
+                    replica=self.host_name(replica.id),
                     state=replica.state,
                     version=version,
                     started_at=replica.started_at,
@@ -137,29 +137,29 @@
             api.MembershipChanged(kind, tuple(replica for replica, _ in found.values())), addresses
         )
 
-    def _placed(
+    def _with_monotonic_starts(
         self,
         found: dict[int, tuple[api.Replica, Address | None]],
         cached: bool,
     ) -> dict[int, tuple[api.Replica, Address | None]]:
         """The same entries with starts on the monotonic clock."""
         listed = {n: r.started_at for n, (r, _) in found.items() if r.started_at}
-        before = self._starts.corrections
-        places = self._starts.place(listed, cached)
-        if self._starts.corrections > before:
-            self._log("wall_clock_doubted", corrections=self._starts.corrections)
+        before = self._start_times.corrections
+        places = self._start_times.place(listed, cached)
+        if self._start_times.corrections > before:
+            self._log("wall_clock_doubted", corrections=self._start_times.corrections)
         moved = {n: (found[n][0]._replace(started_at=place), found[n][1]) for n, place in places.items()}
         return found | moved
 
-    def _remember(self, names: dict[int, str], whole: bool) -> None:
+    def _remember_names(self, names: dict[int, str], whole: bool) -> None:
         """Keep names for the log; those that a whole list does not hold are forgotten, which bounds the memory."""
         if not whole:
             names = self._hosts | names
-            while len(names) > _MOST_NAMES:
+            while len(names) > _MAX_NAMES:
                 del names[next(iter(names))]
         self._hosts = names
 
-    def _entry(self, entry: Any) -> tuple[api.Replica, Address | None]:
+    def _parse_entry(self, entry: Any) -> tuple[api.Replica, Address | None]:
         if not isinstance(entry, dict):
             raise TypeError("no object")
         if entry.get("health") == "DELETED":  # its name says all: nothing else of it may keep it listed
@@ -177,60 +177,60 @@
         return replica, where
 
 
-class Watch:
+class DiscoveryWatch:
     """Follows discovery."""
 
     def __init__(
         self,
         where: Address,
-        reader: ListReader,
+        reader: EndpointListReader,
         tell: Callable[[t.EndpointsUpdated], None],
         log: Log,
         answered_within: float = inf,
     ) -> None:
         """`answered_within`: seconds for a call up to its first line, if fewer than `SILENCE`."""
-        self._where, self._reader, self._tell, self._log = where, reader, tell, log
-        self._answered_within = answered_within
+        self._address, self._reader, self._on_update, self._log = where, reader, tell, log
+        self._answer_timeout = answered_within
         self._change = Condition()
-        self._wanted = self._moved = self._stopped = False
-        self._calling = False  # a call is under way, or its watch
-        self._owed = False  # the module has been told of a failure and will say when to call again
+        self._requested = self._moved = self._stopped = False
+        self._in_progress = False  # a call is under way, or its watch
+        self._retry_pending = False  # the module has been told of a failure and will say when to call again
         self._sock: socket.socket | None = None
         self._state = WatchState.IDLE  # of the watch's own thread
 
-    def _becomes(self, state: WatchState, reason: str = "") -> None:
+    def _set_state(self, state: WatchState, reason: str = "") -> None:
         if state is not self._state:
             old, self._state = self._state, state
-            where = f"{self._where[0]}:{self._where[1]}"
+            where = f"{self._address[0]}:{self._address[1]}"
             self._log("watch_state", old=old, new=state, reason=reason, discovery=where)
 
     def start(self) -> None:
         start_thread(self._run, "discovery")
 
-    def follow(self) -> None:
+    def request_watch(self) -> None:
         """The module wants changes pushed."""
         with self._change:
-            self._owed = False
+            self._retry_pending = False
             # Guards against a wish that outlives its call: the next failure would be answered without any pause.
-            self._wanted = not self._calling
+            self._requested = not self._in_progress
             self._change.notify()
 
-    def move(self, where: Address) -> None:
+    def change_address(self, where: Address) -> None:
         """Discovery is at another address from now on; no pause that runs is waited for."""
         with self._change:
-            if where == self._where:
+            if where == self._address:
                 return
-            self._where, self._moved = where, True
+            self._address, self._moved = where, True
             self._change.notify()
-            self._wake()
+            self._interrupt()
 
     def stop(self) -> None:
         with self._change:
             self._stopped = True
             self._change.notify()
-            self._wake()
+            self._interrupt()
 
-    def _wake(self) -> None:
+    def _interrupt(self) -> None:
         if self._sock:
             with contextlib.suppress(OSError):
                 self._sock.shutdown(socket.SHUT_RDWR)
@@ -238,38 +238,40 @@
     def _run(self) -> None:
         while True:
             with self._change:
-                while not (self._wanted or self._moved or self._stopped):
+                while not (self._requested or self._moved or self._stopped):
                     self._change.wait()
                 if self._stopped:
                     return
                 if self._moved:
                     # Guards against changes dropped for good: there the versions may be others. All is asked for.
                     self._reader.version = 0
-                self._wanted = self._moved = False
-                self._calling, where = True, self._where
-            self._becomes(WatchState.CALLING, f"since={self._reader.version}")
+                self._requested = self._moved = False
+                self._in_progress, where = True, self._address
+            self._set_state(WatchState.CONNECTING, f"since={self._reader.version}")
             try:
-                self._follow(where)
-            except (OSError, HttpError, Closed, ListError, TooLong) as error:
+                self._watch_once(where)
+            except (OSError, HttpError, Closed, EndpointListError, TooLong) as error:
                 what = str(error) or type(error).__name__
             except Exception as error:  # a bug must not end the only thread that hears of changes
                 what = f"internal: {type(error).__name__}: {error}"
             with self._change:
-                self._calling = False
+                self._in_progress = False
                 moved = self._moved or self._stopped
-                owed, self._owed = self._owed, self._owed or not moved
-            self._becomes(WatchState.IDLE, "moved" if moved else what)
+                owed, self._retry_pending = self._retry_pending, self._retry_pending or not moved
+            self._set_state(WatchState.IDLE, "moved" if moved else what)
             if moved:
                 continue
             if (
                 not owed
             ):  # the module says when to ask again; one pause at a time, so that calls do not add up
-                self._tell(t.EndpointsUpdated(api.MembershipChanged(api.MembershipUpdateKind.FAILED, ()), {}))
+                self._on_update(
+                    t.EndpointsUpdated(api.MembershipChanged(api.MembershipUpdateKind.FAILED, ()), {})
+                )
 
-    def _follow(self, where: Address) -> None:
+    def _watch_once(self, where: Address) -> None:
         """One call and its watch, to their end, which is an error whatever it is."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        line_by = time.monotonic() + min(SILENCE, self._answered_within)
+        line_by = time.monotonic() + min(SILENCE_TIMEOUT, self._answer_timeout)
 
         def left() -> float:
             if (seconds := line_by - time.monotonic()) <= 0:
@@ -288,28 +290,28 @@
                 if self._moved or self._stopped:
                     return
                 self._sock = sock
-            self._await(sock, code, left())
+            self._await_connection(sock, code, left())
             sock.settimeout(left())
             target = f"/v1/endpoints?follow=1&since={self._reader.version}"
             sock.sendall(http1.head(f"GET {target} HTTP/1.1", [("Host", f"{where[0]}:{where[1]}")]))
-            reader = Reader(receive, Limits(body=_MOST_VALUE))
+            reader = Reader(receive, Limits(body=_MAX_VALUE_BYTES))
             reply = reader.response()
             if reply.status != 200:
-                raise ListError(f"discovery: answered {reply.status} to a watch")
-            values, anew = JsonValues(_MOST_VALUE), True  # lists may come indented
+                raise EndpointListError(f"discovery: answered {reply.status} to a watch")
+            values, anew = JsonValues(_MAX_VALUE_BYTES), True  # lists may come indented
             for data in reader.pieces(reply.headers):
                 if b"\n" in data:
-                    line_by = time.monotonic() + SILENCE
-                    self._reader.alive()
+                    line_by = time.monotonic() + SILENCE_TIMEOUT
+                    self._reader.record_activity()
                 for value, sound in values.feed(data):
-                    anew = not self._take(value, sound, anew) and anew
+                    anew = not self._apply_value(value, sound, anew) and anew
             raise Closed(clean=True)
         finally:
             with self._change:
                 self._sock = None
             sock.close()
 
-    def _await(self, sock: socket.socket, code: int, seconds: float) -> None:
+    def _await_connection(self, sock: socket.socket, code: int, seconds: float) -> None:
         """Wait for a connection that is being made."""
         if code in (errno.EINPROGRESS, errno.EINTR):
             poll = select.poll()
@@ -320,16 +322,16 @@
         if code:
             raise OSError(code, os.strerror(code))
 
-    def _take(self, value: bytes, sound: bool, anew: bool) -> bool:
+    def _apply_value(self, value: bytes, sound: bool, anew: bool) -> bool:
         """Whether it was a list that could be read."""
         try:
             if not sound:
-                raise ListError(f"no JSON value: {value[:100]!r}")
+                raise EndpointListError(f"no JSON value: {value[:100]!r}")
             listed = self._reader.read(orjson.loads(value), anew=anew)
-        except (orjson.JSONDecodeError, ListError) as error:
+        except (orjson.JSONDecodeError, EndpointListError) as error:
             self._log("list_value_skipped", error=str(error))
             return False
-        self._becomes(WatchState.FOLLOWING)
+        self._set_state(WatchState.WATCHING)
         if listed:
-            self._tell(listed)
+            self._on_update(listed)
         return True
--- a/gingervane/node/service.py
+++ b/gingervane/node/service.py
@@ -25,7 +25,7 @@
 from gingervane.node import config as configuration
 from gingervane.node.client_front import ClientFront
 from gingervane.node.config import Config, ConfigError
-from gingervane.node.discovery import ListError, ListReader, Watch
+from gingervane.node.discovery import EndpointListError, EndpointListReader, DiscoveryWatch
 from gingervane.node.replica_connection import LinkEnded, LinkLimits
 from gingervane.node.replica_connections import ReplicaConnections, SPARE
 from gingervane.node.peer_socket import PeerSocket
@@ -136,14 +136,14 @@
         # Half for replicas, half for clients, who need no more than a third for requests.
         links = max(config.sockets // 2 - OWN_DESCRIPTORS - SPARE, 1)
         limits = LinkLimits(config.streams, links, 0.8 * config.conn_idle, config.connect_timeout)
-        reader = ListReader(config.zones, ReplicaStartTimes(), telemetry.info)
+        reader = EndpointListReader(config.zones, ReplicaStartTimes(), telemetry.info)
         # Room for every part of as many queries as there can be connections: descriptors bound it, not this.
         most = AdmissionLimits(config.sockets * (1 + config.shards), 64 << 20)
         self.core = QueryCoordinator(
             DecisionEngine(settings, config.seed),
             settings,
             most,
-            CoreLog(telemetry, config.class_names, reader.host),
+            CoreLog(telemetry, config.class_names, reader.host_name),
             lambda report: ReplicaConnections(limits, report, on_end=self._link_ended),
             ClusterPorts(self._subscribe, self._tell_peers),
             gather=settings.timer_granularity,
@@ -152,7 +152,9 @@
         # Where lists are pushed, all counts as told as soon as discovery is back: a call that hangs since before
         # must not outlast the grace.
         patience = inf if settings.membership_polled else settings.drain_grace or inf
-        self.watch = Watch(config.discovery, reader, self.core.endpoints_updated, telemetry.info, patience)
+        self.watch = DiscoveryWatch(
+            config.discovery, reader, self.core.endpoints_updated, telemetry.info, patience
+        )
         self._peers = (
             PeerSocket(
                 config.peer_listen, config.peers, config.peers_all, config.me, self.core.peer_message_received
@@ -162,7 +164,7 @@
         )
         try:
             known = reader.read(config.known, cached=True) if config.known else None
-        except ListError as error:
+        except EndpointListError as error:
             telemetry.warning("known_list_unusable", error=str(error))
             known = None
         if known:
@@ -208,7 +210,7 @@
             )
 
     def _subscribe(self) -> None:
-        self.watch.follow()
+        self.watch.request_watch()
 
     def _tell_peers(self, payload: bytes) -> None:
         if self._peers:
@@ -220,7 +222,7 @@
         if self._peers:
             self._peers.start()
         if not self._config.settings.membership_polled:
-            self.watch.follow()
+            self.watch.request_watch()
         self.core.start()
         self.front.ready = True
 
@@ -233,7 +235,7 @@
             return
         where = f"{new.discovery[0]}:{new.discovery[1]}"
         self.telemetry.info("configuration_read_again", discovery=where)
-        self.watch.move(new.discovery)
+        self.watch.change_address(new.discovery)
 
     def stop(self) -> None:
         """SIGTERM: serve on the connections there are for as long as the platform surely lets us, then end.
--- a/gingervane/vectors/service.py
+++ b/gingervane/vectors/service.py
@@ -12,7 +12,7 @@
 from gingervane.settings.daemon_settings import Config
 from gingervane.fronts.routing import ClassOf
 from gingervane.limits.concurrency_limit import Gate
-from gingervane.membership.service import MembershipService, Rings
+from gingervane.membership.service import MembershipService, RingSizes
 from gingervane.vectors.front import VectorFront, VectorSetting
 from gingervane.vectors.points import Bounds as PointBounds
 from gingervane.vectors.points import Collection
@@ -70,7 +70,7 @@
             table.membership,
             config.fleet,
             None,
-            Rings(table.cells),
+            RingSizes(table.cells),
             address,
             self.ring.listed,
             lambda listed: None,
--- a/tests/stored/make_fixtures.py
+++ b/tests/stored/make_fixtures.py
@@ -32,8 +32,8 @@
 from gingervane.experiments.store import Run, RunStore
 from gingervane.experiments.vector_day import fixed_points
 from gingervane.membership.snapshot import Snapshot
-from gingervane.membership.reconciliation import MassRemovalGuard, Reconciliation, Report
-from gingervane.membership.view import Member, View
+from gingervane.membership.reconciliation import MassRemovalGuard, Reconciliation, SourceReport
+from gingervane.membership.view import Member, EndpointView
 from gingervane.fake_servers import data
 from gingervane.vectors.points import shard_of
 from gingervane.wire import snappy
@@ -59,12 +59,12 @@
 
 def snapshots(folder: Path) -> None:
     """The membership snapshot in each version that is read."""
-    merge, view = Reconciliation(("consul", "file"), MassRemovalGuard()), View()
-    merge.report(Report("consul", members(), 0.0, 7), 900.0)
-    merge.report(Report("file", members()[:2]), 904.0)
-    merge.report(Report("consul", members()[2:], 0.5, 9), 960.0)
-    view.take(members(), 900.0)
-    view.take(members()[:3], 960.0)
+    merge, view = Reconciliation(("consul", "file"), MassRemovalGuard()), EndpointView()
+    merge.apply_report(SourceReport("consul", members(), 0.0, 7), 900.0)
+    merge.apply_report(SourceReport("file", members()[:2]), 904.0)
+    merge.apply_report(SourceReport("consul", members()[2:], 0.5, 9), 960.0)
+    view.apply_full_list(members(), 900.0)
+    view.apply_full_list(members()[:3], 960.0)
     folder.mkdir()
     path = folder / "snapshot-v3"
     with (
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -296,7 +296,7 @@
 
 def test_the_end_comes_while_discovery_moves_to_an_address_that_says_nothing(platform: Platform) -> None:
     with socket.create_server(("127.0.0.1", 0)) as mute:
-        platform.node.watch.move(mute.getsockname()[:2])
+        platform.node.watch.change_address(mute.getsockname()[:2])
         sock, _ = mute.accept()  # its call has come and is never answered
         in_background(platform.node.end).join(PATIENCE)
         assert sock.recv(4096).startswith(b"GET") and sock.recv(1) == b"", "the call ends with the process"
--- a/tests/test_consul.py
+++ b/tests/test_consul.py
@@ -14,12 +14,12 @@
 from gingervane import interface as api
 from gingervane.coordinator.types import EndpointsUpdated
 from gingervane.experiments.embedded import ZONES, Embedded
-from gingervane.membership.consul import Pause
+from gingervane.membership.consul import Backoff
 from gingervane.membership.snapshot import Snapshot
 from gingervane.membership.reconciliation import MassRemovalGuard
 from gingervane.membership.source_owner import EndpointSources
-from gingervane.membership.consul_watcher import ConsulPlace, ConsulWatcher
-from gingervane.membership.consul_watcher import watch as watchers_of
+from gingervane.membership.consul_watcher import ConsulService, ConsulWatcher
+from gingervane.membership.consul_watcher import create_watchers as watchers_of
 from gingervane.fake_servers.consul import Agent, Catalogue
 from test_hard_cases import ask, told_away
 
@@ -48,9 +48,15 @@
 
     def make(self) -> tuple[EndpointSources, list[ConsulWatcher]]:
         """As in a co-ordinator, with all times shorter."""
-        pause = Pause(0.01, 0.05, 0.3, 0.5)
-        place = ConsulPlace(tuple(a.address for a in self.agents), "grid", pause=pause)
-        fence = MassRemovalGuard(hold=0.5, evidence=0.3, settle=0.05, reset=0.6, reset_sure=0.1)
+        pause = Backoff(0.01, 0.05, 0.3, 0.5)
+        place = ConsulService(tuple(a.address for a in self.agents), "grid", backoff=pause)
+        fence = MassRemovalGuard(
+            hold_time=0.5,
+            response_window=0.3,
+            readmission_delay=0.05,
+            index_reset_delay=0.6,
+            consistent_index_reset_delay=0.1,
+        )
         sources = EndpointSources(
             ("consul",), fence, self.told.append, self.said.append, Snapshot(self.kept, 0.0, 1, 8)
         )
@@ -172,7 +178,7 @@
     began = time.monotonic()
     while time.monotonic() < began + 1.2:  # past the hold; traffic goes on and speaks for the servers
         for number in range(6):
-            watch.sources.answered(number)
+            watch.sources.record_response(number)
         time.sleep(0.02)
     assert set(watch.states()) == set(range(6)) and set(watch.states().values()) == {READY}
     assert watch.calls - calls < 120, "no busy loop"
@@ -199,15 +205,15 @@
     watch.catalogue.restore()
     watch.register(2, drain="1")
     eventually(lambda: watch.states()[2] is DRAINING)
-    eventually(lambda: sum(watcher.asking.resets for watcher in watch.watchers) >= 1)
+    eventually(lambda: sum(watcher.query_state.index_resets for watcher in watch.watchers) >= 1)
     watch.register(2)
     eventually(lambda: watch.states()[2] is READY)
-    assert watch.sources._merge.resets == 1, "the lower index is what there is now"
+    assert watch.sources._reconciliation.index_resets == 1, "the lower index is what there is now"
 
 
 def test_the_whole_service_taken_out_by_mistake(watch: Watch) -> None:
     for number in range(6):
-        watch.sources.answered(number)
+        watch.sources.record_response(number)
     with watch.catalogue.changed:
         for number in range(6):
             watch.catalogue.deregister(f"n{number}")
@@ -287,12 +293,12 @@
         agent.health.service("grid")
     token = tmp_path / "token"
     token.write_text("wrong\n")
-    place = ConsulPlace(
+    place = ConsulService(
         (watch.agents[0].address,),
         "grid",
         token_file=token,
         filter_by='Service.Meta.cell == "3"',
-        pause=Pause(0.01, 0.05, 0.1, 0.5),
+        backoff=Backoff(0.01, 0.05, 0.1, 0.5),
     )
     seen: list[int] = []
     (watcher,) = watchers_of(
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -18,7 +18,7 @@
 from gingervane import interface as api
 from gingervane.coordinator import types as t
 from gingervane.node import discovery
-from gingervane.node.discovery import ListReader, Watch, WatchState
+from gingervane.node.discovery import EndpointListReader, DiscoveryWatch, WatchState
 from gingervane.coordinator.replica_start_times import ReplicaStartTimes
 from platform_standins import (
     HEAD,
@@ -56,10 +56,10 @@
     def __init__(self, answered_within: float = PATIENCE) -> None:
         self.told, self.log = Waiter(), Recorded()
         self.here, self.there = Calls(), Calls()
-        reader = ListReader(("a",), ReplicaStartTimes(), self.log)
-        self.watch = Watch(self.here.where, reader, self.told.put, self.log, answered_within)
+        reader = EndpointListReader(("a",), ReplicaStartTimes(), self.log)
+        self.watch = DiscoveryWatch(self.here.where, reader, self.told.put, self.log, answered_within)
         self.watch.start()
-        self.watch.follow()
+        self.watch.request_watch()
 
     def states(self) -> list[str]:
         """What has been told, oldest first: 'failed', or the state of the one replica."""
@@ -81,7 +81,9 @@
 
 @pytest.fixture
 def watched(monkeypatch: pytest.MonkeyPatch) -> Iterator[Watched]:
-    monkeypatch.setattr(discovery, "SILENCE", 0.3)  # so that a test need not wait for the protocol's 3 s
+    monkeypatch.setattr(
+        discovery, "SILENCE_TIMEOUT", 0.3
+    )  # so that a test need not wait for the protocol's 3 s
     made = Watched()
     yield made
     made.close()
@@ -115,7 +117,7 @@
     without a line put the end off for ever."""
     STAGES[stage](watched.here.sock(1))
     watched.told.wait()
-    watched.watch.follow()
+    watched.watch.request_watch()
     watched.here.sock(2).sendall(HEAD + chunk(line(2, entry("DRAINING"))))
     watched.told.wait(2)
     assert watched.states() == ["failed", "DRAINING"]
@@ -126,7 +128,7 @@
     watched = Watched(0.2)
     watched.here.sock(1)
     watched.told.wait()
-    watched.watch.follow()
+    watched.watch.request_watch()
     second = watched.here.sock(2)
     second.sendall(HEAD + chunk(line(1, entry())))
     watched.told.wait(2)
@@ -147,7 +149,7 @@
 ) -> None:
     rules = SETTINGS["Rules"] | ({} if grace is None else {"StopSendingWithinS": grace})
     platform = Platform(tmp_path, settings=SETTINGS | {"MembershipMode": mode, "Rules": rules})
-    assert platform.node.watch._answered_within == (0.4 if mode == "push" and grace else inf)
+    assert platform.node.watch._answer_timeout == (0.4 if mode == "push" and grace else inf)
     platform.close()
 
 
@@ -157,7 +159,7 @@
     monkeypatch: pytest.MonkeyPatch,
     mode: str,
 ) -> None:
-    monkeypatch.setattr(discovery, "SILENCE", 0.3)
+    monkeypatch.setattr(discovery, "SILENCE_TIMEOUT", 0.3)
     calls, drains, stays = Calls(), Replica(0), Replica(0)
     settings = SETTINGS | {"MembershipMode": mode}
     platform = Platform(tmp_path, drains, stays, settings=settings, where=calls.where)
@@ -206,7 +208,7 @@
     assert watched.states() == ["READY", "DRAINING", "DRAINING"]
     first.close()
     watched.told.wait(4)
-    watched.watch.follow()
+    watched.watch.request_watch()
     assert "since=8" in watched.here.calls.wait(2)[1][1]
     watched.here.sock(2).sendall(HEAD + chunk(line(2, entry())))  # it counts anew, asked what came after 8
     watched.told.wait(5)
@@ -219,7 +221,7 @@
     watched.told.wait()
     watched.here.sock(1).close()
     watched.told.wait(2)
-    watched.watch.follow()
+    watched.watch.request_watch()
     second = watched.here.sock(2)
     second.sendall(HEAD + chunk(line(5, whole=False)))
     watched.told.wait(3)
@@ -234,7 +236,7 @@
     watched.told.wait()
     watched.here.sock(1).close()
     watched.told.wait(2)  # the module's pause runs, and nobody ends it
-    watched.watch.move(watched.there.where)
+    watched.watch.change_address(watched.there.where)
     assert watched.there.calls.wait()[0][1] == "/v1/endpoints?follow=1&since=0"
     watched.there.sock(1).sendall(HEAD + chunk(line(1, entry("DRAINING"))))
     watched.told.wait(3)
@@ -245,11 +247,11 @@
     """Each failure told is one more call to come: those of a move and of the pause before it would add up."""
     watched.here.sock(1).close()
     watched.told.wait()
-    watched.watch.move(watched.there.where)
+    watched.watch.change_address(watched.there.where)
     watched.there.sock(1).sendall(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
     watched.log.wait(2, lambda item: item[0] == "watch_state" and item[1]["new"] is WatchState.IDLE)
     assert watched.states() == ["failed"]
-    watched.watch.follow()  # as the first pause ends
+    watched.watch.request_watch()  # as the first pause ends
     watched.there.sock(2).sendall(HEAD + chunk(line(1, entry())))
     watched.told.wait(2)
     assert watched.states() == ["failed", "READY"]
@@ -259,19 +261,19 @@
     """Its end would be followed by a call at once, of all co-ordinators in the same moment."""
     watched.here.sock(1).sendall(HEAD + chunk(line(1, entry())))
     watched.told.wait()
-    watched.watch.follow()
+    watched.watch.request_watch()
     watched.here.sock(1).close()
     watched.told.wait(2)
-    assert not watched.watch._wanted and len(watched.here.calls.items) == 1
-    watched.watch.follow()
+    assert not watched.watch._requested and len(watched.here.calls.items) == 1
+    watched.watch.request_watch()
     watched.here.calls.wait(2)
 
 
 def test_two_moves_in_a_row_end_at_the_last_address(watched: Watched) -> None:
     watched.here.sock(1).sendall(HEAD + chunk(line(9, entry())))
     watched.told.wait()
-    watched.watch.move(watched.there.where)
-    watched.watch.move(watched.here.where)
+    watched.watch.change_address(watched.there.where)
+    watched.watch.change_address(watched.here.where)
     watched.here.sock(2).sendall(HEAD + chunk(line(3, entry("DRAINING"))))
     watched.told.wait(2)
     assert watched.states() == ["READY", "DRAINING"]
@@ -281,18 +283,18 @@
 def test_a_move_in_the_moment_of_connecting_does_not_wait_for_the_old_address(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    awaited, waits, go = Watch._await, threading.Event(), threading.Event()
+    awaited, waits, go = DiscoveryWatch._await_connection, threading.Event(), threading.Event()
 
-    def held(self: Watch, *args: Any) -> None:
+    def held(self: DiscoveryWatch, *args: Any) -> None:
         if not waits.is_set():
             waits.set()
             go.wait(PATIENCE)
         awaited(self, *args)
 
-    monkeypatch.setattr(Watch, "_await", held)
+    monkeypatch.setattr(DiscoveryWatch, "_await_connection", held)
     watched = Watched()
     assert waits.wait(PATIENCE)
-    watched.watch.move(watched.there.where)
+    watched.watch.change_address(watched.there.where)
     go.set()
     watched.there.sock(1).sendall(HEAD + chunk(line(1, entry())))
     watched.told.wait()
@@ -304,18 +306,18 @@
     watched: Watched,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    read, reads, go = ListReader.read, threading.Event(), threading.Event()
+    read, reads, go = EndpointListReader.read, threading.Event(), threading.Event()
 
-    def held(self: ListReader, *args: Any, **kwargs: Any) -> t.EndpointsUpdated | None:
+    def held(self: EndpointListReader, *args: Any, **kwargs: Any) -> t.EndpointsUpdated | None:
         if not reads.is_set():
             reads.set()
             go.wait(PATIENCE)
         return read(self, *args, **kwargs)
 
-    monkeypatch.setattr(ListReader, "read", held)
+    monkeypatch.setattr(EndpointListReader, "read", held)
     watched.here.sock(1).sendall(HEAD + chunk(line(50, entry())))
     assert reads.wait(PATIENCE)
-    watched.watch.move(watched.there.where)
+    watched.watch.change_address(watched.there.where)
     go.set()
     watched.there.sock(1).sendall(HEAD + chunk(line(2, entry("DRAINING"))))
     watched.there.sock(1).sendall(chunk(line(3, entry("DELETED"), whole=False)))
@@ -339,10 +341,10 @@
     monkeypatch.setattr(discovery, "socket", NoneLeft())
     first.close()
     watched.told.wait()
-    watched.watch.follow()
+    watched.watch.request_watch()
     watched.told.wait(2)
     monkeypatch.undo()
-    watched.watch.follow()
+    watched.watch.request_watch()
     watched.here.sock(2).sendall(HEAD + chunk(line(1, entry())))
     watched.told.wait(3)
     assert watched.states() == ["failed", "failed", "READY"]
--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -19,25 +19,25 @@
 from gingervane import interface as api
 from gingervane.coordinator.types import EndpointsUpdated
 from gingervane.membership.snapshot import Snapshot
-from gingervane.membership.endpoint_file import ListError
-from gingervane.membership.reconciliation import MassRemovalGuard, Reconciliation, Report
+from gingervane.membership.endpoint_file import EndpointFileError
+from gingervane.membership.reconciliation import MassRemovalGuard, Reconciliation, SourceReport
 from gingervane.membership.source_owner import EndpointSources
 from gingervane.membership.atomic_file import (
-    CHUNK,
+    WRITE_CHUNK_BYTES,
     Disk,
-    NewerVersion,
-    Pace,
+    NewerVersionError,
+    WriteSchedule,
     AtomicFile,
     StoreError,
     frame,
     parse,
 )
-from gingervane.membership.view import Member, View
+from gingervane.membership.view import Member, EndpointView
 from test_consul import eventually
 from test_membership import member
 
-OLD, NEW = b"old" * 5, random.Random(3).randbytes(3 * CHUNK + 99)
-OPS = ("create", "write", "write", "write", "write", "force", "close", "rename", "force_folder")
+OLD, NEW = b"old" * 5, random.Random(3).randbytes(3 * WRITE_CHUNK_BYTES + 99)
+OPS = ("create", "write", "write", "write", "write", "fsync", "close", "rename", "fsync_directory")
 
 
 class Counting(Disk):
@@ -58,9 +58,9 @@
         self._next("write", data)
         return super().write(file, data)
 
-    def force(self, file: int) -> None:
-        self._next("force")
-        super().force(file)
+    def fsync(self, file: int) -> None:
+        self._next("fsync")
+        super().fsync(file)
 
     def close(self, file: int) -> None:
         self._next("close")
@@ -70,9 +70,9 @@
         self._next("rename")
         super().rename(old, new)
 
-    def force_folder(self, path: Path) -> None:
-        self._next("force_folder")
-        super().force_folder(path)
+    def fsync_directory(self, path: Path) -> None:
+        self._next("fsync_directory")
+        super().fsync_directory(path)
 
 
 def in_child(work: Callable[[], None]) -> int:
@@ -153,7 +153,7 @@
         self.check()
         return len(data)
 
-    def force(self, file: int) -> None:
+    def fsync(self, file: int) -> None:
         self.disk.inodes[file] = (self.disk.inodes[file][1],) * 2
         self.check()
 
@@ -166,7 +166,7 @@
         self.disk.changes.append(names)
         self.check()
 
-    def force_folder(self, path: Path) -> None:
+    def fsync_directory(self, path: Path) -> None:
         self.disk.forced, self.disk.changes = self.disk.names, []
         self.check()
 
@@ -186,7 +186,7 @@
     assert checks[0] > 8 and {parse(c, path, 3)[1] for c in disk.outcomes(path)} == {NEW}
 
     class Hasty(Power):
-        def force(self, file: int) -> None:
+        def fsync(self, file: int) -> None:
             pass
 
     bad = AtomicFile(path, 3, Hasty(Unplugged(path, frame(OLD, 3)), check))
@@ -212,7 +212,7 @@
     with pytest.raises(OSError, match=r"\[Errno"):
         store.save(NEW)
     after = store.load()
-    assert after == (3, NEW if OPS[op] == "force_folder" else OLD)
+    assert after == (3, NEW if OPS[op] == "fsync_directory" else OLD)
     broken[0] = False
     store.save(NEW)
     assert store.load() == (3, NEW)
@@ -227,7 +227,7 @@
 
     def fill() -> None:
         signal.signal(signal.SIGXFSZ, signal.SIG_IGN)
-        resource.setrlimit(resource.RLIMIT_FSIZE, (CHUNK + 5, CHUNK + 5))
+        resource.setrlimit(resource.RLIMIT_FSIZE, (WRITE_CHUNK_BYTES + 5, WRITE_CHUNK_BYTES + 5))
         inner = AtomicFile(path, 3)
         try:
             inner.save(NEW)
@@ -246,7 +246,7 @@
     with pytest.raises(StoreError, match="kept by another process"):
         AtomicFile(path, 3)
     assert store.load() is None
-    monkeypatch.setattr("gingervane.membership.atomic_file.MOST_BYTES", 100)
+    monkeypatch.setattr("gingervane.membership.atomic_file.MAX_BYTES", 100)
     with pytest.raises(StoreError, match="over the bound"):
         store.save(NEW)
     path.write_bytes(NEW)
@@ -258,30 +258,44 @@
 
 
 def members() -> tuple[Member, ...]:
-    return (member(1), member(2)._replace(started_at=5.5, created=9), member(3, api.ReplicaState.DRAINING))
+    return (
+        member(1),
+        member(2)._replace(started_at=5.5, create_index=9),
+        member(3, api.ReplicaState.DRAINING),
+    )
 
 
 def test_other_versions(tmp_path: Path) -> None:
     path = tmp_path / "kept"
     snapshot = Snapshot(path, 0.0, 1, 1)
     merge = Reconciliation(("consul",), MassRemovalGuard())
-    merge.report(Report("consul", members(), 0.0, 7), 50.0)
-    snapshot.save(members(), merge.dump(51.0), View().dump(0.0))
+    merge.apply_report(SourceReport("consul", members(), 0.0, 7), 50.0)
+    snapshot.save(members(), merge.dump(51.0), EndpointView().dump(0.0))
     kept = snapshot.load()
-    assert kept and kept.members == members() and kept.merge and kept.merge["index"] == {"consul": 7}
+    assert (
+        kept
+        and kept.members == members()
+        and kept.reconciliation
+        and kept.reconciliation["index"] == {"consul": 7}
+    )
     rows = [[1, "n1", "h", 1, 0, 0, "ready", None], [2, "n2", "h", 1, 0, 0, "gone", 5.5]]
     for version, content in ((1, rows), (2, [rows, None])):  # as earlier programs wrote them
         crc = zlib.crc32(json.dumps(content, separators=(",", ":")).encode())
         head = {"version": version, "at": time.time(), "crc": crc}
         path.write_text(json.dumps(head | {"rows": rows, "merge": None}))
         old = snapshot.load()
-        assert old and old.members[0] == member(1) and old.members[1].started_at == 5.5 and old.merge is None
+        assert (
+            old
+            and old.members[0] == member(1)
+            and old.members[1].started_at == 5.5
+            and old.reconciliation is None
+        )
         path.write_text(path.read_text().replace("gone", "ready"))
         with pytest.raises(StoreError, match="checksum"):
             snapshot.load()
     later = frame(b"what a later program wrote", 4)
     path.write_bytes(later)
-    with pytest.raises(NewerVersion, match="version 4, this program reads up to 3"):
+    with pytest.raises(NewerVersionError, match="version 4, this program reads up to 3"):
         snapshot.load()
     snapshot.save(members())
     assert (tmp_path / "kept.v4").read_bytes() == later, "set aside, not lost"
@@ -298,13 +312,13 @@
 
 
 def test_writing_is_paced() -> None:
-    pace, now, writes = Pace(1.0, 8.0), 0.0, list[float]()
-    assert not pace.ready(0.0) and pace.next() == float("inf")
+    pace, now, writes = WriteSchedule(1.0, 8.0), 0.0, list[float]()
+    assert not pace.is_due(0.0) and pace.next_attempt_at() == float("inf")
     while now < 40.0:
-        pace.changed()
-        if pace.ready(now):
+        pace.mark_changed()
+        if pace.is_due(now):
             writes.append(now)
-            pace.wrote(now, good=now < 10.0)
+            pace.record_result(now, good=now < 10.0)
         now += 0.125
     assert writes == [*range(11), 12, 16, 24, 32], "once a second; failures ever more seldom, and still due"
 
@@ -329,9 +343,9 @@
     told, free = list[EndpointsUpdated](), threading.Event()
 
     class Slow(Disk):
-        def force(self, file: int) -> None:
+        def fsync(self, file: int) -> None:
             free.wait(60.0)
-            super().force(file)
+            super().fsync(file)
 
     snapshot = Snapshot(tmp_path / "kept", 0.0, 1, 1, Slow())
     sources = EndpointSources(("consul",), MassRemovalGuard(), told.append, lambda what: None, snapshot)
@@ -373,7 +387,7 @@
             second.stop()
         Path(kept).unlink()
         first.list_file.unlink()
-        with pytest.raises(ListError, match="No such file"):
+        with pytest.raises(EndpointFileError, match="No such file"):
             App(first.config).start()
     finally:
         first.close()
--- a/tests/test_json_values.py
+++ b/tests/test_json_values.py
@@ -13,7 +13,7 @@
 from gingervane.coordinator import types as t
 from gingervane.node import discovery
 from gingervane.node.config import parse_address
-from gingervane.node.discovery import ListReader, Watch
+from gingervane.node.discovery import EndpointListReader, DiscoveryWatch
 from gingervane.coordinator.replica_start_times import ReplicaStartTimes
 from gingervane.wire.json_values import Found, JsonValues, TooLong
 from platform_standins import Discovery, Recorded, Waiter
@@ -50,13 +50,13 @@
 
     def __init__(self, where: str) -> None:
         self.found, self.log = Waiter(), Recorded()
-        reader = ListReader(("a",), ReplicaStartTimes(), self.log)
-        self.watch = Watch(parse_address(where, "discovery"), reader, self.found.put, self.log)
+        reader = EndpointListReader(("a",), ReplicaStartTimes(), self.log)
+        self.watch = DiscoveryWatch(parse_address(where, "discovery"), reader, self.found.put, self.log)
         self.watch.start()
-        self.watch.follow()
+        self.watch.request_watch()
 
     def move(self, where: str) -> None:
-        self.watch.move(parse_address(where, "discovery"))
+        self.watch.change_address(parse_address(where, "discovery"))
 
 
 def cut(data: bytes, sizes: list[int]) -> list[bytes]:
@@ -152,7 +152,7 @@
 
 def test_a_move_does_not_wait_for_a_silent_address(monkeypatch: pytest.MonkeyPatch) -> None:
     """A change counts as told 4 s after SIGHUP, and connecting to the old address could take 3 of them."""
-    monkeypatch.setattr(discovery, "SILENCE", 3600.0)
+    monkeypatch.setattr(discovery, "SILENCE_TIMEOUT", 3600.0)
     full = socket.create_server(("127.0.0.1", 0), backlog=0)
     held = list[socket.socket]()
     for _ in range(8):  # until its queue is full: what comes then is not answered
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -13,8 +13,17 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from gingervane import interface as api
-from gingervane.membership.consul import Asking, ConsulError, Mode, Names, Pause, Reader, path, shares
-from gingervane.membership.reconciliation import MassRemovalGuard, Reconciliation, Report
+from gingervane.membership.consul import (
+    BlockingQueryState,
+    ConsulError,
+    ConsistencyMode,
+    EntryFieldNames,
+    Backoff,
+    EntryReader,
+    health_query_path,
+    assign_agents,
+)
+from gingervane.membership.reconciliation import MassRemovalGuard, Reconciliation, SourceReport
 from gingervane.membership.registration import Registration, RegistrationCall
 from gingervane.membership.view import Member
 
@@ -44,8 +53,10 @@
         age=st.sampled_from([0.0, 0.0, 0.0, 3.0, 100.0]),
     )
     def report(self, source: str, told: dict[int, api.ReplicaState], age: float) -> None:
-        held, newest = self.now - age, self.merge._sources[source].last
-        self.merge.report(Report(source, tuple(member(n, s) for n, s in told.items()), age), self.now)
+        held, newest = self.now - age, self.merge._sources[source].latest_valid_from
+        self.merge.apply_report(
+            SourceReport(source, tuple(member(n, s) for n, s in told.items()), age), self.now
+        )
         self.named |= set(told)
         for number, state in told.items():
             if state is not READY:
@@ -58,7 +69,7 @@
 
     @rule(number=st.integers(0, 6))
     def answers(self, number: int) -> None:
-        self.merge.answered(number, self.now)
+        self.merge.record_response(number, self.now)
 
     @rule(elapsed=st.sampled_from([0.0, 2.0, 50.0]))
     def restart(self, elapsed: float) -> None:
@@ -86,8 +97,8 @@
         """After any run of faults: two good lists, and in bounded time the view is what they say."""
         for _ in range(2):
             for source in SOURCES:
-                self.merge.report(Report(source, tuple(member(n) for n in range(4))), self.now)
-            self.now += FENCE.hold_most + FENCE.settle_most
+                self.merge.apply_report(SourceReport(source, tuple(member(n) for n in range(4))), self.now)
+            self.now += FENCE.max_hold_time + FENCE.max_readmission_delay
         view = self.merge.view(self.now)
         assert {n: k.member.state for n, k in view.servers.items()} == dict.fromkeys(range(4), READY)
 
@@ -102,16 +113,16 @@
 
 def test_an_old_drain_counts_for_what_is_no_longer_named() -> None:
     merge = Reconciliation(SOURCES, FENCE)
-    merge.report(Report("file", (member(0), member(1))), 0.0)
-    merge.report(Report("consul", (member(1, DRAINING),)), 1.0)
-    merge.report(Report("consul", ()), 2.0)
-    merge.report(Report("consul", (member(1, DRAINING),), age=5.0), 3.0)
+    merge.apply_report(SourceReport("file", (member(0), member(1))), 0.0)
+    merge.apply_report(SourceReport("consul", (member(1, DRAINING),)), 1.0)
+    merge.apply_report(SourceReport("consul", ()), 2.0)
+    merge.apply_report(SourceReport("consul", (member(1, DRAINING),), age=5.0), 3.0)
     assert ready(merge, 3.0) == {0}
 
 
 def test_a_torn_state_is_not_taken_up() -> None:
     merge = Reconciliation(SOURCES, FENCE)
-    merge.report(Report("file", (member(0),)), 5.0)
+    merge.apply_report(SourceReport("file", (member(0),)), 5.0)
     kept = merge.dump(6.0)
     for bad in ({}, {**kept, "servers": {"x": {}}}, {**kept, "last": None}):
         with pytest.raises(ValueError, match="no state"):
@@ -123,24 +134,26 @@
 
 def test_the_fence_holds_against_an_emptied_list_and_no_longer() -> None:
     merge = Reconciliation(("consul",), FENCE)
-    merge.report(Report("consul", tuple(member(n) for n in range(10))), 0.0)
-    merge.report(Report("consul", tuple(member(n) for n in range(9))), 1.0)
+    merge.apply_report(SourceReport("consul", tuple(member(n) for n in range(10))), 0.0)
+    merge.apply_report(SourceReport("consul", tuple(member(n) for n in range(9))), 1.0)
     assert ready(merge, 1.0) == set(range(9)), "one gone is gone"
-    merge.report(Report("consul", tuple(member(n, DRAINING if n == 3 else READY) for n in range(9))), 2.0)
-    merge.report(Report("consul", ()), 3.0)
+    merge.apply_report(
+        SourceReport("consul", tuple(member(n, DRAINING if n == 3 else READY) for n in range(9))), 2.0
+    )
+    merge.apply_report(SourceReport("consul", ()), 3.0)
     assert ready(merge, 3.0) == set(range(9)) - {3}, "what drained is not held"
-    merge.answered(5, 12.0)
+    merge.record_response(5, 12.0)
     assert ready(merge, 14.0) == {5}, "held on by its own answers"
     assert merge.next_due(14.0) == 17.0 and ready(merge, 17.1) == set()
-    merge.answered(5, 302.0)
+    merge.record_response(5, 302.0)
     assert ready(merge, 303.5) == set(), "but not for ever"
 
 
 def test_flapping_earns_no_trust() -> None:
     merge, now, waits = Reconciliation(("consul",), FENCE), 0.0, []
     for _ in range(7):
-        merge.report(Report("consul", (member(1, GONE), member(2))), now)
-        merge.report(Report("consul", (member(1), member(2))), now + 0.5)
+        merge.apply_report(SourceReport("consul", (member(1, GONE), member(2))), now)
+        merge.apply_report(SourceReport("consul", (member(1), member(2))), now + 0.5)
         start = now = now + 0.5
         while 1 not in ready(merge, now):
             now += 0.25
@@ -159,7 +172,7 @@
 
 
 def test_entries_are_read_or_named() -> None:
-    reader = Reader(Names(), ("x",), 2, 0.0)
+    reader = EntryReader(EntryFieldNames(), ("x",), 2, 0.0)
 
     def read(*entries: object) -> tuple[tuple[Member, ...], list[str]]:
         return reader.read(list(entries))
@@ -180,81 +193,84 @@
     for whole in wholes:
         with pytest.raises(ConsulError):
             reader.read(whole)
-    assert path("a/b", 5, 30.0, Mode.STALE) == "/v1/health/service/a%2Fb?index=5&wait=30000ms&stale"
-    assert path("a", 0, 30.0, Mode.CONSISTENT) == "/v1/health/service/a?consistent"
+    assert (
+        health_query_path("a/b", 5, 30.0, ConsistencyMode.STALE)
+        == "/v1/health/service/a%2Fb?index=5&wait=30000ms&stale"
+    )
+    assert health_query_path("a", 0, 30.0, ConsistencyMode.CONSISTENT) == "/v1/health/service/a?consistent"
 
 
 def test_indexes_and_pauses() -> None:
-    pause = Pause(least=0.1, first=0.5, most=8.0, wait=30.0)
-    asking = Asking(2, pause, random.Random(1))
-    asking.asks(0.0)
-    assert asking.good(7, True, 20.0) == 0.0 and asking.index == 7
-    asking.asks(20.0)
-    assert asking.good(3, True, 20.0) >= 0.1 and asking.index == 0 and asking.resets == 1
-    asking.asks(21.0)
-    asking.good(0, True, 21.0)
+    pause = Backoff(min_interval=0.1, initial_delay=0.5, max_delay=8.0, blocking_wait=30.0)
+    asking = BlockingQueryState(2, pause, random.Random(1))
+    asking.record_request(0.0)
+    assert asking.record_success(7, True, 20.0) == 0.0 and asking.index == 7
+    asking.record_request(20.0)
+    assert asking.record_success(3, True, 20.0) >= 0.1 and asking.index == 0 and asking.index_resets == 1
+    asking.record_request(21.0)
+    asking.record_success(0, True, 21.0)
     assert asking.index == 1, "0 would not block"
     waits = []
     for _ in range(10):  # answers at once that move nothing
-        asking.asks(30.0)
-        waits.append(asking.good(1, True, 30.0))
+        asking.record_request(30.0)
+        waits.append(asking.record_success(1, True, 30.0))
     assert waits[-1] >= 4.0 and all(0.1 <= w <= 12.0 for w in waits)
     first = asking.agent
-    failures = [asking.failed(40.0) for _ in range(8)]
+    failures = [asking.record_failure(40.0) for _ in range(8)]
     assert asking.agent == first and failures[-1] >= 4.0 and max(failures) <= 12.0
 
 
 def test_what_is_hard_to_believe_is_asked_of_the_leader() -> None:
-    asking = Asking(2, Pause(), random.Random(1))
-    asking.good(7, True, 0.0, named=10)
-    assert asking.blocks and not asking.sure
-    asking.good(8, True, 1.0, named=4)
-    assert asking.sure and not asking.blocks, "much went at once"
-    asking.good(8, True, 2.0, named=4)
-    assert not asking.sure and asking.blocks and asking.index == 8, "the leader says so too"
-    asking.good(5, True, 3.0, named=4)
-    assert asking.sure and asking.resets == 1
-    asking.failed(4.0)
-    assert not asking.sure and asking.index == 0, "another agent, from what it has now"
-    asking.good(5, True, 5.0, named=4)
-    assert not asking.sure and asking.index == 5, "not asked over and over"
+    asking = BlockingQueryState(2, Backoff(), random.Random(1))
+    asking.record_success(7, True, 0.0, named=10)
+    assert asking.is_blocking and not asking.consistent
+    asking.record_success(8, True, 1.0, named=4)
+    assert asking.consistent and not asking.is_blocking, "much went at once"
+    asking.record_success(8, True, 2.0, named=4)
+    assert not asking.consistent and asking.is_blocking and asking.index == 8, "the leader says so too"
+    asking.record_success(5, True, 3.0, named=4)
+    assert asking.consistent and asking.index_resets == 1
+    asking.record_failure(4.0)
+    assert not asking.consistent and asking.index == 0, "another agent, from what it has now"
+    asking.record_success(5, True, 5.0, named=4)
+    assert not asking.consistent and asking.index == 5, "not asked over and over"
 
 
 def test_agents_are_dealt_out() -> None:
     rng = random.Random(4)
-    assert shares(1, 2, rng) == [[0]]
+    assert assign_agents(1, 2, rng) == [[0]]
     for count in (2, 3, 7):
-        dealt = shares(count, 2, rng)
+        dealt = assign_agents(count, 2, rng)
         assert len(dealt) == 2 and sorted(dealt[0] + dealt[1]) == list(range(count))
-    assert len({tuple(shares(3, 2, rng)[0]) for _ in range(40)}) > 3, "not the same ones everywhere"
+    assert len({tuple(assign_agents(3, 2, rng)[0]) for _ in range(40)}) > 3, "not the same ones everywhere"
 
 
 def test_calls_of_a_herd_stay_bounded() -> None:
     """54 co-ordinators of two watchers each lose a catalogue that refuses, and regain it, all at once; and a
     list that changes all the time. Counted over every second, on a clock of the test's own."""
-    pause, count = Pause(), 54 * 2
-    herd = [Asking(1, pause, random.Random(seed)) for seed in range(count)]
+    pause, count = Backoff(), 54 * 2
+    herd = [BlockingQueryState(1, pause, random.Random(seed)) for seed in range(count)]
     calls: list[float] = []
     due = [(0.0, number) for number in range(count)]
     while due[0][0] < 200.0:
         now, number = heapq.heappop(due)
         asking = herd[number]
         calls.append(now)
-        asking.asks(now)
+        asking.record_request(now)
         if 30.0 <= now < 90.0:
-            wait = asking.failed(now)
+            wait = asking.record_failure(now)
         elif now < 150.0:  # well, and quiet: answers come when the wait ends, or with the loss
             index = 7 if now < 30.0 else 9
-            wait = asking.good(index, True, now) if asking.index != index else 30.0 - now % 30.0
+            wait = asking.record_success(index, True, now) if asking.index != index else 30.0 - now % 30.0
         else:  # each call answered at once with something new
-            wait = asking.good(int(now * 1000), True, now)
+            wait = asking.record_success(int(now * 1000), True, now)
         heapq.heappush(due, (now + max(wait, 1e-9), number))
 
     def most(start: float, end: float) -> int:
         times = sorted(t for t in calls if start <= t < end)
         return max(bisect.bisect_left(times, a + 1.0) - i for i, a in enumerate(times))
 
-    bound = count * (1 / pause.least + 1)
+    bound = count * (1 / pause.min_interval + 1)
     assert most(0.0, 200.0) <= bound
     assert most(30.0, 34.0) <= 4 * count, "a loss: few calls each before the pauses grow"
     assert most(50.0, 90.0) <= count / 2, "an outage that lasts"
@@ -263,7 +279,7 @@
 
 
 def consul(merge: Reconciliation, now: float, order: int, *members: Member, sure: bool = False) -> None:
-    merge.report(Report("consul", members, 0.0, order, sure), now)
+    merge.apply_report(SourceReport("consul", members, 0.0, order, sure), now)
 
 
 def test_an_agent_that_lags_undoes_nothing() -> None:
@@ -275,57 +291,57 @@
     assert ready(merge, 30.0) == set(), "what is bad counts at any age; what was taken out does not come back"
     consul(merge, 31.0, 12, member(0, DRAINING), member(1))
     assert ready(merge, 31.0) == set() and ready(merge, 70.0) == {1}, "back, once listed for a while"
-    assert merge.resets == 0
+    assert merge.index_resets == 0
 
 
 def test_a_restored_catalogue_is_believed_in_time() -> None:
-    for sure, wait in ((False, FENCE.reset), (True, FENCE.reset_sure)):
+    for sure, wait in ((False, FENCE.index_reset_delay), (True, FENCE.consistent_index_reset_delay)):
         merge = Reconciliation(("consul",), FENCE)
         consul(merge, 0.0, 100, member(0, DRAINING), member(1))
         consul(merge, 1.0, 5, member(0), member(1), member(2), sure=sure)
         consul(merge, 1.5, 6, member(0), member(1), member(2), member(3))
         assert merge.next_due(1.5) == 1.0 + wait
         assert set(merge.view(0.9 + wait).servers) == {0, 1} and ready(merge, 0.9 + wait) == {1}
-        assert ready(merge, 1.1 + wait) == {0, 1, 2, 3} and merge.resets == 1
+        assert ready(merge, 1.1 + wait) == {0, 1, 2, 3} and merge.index_resets == 1
         # The higher index again: two catalogues, or an agent that lagged for long. Twice the doubt.
         consul(merge, 50.0, 101, member(0, DRAINING), member(1))
         consul(merge, 51.0, 7, member(0), member(1), sure=sure)
         assert 0 not in ready(merge, 51.0 + 1.9 * wait)
-        assert merge.resets == 1 and 51.0 + 2.0 * wait in (merge.next_due(51.0 + 1.99 * wait),)
+        assert merge.index_resets == 1 and 51.0 + 2.0 * wait in (merge.next_due(51.0 + 1.99 * wait),)
         ready(merge, 51.0 + 2.1 * wait)
-        assert merge.resets == 2
+        assert merge.index_resets == 2
 
 
 def test_entries_made_anew() -> None:
     merge = Reconciliation(("consul",), FENCE)
-    old = [member(n)._replace(created=7) for n in range(6)]
+    old = [member(n)._replace(create_index=7) for n in range(6)]
     consul(merge, 0.0, 10, *old)
-    consul(merge, 5.0, 11, old[0]._replace(created=11), *old[1:])
+    consul(merge, 5.0, 11, old[0]._replace(create_index=11), *old[1:])
     started = {n: k.member.started_at for n, k in merge.view(5.0).servers.items()}
     assert started == {0: 5.0} | dict.fromkeys(range(1, 6))
-    consul(merge, 9.0, 12, *(m._replace(created=12) for m in old))
+    consul(merge, 9.0, 12, *(m._replace(create_index=12) for m in old))
     rest = {k.member.started_at for n, k in merge.view(9.0).servers.items() if n}
     assert rest == {None}, "a catalogue that was rebuilt"
     again = Reconciliation(("consul",), FENCE)
     again.restore(json.loads(json.dumps(merge.dump(10.0))), 110.0, 10.0)
     assert again.view(110.0).servers[0].member.started_at == 95.0
     consul(again, 111.0, 11, *old)
-    assert again.next_due(111.0) == 111.0 + FENCE.reset, "its index was kept"
+    assert again.next_due(111.0) == 111.0 + FENCE.index_reset_delay, "its index was kept"
 
 
 def test_what_is_said_to_an_agent() -> None:
-    made = Registration(9.0, 2, Pause(), random.Random(1))
+    made = Registration(9.0, 2, Backoff(), random.Random(1))
     said: list[RegistrationCall | None] = [made.next]
-    assert made.said(500) > 0 and made.agent == 1
+    assert made.record_status(500) > 0 and made.agent == 1
     for status in (200, 200, 404, 200, None, 200):
-        wait = made.said(status)
+        wait = made.record_status(status)
         assert wait <= 3.0, "two updates may be lost in a TTL"
         said.append(made.next)
     assert made.agent == 0 and made.registered
-    made.leave()
+    made.drain()
     for status in (200, 200):
         said.append(made.next)
-        made.said(status)
+        made.record_status(status)
     # Forgotten: anew; and the other agent was never told.
     assert [s.value if s else None for s in (*said, made.next)] == [
         "register",
--- a/tests/test_merge_model.py
+++ b/tests/test_merge_model.py
@@ -21,13 +21,25 @@
 
 from gingervane import interface as api
 from gingervane.membership import reconciliation as merging
-from gingervane.membership.reconciliation import MassRemovalGuard, Known, Reconciliation, Report
+from gingervane.membership.reconciliation import (
+    MassRemovalGuard,
+    ReconciledServer,
+    Reconciliation,
+    SourceReport,
+)
 from gingervane.membership.view import Member
 
 READY, DRAINING = api.ReplicaState.READY, api.ReplicaState.DRAINING
 # Times are whole ticks.
 FENCE = MassRemovalGuard(
-    hold=1, hold_most=2, evidence=1, settle=1, settle_most=2, flap_span=2, reset=2, reset_sure=1
+    hold_time=1,
+    max_hold_time=2,
+    response_window=1,
+    readmission_delay=1,
+    max_readmission_delay=2,
+    flap_window=2,
+    index_reset_delay=2,
+    consistent_index_reset_delay=1,
 )
 ORDERS, SERVERS = (1, 2), (0, 1)
 
@@ -64,7 +76,7 @@
     def tick(self) -> Watch:
         return self._replace(
             since=tuple(
-                min(s + 1, int(FENCE.reset)) if d else 0
+                min(s + 1, int(FENCE.index_reset_delay)) if d else 0
                 for s, d in zip(self.since, self.drained, strict=True)
             )
         )
@@ -72,7 +84,7 @@
     def binds(self, number: int) -> bool:
         """Whether a drain of a server must still show: told, not taken back, and not so long ago that a lower
         index may be taken for a restored catalogue's."""
-        return self.drained[number] > 0 and self.since[number] < FENCE.reset
+        return self.drained[number] > 0 and self.since[number] < FENCE.index_reset_delay
 
 
 class State(NamedTuple):
@@ -89,19 +101,26 @@
         return None if at in (inf, -inf) else min(now - at, 4)
 
     source = merge._sources["s"]
-    waiting = source.waiting and (source.waiting.order, source.waiting.members)
+    waiting = source.pending and (source.pending.source_index, source.pending.members)
     servers = tuple(
         (
             n,
-            server.away,
+            server.unavailable,
             max(server.ready_from - now, 0),
-            tuple(age(at) for at in server.returns if now - at < 2),
-            min(age(server.answered) or 0, 2) if server.answered > -inf else None,
-            tuple((e.member, age(e.missing_since), e.fenced) for e in server.entries.values()),
+            tuple(age(at) for at in server.return_times if now - at < 2),
+            min(age(server.last_response_at) or 0, 2) if server.last_response_at > -inf else None,
+            tuple((e.member, age(e.missing_since), e.retained) for e in server.entries.values()),
         )
         for n, server in sorted(merge._servers.items())
     )
-    order = (source.index, waiting, age(source.since), source.sure, source.before, source.wrong)
+    order = (
+        source.index,
+        waiting,
+        age(source.pending_since),
+        source.pending_consistent,
+        source.abandoned_index,
+        source.failed_resets,
+    )
     return order, servers, state.watch
 
 
@@ -113,11 +132,11 @@
 def steps(state: State) -> Iterable[tuple[str, State]]:
     for order, members in itertools.product(ORDERS, LISTS):
         merge = copy(state.merge)
-        merge.report(Report("s", members, 0.0, order), state.now)
+        merge.apply_report(SourceReport("s", members, 0.0, order), state.now)
         merge.refresh(state.now)
         yield "report", State(merge, state.now, state.watch.report(order, members))
     merge = copy(state.merge)
-    merge.answered(0, state.now)
+    merge.record_response(0, state.now)
     yield "answered", State(merge, state.now, state.watch)
     merge = copy(state.merge)
     merge.refresh(state.now + 1)
@@ -128,13 +147,13 @@
     """After the faults: a tick, and an answer of the newest index that names all."""
     merge = copy(state.merge)
     merge.refresh(state.now + 1)
-    merge.report(Report("s", GOOD, 0.0, max(ORDERS)), state.now + 1)
+    merge.apply_report(SourceReport("s", GOOD, 0.0, max(ORDERS)), state.now + 1)
     merge.refresh(state.now + 1)
     return State(merge, state.now + 1, state.watch.tick().report(max(ORDERS), GOOD))
 
 
 def labels(state: State) -> set[str]:
-    believed = state.merge.belief(state.now).servers
+    believed = state.merge.latest_view(state.now).servers
     ready = {n for n, known in believed.items() if known.member.state is READY}
     out = set()
     if set(believed) - state.watch.named:
@@ -194,16 +213,16 @@
 class Newest(Reconciliation):
     """Takes whatever was read last for the newest."""
 
-    def _ordered(self, source: Any, report: Report, now: float) -> bool:
+    def _is_newest(self, source: Any, report: SourceReport, now: float) -> bool:
         return True
 
 
 class Stubborn(Reconciliation):
     """Lets nothing in again that was away."""
 
-    def _judge(self, number: int, now: float) -> Known | None:
-        known = super()._judge(number, now)
-        if (server := self._servers.get(number)) and server.returns:
+    def _evaluate(self, number: int, now: float) -> ReconciledServer | None:
+        known = super()._evaluate(number, now)
+        if (server := self._servers.get(number)) and server.return_times:
             server.ready_from = inf
         return known
 
@@ -211,7 +230,7 @@
 class Inventive(Reconciliation):
     """Takes servers to come in pairs."""
 
-    def _apply(self, report: Report, held_from: float, newer: bool, now: float) -> None:
+    def _apply(self, report: SourceReport, held_from: float, newer: bool, now: float) -> None:
         pairs = tuple(member(1 - m.id, m.state) for m in report.members if len(report.members) == 1)
         super()._apply(report._replace(members=report.members + pairs), held_from, newer, now)
 
@@ -222,7 +241,7 @@
 
 @pytest.fixture(autouse=True)
 def few_doublings(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(merging, "_MOST_DOUBLINGS", 1)
+    monkeypatch.setattr(merging, "MAX_RESET_DOUBLINGS", 1)
 
 
 def test_the_merge_keeps_its_promises_in_every_state() -> None:
@@ -239,5 +258,5 @@
 
 
 if __name__ == "__main__":  # deeper than a test run has time for: python tests/test_merge_model.py DEPTH
-    merging._MOST_DOUBLINGS = 1
+    merging.MAX_RESET_DOUBLINGS = 1
     print(check(make(Reconciliation), int(sys.argv[1])))
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -23,7 +23,7 @@
 from gingervane import interface as api
 from gingervane.coordinator.types import BatchRequest, EndpointsUpdated
 from gingervane.node.config import ConfigError, read
-from gingervane.node.discovery import ListReader, replica_id
+from gingervane.node.discovery import EndpointListReader, replica_id
 from gingervane.coordinator.replica_start_times import ReplicaStartTimes
 from gingervane.node.replica_connections import ReplicaConnections, SPARE
 from gingervane.wire import frames
@@ -51,13 +51,13 @@
 
 def tell(platform: Platform, *hosts: dict[str, object]) -> None:
     """Have discovery tell a change; back once it lies before whatever is asked next."""
-    told, put = threading.Event(), platform.node.watch._tell
+    told, put = threading.Event(), platform.node.watch._on_update
 
     def note(listed: EndpointsUpdated) -> None:
         put(listed)
         told.set()
 
-    platform.node.watch._tell = note
+    platform.node.watch._on_update = note
     platform.discovery.change(*hosts)
     assert told.wait(PATIENCE)
 
@@ -151,7 +151,7 @@
         "health": "DRAINING",
         "born_ms": 5000,
     }
-    reader = ListReader(("a", "b"), ReplicaStartTimes(lambda: 20.0, lambda: 120.0), said)
+    reader = EndpointListReader(("a", "b"), ReplicaStartTimes(lambda: 20.0, lambda: 120.0), said)
     hosts = [good, {"host": "s-2"}, good | {"health": "ODD"}, 7]
     listed = reader.read({"seq": 4, "whole": True, "hosts": hosts})
     assert listed and len(said.named("list_entry_skipped")) == 3
--- a/tests/test_pinned_wire.py
+++ b/tests/test_pinned_wire.py
@@ -30,9 +30,9 @@
 from gingervane.fronts.leaf_codec import Asked, RemoteReadExchange, Tile
 from gingervane.experiments.embedded import Embedded
 from gingervane.membership import consul
-from gingervane.membership.consul import Pause
-from gingervane.membership.registration import Entry, Registrar
-from gingervane.membership.consul_watcher import call
+from gingervane.membership.consul import Backoff
+from gingervane.membership.registration import ServiceEntry, Registrar
+from gingervane.membership.consul_watcher import get
 from gingervane.node.discovery import replica_id
 from gingervane.fake_servers.vectors import VectorGrid
 from gingervane.tree import coverage
@@ -997,8 +997,8 @@
 
 
 def test_what_is_registered_in_consul() -> None:
-    entry = Entry("c0", "co-ordinators", ("10.0.0.1", 8000), "hall-a", 3, 15.0, 1_764_600_000.5)
-    assert entry.body() == {
+    entry = ServiceEntry("c0", "co-ordinators", ("10.0.0.1", 8000), "hall-a", 3, 15.0, 1_764_600_000.5)
+    assert entry.registration_body() == {
         "ID": "c0",
         "Name": "co-ordinators",
         "Address": "10.0.0.1",
@@ -1025,17 +1025,17 @@
     server = HttpServer("127.0.0.1", 0, agent, ServerLimits())
     server.start()
     (tmp_path / "token").write_text("secret\n")
-    entry = Entry("c 0", "grid", ("10.0.0.1", 8000), "hall-a", 3, 0.03)
+    entry = ServiceEntry("c 0", "grid", ("10.0.0.1", 8000), "hall-a", 3, 0.03)
     rng = random.Random(1)
-    registrar = Registrar(entry, (server.address,), tmp_path / "token", Pause(), lambda what: None, rng)
+    registrar = Registrar(entry, (server.address,), tmp_path / "token", Backoff(), lambda what: None, rng)
     registrar.start()
     heard.wait(2)
-    registrar.leave()
-    registrar.gone()
+    registrar.drain()
+    registrar.deregister()
     server.stop(0.0)
     calls = [call for index, call in enumerate(heard.items) if call not in heard.items[:index]]
     assert calls == [
-        ("PUT", "/v1/agent/service/register", entry.body(), "secret"),
+        ("PUT", "/v1/agent/service/register", entry.registration_body(), "secret"),
         ("PUT", "/v1/agent/check/update/service:c%200", {"Status": "passing"}, "secret"),
         ("PUT", "/v1/agent/service/maintenance/c%200?enable=true&reason=stopping", None, "secret"),
         ("PUT", "/v1/agent/service/deregister/c%200", None, "secret"),
@@ -1043,10 +1043,12 @@
 
 
 def test_what_consul_is_asked(tmp_path: Path) -> None:
-    mode = consul.Mode
-    assert consul.path("a b", 0, 30.0, mode("stale")) == "/v1/health/service/a%20b?stale"
-    assert consul.path("grid", 7, 30.0, mode("")) == "/v1/health/service/grid?index=7&wait=30000ms"
-    assert consul.path("grid", 0, 30.0, mode("consistent"), "dc1", 'a == "b"') == (
+    mode = consul.ConsistencyMode
+    assert consul.health_query_path("a b", 0, 30.0, mode("stale")) == "/v1/health/service/a%20b?stale"
+    assert (
+        consul.health_query_path("grid", 7, 30.0, mode("")) == "/v1/health/service/grid?index=7&wait=30000ms"
+    )
+    assert consul.health_query_path("grid", 0, 30.0, mode("consistent"), "dc1", 'a == "b"') == (
         "/v1/health/service/grid?dc=dc1&filter=a+%3D%3D+%22b%22&consistent"
     )
     heard: list[list[tuple[str, str]]] = []
@@ -1059,7 +1061,7 @@
     server.start()
     (tmp_path / "token").write_text("secret\n")
     pool = Pool(Limits(), 1, 5.0)
-    call(pool, server.address, "/x", tmp_path / "token", time.monotonic() + PATIENCE)
+    get(pool, server.address, "/x", tmp_path / "token", time.monotonic() + PATIENCE)
     pool.close()
     server.stop(0.0)
     assert heard == [[("accept", "application/json"), ("x-consul-token", "secret")]]
@@ -1112,5 +1114,5 @@
     ],
 )
 def test_an_entry_of_consul_as_it_is_read(found: dict[str, Any], member: tuple[Any, ...]) -> None:
-    members, faults = consul.Reader(consul.Names(), ("a", "b"), 4, -100.0).read([found])
+    members, faults = consul.EntryReader(consul.EntryFieldNames(), ("a", "b"), 4, -100.0).read([found])
     assert plainly(members) == (member,) and not faults
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -10,8 +10,8 @@
 
 from gingervane import interface as api
 from gingervane.settings import daemon_settings
-from gingervane.membership.endpoint_file import ListError, parse
-from gingervane.membership.view import Member, View
+from gingervane.membership.endpoint_file import EndpointFileError, parse
+from gingervane.membership.view import Member, EndpointView
 
 GOOD = """
 [shards]
@@ -103,7 +103,7 @@
         + "colour = 1\n"
         + ROW.format(1, 3, "h:2", 1, "gone")
     )
-    with pytest.raises(ListError) as caught:
+    with pytest.raises(EndpointFileError) as caught:
         parse(text, ("x",), 2, 0.0)
     assert str(caught.value).splitlines() == [
         "node[1].colour: not a known key",
@@ -112,7 +112,7 @@
         "node[1].address: must be HOST:PORT",
         "node[2].id: 1 stands twice",
     ]
-    with pytest.raises(ListError, match="no server at all"):
+    with pytest.raises(EndpointFileError, match="no server at all"):
         parse("", ("x",), 2, 0.0)
 
 
@@ -123,16 +123,16 @@
 
 
 def test_what_came_back_is_cold() -> None:
-    view = View()
+    view = EndpointView()
 
     def started(now: float, *members: Member) -> dict[int, float]:
-        listed = view.take(members, now)
+        listed = view.apply_full_list(members, now)
         assert listed is not None
         return {r.id: r.started_at for r in listed.membership.replicas}
 
     gone = api.ReplicaState.GONE
     assert started(10.0, member(1), member(2, started=4.0)) == {1: 0.0, 2: 4.0}
-    assert view.take((member(1), member(2, started=4.0)), 11.0) is None
+    assert view.apply_full_list((member(1), member(2, started=4.0)), 11.0) is None
     assert started(12.0, member(2, started=4.0)) == {2: 4.0}
     assert started(13.0, member(1), member(2, gone)) == {1: 13.0, 2: 4.0}, "was left out, came back"
     now = started(14.0, member(1), member(2), member(3))
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -8,7 +8,7 @@
 
 from gingervane import interface as api
 from gingervane.coordinator.replica_start_times import LISTING_LAG, ReplicaStartTimes
-from gingervane.membership.view import Member, View
+from gingervane.membership.view import Member, EndpointView
 
 HOUR = 3600.0
 
@@ -115,11 +115,11 @@
 def test_a_listed_restart_is_not_placed_before_the_list_behind_which_it_came() -> None:
     """The twin, for lists from files and catalogues: a start that changes, and one in the future."""
     old = Member(1, "a", ("127.0.0.1", 1), 0, 0, api.ReplicaState.READY, 100.0)
-    view = View()
-    view.take((old,), 1000.0)
+    view = EndpointView()
+    view.apply_full_list((old,), 1000.0)
     for told, now, placed in ((-2600.0, 1050.0, 1050.0), (4700.0, 1060.0, 1060.0), (1058.0, 1061.0, 1058.0)):
-        listed = view.take((old._replace(started_at=told),), now)
+        listed = view.apply_full_list((old._replace(started_at=told),), now)
         assert listed and listed.membership.replicas[0].started_at == placed
     new = old._replace(id=2, started_at=200.0)
-    listed = view.take((old, new), 1070.0)
+    listed = view.apply_full_list((old, new), 1070.0)
     assert listed and listed.membership.replicas[1].started_at == 200.0, "listed late, and warm"
--- a/tests/test_stored_files.py
+++ b/tests/test_stored_files.py
@@ -28,8 +28,8 @@
 from gingervane.membership import endpoint_file
 from gingervane.membership.snapshot import Snapshot
 from gingervane.membership.reconciliation import MassRemovalGuard, Reconciliation
-from gingervane.membership.atomic_file import NewerVersion
-from gingervane.membership.view import Member, View
+from gingervane.membership.atomic_file import NewerVersionError
+from gingervane.membership.view import Member, EndpointView
 from gingervane.wire.socket_recorder import SocketRecorder
 
 STORED = Path(__file__).parent / "stored"
@@ -224,7 +224,7 @@
     snapshot = Snapshot(stored / "membership" / "snapshot-v3", 77.0, 3, 4)
     kept = snapshot.load()
     assert kept is not None and kept[3] is not None and kept[4] is not None
-    merge, view = Reconciliation(("consul", "file"), MassRemovalGuard()), View()
+    merge, view = Reconciliation(("consul", "file"), MassRemovalGuard()), EndpointView()
     merge.restore(kept[3], 1000.0, 0.0)
     view.restore(kept[4], kept[0], OFFSET)
     assert as_json(merge.dump(1000.0)) == MERGE_STATE and view.dump(OFFSET) == VIEW_STATE
@@ -269,7 +269,7 @@
     later = path.read_bytes().replace(b"gingervane-kept 3 ", b"gingervane-kept 4 ", 1)
     path.write_bytes(later)
     snapshot = Snapshot(path, OFFSET, 3, 4)
-    with pytest.raises(NewerVersion):
+    with pytest.raises(NewerVersionError):
         snapshot.load()
     snapshot.save(made(MEMBERS))
     assert path.with_name("snapshot-v3.v4").read_bytes() == later
