--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -28,7 +28,9 @@
 from gingervane.experiments.listing import ConsulListing, Row
 from gingervane.experiments.tables import toml
 from gingervane.membership.consul import EntryFieldNames, Backoff, EntryReader
-from gingervane.membership.reconciliation import MassRemovalGuard, Reconciliation, SourceReport
+from gingervane.membership.mass_removal_guard import MassRemovalGuard
+from gingervane.membership.reconciliation import Reconciliation
+from gingervane.membership.source_ordering import SourceReport
 from gingervane.membership.source_owner import EndpointSources
 from gingervane.membership.view import Member, EndpointView
 from gingervane.membership.consul_watcher import ConsulService, create_watchers
--- /dev/null
+++ b/gingervane/membership/reconciliation_state.py
@@ -0,0 +1,124 @@
+"""The state of a reconciliation as JSON can hold it, for a snapshot that outlives the process. Free of I/O.
+
+Times are stored as ages in seconds, so that they outlive a clock. Keys and order of the fields are a stored form.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Container, Mapping
+from math import inf
+from typing import Any, NamedTuple
+
+from gingervane import interface as api
+from gingervane.membership.server_record import ServerEntry, ServerRecord
+from gingervane.membership.source_ordering import SourceState
+from gingervane.membership.view import Member
+
+
+class RestoredState(NamedTuple):
+    """What was decoded: by source the time and the index of its newest report, and the servers by id."""
+
+    latest_valid_from: dict[str, float]
+    source_index: dict[str, int]
+    servers: dict[int, ServerRecord]
+
+
+def encode(
+    sources: Mapping[str, SourceState], servers: Mapping[int, ServerRecord], now: float
+) -> dict[str, Any]:
+    """Return the state as JSON can hold it."""
+    rows = {str(number): _encode_server(server, now) for number, server in servers.items()}
+    return {
+        "now": now,
+        "last": {name: _age(now, source.latest_valid_from) for name, source in sources.items()},
+        "index": {name: source.index for name, source in sources.items()},
+        "servers": rows,
+    }
+
+
+def decode(stored: dict[str, Any], sources: Container[str], stored_at: float) -> RestoredState:
+    """Read what `encode` returned at `stored_at` on this process's clock. Raises ValueError if it is malformed.
+
+    Sources that are not in `sources` are left out, and servers of which no other source says anything.
+    """
+    try:
+        clock_shift = stored_at - float(stored["now"]) if "now" in stored else 0.0
+        latest_valid_from = {
+            name: -inf if age is None else stored_at - age
+            for name, age in stored["last"].items()
+            if name in sources
+        }
+        index = {name: int(at) for name, at in stored.get("index", {}).items() if name in sources}
+        servers = {
+            int(number): _decode_server(row, sources, stored_at, clock_shift)
+            for number, row in stored["servers"].items()
+        }
+    except (KeyError, TypeError, ValueError, AttributeError, IndexError) as error:
+        raise ValueError(f"no state of a merge: {error!r}") from None
+    listed = {number: server for number, server in servers.items() if server.entries}
+    return RestoredState(latest_valid_from, index, listed)
+
+
+def _encode_server(server: ServerRecord, now: float) -> dict[str, Any]:
+    return {
+        "entries": {source: _encode_entry(entry, now) for source, entry in server.entries.items()},
+        "away": server.unavailable,
+        "ready_in": server.ready_from - now,
+        "returns": [now - at for at in server.return_times],
+    }
+
+
+def _encode_entry(entry: ServerEntry, now: float) -> list[Any]:
+    return [
+        *entry.member[:5],
+        entry.member.state.value,
+        entry.member.started_at,
+        now - entry.valid_from,
+        _age(now, entry.missing_since),
+        entry.retained,
+        entry.member.create_index,
+        None if entry.recreated_at is None else now - entry.recreated_at,
+    ]
+
+
+def _decode_server(
+    row: dict[str, Any], sources: Container[str], stored_at: float, clock_shift: float
+) -> ServerRecord:
+    server = ServerRecord(unavailable=bool(row["away"]), ready_from=stored_at + row["ready_in"])
+    server.return_times = [stored_at - age for age in row["returns"]]
+    for source, fields in row["entries"].items():
+        entry = _decode_entry(fields, stored_at, clock_shift, source in sources)
+        if entry is not None:
+            server.entries[source] = entry
+    return server
+
+
+def _decode_entry(
+    fields: list[Any], stored_at: float, clock_shift: float, configured: bool
+) -> ServerEntry | None:
+    """Read an entry; None for a well-formed one whose source is no longer configured."""
+    number, name, address, zone, cell, state, started, age, missing_for, retained, *more = fields
+    create_index, recreated_for = more or (0, None)  # left out by older versions
+    if not configured:
+        return None
+    member = Member(
+        number,
+        name,
+        (address[0], address[1]),
+        zone,
+        cell,
+        api.ReplicaState(state),
+        None if started is None else started + clock_shift,
+        create_index,
+    )
+    return ServerEntry(
+        member,
+        valid_from=stored_at - age,
+        missing_since=inf if missing_for is None else stored_at - missing_for,
+        retained=bool(retained),
+        recreated_at=None if recreated_for is None else stored_at - recreated_for,
+    )
+
+
+def _age(now: float, at: float) -> float | None:
+    return None if at in (inf, -inf) else now - at
--- a/gingervane/membership/service.py
+++ b/gingervane/membership/service.py
@@ -17,7 +17,7 @@
 from gingervane.membership.consul import Backoff
 from gingervane.membership.snapshot import Snapshot
 from gingervane.membership.endpoint_file import FileWatcher, EndpointFileError, EndpointLists
-from gingervane.membership.reconciliation import MassRemovalGuard
+from gingervane.membership.mass_removal_guard import MassRemovalGuard
 from gingervane.membership.registration import ServiceEntry, Registrar
 from gingervane.membership.source_owner import EndpointSources
 from gingervane.membership.atomic_file import StoreError
--- a/gingervane/membership/source_owner.py
+++ b/gingervane/membership/source_owner.py
@@ -17,7 +17,9 @@
 from gingervane.coordinator.types import EndpointsUpdated
 from gingervane.membership.snapshot import StoredState, Snapshot
 from gingervane.membership.snapshot_writer import SnapshotContent, SnapshotWriter
-from gingervane.membership.reconciliation import MassRemovalGuard, Reconciliation, SourceReport
+from gingervane.membership.mass_removal_guard import MassRemovalGuard
+from gingervane.membership.reconciliation import Reconciliation
+from gingervane.membership.source_ordering import SourceReport
 from gingervane.membership.atomic_file import StoreError
 from gingervane.membership.view import Member, EndpointView
 
--- a/tests/stored/make_fixtures.py
+++ b/tests/stored/make_fixtures.py
@@ -32,7 +32,9 @@
 from gingervane.experiments.store import Run, RunStore
 from gingervane.experiments.vector_day import fixed_points
 from gingervane.membership.snapshot import Snapshot
-from gingervane.membership.reconciliation import MassRemovalGuard, Reconciliation, SourceReport
+from gingervane.membership.mass_removal_guard import MassRemovalGuard
+from gingervane.membership.reconciliation import Reconciliation
+from gingervane.membership.source_ordering import SourceReport
 from gingervane.membership.view import Member, EndpointView
 from gingervane.fake_servers import data
 from gingervane.vectors.points import shard_of
--- a/tests/test_consul.py
+++ b/tests/test_consul.py
@@ -16,7 +16,7 @@
 from gingervane.experiments.embedded import ZONES, Embedded
 from gingervane.membership.consul import Backoff
 from gingervane.membership.snapshot import Snapshot
-from gingervane.membership.reconciliation import MassRemovalGuard
+from gingervane.membership.mass_removal_guard import MassRemovalGuard
 from gingervane.membership.source_owner import EndpointSources
 from gingervane.membership.consul_watcher import ConsulService, ConsulWatcher
 from gingervane.membership.consul_watcher import create_watchers as watchers_of
--- a/tests/test_durable.py
+++ b/tests/test_durable.py
@@ -20,7 +20,9 @@
 from gingervane.coordinator.types import EndpointsUpdated
 from gingervane.membership.snapshot import Snapshot
 from gingervane.membership.endpoint_file import EndpointFileError
-from gingervane.membership.reconciliation import MassRemovalGuard, Reconciliation, SourceReport
+from gingervane.membership.mass_removal_guard import MassRemovalGuard
+from gingervane.membership.reconciliation import Reconciliation
+from gingervane.membership.source_ordering import SourceReport
 from gingervane.membership.source_owner import EndpointSources
 from gingervane.membership.atomic_file import (
     WRITE_CHUNK_BYTES,
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -23,7 +23,9 @@
     health_query_path,
     assign_agents,
 )
-from gingervane.membership.reconciliation import MassRemovalGuard, Reconciliation, SourceReport
+from gingervane.membership.mass_removal_guard import MassRemovalGuard
+from gingervane.membership.reconciliation import Reconciliation
+from gingervane.membership.source_ordering import SourceReport
 from gingervane.membership.registration import Registration, RegistrationCall
 from gingervane.membership.view import Member
 
--- a/tests/test_merge_model.py
+++ b/tests/test_reconciliation_model.py
@@ -1,6 +1,6 @@
-"""The merge, model-checked: every state that it can reach in a small world, by any reports and waits.
+"""The reconciliation, model-checked: every state that it can reach in a small world, by any reports and waits.
 
-The states are those of the real `Merge`, explored breadth first with its times and indexes cut down to a few
+The states are those of the real `Reconciliation`, explored breadth first with its times and indexes cut down to a few
 values; what must hold of them is CTL, checked by pyModelChecking on the graph. Servers 0 and 1, one source
 whose answers carry index 1 or 2 (an agent that lags, a catalogue that was restored), each naming any of the
 servers in any state.
@@ -20,13 +20,10 @@
 from pyModelChecking import CTL, Kripke
 
 from gingervane import interface as api
-from gingervane.membership import reconciliation as merging
-from gingervane.membership.reconciliation import (
-    MassRemovalGuard,
-    ReconciledServer,
-    Reconciliation,
-    SourceReport,
-)
+from gingervane.membership import source_ordering
+from gingervane.membership.mass_removal_guard import MassRemovalGuard
+from gingervane.membership.reconciliation import ReconciledServer, Reconciliation
+from gingervane.membership.source_ordering import SourceReport
 from gingervane.membership.view import Member
 
 READY, DRAINING = api.ReplicaState.READY, api.ReplicaState.DRAINING
@@ -241,7 +238,7 @@
 
 @pytest.fixture(autouse=True)
 def few_doublings(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(merging, "MAX_RESET_DOUBLINGS", 1)
+    monkeypatch.setattr(source_ordering, "MAX_RESET_DOUBLINGS", 1)
 
 
 def test_the_merge_keeps_its_promises_in_every_state() -> None:
@@ -257,6 +254,8 @@
     }
 
 
-if __name__ == "__main__":  # deeper than a test run has time for: python tests/test_merge_model.py DEPTH
-    merging.MAX_RESET_DOUBLINGS = 1
+if (
+    __name__ == "__main__"
+):  # deeper than a test run has time for: python tests/test_reconciliation_model.py DEPTH
+    source_ordering.MAX_RESET_DOUBLINGS = 1
     print(check(make(Reconciliation), int(sys.argv[1])))
--- a/tests/test_stored_files.py
+++ b/tests/test_stored_files.py
@@ -27,7 +27,8 @@
 from gingervane.experiments.store import Run, RunStore
 from gingervane.membership import endpoint_file
 from gingervane.membership.snapshot import Snapshot
-from gingervane.membership.reconciliation import MassRemovalGuard, Reconciliation
+from gingervane.membership.mass_removal_guard import MassRemovalGuard
+from gingervane.membership.reconciliation import Reconciliation
 from gingervane.membership.atomic_file import NewerVersionError
 from gingervane.membership.view import Member, EndpointView
 from gingervane.wire.socket_recorder import SocketRecorder
