--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -27,7 +27,8 @@
 from gingervane.fronts.client import Client
 from gingervane.experiments.listing import ConsulListing, Row
 from gingervane.experiments.tables import toml
-from gingervane.membership.consul import EntryFieldNames, Backoff, EntryReader
+from gingervane.membership.consul import EntryFieldNames, EntryReader
+from gingervane.membership.consul_polling import Backoff
 from gingervane.membership.mass_removal_guard import MassRemovalGuard
 from gingervane.membership.reconciliation import Reconciliation
 from gingervane.membership.source_ordering import SourceReport
--- a/gingervane/membership/registration.py
+++ b/gingervane/membership/registration.py
@@ -1,7 +1,7 @@
 """A co-ordinator's own entry in Consul: registered with a TTL check, kept passing, drained and taken out at the end.
 
-`Registration` decides what to say next and when, free of I/O; `Registrar` is the thread that says it. An agent that
-has forgotten the entry (its restart, another agent after failover) answers 404 to a check's update: the entry is
+`Registration` decides on the next call and its time, free of I/O; `Registrar` is the thread that sends it. An agent
+that has forgotten the entry (its restart, another agent after failover) answers 404 to a check's update: the entry is
 registered anew. Nothing here holds up service: a co-ordinator that cannot register serves its clients all the same.
 """
 
@@ -17,8 +17,8 @@
 from typing import Any, NamedTuple
 from urllib.parse import quote
 
-from gingervane.membership.consul import Backoff
-from gingervane.wire import http1
+from gingervane.membership.consul_http import Address, request_head
+from gingervane.membership.consul_polling import Backoff, jittered
 from gingervane.wire.http1 import Closed, HttpError, Limits
 from gingervane.wire.pool import Pool, exchange
 
@@ -42,7 +42,7 @@
     started: float = 0.0  # Unix time
 
     def registration_body(self) -> dict[str, Any]:
-        """As /v1/agent/service/register takes it. Critical for long takes the entry out."""
+        """Return it as /v1/agent/service/register takes it. Critical for long takes the entry out."""
         return {
             "ID": self.name,
             "Name": self.service,
@@ -68,10 +68,14 @@
 
 
 class Registration:
-    """What to say next. Agents take turns when one fails."""
-
-    def __init__(self, ttl: float, agents: int, pause: Backoff, rng: random.Random) -> None:
-        self._ttl, self._agent_count, self._backoff, self._rng = ttl, agents, pause, rng
+    """Decides on the next call. Agents take turns when one fails."""
+
+    def __init__(self, ttl: float, agents: int, backoff: Backoff, rng: random.Random) -> None:
+        """`ttl`: of the check, in seconds; `agents`: their number."""
+        self._ttl = ttl
+        self._agent_count = agents
+        self._backoff = backoff
+        self._rng = rng
         self.agent = 0
         self._next: RegistrationCall | None = RegistrationCall.REGISTER
         self._failures = 0
@@ -83,49 +87,52 @@
         return self._next
 
     def record_status(self, status: int | None) -> float:
-        """The call had this status, None if there was no answer; seconds until the next."""
+        """Note the status of the call, None if there was no answer; return the seconds until the next."""
         if status == 200:
             return self._record_success()
-        if (
-            status == 404 and self._next is RegistrationCall.PASS_CHECK
-        ):  # forgotten: at once, as peers see it critical or not at all
-            self.registered, self._next = False, RegistrationCall.REGISTER
-            return self._jittered(self._backoff.min_interval)
+        if status == 404 and self._next is RegistrationCall.PASS_CHECK:
+            # The agent has forgotten the entry: at once, as peers see it critical or not at all.
+            self._start_anew()
+            return jittered(self._backoff.min_interval, self._rng)
         if status == 404 and self._next in (RegistrationCall.DRAIN, RegistrationCall.DEREGISTER):
             self._next = None
             return 0.0
-        self._failures += 1
-        self.agent = (self.agent + 1) % self._agent_count
-        # Another agent knows nothing of what this one was told.
-        if self._next is RegistrationCall.PASS_CHECK and self._agent_count > 1:
-            self.registered, self._next = False, RegistrationCall.REGISTER
-        span = min(self._backoff.initial_delay * 2 ** min(self._failures - 1, 16), self._backoff.max_delay)
-        # Never so long that the check runs out between two tries at an agent that is back.
-        return self._jittered(min(span, self._ttl / 3))
+        return self._record_failure()
 
     def drain(self) -> None:
-        """The co-ordinator is about to stop: first marked as draining, then taken out."""
+        """Mark the entry as draining next, as the co-ordinator is about to stop; then it is taken out."""
         self._next = RegistrationCall.DRAIN if self.registered else None
         self._failures = 0
 
     def deregister(self) -> None:
-        """What it held has ended; take the entry out."""
+        """Take the entry out next, as all that the co-ordinator had in flight has ended."""
         self._next = RegistrationCall.DEREGISTER if self._next is not None or self.registered else None
 
     def _record_success(self) -> float:
         self._failures = 0
         match self._next:
             case RegistrationCall.REGISTER | RegistrationCall.PASS_CHECK:
-                self.registered, self._next = True, RegistrationCall.PASS_CHECK
-                return self._jittered(self._ttl / 3) / 1.5  # a third at most: two may be lost
+                self.registered = True
+                self._next = RegistrationCall.PASS_CHECK
+                return jittered(self._ttl / 3, self._rng) / 1.5  # a third at most: two may be lost
             case RegistrationCall.DRAIN:
                 self._next = RegistrationCall.DEREGISTER
             case _:
-                self.registered, self._next = False, None
+                self.registered = False
+                self._next = None
         return 0.0
 
-    def _jittered(self, span: float) -> float:
-        return span * self._rng.uniform(0.5, 1.5)
+    def _record_failure(self) -> float:
+        self._failures += 1
+        self.agent = (self.agent + 1) % self._agent_count
+        if self._next is RegistrationCall.PASS_CHECK and self._agent_count > 1:
+            self._start_anew()  # another agent knows nothing of the entry
+        # Never so long that the check runs out between two attempts at an agent that is back.
+        return jittered(min(self._backoff.delay_after(self._failures), self._ttl / 3), self._rng)
+
+    def _start_anew(self) -> None:
+        self.registered = False
+        self._next = RegistrationCall.REGISTER
 
 
 class Registrar:
@@ -134,17 +141,20 @@
     def __init__(
         self,
         entry: ServiceEntry,
-        agents: tuple[tuple[str, int], ...],
+        agents: tuple[Address, ...],
         token_file: Path | None,
-        pause: Backoff,
-        complain: Callable[[str], None],
+        backoff: Backoff,
+        log_warning: Callable[[str], None],
         rng: random.Random,
-        ready: Callable[[], bool] = lambda: True,
+        is_ready: Callable[[], bool] = lambda: True,
     ) -> None:
-        """`ready`: whether this co-ordinator can be sent work; the entry is not made before."""
-        self._is_ready = ready
-        self._entry, self._agents, self._token_file, self._log_warning = entry, agents, token_file, complain
-        self._registration = Registration(entry.ttl, len(agents), pause, rng)
+        """`is_ready`: whether this co-ordinator can be sent work; the entry is not made before."""
+        self._is_ready = is_ready
+        self._entry = entry
+        self._agents = agents
+        self._token_file = token_file
+        self._log_warning = log_warning
+        self._registration = Registration(entry.ttl, len(agents), backoff, rng)
         self._pool = Pool(_LIMITS, 1, entry.ttl)
         self._stop = threading.Event()
         self._last_fault = ""
@@ -152,9 +162,11 @@
 
     @property
     def registered(self) -> bool:
+        """Whether the entry stands, as far as is known."""
         return self._registration.registered
 
     def start(self) -> None:
+        """Start to register, once this co-ordinator is ready."""
         self._thread.start()
 
     def drain(self) -> None:
@@ -166,7 +178,7 @@
             self._send_next()
 
     def deregister(self) -> None:
-        """Take the entry out; a few tries, then the TTL does it."""
+        """Take the entry out; after a few failed attempts the TTL does it."""
         self._registration.deregister()
         for _ in range(_MAX_DEREGISTRATION_CALLS):
             if self._registration.next is None:
@@ -183,35 +195,39 @@
                 return
 
     def _send_next(self) -> float:
-        """Say what is next; seconds until the call after it."""
-        say, agent = self._registration.next, self._agents[self._registration.agent]
-        if say is None:
+        """Send the next call; return the seconds until the one after it."""
+        call = self._registration.next
+        agent = self._agents[self._registration.agent]
+        if call is None:
             return 0.0
         fault = ""
         status: int | None = None
         try:
-            status, _, body = exchange(
-                self._pool, agent, self._request(say, agent), time.monotonic() + _ANSWER_TIMEOUT
-            )
+            deadline = time.monotonic() + _ANSWER_TIMEOUT
+            status, _, body = exchange(self._pool, agent, self._request(call, agent), deadline)
             if status != 200:
-                fault = f"{agent[0]}:{agent[1]}: {say.value}: status {status}: {body[:100]!r}"
+                fault = f"{agent[0]}:{agent[1]}: {call.value}: status {status}: {body[:100]!r}"
         except (OSError, Closed, HttpError) as error:
-            fault = f"{agent[0]}:{agent[1]}: {say.value}: {error or type(error).__name__}"
+            fault = f"{agent[0]}:{agent[1]}: {call.value}: {error or type(error).__name__}"
         if fault and fault != self._last_fault:
             self._log_warning(fault)
         self._last_fault = fault
         return self._registration.record_status(status)
 
-    def _request(self, say: RegistrationCall, agent: tuple[str, int]) -> bytes:
+    def _request(self, call: RegistrationCall, agent: Address) -> bytes:
         name = quote(self._entry.name, safe="")
-        target, content = {
-            RegistrationCall.REGISTER: ("service/register", self._entry.registration_body()),
-            RegistrationCall.PASS_CHECK: (f"check/update/service:{name}", {"Status": "passing"}),
-            RegistrationCall.DRAIN: (f"service/maintenance/{name}?enable=true&reason=stopping", None),
-            RegistrationCall.DEREGISTER: (f"service/deregister/{name}", None),
-        }[say]
+        content: dict[str, Any] | None = None
+        match call:
+            case RegistrationCall.REGISTER:
+                target = "service/register"
+                content = self._entry.registration_body()
+            case RegistrationCall.PASS_CHECK:
+                target = f"check/update/service:{name}"
+                content = {"Status": "passing"}
+            case RegistrationCall.DRAIN:
+                target = f"service/maintenance/{name}?enable=true&reason=stopping"
+            case RegistrationCall.DEREGISTER:
+                target = f"service/deregister/{name}"
         body = b"" if content is None else json.dumps(content).encode()
-        fields = [("Host", f"{agent[0]}:{agent[1]}"), ("Content-Length", str(len(body)))]
-        if self._token_file:
-            fields.append(("X-Consul-Token", self._token_file.read_text().strip()))
-        return http1.head(f"PUT /v1/agent/{target} HTTP/1.1", fields) + body
+        length = ("Content-Length", str(len(body)))
+        return request_head(f"PUT /v1/agent/{target} HTTP/1.1", agent, length, self._token_file) + body
--- a/gingervane/membership/service.py
+++ b/gingervane/membership/service.py
@@ -14,7 +14,7 @@
 
 from gingervane.coordinator.types import EndpointsUpdated
 from gingervane.settings.daemon_settings import ConsulTable, Fleet, Membership, Tree
-from gingervane.membership.consul import Backoff
+from gingervane.membership.consul_polling import Backoff
 from gingervane.membership.snapshot import Snapshot
 from gingervane.membership.endpoint_file import FileWatcher, EndpointFileError, EndpointLists
 from gingervane.membership.mass_removal_guard import MassRemovalGuard
--- a/tests/test_consul.py
+++ b/tests/test_consul.py
@@ -14,7 +14,7 @@
 from gingervane import interface as api
 from gingervane.coordinator.types import EndpointsUpdated
 from gingervane.experiments.embedded import ZONES, Embedded
-from gingervane.membership.consul import Backoff
+from gingervane.membership.consul_polling import Backoff
 from gingervane.membership.snapshot import Snapshot
 from gingervane.membership.mass_removal_guard import MassRemovalGuard
 from gingervane.membership.source_owner import EndpointSources
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -14,15 +14,13 @@
 
 from gingervane import interface as api
 from gingervane.membership.consul import (
-    BlockingQueryState,
     ConsulError,
     ConsistencyMode,
     EntryFieldNames,
-    Backoff,
     EntryReader,
     health_query_path,
-    assign_agents,
 )
+from gingervane.membership.consul_polling import BlockingQueryState, Backoff, assign_agents
 from gingervane.membership.mass_removal_guard import MassRemovalGuard
 from gingervane.membership.reconciliation import Reconciliation
 from gingervane.membership.source_ordering import SourceReport
@@ -218,23 +216,23 @@
         waits.append(asking.record_success(1, True, 30.0))
     assert waits[-1] >= 4.0 and all(0.1 <= w <= 12.0 for w in waits)
     first = asking.agent
-    failures = [asking.record_failure(40.0) for _ in range(8)]
+    failures = [asking.record_failure() for _ in range(8)]
     assert asking.agent == first and failures[-1] >= 4.0 and max(failures) <= 12.0
 
 
 def test_what_is_hard_to_believe_is_asked_of_the_leader() -> None:
     asking = BlockingQueryState(2, Backoff(), random.Random(1))
-    asking.record_success(7, True, 0.0, named=10)
+    asking.record_success(7, True, 0.0, entry_count=10)
     assert asking.is_blocking and not asking.consistent
-    asking.record_success(8, True, 1.0, named=4)
+    asking.record_success(8, True, 1.0, entry_count=4)
     assert asking.consistent and not asking.is_blocking, "much went at once"
-    asking.record_success(8, True, 2.0, named=4)
+    asking.record_success(8, True, 2.0, entry_count=4)
     assert not asking.consistent and asking.is_blocking and asking.index == 8, "the leader says so too"
-    asking.record_success(5, True, 3.0, named=4)
+    asking.record_success(5, True, 3.0, entry_count=4)
     assert asking.consistent and asking.index_resets == 1
-    asking.record_failure(4.0)
+    asking.record_failure()
     assert not asking.consistent and asking.index == 0, "another agent, from what it has now"
-    asking.record_success(5, True, 5.0, named=4)
+    asking.record_success(5, True, 5.0, entry_count=4)
     assert not asking.consistent and asking.index == 5, "not asked over and over"
 
 
@@ -260,7 +258,7 @@
         calls.append(now)
         asking.record_request(now)
         if 30.0 <= now < 90.0:
-            wait = asking.record_failure(now)
+            wait = asking.record_failure()
         elif now < 150.0:  # well, and quiet: answers come when the wait ends, or with the loss
             index = 7 if now < 30.0 else 9
             wait = asking.record_success(index, True, now) if asking.index != index else 30.0 - now % 30.0
--- a/tests/test_pinned_wire.py
+++ b/tests/test_pinned_wire.py
@@ -30,9 +30,9 @@
 from gingervane.fronts.leaf_codec import Asked, RemoteReadExchange, Tile
 from gingervane.experiments.embedded import Embedded
 from gingervane.membership import consul
-from gingervane.membership.consul import Backoff
+from gingervane.membership.consul_polling import Backoff
 from gingervane.membership.registration import ServiceEntry, Registrar
-from gingervane.membership.consul_watcher import get
+from gingervane.membership.consul_http import get
 from gingervane.node.discovery import replica_id
 from gingervane.fake_servers.vectors import VectorGrid
 from gingervane.tree import coverage
