--- a/gingervane/vectors/service.py
+++ b/gingervane/vectors/service.py
@@ -13,9 +13,9 @@
 from gingervane.settings.daemon_settings import Config
 from gingervane.fronts.routing import ClassOf
 from gingervane.limits.concurrency_limit import Gate
-from gingervane.membership.service import MembershipService, Rings
-from gingervane.vectors.front import VectorFront, VectorFrontSettings
-from gingervane.vectors.points import RequestLimits as PointBounds
+from gingervane.membership.service import MembershipService, RingSizes
+from gingervane.vectors.front import VectorFront
+from gingervane.fronts.connections import Bounds as PointBounds
 from gingervane.vectors.points import Collection
 from gingervane.vectors.replica_client import VectorReplicaClient
 
@@ -71,7 +71,7 @@
             table.membership,
             config.fleet,
             None,
-            Rings(table.cells),
+            RingSizes(table.cells),
             address,
             self.shards.endpoints_updated,
             lambda listed: None,
