--- /dev/null
+++ b/gingervane/fronts/connection_poller.py
@@ -0,0 +1,81 @@
+"""Polls client connections and their listener for events, each of which is reported once.
+
+An event that could not be requested, for want of something on this machine, is requested again after a pause. The
+caller holds the connection manager's lock over all calls but `wait`, which the polling thread makes alone.
+"""
+
+from __future__ import annotations
+
+import contextlib
+import errno
+import select
+from collections import Counter
+
+from gingervane.fronts.client_connection import ClientConnection, Phase
+from gingervane.wire.local_failures import patiently
+
+
+class ConnectionPoller:
+    """One epoll instance, and the connections whose next event could not be requested yet."""
+
+    def __init__(self, listener_number: int) -> None:
+        self._epoll = patiently(select.epoll)
+        self._listener_number = listener_number
+        self._unarmed = dict[ClientConnection, None]()
+        self.failures: Counter[str] = Counter()  # of system calls, by call and error
+
+    def start(self) -> None:
+        """Register the listener. Raises OSError if that still fails after a while."""
+        patiently(lambda: self._epoll.register(self._listener_number, select.EPOLLIN | select.EPOLLONESHOT))
+
+    def wait(self, timeout: float) -> list[tuple[int, int]]:
+        """Wait up to `timeout` seconds for events; return each as a file number and its event mask."""
+        try:
+            return self._epoll.poll(timeout)
+        except OSError:  # guards the only thread that accepts connections
+            return []
+
+    def arm(self, connection: ClientConnection) -> None:
+        """Request the next event that the connection's phase waits for."""
+        active = connection.phase is Phase.ACTIVE
+        events = select.EPOLLRDHUP if active else select.EPOLLIN | select.EPOLLRDHUP
+        request = self._epoll.modify if connection.registered else self._epoll.register
+        try:
+            request(connection.number, events | select.EPOLLONESHOT)
+            connection.registered = True
+        except OSError as error:
+            self.count_failure("epoll", error)
+            self.arm_later(connection)  # what has come by then is reported then
+
+    def arm_later(self, connection: ClientConnection) -> None:
+        """Have the connection returned by the next `take_unarmed`."""
+        self._unarmed[connection] = None
+
+    @property
+    def has_unarmed(self) -> bool:
+        """Whether connections wait for their event to be requested again."""
+        return bool(self._unarmed)
+
+    def take_unarmed(self) -> dict[ClientConnection, None]:
+        """Return the connections whose event is to be requested again, and forget them."""
+        unarmed = self._unarmed
+        self._unarmed = {}
+        return unarmed
+
+    def arm_listener(self) -> bool:
+        """Request an event for the next connection that comes; False if that failed."""
+        try:
+            self._epoll.modify(self._listener_number, select.EPOLLIN | select.EPOLLONESHOT)
+        except OSError as error:
+            self.count_failure("epoll", error)
+            return False
+        return True
+
+    def remove_listener(self) -> None:
+        """Poll the listener no more."""
+        with contextlib.suppress(OSError):
+            self._epoll.unregister(self._listener_number)
+
+    def count_failure(self, call: str, error: OSError) -> None:
+        """Count a system call that failed for want of something on this machine."""
+        self.failures[f"{call} {errno.errorcode.get(error.errno or 0, 'unknown')}"] += 1
--- a/gingervane/fronts/connections.py
+++ b/gingervane/fronts/connections.py
@@ -1,496 +1,397 @@
-"""The life of client connections: taken, resting between requests, at work, ending. No HTTP here.
+"""The life of client connections: accepted, idle between requests, active, closing. No HTTP here.
 
-One owner decides what each connection does next: whoever holds `_lock`, under which alone a phase changes. So of
-two events that cross (a request comes as its connection is ended, a client leaves as its reply is written, a reply
-ends as the server winds down) one is first, and the other finds the phase that it left. The lock is held over calls
-that never wait, on sockets that are not at work.
+The manager alone decides what each connection does next: a phase changes only under its lock. So of two events that
+race (a request arrives as its connection is closed, a client disconnects as its reply is written, a reply ends as the
+server shuts down) one is first, and the other finds the phase that the first one left. The lock is held only over
+calls that never wait, on sockets that are not active.
 
-- *Resting*: no byte of a request has been read. Only here is a connection ended for want of use or of room, and only
-  while nothing lies unread on it.
-- *At work*: a request has begun; one thread of its own has the socket. Nobody else reads, writes or shuts it.
-- *Ending*: our side is shut. What still comes is thrown away, never read as a request, within bounds of time, bytes
-  and number; so that no reset takes the last reply with it, as a close over unread bytes does.
+- *Idle*: no byte of a request has been read. Only here is a connection closed for want of use or of capacity, and
+  only while no data lies unread on it.
+- *Active*: a request has begun; one worker thread has the socket. Nobody else reads, writes or shuts it down.
+- *Closing*: our sending side is shut down. What still arrives is discarded, never read as a request, within bounds on
+  time, bytes and number; so that no reset takes the last reply with it, as a close over unread data does.
 
-One thread (`_run`) waits for all that rest, end or may leave; threads for work are made as they are needed.
+One thread (`_run`) polls all that are idle, closing or may disconnect; worker threads are started as they are needed.
 """
 
 from __future__ import annotations
 
 import contextlib
-import errno
-import select
 import socket
 import threading
 import time
 from collections import Counter
 from collections.abc import Callable
-from enum import Enum
+from functools import partial
 from math import inf
-from queue import Empty, SimpleQueue
-from typing import NamedTuple
 
-from gingervane.wire.local_failures import is_passing, patiently, start_thread
-
-LINGER, LINGER_BYTES = 0.5, 1 << 20  # seconds and bytes that an ended connection may still take
-MOST_ENDING = 16  # connections at their end, beyond the bound on the others
-_SPARE_THREAD = 5.0  # seconds that a thread waits for its next connection
-_PAUSE = 0.05  # seconds without taking any, out of descriptors
-_THREAD_PATIENCE = 0.3  # seconds that a request waits for a thread before it is refused
-_SEND_TRIES = 20  # of a refusal, where memory is short
-_LONGEST_WAIT = 0.5  # seconds: what other threads put in meanwhile is looked at no later
-
-
-class Bounds(NamedTuple):
-    """`connections`: not at their end, at most. Seconds: `idle`, `silent` (before a first byte; None: as
-    `idle`); with more than `crowd` open, those that have rested for `quiet` may go."""
-
-    connections: int
-    idle: float
-    silent: float | None
-    crowd: int
-    quiet: float
-
-
-class ConnectionEnd(Enum):
-    """Why a client's connection was ended from this side, or found ended."""
-
-    IDLE = "idle"
-    SILENT = "no first byte"
-    CROWDED = "crowded"
-    NO_ROOM = "made room"
-    OVER_LIMIT = "over the limit"
-    NO_THREAD = "no thread"
-    AFTER_REPLY = "after its reply"
-    SHUTDOWN = "shutdown"
-    CLIENT_LEFT = "client left"
-    BROKEN = "broken at work"
-
-
-class After(Enum):
-    """What becomes of a connection after work on it. `GONE`: there is nobody to end it with."""
-
-    REST = 0
-    END = 1
-    GONE = 2
-
-
-class _Phase(Enum):
-    RESTING = 0
-    AT_WORK = 1
-    ENDING = 2
-
-
-class Connection:
-    """One of them. Its worker may use `sock`; `began` is when the first byte of the present request was seen, `since`
-    when the request before it was done with, or when the connection was taken."""
-
-    def __init__(self, sock: socket.socket, now: float) -> None:
-        self.sock, self.since, self.began = sock, now, now
-        self.number = sock.fileno()
-        self.kept: object = None  # what its worker keeps between requests
-        self.replied = (
-            -inf
-        )  # when the request before this one was done with; the first may lie there since ever
-        self.registered = False  # with the poll
-        self.waits_since = 0.0  # when a request began that no thread could be had for; 0: none waits
-        self._phase, self._gone, self._until, self._drained = _Phase.RESTING, _nobody, inf, 0
-
-
-def _nobody() -> None:
-    """Nobody asked to be told."""
-
-
-class Connections:
-    """All connections of a listener. `work` is called with one whose next request has begun, on a thread of its own;
-    it says what is to become of it. `turned_away`: what one past the bound is told."""
+from gingervane.fronts.client_connection import (
+    ClientConnection,
+    CloseReason,
+    ConnectionLimits,
+    NextStep,
+    Phase,
+    expired,
+    has_unread_data,
+    ignore_disconnect,
+    is_disconnected,
+    oldest,
+)
+from gingervane.fronts.connection_poller import ConnectionPoller
+from gingervane.fronts.connection_workers import ConnectionWorkers
+from gingervane.wire.local_failures import is_passing, start_thread
+
+CLOSE_TIMEOUT = 0.5  # seconds that a closing connection may still take
+MAX_DISCARDED_BYTES = 1 << 20  # bytes that a closing connection may still send
+MAX_CLOSING = 16  # closing connections, beyond the limit on the others
+_RETRY_PAUSE = 0.05  # seconds without accepting, out of descriptors
+_THREAD_PATIENCE = 0.3  # seconds that a request waits for a thread before it is rejected
+_MIN_POLL_TIMEOUT = 0.001  # seconds
+_MAX_POLL_TIMEOUT = 0.5  # seconds: what other threads put in meanwhile is looked at no later
+_RECEIVE_BYTES = 65536
+_CROWD_EVICTIONS = 2  # for each connection accepted: more than come, so that a crowd shrinks
+
+
+class ConnectionManager:
+    """All client connections of a listener.
+
+    `serve` is called on a worker thread with a connection whose next request has begun, and returns what is to become
+    of it. `rejection` is the reply to a connection over the limit.
+    """
 
     def __init__(
         self,
         listener: socket.socket,
-        bounds: Bounds,
-        work: Callable[[Connection], After],
-        turned_away: bytes,
+        limits: ConnectionLimits,
+        serve: Callable[[ClientConnection], NextStep],
+        rejection: bytes,
     ) -> None:
-        self._listener, self._bounds, self._work, self._turned_away = listener, bounds, work, turned_away
+        self._listener = listener
+        self._limits = limits
+        self._serve_requests = serve
+        self._rejection = rejection
         listener.setblocking(False)
         self._lock = threading.Lock()
-        self._none_left = threading.Condition(self._lock)
-        self._poll, self._number = patiently(select.epoll), listener.fileno()
-        self._open: dict[int, Connection] = {}
-        # Oldest first: those that never spoke, those between requests, those that end.
-        self._silent = dict[Connection, None]()
-        self._quiet = dict[Connection, None]()
-        self._ending = dict[Connection, None]()
-        self._jobs: SimpleQueue[Connection] = SimpleQueue()
-        self._spare = 0  # threads that wait for a connection, less connections that wait for a thread
-        self._paused_to = 0.0
-        self._accepting, self._winding_down, self._stopped = True, False, threading.Event()
-        self.refused = 0  # past the bound
-        self._unarmed = dict[Connection, None]()  # whose news could not be asked for
-        self.ends: Counter[str] = Counter()  # by `ConnectionEnd`; changed under the lock
-        self.failures: Counter[str] = Counter()  # of system calls, by call and error; changed under the lock
+        self._all_closed = threading.Condition(self._lock)
+        self._listener_number = listener.fileno()
+        self._poller = ConnectionPoller(self._listener_number)
+        self._workers = ConnectionWorkers(self._serve, self._lock)
+        self._open: dict[int, ClientConnection] = {}
+        # Each with its oldest first.
+        self._awaiting_first_byte = dict[ClientConnection, None]()
+        self._idle = dict[ClientConnection, None]()
+        self._closing = dict[ClientConnection, None]()
+        self._accept_paused_until = 0.0
+        self._accepting = True
+        self._shutting_down = False
+        self._stopped = threading.Event()
+        self.rejected = 0  # over the limit, or without a thread
+        self.close_reasons: Counter[str] = Counter()  # by `CloseReason`; changed under the lock
 
     @property
-    def winding_down(self) -> bool:
-        """Every reply now ends its connection."""
-        return self._winding_down
+    def failures(self) -> Counter[str]:
+        """System calls that failed for want of something on this machine; changed under the lock."""
+        return self._poller.failures
+
+    @property
+    def shutting_down(self) -> bool:
+        """Whether every reply now closes its connection."""
+        return self._shutting_down
 
     def __len__(self) -> int:
-        """Those that are not at their end."""
-        return len(self._open) - len(self._ending)
+        """Count the connections that are not closing."""
+        return len(self._open) - len(self._closing)
 
     def start(self) -> None:
-        patiently(lambda: self._poll.register(self._number, select.EPOLLIN | select.EPOLLONESHOT))
+        """Accept connections from now on."""
+        self._poller.start()
         start_thread(self._run, "connections")
 
-    def wind_down(self) -> None:
-        """Go on accepting and serving, but let each reply end its connection, and end those at rest now. A request
-        that has come by now is served; of one that comes later no byte is read as such."""
+    def begin_shutdown(self) -> None:
+        """Go on accepting and serving, but let each reply close its connection, and close those that are idle now.
+
+        A request that has arrived by now is served; of one that arrives later no byte is read as such.
+        """
         with self._lock:
-            self._winding_down = True
-            for one in [*self._silent, *self._quiet]:
-                self._end_at_rest(one, ConnectionEnd.SHUTDOWN)
+            self._shutting_down = True
+            for connection in [*self._awaiting_first_byte, *self._idle]:
+                self._close_unless_requested(connection, CloseReason.SHUTDOWN)
 
     def stop_accepting(self) -> None:
-        """Wind down, and take no new connection but those that the system has taken already."""
+        """Begin shutdown, and accept no new connection but those that the system has accepted already."""
         with self._lock:
             if not self._accepting:
                 return
-            # Guards against requests that came on connections nobody had taken: closing the listener resets them.
-            self._take_all()
+            # Guards against requests on connections that were not accepted yet: closing the listener resets them.
+            self._accept_pending()
             self._accepting = False
-            with contextlib.suppress(OSError):
-                self._poll.unregister(self._number)
+            self._poller.remove_listener()
             self._listener.close()
-        self.wind_down()
+        self.begin_shutdown()
 
     def stop(self, grace: float) -> None:
-        """Stop accepting, and give what is at work or at its end `grace` seconds."""
+        """Stop accepting, and give active and closing connections `grace` seconds."""
         self.stop_accepting()
         with self._lock:
-            self._none_left.wait_for(lambda: not self._open, grace)
+            self._all_closed.wait_for(lambda: not self._open, grace)
         self._stopped.set()
 
-    def watch(self, one: Connection, gone: Callable[[], None]) -> None:
-        """Have `gone` called, once, if the client leaves while the connection is at work."""
+    def watch(self, connection: ClientConnection, on_disconnect: Callable[[], None]) -> None:
+        """Have `on_disconnect` called, once, if the client disconnects while the connection is active."""
         with self._lock:
-            one._gone = gone
-            self._arm(one)
+            connection.on_disconnect = on_disconnect
+            self._poller.arm(connection)
 
-    # ---- the thread that waits
+    # ---- the polling thread
 
     def _run(self) -> None:
         while not self._stopped.is_set():
-            for number, _ in self._look():
-                if number == self._number and number not in self._open:
+            for number, _ in self._poller.wait(self._poll_timeout()):
+                if number == self._listener_number and number not in self._open:
                     with self._lock:
-                        self._take_all()
+                        self._accept_pending()
                 else:
-                    self._seen(number)
-            self._expire()
+                    self._handle_event(number)
+            self._handle_timeouts()
         with self._lock:
-            for one in [*self._silent, *self._quiet, *self._ending]:
-                self._close(one)
+            for connection in [*self._awaiting_first_byte, *self._idle, *self._closing]:
+                self._close(connection)
             if self._accepting:
                 self._accepting = False
                 self._listener.close()
 
-    def _look(self) -> list[tuple[int, int]]:
-        """What has happened to the connections and the listener, until something is due."""
-        try:
-            return self._poll.poll(self._wait())
-        except OSError:  # guards the only thread that takes connections
-            return []
-
-    def _wait(self) -> float:
-        """Seconds until one of those that wait has waited too long."""
-        bounds = self._bounds
+    def _poll_timeout(self) -> float:
+        """Return the seconds until the next timeout is due."""
+        limits = self._limits
         with self._lock:
-            due = [one.since + (bounds.silent or bounds.idle) for one in _first(self._silent)]
-            due += [one.since + bounds.idle for one in _first(self._quiet)]
-            due += [one._until for one in _first(self._ending)]
-            due += [self._paused_to] if self._paused_to else []
-            due += [time.monotonic() + _PAUSE] if self._unarmed else []
-        return min(max(min(due, default=inf) - time.monotonic(), 0.001), _LONGEST_WAIT)
-
-    def _seen(self, number: int) -> None:
-        """Something has happened to a connection; the number may be a newer one's by now, so each is asked itself."""
-        gone, begun = _nobody, None
+            due = [each.idle_since + limits.silence_timeout for each in oldest(self._awaiting_first_byte)]
+            due += [each.idle_since + limits.idle_timeout for each in oldest(self._idle)]
+            due += [each.close_deadline for each in oldest(self._closing)]
+            due += [self._accept_paused_until] if self._accept_paused_until else []
+            due += [time.monotonic() + _RETRY_PAUSE] if self._poller.has_unarmed else []
+        seconds = min(due, default=inf) - time.monotonic()
+        return min(max(seconds, _MIN_POLL_TIMEOUT), _MAX_POLL_TIMEOUT)
+
+    def _handle_event(self, number: int) -> None:
+        """Handle an event of a connection. Its number may be a newer one's by now, so the socket itself is asked."""
+        on_disconnect = ignore_disconnect
+        requested = None
         with self._lock:
-            one = self._open.get(number)
-            if one is None:
+            connection = self._open.get(number)
+            if connection is None:
                 return
-            if one._phase is _Phase.RESTING:
-                begun = one if self._begins(one) else None
-            elif one._phase is _Phase.ENDING:
-                self._drain(one)
-            elif not has_left(one.sock):
-                self._arm(one)
+            if connection.phase is Phase.IDLE:
+                requested = connection if self._begin_request(connection) else None
+            elif connection.phase is Phase.CLOSING:
+                self._discard_input(connection)
+            elif not is_disconnected(connection.sock):
+                self._poller.arm(connection)
             else:
-                gone, one._gone = one._gone, _nobody
-        gone()
-        if begun:
-            self._hand_over(begun)
-
-    def _expire(self) -> None:
-        """End what has waited too long."""
-        bounds, now = self._bounds, time.monotonic()
+                on_disconnect = connection.on_disconnect
+                connection.on_disconnect = ignore_disconnect
+        on_disconnect()
+        if requested and not self._workers.submit(requested):
+            with self._lock:
+                self._retry_or_reject(requested)
+
+    def _handle_timeouts(self) -> None:
+        """Close what has waited too long, and request again the events that could not be requested."""
+        limits = self._limits
+        now = time.monotonic()
         with self._lock:
-            for one in [one for one in self._ending if one._until <= now]:
-                self._close(one)
-            for some, longest, reason in (
-                (self._silent, bounds.silent or bounds.idle, ConnectionEnd.SILENT),
-                (self._quiet, bounds.idle, ConnectionEnd.IDLE),
-            ):
-                for one in [one for one in some if one.since + longest <= now]:
-                    self._end_at_rest(one, reason)
-            unarmed, self._unarmed = self._unarmed, {}
-            for one in unarmed:
-                if self._open.get(one.number) is one:
-                    self._arm(one)
-            if self._accepting and self._paused_to and self._paused_to <= now:
-                self._listen()
-
-    # ---- under the lock
-
-    def _take_all(self) -> None:
-        """Take the connections that have come."""
+            for connection in [each for each in self._closing if each.close_deadline <= now]:
+                self._close(connection)
+            for connection in expired(self._awaiting_first_byte, limits.silence_timeout, now):
+                self._close_unless_requested(connection, CloseReason.FIRST_BYTE_TIMEOUT)
+            for connection in expired(self._idle, limits.idle_timeout, now):
+                self._close_unless_requested(connection, CloseReason.IDLE_TIMEOUT)
+            for connection in self._poller.take_unarmed():
+                if self._open.get(connection.number) is connection:
+                    self._poller.arm(connection)
+            if self._accepting and self._accept_paused_until and self._accept_paused_until <= now:
+                self._arm_listener()
+
+    # ---- accepting; under the lock
+
+    def _accept_pending(self) -> None:
+        """Accept the connections that have come."""
         while self._accepting:
-            if len(self._ending) >= MOST_ENDING:  # so that there is a descriptor for one more
+            if len(self._closing) >= MAX_CLOSING:  # so that there is a descriptor for one more
                 self._close_oldest()
             try:
                 sock, _ = self._listener.accept()
             except BlockingIOError:
-                self._listen()
+                self._arm_listener()
                 return
             except ConnectionAbortedError:
                 continue
-            except OSError as error:  # out of descriptors, for instance: those in use must end first
-                self._failed("accept", error)
-                self._paused_to = time.monotonic() + _PAUSE
+            except OSError as error:  # out of descriptors, for instance: those in use must be closed first
+                self._poller.count_failure("accept", error)
+                self._accept_paused_until = time.monotonic() + _RETRY_PAUSE
                 return
-            self._take(sock)
-
-    def _listen(self) -> None:
-        """Have the next connection that comes told; tried again after a pause if that cannot be asked for now."""
-        try:
-            self._poll.modify(self._number, select.EPOLLIN | select.EPOLLONESHOT)
-            self._paused_to = 0.0
-        except OSError as error:
-            self._failed("epoll", error)
-            self._paused_to = time.monotonic() + _PAUSE
+            self._add(sock)
 
-    def _failed(self, call: str, error: OSError) -> None:
-        """Count a system call that failed for want of something here."""
-        self.failures[f"{call} {errno.errorcode.get(error.errno or 0, 'unknown')}"] += 1
+    def _arm_listener(self) -> None:
+        """Have the next connection that comes reported; tried again after a pause if that fails now."""
+        if self._poller.arm_listener():
+            self._accept_paused_until = 0.0
+        else:
+            self._accept_paused_until = time.monotonic() + _RETRY_PAUSE
 
-    def _take(self, sock: socket.socket) -> None:
-        one = Connection(sock, time.monotonic())
+    def _add(self, sock: socket.socket) -> None:
+        """Take in an accepted connection, or reject it where there are too many."""
+        connection = ClientConnection(sock, time.monotonic())
         sock.setblocking(False)
         with contextlib.suppress(OSError):
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        full = len(self) >= self._bounds.connections and not self._make_room()
-        self._open[one.number] = one
-        if full:
-            self._turn_away(one, ConnectionEnd.OVER_LIMIT)
+        is_full = len(self) >= self._limits.max_connections and not self._evict_silent()
+        self._open[connection.number] = connection
+        if is_full:
+            self._reject(connection, CloseReason.OVER_LIMIT)
             return
-        self._silent[one] = None
-        self._arm(one)
-        if len(self) > self._bounds.crowd:
-            # The two that have rested the longest: more than come, so that a crowd shrinks.
-            before = time.monotonic() - self._bounds.quiet
-            for quiet in [quiet for quiet in _first(self._quiet, 2) if quiet.since < before]:
-                self._end_at_rest(quiet, ConnectionEnd.CROWDED)
-
-    def _turn_away(self, one: Connection, reason: ConnectionEnd) -> None:
-        """Refuse a connection's request without reading it, and end the connection."""
-        self.refused += 1
-        for _ in range(_SEND_TRIES):
-            try:
-                one.sock.send(self._turned_away)  # as a whole: nothing was written there before
-                break
-            except OSError as error:
-                if not is_passing(error):
-                    break
-                self._failed("send", error)
-        self._end(one, reason)
-
-    def _make_room(self) -> bool:
-        """End the oldest connection that has said nothing. Guards against hundreds of those keeping all out."""
-        if self._bounds.silent is None:  # here a connection may be quiet before it speaks
+        self._awaiting_first_byte[connection] = None
+        self._poller.arm(connection)
+        if len(self) > self._limits.crowd_threshold:
+            self._shrink_crowd()
+
+    def _shrink_crowd(self) -> None:
+        """Close those that have been idle for the longest time, if for long enough."""
+        idle_before = time.monotonic() - self._limits.min_idle
+        candidates = oldest(self._idle, _CROWD_EVICTIONS)
+        for connection in [each for each in candidates if each.idle_since < idle_before]:
+            self._close_unless_requested(connection, CloseReason.OVER_CROWD_THRESHOLD)
+
+    def _evict_silent(self) -> bool:
+        """Close the oldest connection that has sent nothing. Guards against hundreds of those keeping all out."""
+        if (
+            self._limits.first_byte_timeout is None
+        ):  # here a connection may be silent before its first request
             return False
-        return any(self._end_at_rest(one, ConnectionEnd.NO_ROOM) for one in list(self._silent))
-
-    def _arm(self, one: Connection) -> None:
-        """Have the next thing that its phase waits for told once."""
-        what = select.EPOLLRDHUP if one._phase is _Phase.AT_WORK else select.EPOLLIN | select.EPOLLRDHUP
-        ask = self._poll.modify if one.registered else self._poll.register
-        try:
-            ask(one.number, what | select.EPOLLONESHOT)
-            one.registered = True
-        except OSError as error:
-            self._failed("epoll", error)
-            self._unarmed[one] = None  # asked for again after a pause: what has come is told then
-
-    def _begins(self, one: Connection) -> bool:
-        """Whether a request begins on a resting connection; it is at work then."""
-        if (found := _unread(one.sock)) is None:
-            self._arm(one)
-        elif not found:
-            self.ends[ConnectionEnd.CLIENT_LEFT.value] += 1
-            self._close(one)
+        silent = list(self._awaiting_first_byte)
+        return any(self._close_unless_requested(each, CloseReason.EVICTED) for each in silent)
+
+    def _reject(self, connection: ClientConnection, reason: CloseReason) -> None:
+        """Reject a connection's request without reading it, and close the connection."""
+        self.rejected += 1
+        connection.send_rejection(self._rejection, partial(self._poller.count_failure, "send"))
+        self._begin_close(connection, reason)
+
+    # ---- phases; under the lock
+
+    def _begin_request(self, connection: ClientConnection) -> bool:
+        """Make an idle connection active if a request begins on it; return whether one does."""
+        has_data = has_unread_data(connection.sock)
+        if has_data is None:
+            self._poller.arm(connection)
+        elif not has_data:
+            self._close_disconnected(connection)
         else:
-            self._silent.pop(one, None)
-            self._quiet.pop(one, None)
-            one._phase, one.began = _Phase.AT_WORK, one.waits_since or time.monotonic()
-        return bool(found)
-
-    def _end_at_rest(self, one: Connection, reason: ConnectionEnd) -> bool:
-        """End a resting connection, unless a request has come on it: that is served."""
-        if (found := _unread(one.sock)) is None:
-            self._end(one, reason)
-        elif not found:
-            self.ends[ConnectionEnd.CLIENT_LEFT.value] += 1
-            self._close(one)
-        return not found
-
-    def _end(self, one: Connection, reason: ConnectionEnd) -> None:
-        """Say that nothing more comes from here, and throw away what still comes for a while."""
-        self.ends[reason.value] += 1
-        self._silent.pop(one, None)
-        self._quiet.pop(one, None)
-        one._phase, one._until = _Phase.ENDING, time.monotonic() + LINGER
-        self._ending[one] = None
+            self._awaiting_first_byte.pop(connection, None)
+            self._idle.pop(connection, None)
+            connection.phase = Phase.ACTIVE
+            connection.request_started = connection.thread_wanted_since or time.monotonic()
+        return bool(has_data)
+
+    def _close_unless_requested(self, connection: ClientConnection, reason: CloseReason) -> bool:
+        """Close an idle connection, unless a request has arrived on it: that is served. Return whether it closes."""
+        has_data = has_unread_data(connection.sock)
+        if has_data is None:
+            self._begin_close(connection, reason)
+        elif not has_data:
+            self._close_disconnected(connection)
+        return not has_data
+
+    def _close_disconnected(self, connection: ClientConnection) -> None:
+        self.close_reasons[CloseReason.CLIENT_DISCONNECTED.value] += 1
+        self._close(connection)
+
+    def _begin_close(self, connection: ClientConnection, reason: CloseReason) -> None:
+        """Shut down the sending side, and discard what still arrives for a while."""
+        self.close_reasons[reason.value] += 1
+        self._awaiting_first_byte.pop(connection, None)
+        self._idle.pop(connection, None)
+        connection.phase = Phase.CLOSING
+        connection.close_deadline = time.monotonic() + CLOSE_TIMEOUT
+        self._closing[connection] = None
         try:
-            one.sock.setblocking(False)
-            one.sock.shutdown(socket.SHUT_WR)
-            self._arm(one)
+            connection.sock.setblocking(False)
+            connection.sock.shutdown(socket.SHUT_WR)
+            self._poller.arm(connection)
         except OSError:
-            self._close(one)
-        if self._stopped.is_set() and one in self._ending:  # nobody is left to wait for it
-            self._close(one)
-        if len(self._ending) > MOST_ENDING:
+            self._close(connection)
+        if self._stopped.is_set() and connection in self._closing:  # the polling thread is gone
+            self._close(connection)
+        if len(self._closing) > MAX_CLOSING:
             self._close_oldest()
 
     def _close_oldest(self) -> None:
-        """Wait no longer for the one that has been at its end for the longest time."""
-        for one in _first(self._ending):
-            self._close(one)
+        """Wait no longer for the one that has been closing for the longest time."""
+        for connection in oldest(self._closing):
+            self._close(connection)
 
-    def _drain(self, one: Connection) -> None:
+    def _discard_input(self, connection: ClientConnection) -> None:
+        """Read and discard what has arrived on a closing connection; close it at its end or past the bound."""
         try:
-            data = one.sock.recv(65536)
+            data = connection.sock.recv(_RECEIVE_BYTES)
         except OSError as error:
             if is_passing(error):
-                self._arm(one)
+                self._poller.arm(connection)
                 return
             data = b""
-        one._drained += len(data)
-        if data and one._drained <= LINGER_BYTES:
-            self._arm(one)
+        connection.discarded_bytes += len(data)
+        if data and connection.discarded_bytes <= MAX_DISCARDED_BYTES:
+            self._poller.arm(connection)
         else:
-            self._close(one)
-
-    def _close(self, one: Connection) -> None:
-        for some in (self._silent, self._quiet, self._ending):
-            some.pop(one, None)
-        del self._open[one.number]
-        if one._phase is _Phase.ENDING:
-            with contextlib.suppress(
-                OSError
-            ):  # what lies unread at a close has the system reset the connection
-                one.sock.recv(65536)
-        one.sock.close()  # which takes it out of the poll too
+            self._close(connection)
+
+    def _close(self, connection: ClientConnection) -> None:
+        """Close the socket and forget the connection."""
+        for group in (self._awaiting_first_byte, self._idle, self._closing):
+            group.pop(connection, None)
+        del self._open[connection.number]
+        if connection.phase is Phase.CLOSING:
+            with contextlib.suppress(OSError):  # a close over unread data has the system reset the connection
+                connection.sock.recv(_RECEIVE_BYTES)
+        connection.sock.close()  # which removes it from the poller too
         if not self._open:
-            self._none_left.notify_all()
-
-    # ---- work
-
-    def _hand_over(self, one: Connection) -> None:
-        with self._lock:
-            waits = self._spare > 0
-            self._spare -= waits
-        if waits:
-            self._jobs.put(one)
+            self._all_closed.notify_all()
+
+    def _retry_or_reject(self, connection: ClientConnection) -> None:
+        """Retry a request that no thread can serve after a pause, and reject it in the end."""
+        self._poller.failures["thread"] += 1
+        connection.thread_wanted_since = connection.thread_wanted_since or connection.request_started
+        if time.monotonic() - connection.thread_wanted_since >= _THREAD_PATIENCE:
+            self._reject(connection, CloseReason.NO_THREAD)
             return
-        try:
-            threading.Thread(target=self._labour, args=(one,), name="client", daemon=True).start()
-        except RuntimeError:  # no more threads for now
-            with self._lock:
-                self._has_no_thread(one)
-
-    def _has_no_thread(self, one: Connection) -> None:
-        """A request has begun that nobody can read: looked at again after a pause, and refused in the end."""
-        self.failures["thread"] += 1
-        one.waits_since = one.waits_since or one.began
-        if time.monotonic() - one.waits_since >= _THREAD_PATIENCE:
-            self._turn_away(one, ConnectionEnd.NO_THREAD)
-            return
-        one._phase = _Phase.RESTING
-        self._quiet[one] = self._unarmed[one] = None
+        connection.phase = Phase.IDLE
+        self._idle[connection] = None
+        self._poller.arm_later(connection)
 
-    def _labour(self, one: Connection | None) -> None:
-        while one:
-            after = After.GONE
-            try:
-                after = self._work(one)
-            finally:
-                self._release(one, after)
-            one = self._next()
+    # ---- worker threads
 
-    def _next(self) -> Connection | None:
-        with self._lock:
-            self._spare += 1
-        while True:
-            with contextlib.suppress(Empty):
-                return self._jobs.get(timeout=_SPARE_THREAD)
-            with self._lock:
-                if self._spare > 0:
-                    self._spare -= 1
-                    return None
-            # Nobody spare: a connection is on its way to this thread.
+    def _serve(self, connection: ClientConnection) -> None:
+        """Serve the requests of an active connection, on a worker thread."""
+        next_step = NextStep.DISCONNECTED
+        try:
+            next_step = self._serve_requests(connection)
+        finally:
+            self._finish_request(connection, next_step)
 
-    def _release(self, one: Connection, after: After) -> None:
-        """Work on a connection is done."""
+    def _finish_request(self, connection: ClientConnection, next_step: NextStep) -> None:
+        """Move a connection on from its active phase."""
         with self._lock:
-            one._gone, one.waits_since = _nobody, 0.0
-            one.since = one.replied = time.monotonic()
-            if after is After.GONE:
-                self.ends[ConnectionEnd.BROKEN.value] += 1
-                self._close(one)
-            elif after is After.END or self._winding_down:
-                # Also where winding down began after its reply was written.
-                self._end(one, ConnectionEnd.AFTER_REPLY if after is After.END else ConnectionEnd.SHUTDOWN)
+            connection.on_disconnect = ignore_disconnect
+            connection.thread_wanted_since = 0.0
+            connection.idle_since = connection.last_reply = time.monotonic()
+            if next_step is NextStep.DISCONNECTED:
+                self.close_reasons[CloseReason.FAILED_WHILE_ACTIVE.value] += 1
+                self._close(connection)
+            elif next_step is NextStep.CLOSE:
+                self._begin_close(connection, CloseReason.AFTER_REPLY)
+            elif self._shutting_down:  # also where shutdown began after its reply was written
+                self._begin_close(connection, CloseReason.SHUTDOWN)
             else:
-                one._phase = _Phase.RESTING
-                one.sock.setblocking(False)
-                self._quiet[one] = None
-                self._arm(one)
-
-
-def _first(some: dict[Connection, None], count: int = 1) -> list[Connection]:
-    return [one for one, _ in zip(some, range(count), strict=False)]
-
-
-def _unread(sock: socket.socket) -> bool | None:
-    """Whether something lies unread on a socket that does not block: None for nothing, False for its end.
-
-    Where the call fails for want of this machine's resources it is None too: what is to come is looked for again.
-    """
-    try:
-        return bool(sock.recv(1, socket.MSG_PEEK))
-    except OSError as error:
-        return None if is_passing(error) else False
-
-
-def has_left(sock: socket.socket) -> bool:
-    """Whether the other side has closed, or shut its sending side, even behind bytes that lie unread."""
-    poll = select.poll()
-    try:
-        poll.register(sock, select.POLLRDHUP | select.POLLHUP)
-    except ValueError:  # it is closed here
-        return True
-    try:
-        return bool(poll.poll(0))
-    except OSError:  # of this machine: nothing is known of the client
-        return False
+                connection.phase = Phase.IDLE
+                connection.sock.setblocking(False)
+                self._idle[connection] = None
+                self._poller.arm(connection)
--- a/gingervane/fronts/http_server.py
+++ b/gingervane/fronts/http_server.py
@@ -16,7 +16,8 @@
 
 from gingervane.coordinator import process_pause
 from gingervane.coordinator.process_pause import ProcessPauseDetector
-from gingervane.fronts.connections import After, Bounds, Connection, Connections, has_left
+from gingervane.fronts.client_connection import ClientConnection, ConnectionLimits, NextStep, is_disconnected
+from gingervane.fronts.connections import ConnectionManager
 from gingervane.wire import http1
 from gingervane.wire.http1 import Closed, HttpError, Limits, Request
 from gingervane.wire.local_failures import RETRY_PAUSE, is_passing, patiently, start_thread
@@ -77,14 +78,14 @@
 class _Client:
     """One connection at work, for the handler's use."""
 
-    def __init__(self, one: Connection, connections: Connections) -> None:
+    def __init__(self, one: ClientConnection, connections: ConnectionManager) -> None:
         self._one, self._connections = one, connections
 
     def watch(self, gone: Callable[[], None]) -> None:
         self._connections.watch(self._one, gone)
 
     def left(self) -> bool:
-        return has_left(self._one.sock)
+        return is_disconnected(self._one.sock)
 
     @property
     def peer(self) -> int:
@@ -120,14 +121,15 @@
         listener = patiently(lambda: socket.create_server((host, port), backlog=512))
         self.address: tuple[str, int] = listener.getsockname()[:2]
         fields = [("Retry-After", "1"), ("Connection", "close"), ("Content-Type", "text/plain")]
-        self._connections = Connections(
+        self._connections = ConnectionManager(
             listener,
-            Bounds(limits.connections, limits.idle, limits.silent, limits.crowd, limits.quiet),
+            ConnectionLimits(limits.connections, limits.idle, limits.silent, limits.crowd, limits.quiet),
             self._work,
             http1.response(503, fields, b"too many connections\n"),
         )
         self._stop, self._still = threading.Event(), ProcessPauseDetector(time.monotonic())
-        self.wind_down, self.stop_accepting = self._connections.wind_down, self._connections.stop_accepting
+        self.begin_shutdown = self._connections.begin_shutdown
+        self.stop_accepting = self._connections.stop_accepting
 
         self.faults = 0  # requests whose handler broke
         self.on_fault: Callable[[BaseException], None] = lambda error: None
@@ -159,8 +161,8 @@
 
     @property
     def ends(self) -> Mapping[str, int]:
-        """Connections ended, by `ConnectionEnd`."""
-        return self._connections.ends
+        """Connections ended, by `CloseReason`."""
+        return self._connections.close_reasons
 
     @property
     def failures(self) -> Mapping[str, int]:
@@ -170,24 +172,24 @@
     @property
     def refused(self) -> int:
         """Connections past the bound."""
-        return self._connections.refused
+        return self._connections.rejected
 
-    def _work(self, one: Connection) -> After:
+    def _work(self, one: ClientConnection) -> NextStep:
         """A request has begun on a connection: serve it, and those that came behind it."""
-        if not isinstance(one.kept, _Reading):
+        if not isinstance(one.worker_state, _Reading):
             timed = _Timed(one.sock)
-            one.kept = _Reading(timed, http1.Reader(timed.receive, self._limits.message))
-        reading, began, replied = one.kept, one.began, one.replied
+            one.worker_state = _Reading(timed, http1.Reader(timed.receive, self._limits.message))
+        reading, began, replied = one.worker_state, one.request_started, one.last_reply
         try:
             while (
                 after := self._exchange(one, reading, began, replied)
-            ) is After.REST and reading.reader.waiting:
+            ) is NextStep.KEEP_ALIVE and reading.reader.waiting:
                 began = replied = time.monotonic()
             return after
         except (OSError, Closed):
-            return After.GONE
+            return NextStep.DISCONNECTED
 
-    def _exchange(self, one: Connection, reading: _Reading, began: float, replied: float) -> After:
+    def _exchange(self, one: ClientConnection, reading: _Reading, began: float, replied: float) -> NextStep:
         """One request and its reply. `began`: its first byte came; `replied`: the one before it was done with."""
         sock, reader = one.sock, reading.reader
         arrived = self._still.came(began, replied)
@@ -204,10 +206,10 @@
             body = reader.body(request.headers)
         except HttpError as error:
             self._write(sock, plain(error.status, error.what, close=True))
-            return After.END
+            return NextStep.CLOSE
         except TimeoutError:
             self._write(sock, plain(408, f"{what}: not complete in time", close=True))
-            return After.END
+            return NextStep.CLOSE
         if SOCKET_RECORDER.on:
             SOCKET_RECORDER.put("request", *_ports(sock))
         try:
@@ -216,16 +218,16 @@
             self.faults += 1
             self.on_fault(error)
             self._write(sock, plain(500, "failed: internal error", close=True))
-            return After.END
+            return NextStep.CLOSE
         try:
             late = reply.until is not None and time.monotonic() >= reply.until
             if late and reply.status < 400:  # a failure or a refusal is said as its front has it
                 # What was to be said comes too late to count; a request that has been read is answered all the same,
                 # with a failure that promises nothing.
                 reply = plain(504, "failed: its time is up", close=True)._replace(done=reply.done)
-            close = reply.close or not request.keep_alive or self._connections.winding_down
+            close = reply.close or not request.keep_alive or self._connections.shutting_down
             self._write(sock, reply._replace(close=close))
-            return After.END if close else After.REST
+            return NextStep.CLOSE if close else NextStep.KEEP_ALIVE
         finally:
             reply.done()
 
--- a/gingervane/node/service.py
+++ b/gingervane/node/service.py
@@ -20,7 +20,7 @@
 from gingervane import interface as api
 from gingervane.coordinator import types as t
 from gingervane.coordinator.core import AdmissionLimits, QueryCoordinator, ClusterPorts
-from gingervane.fronts.connections import MOST_ENDING
+from gingervane.fronts.connections import MAX_CLOSING
 from gingervane.fronts.http_server import HttpServer, ServerLimits
 from gingervane.node import config as configuration
 from gingervane.node.client_front import ClientFront
@@ -167,7 +167,7 @@
             known = None
         if known:
             self.core.endpoints_updated(known)
-        connections = max(config.sockets - links - SPARE - OWN_DESCRIPTORS - MOST_ENDING, 1)
+        connections = max(config.sockets - links - SPARE - OWN_DESCRIPTORS - MAX_CLOSING, 1)
         self.server = HttpServer(
             *config.listen,
             self.front.handle,
--- a/tests/platform_standins.py
+++ b/tests/platform_standins.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 from typing import IO, Any, NamedTuple
 
-from gingervane.fronts.connections import Connections
+from gingervane.fronts.connections import ConnectionManager
 from gingervane.node import config as configuration
 from gingervane.node.service import Node
 
@@ -384,7 +384,7 @@
             replica.close()
 
 
-def connections_of(platform: Platform) -> Connections:
+def connections_of(platform: Platform) -> ConnectionManager:
     return platform.node.server._connections
 
 
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -21,9 +21,9 @@
 import pytest
 
 from gingervane.coordinator.core import Admission, QueryCoordinator
-from gingervane.fronts import connections as connections_module
 from gingervane.fronts.http_server import HttpServer
-from gingervane.fronts.connections import LINGER_BYTES, MOST_ENDING, After, Connection, Connections, _unread
+from gingervane.fronts.client_connection import ClientConnection, NextStep, has_unread_data, is_disconnected
+from gingervane.fronts.connections import MAX_CLOSING, MAX_DISCARDED_BYTES, ConnectionManager
 from platform_standins import (
     HEAD,
     PATIENCE,
@@ -82,7 +82,7 @@
 @pytest.fixture
 def looking(monkeypatch: pytest.MonkeyPatch) -> Iterator[Held]:
     """The thread that sees what happens on connections."""
-    held = Held(monkeypatch, Connections, "_seen")
+    held = Held(monkeypatch, ConnectionManager, "_handle_event")
     yield held
     held.let_go()
 
@@ -91,14 +91,16 @@
     """Something lies unread on a connection at rest."""
     connections = connections_of(platform)
     with connections._lock:
-        return any(_unread(one.sock) for one in [*connections._quiet, *connections._silent])
+        return any(
+            has_unread_data(one.sock) for one in [*connections._idle, *connections._awaiting_first_byte]
+        )
 
 
 def rested(platform: Platform) -> socket.socket:
     """A client whose connection rests after a request."""
     sock = platform.client()
     assert platform.ask("first", {0: 1.0}, sock=sock)[0] == 200
-    until(lambda: len(connections_of(platform)._quiet) == 1, "its connection rests")
+    until(lambda: len(connections_of(platform)._idle) == 1, "its connection rests")
     return sock
 
 
@@ -130,7 +132,7 @@
     looking.hold()
     sock.sendall(query("q", {0: 1.0}))
     until(lambda: lies_unread(platform), "the request lies unread")
-    platform.node.server.wind_down()
+    platform.node.server.begin_shutdown()
     looking.let_go()
     status, fields, _ = reply(sock)
     assert status == 200 and fields["connection"] == "close"
@@ -140,7 +142,7 @@
 
 def test_a_request_that_comes_after_the_end_of_its_connection_reaches_nobody(platform: Platform) -> None:
     sock = rested(platform)
-    platform.node.server.wind_down()
+    platform.node.server.begin_shutdown()
     sock.sendall(query("q", {0: 1.0}))  # it has not looked for the end yet
     ends_cleanly(sock)
     assert asked(platform) == ["first.0"]
@@ -150,9 +152,9 @@
 def test_the_end_comes_between_a_request_s_first_and_last_byte(platform: Platform) -> None:
     whole, sock = query("q", {0: 1.0}), platform.client()
     sock.sendall(whole[:50])
-    until(lambda: not connections_of(platform)._silent, "the request has begun")
+    until(lambda: not connections_of(platform)._awaiting_first_byte, "the request has begun")
     ending = in_background(platform.node.end)
-    until(lambda: connections_of(platform).winding_down, "the end has begun")
+    until(lambda: connections_of(platform).shutting_down, "the end has begun")
     sock.sendall(whole[50:])
     status, fields, _ = reply(sock)
     assert status == 503 and fields["connection"] == "close" and not asked(platform)
@@ -166,14 +168,14 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     sock, heard = platform.client(), Waiter()
-    wind_down = Connections.wind_down
+    begin_shutdown = ConnectionManager.begin_shutdown
 
-    def after_a_request(self: Connections) -> None:
+    def after_a_request(self: ConnectionManager) -> None:
         sock.sendall(query("q", {0: 1.0}))
         heard.put(reply(sock)[0])
-        wind_down(self)
+        begin_shutdown(self)
 
-    monkeypatch.setattr(Connections, "wind_down", after_a_request)
+    monkeypatch.setattr(ConnectionManager, "begin_shutdown", after_a_request)
     platform.node.end()
     assert heard.items == [503] and not asked(platform)
     sock.close()
@@ -242,13 +244,13 @@
 def test_a_reply_written_as_the_server_winds_down_ends_its_connection(platform: Platform) -> None:
     """Winding down comes after it was decided that the connection stays: nobody would end it any more."""
     sock, connections = platform.client(), connections_of(platform)
-    release = connections._release
+    finish_request = connections._finish_request
 
-    def after_winding_down(one: Connection, after: After) -> None:
-        platform.node.server.wind_down()
-        release(one, after)
+    def after_shutdown_began(connection: ClientConnection, next_step: NextStep) -> None:
+        platform.node.server.begin_shutdown()
+        finish_request(connection, next_step)
 
-    connections._release = after_winding_down  # type: ignore[method-assign]
+    connections._finish_request = after_shutdown_began  # type: ignore[method-assign]
     status, fields, _ = platform.ask("q", {0: 1.0}, sock=sock)
     assert status == 200 and "connection" not in fields
     ends_cleanly(sock)
@@ -268,7 +270,7 @@
     sock.sendall(query("q", dict.fromkeys(range(shards), 1 / shards)))
     until(lambda: platform.node.core.admission.reserved_bytes, "the answer is being written")
     ending = in_background(platform.node.end)
-    until(lambda: connections_of(platform).winding_down, "the end has begun")
+    until(lambda: connections_of(platform).shutting_down, "the end has begun")
     status, _, body = reply(sock)
     assert status == 200 and len(body["pieces"]) == shards
     ending.join()
@@ -286,7 +288,7 @@
     sock.sendall(query("q", {0: 1.0}))
     assert writing.entered.wait(PATIENCE)
     ending = in_background(platform.node.end)
-    until(lambda: connections_of(platform).winding_down, "the end has begun")
+    until(lambda: connections_of(platform).shutting_down, "the end has begun")
     writing.let_go()
     assert reply(sock)[0] == 200
     ends_cleanly(sock)
@@ -359,7 +361,7 @@
     for number in range(8):  # each rests, too short a time to be sent away
         held.append(platform.client())
         assert platform.ask(f"q{number}", {0: 1.0}, sock=held[-1])[0] == 200
-    until(lambda: len(connections_of(platform)._quiet) == 8, "all rest")
+    until(lambda: len(connections_of(platform)._idle) == 8, "all rest")
     looking.hold()
     held[0].sendall(query("held", {0: 1.0}))
     assert looking.entered.wait(PATIENCE)  # from here on nobody takes connections
@@ -368,7 +370,7 @@
         sock.sendall(query(f"late{number}", {0: 1.0}))
     looking.let_go()
     found = [reply(sock)[0] for sock in late]
-    assert set(found) == {200, 503} and found.count(503) > 2 * MOST_ENDING
+    assert set(found) == {200, 503} and found.count(503) > 2 * MAX_CLOSING
     for sock, status in zip(late, found, strict=True):
         if status == 503:
             ends_cleanly(sock)
@@ -383,14 +385,14 @@
     flood.settimeout(PATIENCE)
     flood.sendall(b"no HTTP\r\n\r\n")
     with pytest.raises(ConnectionError):  # over the bound in bytes it is closed over what is left
-        for _ in range(LINGER_BYTES // 65536 * 200):
+        for _ in range(MAX_DISCARDED_BYTES // 65536 * 200):
             flood.sendall(b"x" * 65536)
-    crowd = [platform.client() for _ in range(3 * MOST_ENDING)]
+    crowd = [platform.client() for _ in range(3 * MAX_CLOSING)]
     for sock in crowd:
         sock.sendall(b"no HTTP\r\n\r\n")
     for sock in crowd:
         assert reply(sock)[0] == 400
-        assert len(connections._ending) <= MOST_ENDING + 1
+        assert len(connections._closing) <= MAX_CLOSING + 1
     assert platform.ask("q", {0: 1.0})[0] == 200
     for sock in [flood, *crowd]:
         sock.close()
@@ -565,17 +567,17 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Each piece of news comes once; one that proved to be none left its connection unwatched."""
-    silent, has_left, asks = Replica(0, lambda wire, part: None), connections_module.has_left, Waiter()
+    silent, asks = Replica(0, lambda wire, part: None), Waiter()
 
     def not_at_first(sock: socket.socket) -> bool:
         asks.put(sock)
-        return len(asks.items) > 1 and has_left(sock)
+        return len(asks.items) > 1 and is_disconnected(sock)
 
     platform = Platform(tmp_path, silent)
     sock = platform.client()
     sock.sendall(query("q", {0: 1.0}))
     silent.parts.wait()
-    monkeypatch.setattr(connections_module, "has_left", not_at_first)
+    monkeypatch.setattr("gingervane.fronts.connections.is_disconnected", not_at_first)
     sock.close()
     assert silent.cancels.wait() == ["q.0"] and len(asks.items) == 2
     platform.close()
@@ -654,7 +656,7 @@
         platform = Platform(tmp_path, sockets=sockets)
         links = platform.node.core._senders
         assert isinstance(links, ReplicaConnections)
-        clients = connections_of(platform)._bounds.connections + MOST_ENDING
+        clients = connections_of(platform)._limits.max_connections + MAX_CLOSING
         assert clients + links._limits.links + SPARE + OWN_DESCRIPTORS == sockets
         platform.close()
 
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -26,7 +26,7 @@
 from gingervane.coordinator import types as t
 from gingervane.coordinator.driver import Driver
 from gingervane.writes.idempotency import Do, IdempotencyRecords, Limits, State
-from gingervane.fronts import connections as connections_module
+from gingervane.fronts import client_connection
 from gingervane.fronts.http_server import Exchange, Handler, HttpServer, Reply, ServerLimits, plain
 from gingervane.fronts.leaf_codec import RemoteReadExchange
 from gingervane.interface import AttemptOutcome
@@ -330,8 +330,8 @@
 def test_the_thread_that_takes_connections_outlives_a_failing_epoll(platform: Platform, call: str) -> None:
     """A request on a connection that could not be registered waits for a moment, and is served."""
     connections = connections_of(platform)
-    poll = FailingPoll(connections._poll)
-    connections._poll = poll  # type: ignore[assignment]
+    poll = FailingPoll(connections._poller._epoll)
+    connections._poller._epoll = poll  # type: ignore[assignment]
     poll.fail[call] = 3
     for number in range(5):
         assert platform.ask(f"q{number}", {0: 1.0})[0] == 200
@@ -369,7 +369,7 @@
 def test_an_error_of_this_machine_is_not_a_client_s_end(monkeypatch: pytest.MonkeyPatch) -> None:
     near, far = socket.socketpair()
     near.setblocking(False)
-    monkeypatch.setattr(connections_module, "is_passing", local_failures.is_passing)
+    monkeypatch.setattr(client_connection, "is_passing", local_failures.is_passing)
     far.sendall(b"x")
     real = socket.socket.recv
 
@@ -377,9 +377,9 @@
         raise OSError(errno.ENOMEM, os.strerror(errno.ENOMEM))
 
     monkeypatch.setattr(socket.socket, "recv", short_of_memory)
-    assert connections_module._unread(near) is None, "nothing is known"
+    assert client_connection.has_unread_data(near) is None, "nothing is known"
     monkeypatch.setattr(socket.socket, "recv", real)
-    assert connections_module._unread(near) is True
+    assert client_connection.has_unread_data(near) is True
     far.close()
     near.close()
 
