--- a/gingervane/daemon/app.py
+++ b/gingervane/daemon/app.py
@@ -20,6 +20,7 @@
 from gingervane.coordinator.request_senders import SenderLimits
 from gingervane.telemetry import daemon_log
 from gingervane.telemetry.daemon_metrics import Metrics
+from gingervane.telemetry.events import LogEvent
 from gingervane.settings.daemon_settings import Config
 from gingervane.fronts import http_server, remote_read
 from gingervane.fronts.routing import ClassOf, Front, Route, Router
@@ -52,17 +53,17 @@
         told = self._log.debug if final.status is t.QueryStatus.COMPLETE else self._log.info
         if self._debug or final.status is not t.QueryStatus.COMPLETE:
             told(
-                "query settled",
+                LogEvent.QUERY_COMPLETED,
                 query=query,
                 query_class=plan.tag,
-                verdict=verdict,
-                seconds=round(seconds, 4),
-                parts=len(plan.parts),
+                status=verdict,
+                duration_seconds=round(seconds, 4),
+                parts_requested=len(plan.parts),
                 coverage=round(final.coverage, 4),
                 attempts=len(final.attempts),
                 reason=final.reason.value,
-                further=sum(step.attempt > 0 for step in final.attempts),
-                why=final.detail,
+                further_attempts=sum(step.attempt > 0 for step in final.attempts),
+                detail=final.detail,
             )
 
     def attempt_finished(self, outcome: api.AttemptOutcome, replica: int, seconds: float) -> None:
@@ -70,25 +71,33 @@
             self.answered(replica)
         self._metrics.attempt_seconds.add((outcome.value,), seconds)
         if self._debug:
-            self._log.debug("attempt", outcome=outcome.value, replica=replica, seconds=round(seconds, 4))
+            self._log.debug(
+                LogEvent.ATTEMPT_FINISHED,
+                outcome=outcome.value,
+                replica=replica,
+                duration_seconds=round(seconds, 4),
+            )
 
     def log_message(self, text: str) -> None:
-        self._log.info("remark", text=text)
+        self._log.info(LogEvent.MESSAGE, detail=text)
 
     def replica_health_changed(self, change: api.ReplicaHealthChange) -> None:
         _log_health(self._log, change)
 
     def internal_error(self, error: BaseException) -> None:
-        self._log.error("decision thread broke", exc_info=error)
+        self._log.error(LogEvent.INTERNAL_ERROR, exc_info=error)
 
 
 def _log_health(log: Any, change: api.ReplicaHealthChange) -> None:
     if isinstance(change, api.ReplicaEjected):
         log.info(
-            "replica ejected", replica=change.replica, seconds=change.seconds, reason=change.reason.value
+            LogEvent.REPLICA_EJECTED,
+            replica=change.replica,
+            ejection_seconds=change.seconds,
+            reason=change.reason.value,
         )
     else:
-        log.info("replica reinstated", replica=change.replica)
+        log.info(LogEvent.REPLICA_REINSTATED, replica=change.replica)
 
 
 class _Branches:
@@ -103,20 +112,24 @@
             steps = [f"{step.replica}:{step.outcome}" for step in final.attempts]
             verdict = final.status.value
             self._log.info(
-                "subtree lost", query_class=plan.tag, verdict=verdict, why=final.detail, path=steps
+                LogEvent.SUBTREE_FAILED,
+                query_class=plan.tag,
+                status=verdict,
+                detail=final.detail,
+                attempts=steps,
             )
 
     def attempt_finished(self, outcome: api.AttemptOutcome, replica: int, seconds: float) -> None:
         self._metrics.child_seconds.add((outcome.value,), seconds)
 
     def log_message(self, text: str) -> None:
-        self._log.info("remark", text=text.replace("replica", "co-ordinator"))
+        self._log.info(LogEvent.MESSAGE, detail=text.replace("replica", "co-ordinator"))
 
     def replica_health_changed(self, change: api.ReplicaHealthChange) -> None:
         _log_health(self._log, change)
 
     def internal_error(self, error: BaseException) -> None:
-        self._log.error("decision thread of the tree broke", exc_info=error)
+        self._log.error(LogEvent.INTERNAL_ERROR, exc_info=error)
 
 
 class _Vectors:
@@ -130,25 +143,25 @@
         self._metrics.vector_seconds.add((self._core, plan.tag, verdict), seconds)
         if final.status in (t.QueryStatus.REJECTED, t.QueryStatus.FAILED):
             self._log.info(
-                "query settled",
+                LogEvent.QUERY_COMPLETED,
                 core=self._core,
                 query_class=plan.tag,
-                verdict=verdict,
-                parts=len(plan.parts),
-                why=final.detail,
+                status=verdict,
+                parts_requested=len(plan.parts),
+                detail=final.detail,
             )
 
     def attempt_finished(self, outcome: api.AttemptOutcome, replica: int, seconds: float) -> None:
         self._metrics.vector_attempt_seconds.add((self._core, outcome.value), seconds)
 
     def log_message(self, text: str) -> None:
-        self._log.info("remark", core=self._core, text=text)
+        self._log.info(LogEvent.MESSAGE, core=self._core, detail=text)
 
     def replica_health_changed(self, change: api.ReplicaHealthChange) -> None:
         _log_health(self._log.bind(core=self._core), change)
 
     def internal_error(self, error: BaseException) -> None:
-        self._log.error("decision thread broke", core=self._core, exc_info=error)
+        self._log.error(LogEvent.INTERNAL_ERROR, core=self._core, exc_info=error)
 
 
 class App:
@@ -201,7 +214,7 @@
                 listen.stack_bytes,
             ),
         )
-        self._server.on_fault = lambda error: self._log.error("request broke", exc_info=error)
+        self._server.on_fault = lambda error: self._log.error(LogEvent.REQUEST_HANDLER_FAILED, exc_info=error)
         rings = Rings(config.shards.cells, config.tree.ring if config.tree else 1)
         self.membership = MembershipService(
             config.membership,
@@ -211,7 +224,7 @@
             self.address,
             self._listed,
             self._peers_listed,
-            lambda what: self._log.error("server list", fault=what),
+            lambda what: self._log.error(LogEvent.MEMBERSHIP_FAULT, detail=what),
             random.Random(),
         )
         observer.answered = self.membership.nodes.answered
@@ -223,7 +236,7 @@
                 cores,
                 lambda core: _Vectors(self.metrics, core),
                 self.address,
-                lambda what: self._log.error("vectors", fault=what),
+                lambda what: self._log.error(LogEvent.VECTOR_FAULT, detail=what),
                 self.gate,
             )
             fronts.append(self.vectors.front)
@@ -309,7 +322,7 @@
         print(f"listening on {self.address[0]}:{self.address[1]}", flush=True)
         while not stop.wait(0.2) and not any(c.broken.is_set() for c in self._cores()):
             pass
-        self._log.info("stopping", open=self.core.admission.open)
+        self._log.info(LogEvent.SHUTDOWN_STARTED, open_queries=self.core.admission.open)
         self.stop()
         return 1 if any(c.broken.is_set() for c in self._cores()) else 0
 
--- a/gingervane/node/discovery.py
+++ b/gingervane/node/discovery.py
@@ -108,7 +108,7 @@
                 replica, where = self._entry(entry)
             except (TypeError, KeyError, ValueError) as error:
                 self._log(
-                    "list_entry_skipped", error=f"{type(error).__name__}: {error}", entry=str(entry)[:200]
+                    "endpoint_invalid", error=f"{type(error).__name__}: {error}", entry=str(entry)[:200]
                 )
                 continue
             found[replica.id] = replica, where
@@ -118,13 +118,13 @@
         for replica, _ in found.values():
             if not whole or replica.state is not api.ReplicaState.READY:
                 self._log(
-                    "replica_listed",
+                    "replica_updated",
                     replica=self.host(replica.id),
                     state=replica.state,
                     version=version,
                     started_at=replica.started_at,
                 )
-        self._log("list_read", version=version, whole=whole, cached=cached, replicas=len(found))
+        self._log("endpoints_updated", version=version, whole=whole, cached=cached, replicas=len(found))
         kind = (
             api.MembershipUpdateKind.CACHED
             if cached
@@ -147,7 +147,7 @@
         before = self._starts.corrections
         places = self._starts.place(listed, cached)
         if self._starts.corrections > before:
-            self._log("wall_clock_doubted", corrections=self._starts.corrections)
+            self._log("start_times_corrected", corrections=self._starts.corrections)
         moved = {n: (found[n][0]._replace(started_at=place), found[n][1]) for n, place in places.items()}
         return found | moved
 
@@ -202,7 +202,7 @@
         if state is not self._state:
             old, self._state = self._state, state
             where = f"{self._where[0]}:{self._where[1]}"
-            self._log("watch_state", old=old, new=state, reason=reason, discovery=where)
+            self._log("watch_state_changed", old=old, new=state, reason=reason, discovery=where)
 
     def start(self) -> None:
         start_thread(self._run, "discovery")
@@ -327,7 +327,7 @@
                 raise ListError(f"no JSON value: {value[:100]!r}")
             listed = self._reader.read(orjson.loads(value), anew=anew)
         except (orjson.JSONDecodeError, ListError) as error:
-            self._log("list_value_skipped", error=str(error))
+            self._log("endpoint_list_invalid", error=str(error))
             return False
         self._becomes(WatchState.FOLLOWING)
         if listed:
--- a/gingervane/node/service.py
+++ b/gingervane/node/service.py
@@ -30,6 +30,7 @@
 from gingervane.node.replica_connections import ReplicaConnections, SPARE
 from gingervane.node.peer_socket import PeerSocket
 from gingervane.coordinator.replica_start_times import ReplicaStartTimes
+from gingervane.telemetry.events import LogEvent
 from gingervane.telemetry.node_telemetry import Telemetry
 from gingervane.decisions.engine import DecisionEngine
 from gingervane.wire.http1 import Limits
@@ -73,18 +74,18 @@
             return
         ends = Counter(step.outcome for step in final.attempts)
         write(
-            "query_settled",
+            LogEvent.QUERY_COMPLETED,
             request=plan.tag,
             query=query,
             query_class=self._classes[plan.query_class],
-            verdict=verdict,
+            status=verdict,
             reason=final.reason,
             step=final.step,
-            parts=final.parts_requested,
-            parts_in=final.parts_received,
+            parts_requested=final.parts_requested,
+            parts_received=final.parts_received,
             coverage=final.coverage,
-            marked_whole=final.marked_complete,
-            seconds=seconds,
+            marked_complete=final.marked_complete,
+            duration_seconds=seconds,
             attempts=" ".join(f"{count}x{outcome}" for outcome, count in ends.items()),
             detail=final.detail,
         )
@@ -94,26 +95,32 @@
             SOCKET_RECORDER.put("told", 0, 0, outcome=outcome.value, replica=replica, seconds=seconds)
         if self._telemetry.debug_on:
             self._telemetry.debug(
-                "attempt_ended", replica=self._host(replica), outcome=outcome, seconds=seconds
+                LogEvent.ATTEMPT_FINISHED,
+                replica=self._host(replica),
+                outcome=outcome,
+                duration_seconds=seconds,
             )
 
     def log_message(self, text: str) -> None:
-        self._telemetry.info("remark", text=text)
+        self._telemetry.info(LogEvent.MESSAGE, detail=text)
 
     def replica_health_changed(self, change: api.ReplicaHealthChange) -> None:
         replica = self._host(change.replica)
         if isinstance(change, api.ReplicaEjected):
             self._telemetry.counters.add("replicas_ejected", change.reason)
             self._telemetry.info(
-                "replica_ejected", replica=replica, seconds=change.seconds, reason=change.reason
+                LogEvent.REPLICA_EJECTED,
+                replica=replica,
+                ejection_seconds=change.seconds,
+                reason=change.reason,
             )
         else:
             self._telemetry.counters.add("replicas_reinstated", "any")
-            self._telemetry.info("replica_reinstated", replica=replica)
+            self._telemetry.info(LogEvent.REPLICA_REINSTATED, replica=replica)
 
     def internal_error(self, error: BaseException) -> None:
         trace = "".join(traceback.format_exception(error))
-        self._telemetry.error("decision_thread_broke", error=f"{type(error).__name__}: {error}", trace=trace)
+        self._telemetry.error(LogEvent.INTERNAL_ERROR, error=f"{type(error).__name__}: {error}", trace=trace)
 
 
 # Verdicts that get a line each (load shedding is only counted), and ends that show a fault of this program.
@@ -163,7 +170,7 @@
         try:
             known = reader.read(config.known, cached=True) if config.known else None
         except ListError as error:
-            telemetry.warning("known_list_unusable", error=str(error))
+            telemetry.warning(LogEvent.CACHED_ENDPOINTS_INVALID, error=str(error))
             known = None
         if known:
             self.core.endpoints_updated(known)
@@ -192,19 +199,21 @@
     def _request_broke(self, error: BaseException) -> None:
         """From a client's thread: its request has been answered with 500."""
         trace = "".join(traceback.format_exception(error))
-        self.telemetry.error("request_broke", error=f"{type(error).__name__}: {error}", trace=trace)
+        self.telemetry.error(
+            LogEvent.REQUEST_HANDLER_FAILED, error=f"{type(error).__name__}: {error}", trace=trace
+        )
 
     def _link_ended(self, ended: LinkEnded) -> None:
         """From the decision thread or the links' reader."""
         self.telemetry.counters.add("replica_connections_ended", ended.reason)
         if ended.out or self.telemetry.debug_on:
             self.telemetry.info(
-                "replica_connection_ended",
+                LogEvent.REPLICA_CONNECTION_CLOSED,
                 address=f"{ended.address[0]}:{ended.address[1]}",
                 reason=ended.reason,
                 detail=ended.detail,
-                out=ended.out,
-                unsent=ended.unsent,
+                attempts_in_flight=ended.out,
+                attempts_unsent=ended.unsent,
             )
 
     def _subscribe(self) -> None:
@@ -229,10 +238,10 @@
         try:
             new = configuration.read(self._path)
         except ConfigError as error:
-            self.telemetry.warning("configuration_kept", error=str(error))
+            self.telemetry.warning(LogEvent.CONFIGURATION_RELOAD_FAILED, error=str(error))
             return
         where = f"{new.discovery[0]}:{new.discovery[1]}"
-        self.telemetry.info("configuration_read_again", discovery=where)
+        self.telemetry.info(LogEvent.CONFIGURATION_RELOADED, discovery=where)
         self.watch.move(new.discovery)
 
     def stop(self) -> None:
@@ -246,7 +255,7 @@
         longest = max(kind.deadline for kind in self._config.settings.query_classes)
         time.sleep(min(longest, LONGEST_COUNTED) + KILL_AFTER - LAST_ANSWERS)
         self.end()
-        self.telemetry.info("ended")
+        self.telemetry.info(LogEvent.SHUTDOWN_COMPLETED)
         self.telemetry.stop()
 
     def end(self) -> None:
@@ -275,7 +284,7 @@
     _log_settings(telemetry, config)
     node.start()
     where = f"{node.server.address[0]}:{node.server.address[1]}"
-    telemetry.info("listens", address=where, threads=threading.active_count())
+    telemetry.info(LogEvent.LISTENING, address=where, threads=threading.active_count())
     while True:
         number = signal.sigwait(_SIGNALS)
         if number == signal.SIGHUP:
@@ -283,7 +292,7 @@
         elif number == signal.SIGUSR1:
             telemetry.dump()
         else:
-            telemetry.info("ending", signal=signal.Signals(number).name)
+            telemetry.info(LogEvent.SHUTDOWN_STARTED, signal=signal.Signals(number).name)
             node.stop()
             return 0
 
@@ -293,26 +302,26 @@
     settings = config.settings
     for name, kind in zip(config.class_names, settings.query_classes, strict=True):
         telemetry.info(
-            "class_settings",
+            LogEvent.CLASS_SETTINGS,
             query_class=name,
-            semantics=kind.retry_safety,
-            aim=kind.latency_objective,
-            deadline=kind.deadline,
-            repeat_window=kind.idempotency_window or 0.0,
+            retry_safety=kind.retry_safety,
+            latency_objective_seconds=kind.latency_objective,
+            deadline_seconds=kind.deadline,
+            idempotency_window_seconds=kind.idempotency_window or 0.0,
             second_step_parts=kind.second_step_parts,
-            least_share=kind.required_coverage,
-            whole_share=kind.complete_coverage,
+            required_coverage=kind.required_coverage,
+            complete_coverage=kind.complete_coverage,
         )
     telemetry.info(
-        "settings",
+        LogEvent.SETTINGS,
         coordinators=settings.coordinator_count,
         shards=config.shards,
         streams=config.streams,
-        parts_per_call=settings.max_parts_per_request,
-        most_attempts=settings.max_attempts,
-        may_cancel=settings.cancellation_allowed,
-        may_copy=settings.hedging_allowed,
-        drain_grace=settings.drain_grace,
-        must_ask_membership=settings.membership_polled,
+        max_parts_per_request=settings.max_parts_per_request,
+        max_attempts=settings.max_attempts,
+        cancellation_allowed=settings.cancellation_allowed,
+        hedging_allowed=settings.hedging_allowed,
+        drain_grace_seconds=settings.drain_grace,
+        membership_polled=settings.membership_polled,
         sockets=config.sockets,
     )
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -615,12 +615,12 @@
         preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (limit, limit)),
     )
     assert program.stderr is not None
-    read_until(program.stderr, "listens")
+    read_until(program.stderr, "listening")
     where = "127.0.0.1", int(data["listen"].rpartition(":")[2])
     drains, stays = platform.replicas
     calls.sock(1).sendall(HEAD + chunk(line(1, host(drains), host(stays))))
     calls.close()  # down
-    assert "closed" in read_until(program.stderr, "watch_state old=following new=idle")
+    assert "closed" in read_until(program.stderr, "watch_state_changed old=following new=idle")
     idle, heard = [], []
     for _ in range(2 * limit):
         idle.append(sock := socket.create_connection(where, PATIENCE))
@@ -630,7 +630,7 @@
     again = Calls(calls.where[1])
     again.sock(1).sendall(HEAD + chunk(line(2, host(drains, health="DRAINING"), whole=False)))
     again.sock(1).sendall(chunk(b"{no JSON}\n"))  # behind the drain, and told of in the log
-    read_until(program.stderr, "list_value_skipped")
+    read_until(program.stderr, "endpoint_list_invalid")
     sock, after = idle[heard.index(200)], len(drains.parts.items)
     for number in range(20):
         sock.sendall(query(f"q{number}", {0: 1.0}))
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -247,7 +247,7 @@
     watched.told.wait()
     watched.watch.move(watched.there.where)
     watched.there.sock(1).sendall(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
-    watched.log.wait(2, lambda item: item[0] == "watch_state" and item[1]["new"] is WatchState.IDLE)
+    watched.log.wait(2, lambda item: item[0] == "watch_state_changed" and item[1]["new"] is WatchState.IDLE)
     assert watched.states() == ["failed"]
     watched.watch.follow()  # as the first pause ends
     watched.there.sock(2).sendall(HEAD + chunk(line(1, entry())))
--- a/tests/test_incident_partial.py
+++ b/tests/test_incident_partial.py
@@ -111,7 +111,7 @@
     )
     node = start_node(path)
     assert node.stderr is not None
-    where, port = read_until(node.stderr, "listens").split("address=")[1].split()[0].rsplit(":", 1)
+    where, port = read_until(node.stderr, "listening").split("address=")[1].split()[0].rsplit(":", 1)
     threading.Thread(target=node.stderr.read, daemon=True).start()  # so that its log is never full
     try:
         return _held_over_the_aim(node, (where, int(port)), replicas, name)
--- a/tests/test_json_values.py
+++ b/tests/test_json_values.py
@@ -129,7 +129,7 @@
         service.push(data[start : start + 3001])
     listed: t.EndpointsUpdated = watching.found.wait(2)[1]
     assert len(listed.membership.replicas) == len(listed.addresses) == 1024
-    assert not watching.log.named("list_value_skipped")
+    assert not watching.log.named("endpoint_list_invalid")
     watching.watch.stop()
     service.close()
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -154,7 +154,7 @@
     reader = ListReader(("a", "b"), ReplicaStartTimes(lambda: 20.0, lambda: 120.0), said)
     hosts = [good, {"host": "s-2"}, good | {"health": "ODD"}, 7]
     listed = reader.read({"seq": 4, "whole": True, "hosts": hosts})
-    assert listed and len(said.named("list_entry_skipped")) == 3
+    assert listed and len(said.named("endpoint_invalid")) == 3
     (found,) = listed.membership.replicas
     assert found == api.Replica(replica_id("s-1"), 2, 1, 1.0, api.ReplicaState.DRAINING, -95.0)
     assert reader.read({"seq": 4, "whole": False, "hosts": [good]}) is None, "old news"
@@ -625,14 +625,14 @@
     platform.path.write_text(platform.path.read_text().replace('"127.0.0.1:0"', f'"127.0.0.1:{port}"'))
     program = start_node(platform.path)
     assert program.stderr is not None
-    read_until(program.stderr, "listens")
+    read_until(program.stderr, "listening")
     with socket.create_connection(("127.0.0.1", port), PATIENCE) as sock:
         program.send_signal(signal.SIGHUP)
-        read_until(program.stderr, "configuration_read_again")
+        read_until(program.stderr, "configuration_reloaded")
         sock.sendall(query("q", {0: 1.0}))
         replica.parts.wait(1, lambda part: part.id == "q.0")
         program.send_signal(signal.SIGTERM)
-        read_until(program.stderr, "ending")
+        read_until(program.stderr, "shutdown_started")
         held.set()
         served(reply(sock), "q", 0)
         sock.sendall(query("r", {0: 1.0}))  # on a connection that stands, while the platform lets us
--- a/tests/test_telemetry.py
+++ b/tests/test_telemetry.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import ast
 import io
 import os
 import re
@@ -13,6 +14,7 @@
 
 from gingervane import interface as api
 from gingervane.telemetry import node_telemetry as module
+from gingervane.telemetry.events import LogEvent
 from gingervane.telemetry.node_telemetry import BURST, MOST_WAITING, Counters, Limiter, Telemetry
 from platform_standins import PATIENCE, Platform, Replica, read_until, start_node, until
 
@@ -45,10 +47,10 @@
 ) -> None:
     log, stream = written
     why = api.QueryEndReason.PARTS_LOST
-    log.info("query_settled", request='a b="c"\n', reason=why, seconds=0.25, whole=True)
+    log.info(LogEvent.QUERY_COMPLETED, request='a b="c"\n', reason=why, seconds=0.25, whole=True)
     until(stream.lines, "a line")
     (line,) = stream.lines()
-    assert "node=n7 level=info event=query_settled" in line and 'reason="too many parts lost"' in line
+    assert "node=n7 level=info event=query_completed" in line and 'reason="too many parts lost"' in line
     assert "seconds=0.25" in line and "whole=True" in line and "\\n" in line
     log.info("plain", host="s-1")
     until(lambda: len(stream.lines()) == 2, "the next line")
@@ -133,12 +135,12 @@
     program = start_node(platform.path)
     assert program.stderr is not None
     said = read_until(program.stderr, "class_settings")
-    assert "query_class=look semantics=safe" in said and "least_share=1 whole_share=1" in said
-    listens = read_until(program.stderr, "listens")
+    assert "query_class=look retry_safety=safe" in said and "required_coverage=1 complete_coverage=1" in said
+    listens = read_until(program.stderr, "listening")
     found = re.search(r"address=([0-9.]+):(\d+)", listens)
     assert found
     program.send_signal(signal.SIGTERM)
-    read_until(program.stderr, "ending")
+    read_until(program.stderr, "shutdown_started")
     assert program.wait(PATIENCE) == 0
     program.stderr.close()
     platform.close()
@@ -153,8 +155,8 @@
     assert platform.ask("q1", {0: 1.0})[0] == 503
     platform.close()
     lines = capfd.readouterr().err.splitlines()
-    (settled,) = [line for line in lines if "event=query_settled" in line]
-    assert "request=q1" in settled and "verdict=refused" in settled
+    (settled,) = [line for line in lines if "event=query_completed" in line]
+    assert "request=q1" in settled and "status=refused" in settled
     assert 'reason="too many parts lost"' in settled
     (ejected,) = [line for line in lines if "event=replica_ejected" in line]
     assert any(f"replica=s-{replica.port} " in ejected for replica in replicas) and "reason=error" in ejected
@@ -167,7 +169,7 @@
     platform = Platform(tmp_path)
     program = start_node(platform.path)
     assert program.stderr is not None
-    read_until(program.stderr, "listens")
+    read_until(program.stderr, "listening")
     program.send_signal(signal.SIGUSR1)
     assert "driver[batches]" in read_until(program.stderr, "counters")
     program.kill()
@@ -189,7 +191,7 @@
     assert platform.ask("q1", {0: 1.0})[0] == 500
     platform.close()
     said = capfd.readouterr().err
-    assert "level=error event=request_broke" in said and "a bug" in said and "Traceback" in said
+    assert "level=error event=request_handler_failed" in said and "a bug" in said and "Traceback" in said
 
 
 def test_counters_are_written_where_lines_never_cease(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -202,3 +204,31 @@
     log.start()
     until(lambda: "event=counters" in stream.getvalue(), "counters")
     log.stop()
+
+
+def _logged_event_names(path: Path) -> Iterator[str]:
+    """Names of events that a module logs by a literal instead of by a member of the enumeration."""
+    log_methods = {"info", "warning", "error", "debug", "_log"}
+    for call in ast.walk(ast.parse(path.read_text())):
+        if not isinstance(call, ast.Call) or not isinstance(call.func, ast.Attribute) or not call.args:
+            continue
+        first = call.args[0]
+        if call.func.attr in log_methods and isinstance(first, ast.Constant) and isinstance(first.value, str):
+            yield first.value
+
+
+def test_each_event_that_is_logged_is_in_the_enumeration() -> None:
+    literals = [
+        name
+        for package in ("node", "daemon", "telemetry")
+        for path in sorted((ROOT / "gingervane" / package).glob("*.py"))
+        for name in _logged_event_names(path)
+    ]
+    assert "endpoints_updated" in literals, "the search finds calls"
+    assert set(literals) <= set(LogEvent)
+
+
+def test_each_event_has_a_meaning_and_a_name_of_one_word() -> None:
+    for event in LogEvent:
+        assert re.fullmatch(r"[a-z]+(_[a-z]+)*", event) and event.meaning.endswith(".")
+        assert str(event) == event.value == event.name.lower()
