--- a/gingervane/daemon/app.py
+++ b/gingervane/daemon/app.py
@@ -12,7 +12,6 @@
 import threading
 import time
 from collections.abc import Callable
-from typing import Any
 
 from gingervane import interface as api
 from gingervane.coordinator import types as t
@@ -85,10 +84,10 @@
         _log_health(self._log, change)
 
     def internal_error(self, error: BaseException) -> None:
-        self._log.error(LogEvent.INTERNAL_ERROR, exc_info=error)
+        self._log.exception(LogEvent.INTERNAL_ERROR, error)
 
 
-def _log_health(log: Any, change: api.ReplicaHealthChange) -> None:
+def _log_health(log: daemon_log.DaemonLog, change: api.ReplicaHealthChange) -> None:
     if isinstance(change, api.ReplicaEjected):
         log.info(
             LogEvent.REPLICA_EJECTED,
@@ -116,7 +115,7 @@
                 query_class=plan.tag,
                 status=verdict,
                 detail=final.detail,
-                attempts=steps,
+                attempts=" ".join(steps),
             )
 
     def attempt_finished(self, outcome: api.AttemptOutcome, replica: int, seconds: float) -> None:
@@ -129,14 +128,14 @@
         _log_health(self._log, change)
 
     def internal_error(self, error: BaseException) -> None:
-        self._log.error(LogEvent.INTERNAL_ERROR, exc_info=error)
+        self._log.exception(LogEvent.INTERNAL_ERROR, error)
 
 
 class _Vectors:
     """What passes at one core of the vector front."""
 
     def __init__(self, metrics: Metrics, core: str) -> None:
-        self._log, self._metrics, self._core = daemon_log.get("vectors"), metrics, core
+        self._log, self._metrics, self._core = daemon_log.get("vectors", core=core), metrics, core
 
     def query_completed(self, query: int, plan: t.QueryPlan, final: t.QueryResult, seconds: float) -> None:
         verdict = final.status.value
@@ -144,7 +143,6 @@
         if final.status in (t.QueryStatus.REJECTED, t.QueryStatus.FAILED):
             self._log.info(
                 LogEvent.QUERY_COMPLETED,
-                core=self._core,
                 query_class=plan.tag,
                 status=verdict,
                 parts_requested=len(plan.parts),
@@ -155,13 +153,13 @@
         self._metrics.vector_attempt_seconds.add((self._core, outcome.value), seconds)
 
     def log_message(self, text: str) -> None:
-        self._log.info(LogEvent.MESSAGE, core=self._core, detail=text)
+        self._log.info(LogEvent.MESSAGE, detail=text)
 
     def replica_health_changed(self, change: api.ReplicaHealthChange) -> None:
-        _log_health(self._log.bind(core=self._core), change)
+        _log_health(self._log, change)
 
     def internal_error(self, error: BaseException) -> None:
-        self._log.error(LogEvent.INTERNAL_ERROR, core=self._core, exc_info=error)
+        self._log.exception(LogEvent.INTERNAL_ERROR, error)
 
 
 class App:
@@ -214,7 +212,7 @@
                 listen.stack_bytes,
             ),
         )
-        self._server.on_fault = lambda error: self._log.error(LogEvent.REQUEST_HANDLER_FAILED, exc_info=error)
+        self._server.on_fault = lambda error: self._log.exception(LogEvent.REQUEST_HANDLER_FAILED, error)
         rings = Rings(config.shards.cells, config.tree.ring if config.tree else 1)
         self.membership = MembershipService(
             config.membership,
--- a/gingervane/node/service.py
+++ b/gingervane/node/service.py
@@ -11,7 +11,6 @@
 import sys
 import threading
 import time
-import traceback
 from collections import Counter
 from collections.abc import Callable
 from math import inf
@@ -31,6 +30,7 @@
 from gingervane.node.peer_socket import PeerSocket
 from gingervane.coordinator.replica_start_times import ReplicaStartTimes
 from gingervane.telemetry.events import LogEvent
+from gingervane.telemetry.log_format import error_fields
 from gingervane.telemetry.node_telemetry import Telemetry
 from gingervane.decisions.engine import DecisionEngine
 from gingervane.wire.http1 import Limits
@@ -119,8 +119,7 @@
             self._telemetry.info(LogEvent.REPLICA_REINSTATED, replica=replica)
 
     def internal_error(self, error: BaseException) -> None:
-        trace = "".join(traceback.format_exception(error))
-        self._telemetry.error(LogEvent.INTERNAL_ERROR, error=f"{type(error).__name__}: {error}", trace=trace)
+        self._telemetry.error(LogEvent.INTERNAL_ERROR, **error_fields(error))
 
 
 # Verdicts that get a line each (load shedding is only counted), and ends that show a fault of this program.
@@ -198,10 +197,7 @@
 
     def _request_broke(self, error: BaseException) -> None:
         """From a client's thread: its request has been answered with 500."""
-        trace = "".join(traceback.format_exception(error))
-        self.telemetry.error(
-            LogEvent.REQUEST_HANDLER_FAILED, error=f"{type(error).__name__}: {error}", trace=trace
-        )
+        self.telemetry.error(LogEvent.REQUEST_HANDLER_FAILED, **error_fields(error))
 
     def _link_ended(self, ended: LinkEnded) -> None:
         """From the decision thread or the links' reader."""
--- /dev/null
+++ b/gingervane/telemetry/log_handler.py
@@ -0,0 +1,101 @@
+"""A log handler whose callers never wait: lines are bounded, queued and written by a thread of its own."""
+
+from __future__ import annotations
+
+import logging
+import time
+from collections import Counter
+from collections.abc import Callable
+from queue import Empty, Full, Queue
+from threading import Event, Thread
+from typing import TextIO
+
+from gingervane.telemetry.log_format import MONOTONIC_ATTRIBUTE
+from gingervane.wire.local_failures import start_thread
+
+IDLE_INTERVAL = 10.0  # seconds between two calls of `on_idle`
+MAX_QUEUED_LINES = 2048
+RATE_LIMIT_BURST = 60  # lines of one event at once
+RATE_LIMIT_PER_SECOND = 20.0  # lines of one event in the long run
+FLUSH_TIMEOUT = 0.5  # seconds that `finish` waits for the last lines
+MIN_POLL = 0.01  # seconds
+UNWRITABLE = "unwritable"  # stands for the event where a line could not be written
+
+
+class EventRateLimiter:
+    """A token bucket for each event name. Not locked: called by the handler under its own lock."""
+
+    def __init__(self, burst: int = RATE_LIMIT_BURST, rate: float = RATE_LIMIT_PER_SECOND) -> None:
+        self._burst = burst
+        self._rate = rate
+        self._buckets: dict[str, tuple[float, float]] = {}  # event -> tokens left, and when that was
+
+    def allows(self, event: str, now: float) -> bool:
+        """Whether one more line of this event may be written at `now` (monotonic seconds)."""
+        tokens, at = self._buckets.get(event, (float(self._burst), now))
+        tokens = min(float(self._burst), tokens + (now - at) * self._rate)
+        allowed = tokens >= 1.0
+        self._buckets[event] = (tokens - allowed, now)
+        return allowed
+
+
+class BackgroundHandler(logging.Handler):
+    """Queues lines for its own thread, which writes them and calls `on_idle` every `IDLE_INTERVAL` seconds."""
+
+    def __init__(self, stream: TextIO, on_idle: Callable[[], None] = lambda: None) -> None:
+        super().__init__()
+        self._stream = stream
+        self._on_idle = on_idle
+        self._queue: Queue[str | None] = Queue(MAX_QUEUED_LINES)
+        self._limiter = EventRateLimiter()
+        self._finished = Event()
+        self._thread: Thread | None = None
+        self.dropped: Counter[str] = Counter()  # lines not written, by event
+
+    def start(self) -> None:
+        """Start the writing thread. Lines that came before wait for it."""
+        self._thread = start_thread(self._run, "log")
+
+    def emit(self, record: logging.LogRecord) -> None:
+        """Queue a record's line, or drop and count it. Runs under the handler's lock."""
+        now = time.monotonic()
+        event = record.getMessage()
+        if record.levelno < logging.ERROR and not self._limiter.allows(event, now):
+            self.dropped[event] += 1
+            return
+        setattr(record, MONOTONIC_ATTRIBUTE, now)
+        try:
+            self._queue.put_nowait(self.format(record))
+        except Full:
+            self.dropped[event] += 1
+
+    def finish(self) -> None:
+        """Write what is queued and end the thread; give up after `FLUSH_TIMEOUT` seconds."""
+        try:
+            self._queue.put_nowait(None)
+        except Full:
+            return
+        if self._thread:
+            self._finished.wait(FLUSH_TIMEOUT)
+
+    def _run(self) -> None:
+        idle_at = time.monotonic() + IDLE_INTERVAL
+        while True:
+            if time.monotonic() >= idle_at:  # also where lines never cease to come
+                self._on_idle()
+                idle_at = time.monotonic() + IDLE_INTERVAL
+            try:
+                line = self._queue.get(timeout=max(idle_at - time.monotonic(), MIN_POLL))
+            except Empty:
+                continue
+            if line is None:
+                break
+            self._write(line)
+        self._finished.set()
+
+    def _write(self, line: str) -> None:
+        try:
+            self._stream.write(line + "\n")
+            self._stream.flush()
+        except (OSError, ValueError):  # nobody reads the log any more: the service goes on without it
+            self.dropped[UNWRITABLE] += 1
--- a/tests/test_telemetry.py
+++ b/tests/test_telemetry.py
@@ -1,9 +1,11 @@
-"""Logs and counters of a node: what a line holds, what is bounded, and that nobody waits for its reader."""
+"""Logs of daemon and node, counters of a node: what a line holds, what is bounded, that nobody waits for a reader."""
 
 from __future__ import annotations
 
 import ast
 import io
+import json
+import logging
 import os
 import re
 import signal
@@ -13,9 +15,11 @@
 import pytest
 
 from gingervane import interface as api
-from gingervane.telemetry import node_telemetry as module
+from gingervane.telemetry import daemon_log, log_handler
+from gingervane.telemetry.counters import Counters
 from gingervane.telemetry.events import LogEvent
-from gingervane.telemetry.node_telemetry import BURST, MOST_WAITING, Counters, Limiter, Telemetry
+from gingervane.telemetry.log_handler import MAX_QUEUED_LINES, RATE_LIMIT_BURST, EventRateLimiter
+from gingervane.telemetry.node_telemetry import Telemetry
 from platform_standins import PATIENCE, Platform, Replica, read_until, start_node, until
 
 ROOT = Path(__file__).parents[1]
@@ -59,19 +63,19 @@
 
 def test_lines_of_one_event_are_bounded_and_the_rest_is_counted(written: tuple[Telemetry, Lines]) -> None:
     log, stream = written
-    for _ in range(BURST + 40):
+    for _ in range(RATE_LIMIT_BURST + 40):
         log.info("storm")
     log.info("rare")
     until(lambda: any("event=rare" in line for line in stream.lines()), "the rare line")
     storm = sum("event=storm" in line for line in stream.lines())
-    assert BURST <= storm < BURST + 40
+    assert RATE_LIMIT_BURST <= storm < RATE_LIMIT_BURST + 40
     log.dump()
     until(lambda: any("event=counters" in line for line in stream.lines()), "counters")
-    assert f"log_lines_dropped[storm]={BURST + 40 - storm}" in stream.getvalue()
+    assert f"log_lines_dropped[storm]={RATE_LIMIT_BURST + 40 - storm}" in stream.getvalue()
 
 
 def test_tokens_come_back_at_the_rate() -> None:
-    limiter = Limiter(burst=2, rate=10.0)
+    limiter = EventRateLimiter(burst=2, rate=10.0)
     assert [limiter.allows("e", 1.0) for _ in range(3)] == [True, True, False]
     assert limiter.allows("other", 1.0)
     assert limiter.allows("e", 1.11) and not limiter.allows("e", 1.11)
@@ -91,11 +95,11 @@
 
 
 def test_nobody_waits_for_a_log_that_is_not_read(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(module, "JOIN", 0.05)
+    monkeypatch.setattr(log_handler, "FLUSH_TIMEOUT", 0.05)
     stream = Stuck()
     log = Telemetry(stream)
     log.start()
-    for number in range(MOST_WAITING + 500):
+    for number in range(MAX_QUEUED_LINES + 500):
         log.info(f"event-{number}")  # each of its own rate
     log.stop()  # does not wait for ever either
     assert sum(log._handler.dropped.values()) >= 499
@@ -195,7 +199,7 @@
 
 
 def test_counters_are_written_where_lines_never_cease(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(module, "DUMP_EVERY", 0.0)  # due at each line
+    monkeypatch.setattr(log_handler, "IDLE_INTERVAL", 0.0)  # due at each line
     stream = Lines()
     log = Telemetry(stream)
     log.counters.add("queries_failed", "x")
@@ -232,3 +236,45 @@
     for event in LogEvent:
         assert re.fullmatch(r"[a-z]+(_[a-z]+)*", event) and event.meaning.endswith(".")
         assert str(event) == event.value == event.name.lower()
+
+
+@pytest.fixture
+def daemon_logger() -> Iterator[logging.Logger]:
+    """The logger of the daemon, which is put back as it was."""
+    logger = logging.getLogger("gingervane.daemon")
+    handlers, level, propagate = logger.handlers, logger.level, logger.propagate
+    yield logger
+    logger.handlers, logger.propagate = handlers, propagate
+    logger.setLevel(level)
+
+
+def test_the_daemon_logs_words_in_the_node_form(
+    daemon_logger: logging.Logger, capfd: pytest.CaptureFixture[str]
+) -> None:
+    daemon_log.configure("console", "info")
+    log = daemon_log.get("vectors", core="upsert")
+    log.info(LogEvent.REPLICA_EJECTED, replica=7, ejection_seconds=2.0, reason=api.EjectionReason.ERROR)
+    log.debug(LogEvent.ATTEMPT_FINISHED, replica=7)
+    (line,) = capfd.readouterr().err.splitlines()
+    fields = "part=vectors core=upsert replica=7 ejection_seconds=2 reason=error"
+    assert re.fullmatch(
+        rf"\d{{4}}-\d\d-\d\dT[0-9:]{{8}}\.\d{{3}}Z mono=[0-9.]+ level=info event=replica_ejected {fields}",
+        line,
+    )
+
+
+def test_the_daemon_logs_objects_with_the_fields_and_an_exception(
+    daemon_logger: logging.Logger, capfd: pytest.CaptureFixture[str]
+) -> None:
+    daemon_log.configure("json", "error")
+    log = daemon_log.get("daemon")
+    log.info(LogEvent.SHUTDOWN_STARTED)
+    try:
+        raise KeyError("a bug")
+    except KeyError as error:
+        log.exception(LogEvent.REQUEST_HANDLER_FAILED, error)
+    (line,) = capfd.readouterr().err.splitlines()
+    entry = json.loads(line)
+    assert set(entry) == {"part", "error", "trace", "event", "level", "timestamp"}
+    assert (entry["part"], entry["event"], entry["level"]) == ("daemon", "request_handler_failed", "error")
+    assert entry["error"] == "KeyError: 'a bug'" and "Traceback" in entry["trace"]
