--- a/gingervane/vectors/service.py
+++ b/gingervane/vectors/service.py
@@ -15,9 +15,9 @@
 from gingervane.limits.concurrency_limit import Gate
 from gingervane.membership.service import MembershipService, RingSizes
 from gingervane.vectors.front import VectorFront
-from gingervane.fronts.connections import Bounds as PointBounds
-from gingervane.vectors.points import Collection
+from gingervane.vectors.points import Collection, RequestLimits
 from gingervane.vectors.replica_client import VectorReplicaClient
+from gingervane.vectors.front import VectorFrontSettings
 
 
 class VectorService:
@@ -64,7 +64,7 @@
             table.search_class,
             table.upsert_class,
             table.add_class,
-            PointBounds(table.max_k, table.max_points, table.max_searches),
+            RequestLimits(table.max_k, table.max_points, table.max_searches),
         )
         self.front = VectorFront(self.shards.reads, self.shards.writes, setting, classes, gate)
         self.membership = MembershipService(
--- a/tests/test_telemetry.py
+++ b/tests/test_telemetry.py
@@ -1,8 +1,11 @@
-"""Logs and counters of a node: what a line holds, what is bounded, and that nobody waits for its reader."""
+"""Logs of daemon and node, counters of a node: what a line holds, what is bounded, that nobody waits for a reader."""
 
 from __future__ import annotations
 
+import ast
 import io
+import json
+import logging
 import os
 import re
 import signal
@@ -12,8 +15,11 @@
 import pytest
 
 from gingervane import interface as api
-from gingervane.telemetry import node_telemetry as module
-from gingervane.telemetry.node_telemetry import BURST, MOST_WAITING, Counters, Limiter, Telemetry
+from gingervane.telemetry import daemon_log, log_handler
+from gingervane.telemetry.counters import Counters
+from gingervane.telemetry.events import LogEvent
+from gingervane.telemetry.log_handler import MAX_QUEUED_LINES, RATE_LIMIT_BURST, EventRateLimiter
+from gingervane.telemetry.node_telemetry import Telemetry
 from platform_standins import PATIENCE, Platform, Replica, read_until, start_node, until
 
 ROOT = Path(__file__).parents[1]
@@ -45,10 +51,10 @@
 ) -> None:
     log, stream = written
     why = api.QueryEndReason.PARTS_LOST
-    log.info("query_settled", request='a b="c"\n', reason=why, seconds=0.25, whole=True)
+    log.info(LogEvent.QUERY_COMPLETED, request='a b="c"\n', reason=why, seconds=0.25, whole=True)
     until(stream.lines, "a line")
     (line,) = stream.lines()
-    assert "node=n7 level=info event=query_settled" in line and 'reason="too many parts lost"' in line
+    assert "node=n7 level=info event=query_completed" in line and 'reason="too many parts lost"' in line
     assert "seconds=0.25" in line and "whole=True" in line and "\\n" in line
     log.info("plain", host="s-1")
     until(lambda: len(stream.lines()) == 2, "the next line")
@@ -57,19 +63,19 @@
 
 def test_lines_of_one_event_are_bounded_and_the_rest_is_counted(written: tuple[Telemetry, Lines]) -> None:
     log, stream = written
-    for _ in range(BURST + 40):
+    for _ in range(RATE_LIMIT_BURST + 40):
         log.info("storm")
     log.info("rare")
     until(lambda: any("event=rare" in line for line in stream.lines()), "the rare line")
     storm = sum("event=storm" in line for line in stream.lines())
-    assert BURST <= storm < BURST + 40
+    assert RATE_LIMIT_BURST <= storm < RATE_LIMIT_BURST + 40
     log.dump()
     until(lambda: any("event=counters" in line for line in stream.lines()), "counters")
-    assert f"log_lines_dropped[storm]={BURST + 40 - storm}" in stream.getvalue()
+    assert f"log_lines_dropped[storm]={RATE_LIMIT_BURST + 40 - storm}" in stream.getvalue()
 
 
 def test_tokens_come_back_at_the_rate() -> None:
-    limiter = Limiter(burst=2, rate=10.0)
+    limiter = EventRateLimiter(burst=2, rate=10.0)
     assert [limiter.allows("e", 1.0) for _ in range(3)] == [True, True, False]
     assert limiter.allows("other", 1.0)
     assert limiter.allows("e", 1.11) and not limiter.allows("e", 1.11)
@@ -89,11 +95,11 @@
 
 
 def test_nobody_waits_for_a_log_that_is_not_read(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(module, "JOIN", 0.05)
+    monkeypatch.setattr(log_handler, "FLUSH_TIMEOUT", 0.05)
     stream = Stuck()
     log = Telemetry(stream)
     log.start()
-    for number in range(MOST_WAITING + 500):
+    for number in range(MAX_QUEUED_LINES + 500):
         log.info(f"event-{number}")  # each of its own rate
     log.stop()  # does not wait for ever either
     assert sum(log._handler.dropped.values()) >= 499
@@ -133,12 +139,12 @@
     program = start_node(platform.path)
     assert program.stderr is not None
     said = read_until(program.stderr, "class_settings")
-    assert "query_class=look semantics=safe" in said and "least_share=1 whole_share=1" in said
-    listens = read_until(program.stderr, "listens")
+    assert "query_class=look retry_safety=safe" in said and "required_coverage=1 complete_coverage=1" in said
+    listens = read_until(program.stderr, "listening")
     found = re.search(r"address=([0-9.]+):(\d+)", listens)
     assert found
     program.send_signal(signal.SIGTERM)
-    read_until(program.stderr, "ending")
+    read_until(program.stderr, "shutdown_started")
     assert program.wait(PATIENCE) == 0
     program.stderr.close()
     platform.close()
@@ -153,8 +159,8 @@
     assert platform.ask("q1", {0: 1.0})[0] == 503
     platform.close()
     lines = capfd.readouterr().err.splitlines()
-    (settled,) = [line for line in lines if "event=query_settled" in line]
-    assert "request=q1" in settled and "verdict=refused" in settled
+    (settled,) = [line for line in lines if "event=query_completed" in line]
+    assert "request=q1" in settled and "status=refused" in settled
     assert 'reason="too many parts lost"' in settled
     (ejected,) = [line for line in lines if "event=replica_ejected" in line]
     assert any(f"replica=s-{replica.port} " in ejected for replica in replicas) and "reason=error" in ejected
@@ -167,7 +173,7 @@
     platform = Platform(tmp_path)
     program = start_node(platform.path)
     assert program.stderr is not None
-    read_until(program.stderr, "listens")
+    read_until(program.stderr, "listening")
     program.send_signal(signal.SIGUSR1)
     assert "driver[batches]" in read_until(program.stderr, "counters")
     program.kill()
@@ -189,11 +195,11 @@
     assert platform.ask("q1", {0: 1.0})[0] == 500
     platform.close()
     said = capfd.readouterr().err
-    assert "level=error event=request_broke" in said and "a bug" in said and "Traceback" in said
+    assert "level=error event=request_handler_failed" in said and "a bug" in said and "Traceback" in said
 
 
 def test_counters_are_written_where_lines_never_cease(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(module, "DUMP_EVERY", 0.0)  # due at each line
+    monkeypatch.setattr(log_handler, "IDLE_INTERVAL", 0.0)  # due at each line
     stream = Lines()
     log = Telemetry(stream)
     log.counters.add("queries_failed", "x")
@@ -202,3 +208,73 @@
     log.start()
     until(lambda: "event=counters" in stream.getvalue(), "counters")
     log.stop()
+
+
+def _logged_event_names(path: Path) -> Iterator[str]:
+    """Names of events that a module logs by a literal instead of by a member of the enumeration."""
+    log_methods = {"info", "warning", "error", "debug", "_log"}
+    for call in ast.walk(ast.parse(path.read_text())):
+        if not isinstance(call, ast.Call) or not isinstance(call.func, ast.Attribute) or not call.args:
+            continue
+        first = call.args[0]
+        if call.func.attr in log_methods and isinstance(first, ast.Constant) and isinstance(first.value, str):
+            yield first.value
+
+
+def test_each_event_that_is_logged_is_in_the_enumeration() -> None:
+    literals = [
+        name
+        for package in ("node", "daemon", "telemetry")
+        for path in sorted((ROOT / "gingervane" / package).glob("*.py"))
+        for name in _logged_event_names(path)
+    ]
+    assert "endpoints_updated" in literals, "the search finds calls"
+    assert set(literals) <= set(LogEvent)
+
+
+def test_each_event_has_a_meaning_and_a_name_of_one_word() -> None:
+    for event in LogEvent:
+        assert re.fullmatch(r"[a-z]+(_[a-z]+)*", event) and event.meaning.endswith(".")
+        assert str(event) == event.value == event.name.lower()
+
+
+@pytest.fixture
+def daemon_logger() -> Iterator[logging.Logger]:
+    """The logger of the daemon, which is put back as it was."""
+    logger = logging.getLogger("gingervane.daemon")
+    handlers, level, propagate = logger.handlers, logger.level, logger.propagate
+    yield logger
+    logger.handlers, logger.propagate = handlers, propagate
+    logger.setLevel(level)
+
+
+def test_the_daemon_logs_words_in_the_node_form(
+    daemon_logger: logging.Logger, capfd: pytest.CaptureFixture[str]
+) -> None:
+    daemon_log.configure("console", "info")
+    log = daemon_log.get("vectors", core="upsert")
+    log.info(LogEvent.REPLICA_EJECTED, replica=7, ejection_seconds=2.0, reason=api.EjectionReason.ERROR)
+    log.debug(LogEvent.ATTEMPT_FINISHED, replica=7)
+    (line,) = capfd.readouterr().err.splitlines()
+    fields = "part=vectors core=upsert replica=7 ejection_seconds=2 reason=error"
+    assert re.fullmatch(
+        rf"\d{{4}}-\d\d-\d\dT[0-9:]{{8}}\.\d{{3}}Z mono=[0-9.]+ level=info event=replica_ejected {fields}",
+        line,
+    )
+
+
+def test_the_daemon_logs_objects_with_the_fields_and_an_exception(
+    daemon_logger: logging.Logger, capfd: pytest.CaptureFixture[str]
+) -> None:
+    daemon_log.configure("json", "error")
+    log = daemon_log.get("daemon")
+    log.info(LogEvent.SHUTDOWN_STARTED)
+    try:
+        raise KeyError("a bug")
+    except KeyError as error:
+        log.exception(LogEvent.REQUEST_HANDLER_FAILED, error)
+    (line,) = capfd.readouterr().err.splitlines()
+    entry = json.loads(line)
+    assert set(entry) == {"part", "error", "trace", "event", "level", "timestamp"}
+    assert (entry["part"], entry["event"], entry["level"]) == ("daemon", "request_handler_failed", "error")
+    assert entry["error"] == "KeyError: 'a bug'" and "Traceback" in entry["trace"]
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -38,6 +38,9 @@
 from gingervane.wire.http1 import Request
 from hosts import BASE, query_class, replica
 from platform_standins import PATIENCE, Platform, Replica, Waiter, connections_of, reply, request, until
+from gingervane.writes.idempotency import WriteState
+from gingervane.writes.idempotency import KeyAction
+from gingervane.writes.idempotency import IdempotencyLimits
 
 LIMITS = LinkLimits(streams=8, links=4, idle=PATIENCE, connect=PATIENCE)
 
