--- a/benchmarks/common.py
+++ b/benchmarks/common.py
@@ -17,7 +17,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from gingervane.experiments.tables import toml
+from gingervane.experiments.toml_text import toml
 from gingervane.fake_servers.capacity import Model
 from gingervane.fake_servers.node import list_row, write_list
 
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -26,7 +26,7 @@
 from gingervane.coordinator.types import EndpointsUpdated
 from gingervane.fronts.client import Client
 from gingervane.experiments.listing import ConsulListing, Row
-from gingervane.experiments.tables import toml
+from gingervane.experiments.toml_text import toml
 from gingervane.membership.consul import Names, Pause, Reader
 from gingervane.membership.reconciliation import MassRemovalGuard, Reconciliation, Report
 from gingervane.membership.source_owner import EndpointSources
--- a/benchmarks/tree.py
+++ b/benchmarks/tree.py
@@ -13,7 +13,7 @@
 
 from gingervane.settings.daemon_settings import validate
 from gingervane.experiments.scenario_runner import Rehearsal
-from gingervane.experiments.scenario import Scenario
+from gingervane.scenarios.scenario import Scenario
 
 SECONDS, RATE = 10.0, 3.0
 
--- a/gingervane/audit/effects.py
+++ b/gingervane/audit/effects.py
@@ -13,8 +13,8 @@
 
 import numpy as np
 
-from gingervane.experiments.scenario import VectorDay
-from gingervane.experiments.vector_day import fixed_points
+from gingervane.scenarios.scenario import VectorDay
+from gingervane.scenarios.fixed_points import fixed_points
 from gingervane.vectors.points import order_of, shard_of
 
 _MOST_TOLD = 5
--- a/gingervane/cli/main.py
+++ b/gingervane/cli/main.py
@@ -121,7 +121,7 @@
     """Play SCENARIO (a file, or one that ships, such as bad-day) and judge the six rules; 0 only if all hold."""
     from gingervane.experiments import bench_day_import
     from gingervane.experiments import report
-    from gingervane.experiments import scenario as scenarios
+    from gingervane.scenarios import scenario as scenarios
     from gingervane.experiments.scenario_runner import Rehearsal, RehearsalError
 
     if (scenario is None) == (from_day is None):
--- a/gingervane/emulator/world.py
+++ b/gingervane/emulator/world.py
@@ -21,8 +21,8 @@
 from gingervane.emulator.coordinator import Asked, Costs, Net, SimCoordinator
 from gingervane.emulator.events import Clock
 from gingervane.emulator.node import SimNode
-from gingervane.experiments.clients import BASE_MS, Demand, demands
-from gingervane.experiments.scenario import Scenario
+from gingervane.scenarios.demands import BASE_MS, Demand, demands
+from gingervane.scenarios.scenario import Scenario
 from gingervane.membership.view import Member
 
 BEGAN = 1000.0  # the day's start on the simulated clock; what was up before had long been
--- a/gingervane/experiments/bench_day_import.py
+++ b/gingervane/experiments/bench_day_import.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from gingervane.settings.daemon_settings import SettingsError, validate
-from gingervane.experiments.scenario import Scenario
+from gingervane.scenarios.scenario import Scenario
 
 _SAME = {"crash": "crash", "vanish": "vanish", "slow": "slow", "ageing": "ageing", "flapping": "flapping"}
 _UNMAPPED = {
--- a/gingervane/experiments/clients.py
+++ b/gingervane/experiments/clients.py
@@ -13,53 +13,18 @@
 import time
 from collections.abc import Callable
 from pathlib import Path
-from typing import Any, NamedTuple
+from typing import Any
 from urllib.parse import urlencode
 
 from gingervane.fronts.client import LIMITS, Client
 from gingervane.fronts.routing import COVERAGE_HEADER, MISSING_HEADER, RETRY_HEADER
-from gingervane.experiments.scenario import LoadClass, Scenario
-from gingervane.fake_servers.data import STEP_MS
+from gingervane.scenarios.demands import BASE_MS, Demand
+from gingervane.scenarios.scenario import Scenario
 from gingervane.fake_servers.node import Recorder
 from gingervane.wire.http1 import Closed, HttpError
 from gingervane.wire.pool import Connection, Pool
 from gingervane.wire.remote_read import Match, Matcher, Query
 
-BASE_MS = 1_764_000_000_000 // STEP_MS * STEP_MS
-
-
-class Demand(NamedTuple):
-    """A client's wish, before its first try. `at`: seconds into the day."""
-
-    number: int
-    at: float
-    kind: LoadClass
-    tiles: tuple[str, ...]
-    seed: int
-
-
-def demands(scenario: Scenario, tiles: list[str]) -> list[Demand]:
-    """The day's demands, from its seed alone: a Poisson stream whose rate bursts scale."""
-    rng = random.Random(scenario.seed)
-    bursts = [t for t in scenario.troubles if t.kind == "burst"]
-    most = max([b.size for b in bursts], default=1.0) * scenario.clients.rate
-    out: list[Demand] = []
-    at = 0.0
-    shares = [c.share for c in scenario.classes]
-    while (at := at + rng.expovariate(most)) < scenario.seconds:
-        rate = scenario.clients.rate
-        for burst in bursts:
-            rate *= burst.size if burst.at <= at < burst.at + burst.seconds else 1.0
-        if rng.random() * most >= rate:
-            continue
-        kind = rng.choices(scenario.classes, shares)[0]
-        low, high = kind.tiles
-        count = min(rng.randint(low, high), len(tiles))
-        first = rng.randrange(len(tiles))
-        chosen = sorted(tiles[(first + i) % len(tiles)] for i in range(count))
-        out.append(Demand(len(out), at, kind, tuple(chosen), rng.getrandbits(48)))
-    return out
-
 
 class Load:
     """Plays demands against the co-ordinators that `targets` names at the moment of each try."""
--- a/gingervane/experiments/embedded.py
+++ b/gingervane/experiments/embedded.py
@@ -9,7 +9,7 @@
 
 from gingervane.settings import daemon_settings
 from gingervane.daemon.app import App
-from gingervane.experiments.tables import Ground, coordinator_table
+from gingervane.scenarios.coordinator_settings import ReplicaRing, coordinator_table
 from gingervane.fake_servers.capacity import Model
 from gingervane.fake_servers.node import FakeGrid, list_row, write_list
 from gingervane.fake_servers.vectors import VectorGrid
@@ -34,12 +34,12 @@
 def config_table(grid: FakeGrid, list_file: Path, zone: str, coordinators: int = 1) -> dict[str, Any]:
     """Settings for a co-ordinator before a grid."""
     model = grid.nodes[0].model
-    ground = Ground(
+    ring = ReplicaRing(
         grid.tiles, grid.cells, grid.width, grid.zones, model.start_capacity, model.ramp_time, model.fall_time
     )
     membership = {"file": str(list_file), "interval": 0.05}
     log = {"format": "console", "level": "warning"}
-    table = coordinator_table(ground, zone, coordinators, membership, CLASSES, (20, 0.2, 5.0), log)
+    table = coordinator_table(ring, zone, coordinators, membership, CLASSES, (20, 0.2, 5.0), log)
     return {"default_class": "point-lookup", **table}
 
 
--- a/gingervane/experiments/experiment.py
+++ b/gingervane/experiments/experiment.py
@@ -29,8 +29,8 @@
 from pydantic import Field
 
 from gingervane.settings.daemon_settings import SettingsError, Table, validate
-from gingervane.experiments import scenario as scenarios
-from gingervane.experiments.scenario import Scenario
+from gingervane.scenarios import scenario as scenarios
+from gingervane.scenarios.scenario import Scenario
 from gingervane.experiments.store import Run, RunStore, code_version
 
 World = Literal["emulator", "sockets"]
@@ -73,7 +73,7 @@
     table = _toml(path)
     found = validate(Experiment, table, path)
     if found.scenario in scenarios.names():
-        where = Path(str(resources.files("gingervane.experiments") / "scenarios" / f"{found.scenario}.toml"))
+        where = Path(str(resources.files("gingervane.scenarios") / f"{found.scenario}.toml"))
     else:
         where = path.parent / found.scenario
     scenario = _toml(where)
--- a/gingervane/experiments/fault_mutants.py
+++ b/gingervane/experiments/fault_mutants.py
@@ -1,17 +1,14 @@
-"""A co-ordinator made to break one rule, to show that the audit sees it.
+"""Faults put into a co-ordinator, each of which breaks one rule, to show that the audit sees it.
 
-Run as `python -m gingervane.experiments.fault_mutants RULE ...`; the rest of the command line is that of
-`gingervane serve`. Nothing else imports this module.
+They change classes of the running process; `gingervane.cli.serve_mutant` starts a co-ordinator with one of them.
 """
 
 from __future__ import annotations
 
-import sys
 from collections.abc import Callable, Sequence
 from typing import Any
 
 from gingervane import interface as api
-from gingervane.cli.main import main as command_line
 from gingervane.coordinator import driver as driving
 from gingervane.coordinator import types as t
 from gingervane.settings.daemon_settings import Config
@@ -101,9 +98,12 @@
     _settings(lambda s: s._replace(retry_budget_free=None, retry_budget_share=None, retry_budget_window=None))
 
 
-BREAKS = {f.__name__: f for f in (lost, duplicate, drain, cold, honest, budget)}
-
-
-if __name__ == "__main__":
-    BREAKS[sys.argv.pop(1)]()
-    command_line(["serve", *sys.argv[1:]])
+# The faults by the name of the rule that each breaks.
+MUTANTS: dict[str, Callable[[], None]] = {
+    "lost": lost,
+    "duplicate": duplicate,
+    "drain": drain,
+    "cold": cold,
+    "honest": honest,
+    "budget": budget,
+}
--- a/gingervane/experiments/scenario_runner.py
+++ b/gingervane/experiments/scenario_runner.py
@@ -21,10 +21,11 @@
 from typing import IO, Any
 
 from gingervane.audit import effects, rules
-from gingervane.experiments.clients import Load, demands
+from gingervane.experiments.clients import Load
+from gingervane.scenarios.demands import demands
 from gingervane.experiments.listing import ConsulListing, FileListing, Listing, Row
-from gingervane.experiments.scenario import Scenario
-from gingervane.experiments.tables import toml
+from gingervane.scenarios.scenario import Scenario
+from gingervane.experiments.toml_text import toml
 from gingervane.experiments.vector_day import VectorLoad, VectorNodes, settled
 from gingervane.fake_servers.node import Recorder
 
--- /dev/null
+++ b/gingervane/experiments/toml_text.py
@@ -0,0 +1,22 @@
+"""Settings written as TOML text, which the standard library only reads."""
+
+from __future__ import annotations
+
+import json
+from typing import Any
+
+
+def toml(table: dict[str, Any], under: str = "") -> str:
+    """Settings as TOML text: plain values, tables of any depth, and arrays of flat tables."""
+    out = [f"{key} = {json.dumps(value)}" for key, value in table.items() if not _nested(value)]
+    for key, value in table.items():
+        if isinstance(value, dict):
+            out += ["", f"[{under}{key}]", toml(value, f"{under}{key}.").rstrip("\n")]
+        elif _nested(value):
+            for row in value:
+                out += ["", f"[[{under}{key}]]", toml(row).rstrip("\n")]
+    return "\n".join(out) + "\n"
+
+
+def _nested(value: Any) -> bool:
+    return isinstance(value, dict) or (isinstance(value, list) and bool(value) and isinstance(value[0], dict))
--- a/gingervane/experiments/vector_day.py
+++ b/gingervane/experiments/vector_day.py
@@ -17,10 +17,10 @@
 from pathlib import Path
 from typing import Any
 
-import numpy as np
 import orjson
 
-from gingervane.experiments.scenario import Scenario, VectorDay
+from gingervane.scenarios.fixed_points import fixed_points
+from gingervane.scenarios.scenario import Scenario
 from gingervane.fake_servers.node import Recorder, list_row, write_list
 from gingervane.vectors.points import shard_of
 from gingervane.wire import http1
@@ -33,13 +33,6 @@
 Targets = Callable[[], list[tuple[int, Address]]]
 
 
-def fixed_points(day: VectorDay) -> list[dict[str, Any]]:
-    """The points of the fixed collection, from nothing but their number."""
-    rng = np.random.default_rng(17)
-    vectors = rng.normal(size=(day.fixed, day.dims)).round(3)
-    return [{"id": n, "vector": v.tolist(), "payload": {"n": n}} for n, v in enumerate(vectors)]
-
-
 class VectorNodes:
     """Orders for the stand-ins' process, the co-ordinators' table and their list."""
 
--- /dev/null
+++ b/gingervane/scenarios/demands.py
@@ -0,0 +1,45 @@
+"""What the clients of a rehearsal ask for and when, drawn from the scenario's seed alone."""
+
+from __future__ import annotations
+
+import random
+from typing import NamedTuple
+
+from gingervane.fake_servers.data import STEP_MS
+from gingervane.scenarios.scenario import LoadClass, Scenario
+
+# Start of the first attempt's time range, Unix time in milliseconds, at a whole step of the data.
+BASE_MS = 1_764_000_000_000 // STEP_MS * STEP_MS
+
+
+class Demand(NamedTuple):
+    """A client's wish, before its first try. `at`: seconds into the day."""
+
+    number: int
+    at: float
+    kind: LoadClass
+    tiles: tuple[str, ...]
+    seed: int
+
+
+def demands(scenario: Scenario, tiles: list[str]) -> list[Demand]:
+    """The day's demands, from its seed alone: a Poisson stream whose rate bursts scale."""
+    rng = random.Random(scenario.seed)
+    bursts = [t for t in scenario.troubles if t.kind == "burst"]
+    most = max([b.size for b in bursts], default=1.0) * scenario.clients.rate
+    out: list[Demand] = []
+    at = 0.0
+    shares = [c.share for c in scenario.classes]
+    while (at := at + rng.expovariate(most)) < scenario.seconds:
+        rate = scenario.clients.rate
+        for burst in bursts:
+            rate *= burst.size if burst.at <= at < burst.at + burst.seconds else 1.0
+        if rng.random() * most >= rate:
+            continue
+        kind = rng.choices(scenario.classes, shares)[0]
+        low, high = kind.tiles
+        count = min(rng.randint(low, high), len(tiles))
+        first = rng.randrange(len(tiles))
+        chosen = sorted(tiles[(first + i) % len(tiles)] for i in range(count))
+        out.append(Demand(len(out), at, kind, tuple(chosen), rng.getrandbits(48)))
+    return out
--- a/gingervane/experiments/scenario.py
+++ b/gingervane/scenarios/scenario.py
@@ -18,7 +18,7 @@
 from pydantic import Field, model_validator
 
 from gingervane.settings.daemon_settings import Class, Count, Seconds, SettingsError, Share, Table, validate
-from gingervane.experiments.tables import Ground, coordinator_table
+from gingervane.scenarios.coordinator_settings import ReplicaRing, coordinator_table
 from gingervane.fake_servers.capacity import Model
 from gingervane.fake_servers.consul import FAULTS
 from gingervane.fake_servers.faults import KINDS, Fault
@@ -207,7 +207,7 @@
         """One co-ordinator's settings, but for a tree or vectors."""
         nodes, own = self.nodes, self.coordinators
         tiles = [f"t{i:03d}" for i in range(nodes.tiles)]
-        ground = Ground(
+        ring = ReplicaRing(
             tiles,
             nodes.count,
             nodes.width,
@@ -217,7 +217,7 @@
             nodes.fall_time,
         )
         table = coordinator_table(
-            ground,
+            ring,
             nodes.zones[number % len(nodes.zones)],
             own.count,
             membership,
@@ -312,7 +312,7 @@
 
 def names() -> list[str]:
     """Scenarios that ship with the package."""
-    folder = resources.files("gingervane.experiments") / "scenarios"
+    folder = resources.files("gingervane.scenarios")
     return sorted(
         entry.name.removesuffix(".toml") for entry in folder.iterdir() if entry.name.endswith(".toml")
     )
@@ -322,7 +322,7 @@
     """A scenario by the name of one that ships, or by its file. Raises SettingsError."""
     path = Path(name)
     if name in names():
-        text = (resources.files("gingervane.experiments") / "scenarios" / f"{name}.toml").read_text()
+        text = (resources.files("gingervane.scenarios") / f"{name}.toml").read_text()
     else:
         try:
             text = path.read_text()
--- a/tests/stored/make_fixtures.py
+++ b/tests/stored/make_fixtures.py
@@ -28,9 +28,9 @@
 from gingervane.writes.write_ahead_log import WriteAheadLog
 from gingervane.writes.idempotency import IdempotencyRecord, State
 from gingervane.fronts.leaf_codec import Asked, RemoteReadExchange, Tile
-from gingervane.experiments.scenario import Scenario, VectorDay
+from gingervane.scenarios.scenario import Scenario, VectorDay
 from gingervane.experiments.store import Run, RunStore
-from gingervane.experiments.vector_day import fixed_points
+from gingervane.scenarios.fixed_points import fixed_points
 from gingervane.membership.snapshot import Snapshot
 from gingervane.membership.reconciliation import MassRemovalGuard, Reconciliation, Report
 from gingervane.membership.view import Member, View
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -13,7 +13,7 @@
 from gingervane.settings import daemon_settings
 from gingervane.experiments import bench_day_import
 from gingervane.experiments.scenario_runner import Rehearsal
-from gingervane.experiments.scenario import Scenario, load, names
+from gingervane.scenarios.scenario import Scenario, load, names
 
 DAY: dict[str, Any] = {
     "name": "small",
@@ -57,7 +57,7 @@
 
 def play(breaks: str, out: Path, day: dict[str, Any] = DAY) -> dict[str, Any]:
     scenario = daemon_settings.validate(Scenario, day, Path("small"))
-    saboteur = [sys.executable, "-m", "gingervane.experiments.fault_mutants", breaks]
+    saboteur = [sys.executable, "-m", "gingervane.cli.serve_mutant", breaks]
     return Rehearsal(scenario, out, saboteur if breaks else None).run()
 
 
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -17,7 +17,7 @@
 from gingervane.emulator.world import World, emulate
 from gingervane.experiments import experiment as experiments
 from gingervane.experiments import figures
-from gingervane.experiments.scenario import Scenario, load
+from gingervane.scenarios.scenario import Scenario, load
 from gingervane.experiments.store import RunStore, StoreBusy
 from test_audit import DAY, RULES
 
@@ -120,7 +120,7 @@
 
 
 def write(folder: Path, text: str) -> Path:
-    from gingervane.experiments.tables import toml
+    from gingervane.experiments.toml_text import toml
 
     (folder / "day.toml").write_text(toml(DAY | {"seconds": 3}))
     path = folder / "tiny.toml"
--- a/tests/test_pinned_forms.py
+++ b/tests/test_pinned_forms.py
@@ -26,10 +26,10 @@
 from gingervane.settings import daemon_settings
 from gingervane.fronts.client import Client
 from gingervane.experiments import experiment
-from gingervane.experiments import scenario
+from gingervane.scenarios import scenario
 from gingervane.experiments.embedded import ZONES, config_table
-from gingervane.experiments.scenario import Scenario
-from gingervane.experiments.tables import toml
+from gingervane.scenarios.scenario import Scenario
+from gingervane.experiments.toml_text import toml
 from gingervane.node import config as node_config
 from gingervane.fake_servers.node import FakeGrid, Recorder
 from gingervane.wire.remote_read import Match, Matcher, Query
