--- a/gingervane/emulator/coordinator.py
+++ b/gingervane/emulator/coordinator.py
@@ -1,61 +1,50 @@
-"""A co-ordinator process in simulated time: the daemon's driver, module, admission, view and reserve; modelled are
-its one processor, its senders' connections and its stops.
+"""A co-ordinator process in simulated time: the daemon's driver, decisions, admission, view and time reserve.
 
-What it assumes: one processor does everything, in order of coming (the interpreter's lock); a connection costs one
-round trip and is kept; what stands still does nothing and reads late.
+Modelled are its one processor, its senders' connections and its pauses: everything is done in order of coming (the
+interpreter's lock), and what is paused does nothing and reads late.
 """
 
 from __future__ import annotations
 
-from collections import Counter, defaultdict, deque
+from collections import defaultdict
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
-from gingervane.coordinator import attempt_outcome
 from gingervane.coordinator import types as t
 from gingervane.coordinator.core import Admission, AdmissionLimits, Rejected
 from gingervane.coordinator.driver import Driver
-from gingervane.coordinator.attempt_outcome import ExchangePhase
-from gingervane.coordinator.response_time_reserve import ResponseTimeReserve
-from gingervane.coordinator.request_senders import SenderLimits
 from gingervane.coordinator.process_pause import ProcessPauseDetector
-from gingervane.settings.daemon_settings import Config
+from gingervane.coordinator.request_senders import SenderLimits
+from gingervane.coordinator.response_time_reserve import ResponseTimeReserve
+from gingervane.decisions.engine import DecisionEngine
+from gingervane.emulator.assumptions import Network, ProcessingCosts
 from gingervane.emulator.events import Clock
-from gingervane.emulator.node import Reply, SimNode
-from gingervane.interface import AttemptOutcome
+from gingervane.emulator.node import SimNode
+from gingervane.emulator.processor import Processor
+from gingervane.emulator.senders import SimSenders
 from gingervane.membership.view import Member, View
-from gingervane.decisions.engine import DecisionEngine
-
-
-class Costs(NamedTuple):
-    """Seconds of processor, fitted to the throughput of the daemon on sockets (`docs/results/coordinator.md`)."""
-
-    query: float = 0.00045  # reading, merging and writing of a query, without its parts
-    part: float = 0.00025  # the same for each part
-    call: float = 0.00012  # sending a call and reading its reply
-    batch: float = 0.00005  # a batch of decisions
-    input: float = 0.00004  # each input of one
-
+from gingervane.settings.daemon_settings import Config
 
-class Net(NamedTuple):
-    """Seconds one way."""
+_RESULT_BYTES = 1000  # size of every part's result, for the limit on results in memory
 
-    delay: float = 0.0002
 
+class ClientRequest(NamedTuple):
+    """A client's attempt as it arrives.
 
-class Asked(NamedTuple):
-    """A client's try as it comes. `answer` takes verdict, coverage, wait, and the moment of the reply."""
+    `on_answer` is given the result, or None if the connection is closed without one, and the time of the answer;
+    `on_read` the time at which the co-ordinator had read the request.
+    """
 
-    name: str
-    number: int
+    class_name: str
+    class_number: int
     parts: tuple[t.PartPlan, ...]
     timeout: float
-    answer: Callable[[t.QueryResult | None, float], None]
-    read: Callable[[float], None]
+    on_answer: Callable[[t.QueryResult | None, float], None]
+    on_read: Callable[[float], None]
 
 
-class _Bytes:
-    """Sizes of results, which nobody looks into here."""
+class _SizeCodec:
+    """A codec that knows the size of results and nothing else: no bytes travel here."""
 
     def encode(self, contents: list[Any], seconds_left: list[float], address: tuple[str, int]) -> bytes:
         raise NotImplementedError
@@ -65,11 +54,11 @@
     ) -> list[Any]:
         raise NotImplementedError
 
-    def result_size(self, result: Any) -> int:
-        return 1000
+    def result_size(self, result: Any) -> int:  # noqa: ARG002 - the interface of a codec
+        return _RESULT_BYTES
 
 
-EXCHANGE = _Bytes()
+_CODEC = _SizeCodec()
 
 
 class SimCoordinator:
@@ -82,17 +71,28 @@
         seed: int,
         clock: Clock,
         nodes: list[SimNode],
-        net: Net,
-        costs: Costs,
-        sent: Callable[[SimCoordinator, int, list[Any]], Callable[[dict[str, Any]], None]],
+        net: Network,
+        costs: ProcessingCosts,
+        record_send: Callable[[SimCoordinator, int, list[Any]], Callable[[dict[str, Any]], None]],
     ) -> None:
-        """`sent` is told of each call that leaves and gives what takes the node's record of it."""
-        self.number, self.alive, self._clock, self._nodes = number, True, clock, nodes
-        self._net, self._costs, self._sent = net, costs, sent
+        """Start it; `record_send` is told of each request that leaves and gives what takes the node's record."""
+        self.number = number
+        self._clock = clock
+        self._costs = costs
+        self._processor = Processor(clock)
         settings, limits = config.module_settings(), config.limits
         self.driver = Driver(DecisionEngine(settings, seed), settings)
-        self._bounds = SenderLimits(
-            limits.senders, limits.waiting_calls, limits.calls_per_replica, limits.connect_timeout
+        self._senders = SimSenders(
+            SenderLimits(
+                limits.senders, limits.waiting_calls, limits.calls_per_replica, limits.connect_timeout
+            ),
+            clock,
+            self._processor,
+            nodes,
+            net,
+            costs,
+            lambda node, contents: record_send(self, node, contents),
+            self._put,
         )
         self.admission = Admission(
             AdmissionLimits(limits.open, limits.result_bytes), settings.max_retry_after, lambda: clock.now
@@ -100,244 +100,128 @@
         self._reserves: dict[str, ResponseTimeReserve] = defaultdict(ResponseTimeReserve)
         self._view = View()
         self._inbox: list[t.Input] = []
-        self._free = clock.now  # when the processor is
-        self._planned = self._wake = float("inf")
+        self._next_batch = float("inf")  # time for which a batch of decisions is planned
         self._queries = 0
-        self._held = 0
-        self._held_by = Counter[int]()
-        self._running = 0
-        self._waiting: deque[t.BatchRequest] = deque()
-        self._off: dict[
-            int, Callable[[], None]
-        ] = {}  # what to do about a call that nobody waits for any more
-        self._idle = Counter[int]()  # connections kept, by node
-        self.busy = 0.0
-        self._still = ProcessPauseDetector(clock.now)
-
-    # ---- what comes
-
-    def listed(self, members: tuple[Member, ...], cached: bool = False) -> None:
+        self._pauses = ProcessPauseDetector(clock.now)
+
+    @property
+    def alive(self) -> bool:
+        """Whether the process runs or is only paused."""
+        return self._processor.alive
+
+    @property
+    def busy(self) -> float:
+        """Seconds of work that its processor has taken on."""
+        return self._processor.busy
+
+    # ---- events from outside
+
+    def endpoints_updated(self, members: tuple[Member, ...], cached: bool = False) -> None:
+        """A server list has been read."""
         found = self._view.take(members, self._clock.now, cached)
         if found:
             self._put(found)
 
-    def ask(self, asked: Asked) -> Callable[[], None]:
-        """A client's bytes are here; what to call when it leaves."""
-        cell: list[int] = []
-        self._work(
-            self._costs.query / 2 + self._costs.part * len(asked.parts) / 2, lambda: self._begin(asked, cell)
-        )
-        return lambda: self._put(t.ClientDisconnected(cell[0])) if cell and self.alive else None
+    def request_arrived(self, request: ClientRequest) -> Callable[[], None]:
+        """A client's bytes are here; returns what to call when the client disconnects."""
+        query_ids: list[int] = []  # of the one query that it becomes, if it is admitted
+        cost = self._costs.query / 2 + self._costs.part * len(request.parts) / 2
+        self._processor.run(cost, lambda: self._begin(request, query_ids))
+
+        def disconnect() -> None:
+            if query_ids and self.alive:
+                self._put(t.ClientDisconnected(query_ids[0]))
 
-    def stall(self, seconds: float) -> None:
+        return disconnect
+
+    def pause(self, seconds: float) -> None:
+        """The process stands still, as between SIGSTOP and SIGCONT."""
         now = self._clock.now
-        self._free = max(self._free, now) + seconds
-        self._still.held(now, now + seconds)
+        self._processor.pause(seconds)
+        self._pauses.held(now, now + seconds)
 
     def kill(self) -> None:
-        self.alive = False
-
-    # ---- inside
+        """End the process at once; what it had open gets no answer."""
+        self._processor.alive = False
 
-    def _work(self, cost: float, then: Callable[[], None]) -> None:
-        """The processor does it after all that came before."""
-        start = max(self._free, self._clock.now)
-        self._free = start + cost
-        self.busy += cost
-        self._clock.at(self._free, lambda: then() if self.alive else None)
+    # ---- queries
 
-    def _begin(self, asked: Asked, cell: list[int]) -> None:
+    def _begin(self, request: ClientRequest, query_ids: list[int]) -> None:
+        """The request has been read: admit it as a query, or answer it."""
         now = self._clock.now
-        asked.read(now)
-        reserve = self._reserves[asked.name]
-        self._still.runs(now)
-        until = self._still.came(now) + asked.timeout
+        request.on_read(now)
+        reserve = self._reserves[request.class_name]
+        self._pauses.runs(now)
+        until = self._pauses.came(now) + request.timeout
         if until <= now:
-            asked.answer(None, now)
+            request.on_answer(None, now)
             return
-        size = 1 + len(asked.parts)
+        size = 1 + len(request.parts)
         try:
             self.admission.admit(size, self.driver.held_bytes)
         except Rejected as error:
-            asked.answer(t.QueryResult(t.QueryStatus.REJECTED, retry_after=error.retry_after), now)
+            rejection = t.QueryResult(t.QueryStatus.REJECTED, retry_after=error.retry_after)
+            request.on_answer(rejection, now)
             return
         self._queries += 1
-        cell.append(self._queries)
-        deadline = until - reserve.get(len(asked.parts), until - now)
+        query_ids.append(self._queries)
+        deadline = until - reserve.get(len(request.parts), until - now)
 
-        def settled(final: t.QueryResult) -> None:
-            at = self._clock.now
-            self.admission.reserve_results(final.result_bytes)
+        def complete(result: t.QueryResult) -> None:
+            self._complete(request, until, result)
 
-            def write() -> None:
-                reserve.learn(len(asked.parts), self._clock.now - at)
-                self.admission.release(size, final.result_bytes)
-                asked.answer(final if self._clock.now < until else None, self._clock.now)
+        plan = t.QueryPlan(request.class_number, deadline, request.parts, _CODEC, request.class_name)
+        self._put(t.QuerySubmitted(self._queries, plan, complete))
 
-            self._work(self._costs.query / 2 + self._costs.part * len(final.results) / 2, write)
+    def _complete(self, request: ClientRequest, until: float, result: t.QueryResult) -> None:
+        """Write a query's answer; one that is ready after the client's time is not written."""
+        completed_at = self._clock.now
+        self.admission.reserve_results(result.result_bytes)
 
-        plan = t.QueryPlan(asked.number, deadline, asked.parts, EXCHANGE, asked.name)
-        self._put(t.QuerySubmitted(self._queries, plan, settled))
+        def write() -> None:
+            now = self._clock.now
+            self._reserves[request.class_name].learn(len(request.parts), now - completed_at)
+            self.admission.release(1 + len(request.parts), result.result_bytes)
+            request.on_answer(result if now < until else None, now)
+
+        self._processor.run(self._costs.query / 2 + self._costs.part * len(result.results) / 2, write)
+
+    # ---- decisions
 
     def _put(self, item: t.Input) -> None:
         self._inbox.append(item)
-        self._plan(self._clock.now)
+        self._plan_batch(self._clock.now)
 
-    def _plan(self, moment: float) -> None:
-        """A batch of decisions at a moment, or as soon after it as the processor is free."""
-        if moment < self._planned:
-            self._planned = moment
-            self._clock.at(moment, lambda: self._turn(moment))
+    def _plan_batch(self, moment: float) -> None:
+        """Plan a batch of decisions for a moment, or as soon after it as the processor is free."""
+        if moment < self._next_batch:
+            self._next_batch = moment
+            self._clock.at(moment, lambda: self._run_batch(moment))
 
-    def _turn(self, moment: float) -> None:
-        if not self.alive or moment != self._planned:
+    def _run_batch(self, moment: float) -> None:
+        if not self.alive or moment != self._next_batch:
             return
-        if self._free > self._clock.now:  # busy, or standing still
-            self._planned = float("inf")
-            self._plan(self._free)
+        self._next_batch = float("inf")
+        if self._processor.free_at > self._clock.now:  # busy, or paused
+            self._plan_batch(self._processor.free_at)
             return
-        self._planned = float("inf")
-        inputs, self._inbox = self._inbox, []
+        inputs = self._inbox
+        self._inbox = []
         effects = self.driver.step(self._clock.now, inputs)
         cost = self._costs.batch + self._costs.input * len(inputs)
-        self._work(cost, lambda: self._carry_out(effects))
+        self._processor.run(cost, lambda: self._carry_out(effects))
         due = self.driver.next_due()
         if due < float("inf"):
-            self._plan(max(due, self._clock.now))
+            self._plan_batch(max(due, self._clock.now))
 
     def _carry_out(self, effects: list[t.Effect]) -> None:
         for effect in effects:
             match effect:
-                case t.StartRequest(call):
-                    self._start(call)
-                case t.CancelRequest(call):
-                    if off := self._off.pop(call.id, None):
-                        off()
+                case t.StartRequest(request):
+                    self._senders.start(request)
+                case t.CancelRequest(request):
+                    self._senders.cancel(request)
                 case t.CloseIdleConnections(address):
-                    self._idle[address[1]] = 0
-                case t.CompleteQuery(settled, final, _):
-                    settled(final)
-
-    # ---- senders
-
-    def _start(self, call: t.BatchRequest) -> None:
-        bounds = self._bounds
-        full = self._held >= bounds.threads + bounds.waiting or self._held_by[call.replica] >= bounds.each
-        if full:
-            self._end(call, call.attempts, AttemptOutcome.NEVER_SENT, free=False)
-            return
-        self._held += 1
-        self._held_by[call.replica] += 1
-        self._off[call.id] = lambda: None
-        if self._running >= bounds.threads:
-            self._waiting.append(call)
-        else:
-            self._send(call)
-
-    def _send(self, call: t.BatchRequest) -> None:
-        self._running += 1
-        node = call.replica
-        if self._idle[node]:
-            self._idle[node] -= 1
-            self._work(self._costs.call / 2, lambda: self._write(call))
-        elif self._nodes[node].down() == "crash":
-            self._clock.after(
-                2 * self._net.delay, lambda: self._broken(call, ExchangePhase.CONNECTING, False)
-            )
-        else:
-            self._clock.after(
-                2 * self._net.delay, lambda: self._work(self._costs.call / 2, lambda: self._write(call))
-            )
-
-    def _broken(self, call: t.BatchRequest, phase: ExchangePhase, timed_out: bool) -> None:
-        if self.alive:
-            self._end(call, call.attempts, attempt_outcome.outcome_of_transport_error(phase, 1, timed_out))
-
-    def _write(self, call: t.BatchRequest) -> None:
-        """From here on its parts may run."""
-        errands, stale = call.claim_sendable(self._clock.now) if call.id in self._off else ([], [])
-        for errand in stale:
-            self._put(
-                t.AttemptFinished(
-                    errand.part, errand.attempt, AttemptOutcome.NEVER_SENT, self._clock.now, None, "waited"
-                )
-            )
-        if not errands:
-            self._idle[call.replica] += 1
-            self._end(call, call.attempts, AttemptOutcome.NEVER_SENT)
-            return
-        tiles = [errand.content for errand in errands]
-        took = self._sent(self, call.replica, tiles)
-        state: dict[str, Any] = {}
-
-        def reply(what: Reply) -> None:
-            self._clock.after(self._net.delay, lambda: self._replied(call, errands, what))
-
-        def arrive() -> None:
-            node = self._nodes[call.replica]
-            if node.down() == "crash":
-                reply(Reply.CUT)
-                return
-            if not state.get("left"):
-                state["call"], record = node.ask(tiles, reply)
-                took(record)
-
-        def leave() -> None:
-            state["left"] = True
-            self._clock.after(self._net.delay, lambda: self._nodes[call.replica].leave(state.get("call", 0)))
-            self._release(call)
-
-        self._off[call.id] = leave
-        self._clock.after(self._net.delay, arrive)
-        # A reply that never comes holds its sender until the call's time is up.
-        self._clock.at(call.expires_at, lambda: self._give_up(call, errands))
-
-    def _give_up(self, call: t.BatchRequest, errands: list[t.AttemptRequest]) -> None:
-        if self.alive and call.id in self._off:
-            self._end(
-                call, errands, attempt_outcome.outcome_of_transport_error(ExchangePhase.READING, 1, True)
-            )
-
-    def _replied(self, call: t.BatchRequest, errands: list[t.AttemptRequest], what: Reply) -> None:
-        if not self.alive or call.id not in self._off:
-            return
-        if what is Reply.CUT:
-            self._end(
-                call, errands, attempt_outcome.outcome_of_transport_error(ExchangePhase.READING, 1, False)
-            )
-            return
-        self._idle[call.replica] += 1
-        semantics = errands[0].semantics
-        outcome = {
-            Reply.GOOD: AttemptOutcome.OK,
-            Reply.BAD: attempt_outcome.outcome_of_invalid_reply(semantics, False, False),
-            Reply.NOT_BEGUN: attempt_outcome.outcome_of_invalid_reply(semantics, True, True),
-        }[what]
-        self._work(self._costs.call / 2, lambda: self._end(call, errands, outcome))
-
-    def _end(
-        self,
-        call: t.BatchRequest,
-        errands: list[t.AttemptRequest],
-        outcome: AttemptOutcome,
-        free: bool = True,
-    ) -> None:
-        now = self._clock.now
-        if free and call.id not in self._off:
-            return  # called off meanwhile
-        for errand in errands:
-            self._put(
-                t.AttemptFinished(
-                    errand.part, errand.attempt, outcome, now, outcome is AttemptOutcome.OK, outcome.value
-                )
-            )
-        if free:
-            self._off.pop(call.id, None)
-            self._release(call)
-
-    def _release(self, call: t.BatchRequest) -> None:
-        self._held -= 1
-        self._held_by[call.replica] -= 1
-        self._running -= 1
-        while self._waiting and self._running < self._bounds.threads:
-            self._send(self._waiting.popleft())
+                    self._senders.close_idle(address[1])
+                case t.CompleteQuery(on_result, result, _):
+                    on_result(result)
--- a/gingervane/emulator/events.py
+++ b/gingervane/emulator/events.py
@@ -1,4 +1,4 @@
-"""Simulated time: what happens next, in order of time and then of having been planned. Deterministic."""
+"""Simulated time: a deterministic queue of events, ordered by time and then by when each was planned."""
 
 from __future__ import annotations
 
@@ -8,23 +8,24 @@
 
 
 class Clock:
-    """A queue of moments. `now` only moves forward, to the moment of what is being done."""
+    """An event queue. `now` only moves forward, to the time of the event that is being handled."""
 
     def __init__(self, start: float) -> None:
         self.now = start
         self._heap: list[tuple[float, int, Callable[[], None]]] = []
-        self._count = count()
-        self.done = 0
+        self._planned = count()
+        self.done = 0  # events that have been handled
 
     def at(self, moment: float, work: Callable[[], None]) -> None:
-        """Do it then, or now if that is past."""
-        heapq.heappush(self._heap, (max(moment, self.now), next(self._count), work))
+        """Call `work` at a moment, or now if that is past."""
+        heapq.heappush(self._heap, (max(moment, self.now), next(self._planned), work))
 
     def after(self, seconds: float, work: Callable[[], None]) -> None:
+        """Call `work` so many seconds from now."""
         self.at(self.now + seconds, work)
 
     def run(self, until: float) -> None:
-        """Do all that is due up to a moment."""
+        """Handle all events that are due up to a moment."""
         heap = self._heap
         while heap and heap[0][0] <= until:
             self.now, _, work = heapq.heappop(heap)
--- a/gingervane/emulator/node.py
+++ b/gingervane/emulator/node.py
@@ -1,4 +1,4 @@
-"""A modelled node: the stand-ins' own capacity model and fault schedule, without sockets.
+"""A modelled node: the fake servers' own capacity model and fault schedule, without sockets.
 
 What it assumes: a call is one message each way; a reply is as large as any other; a crash resets what is open at
 once; what vanishes says nothing until its callers give up.
@@ -8,6 +8,7 @@
 
 from collections.abc import Callable, Iterable
 from enum import Enum
+from functools import partial
 from typing import Any
 
 from gingervane.emulator.events import Clock
@@ -16,7 +17,7 @@
 
 
 class Reply(Enum):
-    """What a caller sees."""
+    """What a caller sees of a request's end."""
 
     GOOD = "good"
     BAD = "bad"  # an answer that does not count: status 500, a wrong tile
@@ -24,12 +25,17 @@
     CUT = "cut"  # a connection that ends in mid-reply, or before
 
 
-_BAD = ("wrong_tile", "wrong_time", "few_results", "snappy_lies")
-_CUT = ("reset_mid_body", "short_body")
+# Kinds of fault by what a caller sees of a reply.
+_BAD_REPLY_FAULTS = ("wrong_tile", "wrong_time", "few_results", "snappy_lies")
+_CUT_REPLY_FAULTS = ("reset_mid_body", "short_body")
+_REPLY_BYTES = 1500.0  # size of a reply, for one that comes a few bytes at a time
+_FOREVER = 1e6  # seconds that a node which was overloaded stays down
+
+ReplyCallback = Callable[[Reply], None]
 
 
 class SimNode:
-    """One node. Records are those of a stand-in on sockets."""
+    """One node. Its records are those of a fake server on sockets."""
 
     def __init__(
         self,
@@ -39,79 +45,101 @@
         clock: Clock,
         record: Callable[..., dict[str, Any]],
     ) -> None:
-        self.id, self._model, self._clock, self._record = number, model, clock, record
+        self.id = number
+        self._model = model
+        self._clock = clock
+        self._record = record
         self.schedule = Schedule(faults, number)
         self._capacity = Capacity(model, 0.0)
         self._calls = 0
-        self._open: dict[int, tuple[Callable[[Reply], None], Job]] = {}
+        self._open: dict[int, tuple[ReplyCallback, Job]] = {}
         for fault in self.schedule.faults:
             for start, end, how in fault.down_spans():
-                clock.at(start, lambda s=start, e=end, h=how: self._go_down(s, e, h))  # type: ignore[misc]
+                clock.at(start, partial(self._go_down, end, how))
 
     def down(self) -> str | None:
         """How the node is down, if it is."""
         found = self.schedule.down(self._clock.now)
         return found[1] if found else None
 
-    def ask(self, tiles: list[list[Any]], reply: Callable[[Reply], None]) -> tuple[int, dict[str, Any]]:
-        """A call has come; its number and the record of it. `reply` is called at most once, when the node has it."""
+    def ask(self, contents: list[list[Any]], reply: ReplyCallback) -> tuple[int, dict[str, Any]]:
+        """Take a request; return its number and the record of it.
+
+        `reply` is called at most once, when the node has the reply.
+        """
         now = self._clock.now
         self._calls += 1
         call = self._calls
-        note = {"node": self.id, "call": call, "asked": tiles}
+        note = {"node": self.id, "call": call, "asked": contents}
         if self.schedule.find("say_nothing", now) or self.down() == "vanish":
             return call, self._record("unheard", **note)
         if self.schedule.strikes("fail_fast", now):
             reply(Reply.BAD)
             return call, self._record("failed", **note)
-        job = None
-        if not self.schedule.strikes("reject", now):
-            job = self._capacity.take(now, len({tile for tile, _, _ in tiles}), self.schedule.slowness(now))
-        if self._capacity.fallen:
-            self._record("fell", node=self.id)
-            self.schedule.add(Fault("vanish", now, 1e6))
+        job = self._queue(len({tile for tile, _, _ in contents}))
         if job is None:
             reply(Reply.NOT_BEGUN)
             return call, self._record("rejected", **note)
         self._open[call] = reply, job
-        self._clock.at(max(job.end, self.schedule.still_until(job.end)), lambda: self._finish(call, now))
+        end = max(job.end, self.schedule.still_until(job.end))
+        self._clock.at(end, lambda: self._finish(call, now))
         return call, self._record("taken", **note)
 
     def leave(self, call: int) -> None:
-        """The caller has gone; what the job had not used is given back."""
+        """Drop a request whose caller has disconnected; what its job had not used is given back."""
         found = self._open.pop(call, None)
         if found:
             self._capacity.drop(found[1], self._clock.now)
             self._record("dropped", node=self.id, call=call)
 
+    def _queue(self, parts: int) -> Job | None:
+        """Queue the work on some parts; None if it is rejected. Too much of it takes the node down."""
+        now = self._clock.now
+        job = None
+        if not self.schedule.strikes("reject", now):
+            job = self._capacity.take(now, parts, self.schedule.slowness(now))
+        if self._capacity.fallen:
+            self._record("fell", node=self.id)
+            self.schedule.add(Fault("vanish", now, _FOREVER))
+        return job
+
     def _finish(self, call: int, began: float) -> None:
+        """The work is done: reply as the faults at its beginning have it."""
         found = self._open.pop(call, None)
         if found is None:
             return
-        now, strikes = self._clock.now, self.schedule.strikes
-        if self.schedule.hangs(began) or strikes("lose_answers", began):
+        reply, _ = found
+        if self.schedule.hangs(began) or self.schedule.strikes("lose_answers", began):
             self._record("lost", node=self.id, call=call)
             return
         self._record("done", node=self.id, call=call)
-        reply, delay = Reply.GOOD, 0.0
-        if any(strikes(kind, began) for kind in _CUT):
-            reply = Reply.CUT
-        elif any(strikes(kind, began) for kind in _BAD):
-            reply = Reply.BAD
+        what = self._reply_at(began)
+        self._clock.at(self._clock.now + self._reply_delay(began), lambda: reply(what))
+
+    def _reply_at(self, began: float) -> Reply:
+        if any(self.schedule.strikes(kind, began) for kind in _CUT_REPLY_FAULTS):
+            return Reply.CUT
+        if any(self.schedule.strikes(kind, began) for kind in _BAD_REPLY_FAULTS):
+            return Reply.BAD
+        return Reply.GOOD
+
+    def _reply_delay(self, began: float) -> float:
+        """Seconds between the work's end and the caller's having the whole reply."""
+        delay = 0.0
         if pause := self.schedule.find("pause_mid_reply", began):
             delay = pause.size
         if dribble := self.schedule.find("dribble", began):
-            delay += 1500.0 / dribble.size  # of a reply's bytes
-        self._clock.at(now + delay, lambda: found[0](reply))
+            delay += _REPLY_BYTES / dribble.size
+        return delay
 
-    def _go_down(self, start: float, end: float, how: str) -> None:
-        self._record("down", node=self.id, until=end, how=how)
+    def _go_down(self, until: float, how: str) -> None:
+        self._record("down", node=self.id, until=until, how=how)
         for call in list(self._open):
-            opened, _ = self._open.pop(call)
+            reply, _ = self._open.pop(call)
             self._record("dropped", node=self.id, call=call)
             if how == "crash":
-                opened(Reply.CUT)
-        self._clock.at(end, self._come_up)
+                reply(Reply.CUT)
+        self._clock.at(until, self._come_up)
 
     def _come_up(self) -> None:
         self._capacity = Capacity(self._model, self._clock.now)
--- a/gingervane/emulator/world.py
+++ b/gingervane/emulator/world.py
@@ -9,105 +9,92 @@
 import random
 from collections import defaultdict
 from collections.abc import Callable
+from functools import partial
 from pathlib import Path
-from typing import Any, NamedTuple
+from typing import Any
 
 from gingervane import interface as api
 from gingervane.audit import rules
 from gingervane.audit.records import Catalogue, Change, Day, Part, Record, Send, ends_of
-from gingervane.coordinator import types as t
-from gingervane.settings import daemon_settings
-from gingervane.settings.daemon_settings import Config
-from gingervane.emulator.coordinator import Asked, Costs, Net, SimCoordinator
+from gingervane.emulator.assumptions import Assumptions
+from gingervane.emulator.clients import SimClients
+from gingervane.emulator.coordinator import SimCoordinator
 from gingervane.emulator.events import Clock
 from gingervane.emulator.node import SimNode
-from gingervane.scenarios.demands import BASE_MS, Demand, demands
-from gingervane.scenarios.scenario import Scenario
 from gingervane.membership.view import Member
+from gingervane.scenarios.demands import Demand, demands
+from gingervane.scenarios.scenario import Scenario
+from gingervane.settings import daemon_settings
+from gingervane.settings.daemon_settings import Config
 
-BEGAN = 1000.0  # the day's start on the simulated clock; what was up before had long been
-_AFTER = 10.0  # seconds after the day in which what is open ends
-
-
-class Assumed(NamedTuple):
-    """What a world takes for granted besides its scenario. `list_delay`: seconds until a co-ordinator has read a
-    changed list, and as much again at random."""
-
-    net: Net = Net()
-    costs: Costs = Costs()
-    list_delay: float = 0.03
+_DAY_START = 1000.0  # seconds on the simulated clock; what was up before had long been
+_AFTER_DAY = 10.0  # seconds after the day in which what is open ends
+_BEFORE_DAY = 1.0  # seconds before the day at which the co-ordinators start
 
 
 class World:
     """One day. `run` plays it."""
 
-    def __init__(self, scenario: Scenario, seed: int | None = None, assumed: Assumed | None = None) -> None:
+    def __init__(
+        self, scenario: Scenario, seed: int | None = None, assumptions: Assumptions | None = None
+    ) -> None:
         self.scenario = scenario if seed is None else scenario.model_copy(update={"seed": seed})
-        self._assumed = assumed or Assumed()
-        self.clock = Clock(BEGAN - 1.0)
+        self._assumptions = assumptions or Assumptions()
+        self.clock = Clock(_DAY_START - _BEFORE_DAY)
         self._rng = random.Random(f"world/{self.scenario.seed}")
         nodes = self.scenario.nodes
-        faults = self.scenario.faults(BEGAN)
-        self._records: list[Record] = []
-        self._director: list[Record] = [{"t": BEGAN, "kind": "began", "at": BEGAN}]
+        faults = self.scenario.faults(_DAY_START)
+        self._node_records: list[Record] = []
+        self._director: list[Record] = [{"t": _DAY_START, "kind": "began", "at": _DAY_START}]
         self.nodes = [
-            SimNode(n, nodes.model(), faults.get(n, ()), self.clock, self._record) for n in range(nodes.count)
+            SimNode(n, nodes.model(), faults.get(n, ()), self.clock, self._record_at_node)
+            for n in range(nodes.count)
         ]
         self.configs = [self._config(n) for n in range(self.scenario.coordinators.count)]
-        self._numbers = {c.name: 3 * i for i, c in enumerate(self.scenario.classes)}
-        self._tiles = [f"t{i:03d}" for i in range(nodes.tiles)]
-        self._tries: list[Record] = []
         self._sends: list[Send] = []
-        self._by_part: dict[Part, list[Send]] = {}
-        self._list: tuple[Member, ...] = ()
-        self._launches = self._lists = 0
-        self._told = Catalogue(defaultdict(list), defaultdict(list))  # when each co-ordinator read each list
-        self._hidden: dict[int, float] = {}
+        self._sends_by_part: dict[Part, list[Send]] = {}
+        self._members: tuple[Member, ...] = ()
+        self._launches = 0
+        self._list_version = 0
+        # When each co-ordinator read each version of the list.
+        self._catalogue = Catalogue(defaultdict(list), defaultdict(list))
+        self._taken_for_running: dict[int, float] = {}  # killed co-ordinators: until when clients go there
         self._taps: dict[SimCoordinator, str] = {}
         self.coordinators: dict[int, SimCoordinator] = {}
-        self._starts = 0
+        self._clients = SimClients(
+            self.scenario,
+            self.clock,
+            self._assumptions.net,
+            self.coordinators,
+            self._targets,
+            self._taps.__getitem__,
+        )
 
     def run(self) -> Day:
-        """Play the day; what was recorded of it."""
+        """Play the day and return what was recorded of it."""
         scenario, clock = self.scenario, self.clock
-        self._say(0.0, {}, {})
+        self._publish_list(0.0, {}, {})
         for number in range(scenario.coordinators.count):
             self._launch(number)
         for at, states, started in scenario.listings():
             if at > 0:
-                clock.at(BEGAN + at, lambda a=at, s=states, b=started: self._say(a, s, b))  # type: ignore[misc]
-        self._plan_troubles()
-        asked = demands(scenario, self._tiles)
-        for demand in asked:
-            clock.at(BEGAN + demand.at, lambda d=demand: self._demand(d))  # type: ignore[misc]
-        clock.run(BEGAN + scenario.seconds + _AFTER)
-        wanted: list[Record] = [
-            {
-                "t": BEGAN + d.at,
-                "kind": "demand",
-                "demand": d.number,
-                "query_class": d.kind.name,
-                "names": d.tiles,
-            }
-            for d in asked
-        ]
-        facts = scenario.facts()
-        facts["down"] = {str(n): found for n, found in facts["down"].items()}
-        day = Day(
-            facts, self._director, self._tries, wanted, self._records, self._sends, b"", [], {}, self._told
-        )
-        day.by_part = self._by_part
-        day.ends = ends_of(self._records)
-        return day
+                clock.at(_DAY_START + at, partial(self._publish_list, at, states, started))
+        self._plan_coordinator_faults()
+        tiles = [f"t{i:03d}" for i in range(scenario.nodes.tiles)]
+        all_demands = demands(scenario, tiles)
+        for demand in all_demands:
+            clock.at(_DAY_START + demand.at, partial(self._clients.start, demand))
+        clock.run(_DAY_START + scenario.seconds + _AFTER_DAY)
+        return self._day(all_demands)
 
     def judge(self, day: Day) -> dict[str, Any]:
-        """The audit's report, with how busy the co-ordinators were."""
+        """Give the audit's report, with how busy the co-ordinators were."""
         report = rules.judge_day(day, samples=False)
         report["busy"] = {n: round(c.busy / self.scenario.seconds, 4) for n, c in self.coordinators.items()}
         report["events"] = self.clock.done
         return report
 
-    # ---- the list, and processes
+    # ---- co-ordinators
 
     def _config(self, number: int) -> Config:
         table = self.scenario.coordinator_table(number, {"file": "list"}, {})
@@ -116,202 +103,145 @@
     def _launch(self, number: int) -> None:
         self._launches += 1
         tap = f"tap-{number}-{self._launches}"
-        made = SimCoordinator(
+        coordinator = SimCoordinator(
             number,
             self.configs[number],
             self._rng.getrandbits(63),
             self.clock,
             self.nodes,
-            self._assumed.net,
-            self._assumed.costs,
-            self._sent,
-        )
-        self.coordinators[number] = made
-        self._taps[made] = tap
-        self._director.append(
-            {"t": self.clock.now, "kind": "launched", "coordinator": number, "tap": tap, "port": number}
-        )
-        self._told.told[tap].append((self.clock.now, self._lists))
-        made.listed(self._list)
-
-    def _say(self, at: float, states: dict[int, str], started: dict[int, float]) -> None:
-        """The list changes; each co-ordinator reads it a little later."""
-        zones = self.scenario.nodes.zones
-        members = tuple(
-            Member(
-                n,
-                f"n{n}",
-                ("node", n),
-                n % len(zones),
-                n,
-                api.ReplicaState(states.get(n, "ready")),
-                BEGAN + started[n] if n in started else None,
-            )
-            for n in range(self.scenario.nodes.count)
+            self._assumptions.net,
+            self._assumptions.costs,
+            self._record_send,
         )
-        self._list = members
-        said = {str(n): state for n, state in states.items()}
-        self._director.append({"t": self.clock.now, "kind": "list", "day": at, "states": said})
-        self._lists += 1
-        for n in range(self.scenario.nodes.count):
-            self._told.changes[n].append(Change(self.clock.now, self._lists, n in states))
-        for made in self.coordinators.values():
-            delay = self._assumed.list_delay * (1.0 + self._rng.random())
-            order = self._lists
-            self.clock.after(delay, lambda c=made, m=members, o=order: self._read_list(c, m, o))  # type: ignore[misc]
+        self.coordinators[number] = coordinator
+        self._taps[coordinator] = tap
+        self._record("launched", coordinator=number, tap=tap, port=number)
+        self._catalogue.told[tap].append((self.clock.now, self._list_version))
+        coordinator.endpoints_updated(self._members)
 
-    def _read_list(self, made: SimCoordinator, members: tuple[Member, ...], order: int) -> None:
-        if made.alive:
-            self._told.told[self._taps[made]].append((self.clock.now, order))
-            made.listed(members)
-
-    def _plan_troubles(self) -> None:
+    def _plan_coordinator_faults(self) -> None:
         clock = self.clock
         for trouble in self.scenario.troubles:
+            start = _DAY_START + trouble.at
             for number in trouble.coordinators:
                 if trouble.kind == "coordinator_kill":
-                    clock.at(BEGAN + trouble.at, lambda n=number: self._kill(n))  # type: ignore[misc]
-                    back = BEGAN + trouble.at + trouble.seconds
-                    clock.at(back, lambda n=number: self._launch(n))  # type: ignore[misc]
+                    clock.at(start, partial(self._kill, number))
+                    clock.at(start + trouble.seconds, partial(self._launch, number))
                 elif trouble.kind == "coordinator_stall":
-                    for at, size in trouble.stalls():
-                        clock.at(
-                            BEGAN + at,
-                            lambda n=number, s=size: self.coordinators[n].stall(s),  # type: ignore[misc]
-                        )
+                    for at, seconds in trouble.stalls():
+                        clock.at(_DAY_START + at, partial(self._pause, number, seconds))
 
     def _kill(self, number: int) -> None:
         self.coordinators[number].kill()
-        self._hidden[number] = self.clock.now + self.scenario.coordinators.notice
-        self._director.append({"t": self.clock.now, "kind": "killed", "coordinator": number})
+        self._taken_for_running[number] = self.clock.now + self.scenario.coordinators.notice
+        self._record("killed", coordinator=number)
 
-    # ---- clients
+    def _pause(self, number: int, seconds: float) -> None:
+        self.coordinators[number].pause(seconds)
 
     def _targets(self) -> list[int]:
         """Co-ordinators that clients take for running."""
         roots, now = self.scenario.coordinators.roots, self.clock.now
         return [
             n
-            for n, made in self.coordinators.items()
-            if (not roots or n < roots) and (made.alive or now < self._hidden.get(n, 0.0))
+            for n, coordinator in self.coordinators.items()
+            if (not roots or n < roots) and (coordinator.alive or now < self._taken_for_running.get(n, 0.0))
         ]
 
-    def _demand(self, demand: Demand) -> None:
-        rng = random.Random(demand.seed)
-        self._try(demand, 0, rng)
-
-    def _again(self, demand: Demand, number: int, rng: random.Random, advised: float) -> None:
-        """A try has not been answered well: the next, if there is one."""
-        clients = self.scenario.clients
-        if number >= clients.retries:
-            return
-        wait = advised if advised and rng.random() < clients.honour else clients.backoff
-        self.clock.after(wait, lambda: self._try(demand, number + 1, rng))
+    # ---- the server list
 
-    def _try(self, demand: Demand, number: int, rng: random.Random) -> None:
-        clients, clock, kind = self.scenario.clients, self.clock, demand.kind
-        targets = self._targets()
-        if not targets:
-            self._again(demand, number, rng, 0.0)
-            return
-        chosen = rng.choice(targets)
-        start = BASE_MS + self._starts
-        self._starts += 1
-        limit = kind.deadline * (1.0 - rng.random() * (1.0 - clients.try_share))
-        leaves = rng.random() < clients.impatient
-        patience = limit * (rng.random() if leaves else 1.0)
-        made = self.coordinators[chosen]
-        record: Record = {
-            "demand": demand.number,
-            "number": number,
-            "coordinator": chosen,
-            "query_class": kind.name,
-            "tiles": demand.tiles,
-            "start": start,
-            "end": start + clients.range_ms,
-            "timeout": limit,
-            "partial": kind.partial,
-            "sent": clock.now,
-            "replies": [],
-            "extra": 0,
-            "kind": "try",
-        }
-        if not made.alive:
-            self._tries.append(record | {"outcome": "unreached", "ended": clock.now})
-            self._again(demand, number, rng, 0.0)
-            return
-        over: list[str] = []
-        leave: list[Callable[[], None]] = []
-
-        def end(outcome: str, advised: float, **more: Any) -> None:
-            if over:
-                return
-            over.append(outcome)
-            self._tries.append(record | more | {"outcome": outcome, "ended": clock.now})
-            if outcome != "left" and more.get("status") != 200:
-                self._again(demand, number, rng, advised)
-
-        def answer(final: t.QueryResult | None, at: float) -> None:
-            record["replies"] = [at] if final else []
-            clock.after(self._assumed.net.delay, lambda: arrive(final))
+    def _publish_list(self, at: float, states: dict[int, str], started: dict[int, float]) -> None:
+        """Change the list; each co-ordinator reads it a little later."""
+        self._members = self._listed_members(states, started)
+        self._record("list", day=at, states={str(n): state for n, state in states.items()})
+        self._list_version += 1
+        for n in range(self.scenario.nodes.count):
+            self._catalogue.changes[n].append(Change(self.clock.now, self._list_version, n in states))
+        for coordinator in self.coordinators.values():
+            delay = self._assumptions.list_delay * (1.0 + self._rng.random())
+            self.clock.after(delay, partial(self._read_list, coordinator, self._members, self._list_version))
 
-        def arrive(final: t.QueryResult | None) -> None:
-            if final is None:
-                end("closed", 0.0)
-                return
-            answered = final.status is t.QueryStatus.COMPLETE or (
-                final.status is t.QueryStatus.PARTIAL and kind.partial
+    def _listed_members(self, states: dict[int, str], started: dict[int, float]) -> tuple[Member, ...]:
+        zones = self.scenario.nodes.zones
+        return tuple(
+            Member(
+                n,
+                f"n{n}",
+                ("node", n),
+                n % len(zones),
+                n,
+                api.ReplicaState(states.get(n, "ready")),
+                _DAY_START + started[n] if n in started else None,
             )
-            if answered:
-                missing = [name for i, name in enumerate(demand.tiles) if i not in final.results]
-                end("reply", 0.0, status=200, coverage=f"{final.coverage:g}", missing=",".join(missing))
-            elif final.status is t.QueryStatus.REJECTED:
-                end("reply", final.retry_after, status=503, coverage=None, missing=None)
-            else:
-                end("reply", 0.0, status=502, coverage=None, missing=None)
-
-        def gone() -> None:
-            if not over and leave:
-                leave[0]()
-            end("left" if leaves else "timeout", 0.0)
-
-        def read(at: float) -> None:
-            record["read"], record["tap"] = at, self._taps[made]
-
-        weight = 1.0 / len(demand.tiles)
-        parts = tuple(
-            t.PartPlan(int(tile[1:]), weight, [tile, start, start + clients.range_ms])
-            for tile in demand.tiles
+            for n in range(self.scenario.nodes.count)
         )
-        twin = self._numbers[kind.name] + (1 if kind.partial else 0)
-        asked = Asked(kind.name, twin, parts, limit, answer, read)
-        clock.after(self._assumed.net.delay, lambda: leave.append(made.ask(asked)) if made.alive else None)
-        # A client that does not leave hangs on a little past its time, so that a late answer is seen as late.
-        clock.after(patience + (0.0 if leaves else 0.5), gone)
+
+    def _read_list(self, coordinator: SimCoordinator, members: tuple[Member, ...], version: int) -> None:
+        if coordinator.alive:
+            self._catalogue.told[self._taps[coordinator]].append((self.clock.now, version))
+            coordinator.endpoints_updated(members)
 
     # ---- records
 
-    def _record(self, kind: str, **fields: Any) -> Record:
-        made = {"t": self.clock.now, "kind": kind, **fields}
-        self._records.append(made)
-        return made
+    def _record(self, kind: str, **fields: Any) -> None:
+        self._director.append({"t": self.clock.now, "kind": kind, **fields})
 
-    def _sent(self, made: SimCoordinator, node: int, tiles: list[Any]) -> Callable[[Record], None]:
-        parts = [Part(start, tile) for tile, start, _ in tiles]
-        send = Send(self.clock.now, made.number, self._taps[made], node, 0, parts)
+    def _record_at_node(self, kind: str, **fields: Any) -> Record:
+        record = {"t": self.clock.now, "kind": kind, **fields}
+        self._node_records.append(record)
+        return record
+
+    def _record_send(
+        self, coordinator: SimCoordinator, node: int, contents: list[Any]
+    ) -> Callable[[Record], None]:
+        parts = [Part(start, tile) for tile, start, _ in contents]
+        send = Send(self.clock.now, coordinator.number, self._taps[coordinator], node, 0, parts)
         self._sends.append(send)
         for part in parts:
-            self._by_part.setdefault(part, []).append(send)
+            self._sends_by_part.setdefault(part, []).append(send)
 
-        def took(record: Record) -> None:
+        def record_arrival(record: Record) -> None:
             send.took = record
 
-        return took
+        return record_arrival
+
+    def _day(self, all_demands: list[Demand]) -> Day:
+        """Put the records together as those of a rehearsal on sockets are."""
+        demand_records: list[Record] = [
+            {
+                "t": _DAY_START + d.at,
+                "kind": "demand",
+                "demand": d.number,
+                "query_class": d.kind.name,
+                "names": d.tiles,
+            }
+            for d in all_demands
+        ]
+        facts = self.scenario.facts()
+        facts["down"] = {str(n): found for n, found in facts["down"].items()}
+        return Day(
+            facts=facts,
+            director=self._director,
+            tries=self._clients.attempts,
+            demands=demand_records,
+            nodes=self._node_records,
+            sends=self._sends,
+            bodies=b"",
+            branches=[],
+            exchanged={},
+            catalogue=self._catalogue,
+            by_part=self._sends_by_part,
+            ends=ends_of(self._node_records),
+        )
+
 
+def emulate(
+    scenario: Scenario, seed: int | None = None, assumptions: Assumptions | None = None
+) -> dict[str, Any]:
+    """Play a scenario in simulated time and judge it.
 
-def emulate(scenario: Scenario, seed: int | None = None, assumed: Assumed | None = None) -> dict[str, Any]:
-    """Play a scenario in simulated time and judge it. Troubles of Consul, the tree and vectors are not modelled yet:
-    a scenario that has them raises SettingsError."""
+    Faults of Consul, the tree and vectors are not modelled yet: a scenario that has them raises SettingsError.
+    """
     lacking = [
         name
         for name, has in (
@@ -325,5 +255,5 @@
         raise daemon_settings.SettingsError(
             f"{scenario.name}: {', '.join(lacking)}: not modelled in simulated time"
         )
-    world = World(scenario, seed, assumed)
+    world = World(scenario, seed, assumptions)
     return world.judge(world.run())
--- a/gingervane/experiments/experiment.py
+++ b/gingervane/experiments/experiment.py
@@ -171,9 +171,10 @@
 
 def _emulated(scenario: Scenario, assumed: dict[str, Any]) -> tuple[dict[str, Any], dict[str, str]]:
     from gingervane.audit import rules
-    from gingervane.emulator.world import Assumed, World
+    from gingervane.emulator.assumptions import Assumptions
+    from gingervane.emulator.world import World
 
-    world = World(scenario, None, Assumed()._replace(**assumed))
+    world = World(scenario, None, Assumptions()._replace(**assumed))
     day = world.run()
     return world.judge(day), {n: h.encode().decode() for n, h in rules.histograms(day).items()}
 
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -76,13 +76,13 @@
     from gingervane.emulator import coordinator
 
     if rule == "drain":
-        listed = coordinator.SimCoordinator.listed
+        listed = coordinator.SimCoordinator.endpoints_updated
 
         def once(self: Any, members: Any, cached: bool = False) -> None:
             if not self._view.members:
                 listed(self, members, cached)
 
-        monkeypatch.setattr(coordinator.SimCoordinator, "listed", once)
+        monkeypatch.setattr(coordinator.SimCoordinator, "endpoints_updated", once)
     elif rule == "budget":
         honest = Config.module_settings
         monkeypatch.setattr(
@@ -93,10 +93,10 @@
             ),
         )
     else:  # what has just started is sent its share at once
-        listed = coordinator.SimCoordinator.listed
+        listed = coordinator.SimCoordinator.endpoints_updated
         monkeypatch.setattr(
             coordinator.SimCoordinator,
-            "listed",
+            "endpoints_updated",
             lambda self, members, cached=False: listed(
                 self, tuple(m._replace(started_at=0.0) for m in members), cached
             ),
