--- /dev/null
+++ b/gingervane/audit/draining.py
@@ -0,0 +1,91 @@
+"""The rule on draining: nothing new to a node that is not ready, later than the grace after the notification."""
+
+from __future__ import annotations
+
+from collections import defaultdict
+
+import numpy as np
+
+from gingervane.audit.records import Day, Send
+from gingervane.audit.verdict import Verdict
+
+_AGENT_BACKOFF = 24.0  # seconds after an agent's fault by which whoever it failed polls it again
+
+
+def judge(day: Day) -> Verdict:
+    """Judge every absence of a node from the server list."""
+    verdict = Verdict()
+    grace = day.facts["grace"]
+    sends_by_node: dict[int, list[Send]] = defaultdict(list)
+    for send in day.sends:
+        sends_by_node[send.node].append(send)
+    for node, start, end in _absences(day):
+        last_sends: dict[str, float] = {}
+        for send in sends_by_node[node]:
+            if start < send.t < end:
+                last_sends[send.tap] = max(send.t, last_sends.get(send.tap, send.t))
+        worst = 0.0
+        for tap, last in last_sends.items():
+            if (notified := _notified_at(day, tap, node, start)) is not None:
+                worst = max(worst, last - notified)
+        verdict.put(worst / grace, f"node {node}: sent to {worst:.3f} s after it was listed away")
+    return verdict
+
+
+def _absences(day: Day) -> list[tuple[int, float, float]]:
+    """Each node that was listed as not ready, from when to when."""
+    out: list[tuple[int, float, float]] = []
+    lists = [r for r in day.director if r["kind"] == "list"]
+    for node in range(day.facts["nodes"]):
+        since: float | None = None
+        for record in lists:
+            is_away = str(node) in record["states"]
+            if is_away and since is None:
+                since = record["t"]
+            elif not is_away and since is not None:
+                out.append((node, since, record["t"]))
+                since = None
+        if since is not None:
+            out.append((node, since, float("inf")))
+    return out
+
+
+def _notified_at(day: Day, tap: str, node: int, start: float) -> float | None:
+    """When a co-ordinator was notified of an absence; None if it could not have been.
+
+    A list file notifies when it is written. Consul notifies when an agent's answer has it, by the agents' own
+    records. But where some agent had been well for long enough that whoever polled it was back, it must have been
+    polled.
+    """
+    if day.catalogue is None:
+        return start
+    notified = day.catalogue.notified_of_absence(tap, node, start)
+    for agent in range(day.facts["consul_agents"]):
+        if _agent_was_well(day, agent, start - day.began()):
+            return start if notified is None else min(notified, start + day.facts["grace"] / 2)
+    return notified
+
+
+def _agent_was_well(day: Day, agent: int, at: float) -> bool:
+    """Whether an agent's faults were over for long, or lay ahead, at a moment (seconds into the day)."""
+    return all(
+        end + _AGENT_BACKOFF < at or begin > at + day.facts["grace"]
+        for faulty_agent, begin, end in day.facts["agent_faults"]
+        if faulty_agent == agent
+    )
+
+
+def notification_delays(day: Day) -> dict[str, float]:
+    """Delay from a change in the catalogue to each co-ordinator's notification, as quantiles in milliseconds."""
+    catalogue = day.catalogue
+    if catalogue is None:
+        return {}
+    delays: list[float] = []
+    for changes in catalogue.changes.values():
+        for change in (c for c in changes if c.t >= day.began()):
+            for notified in catalogue.notified.values():
+                if notified and notified[0][0] < change.t:  # a co-ordinator that ran before
+                    delays += [t - change.t for t, index in notified if index >= change.order][:1]
+    return {"count": len(delays)} | {
+        f"p{q:g}": round(float(np.percentile(delays, q)) * 1000, 2) for q in (50, 99, 100) if delays
+    }
--- /dev/null
+++ b/gingervane/audit/figures.py
@@ -0,0 +1,74 @@
+"""Figures of a day beside the rules: latencies, hedged requests and stray work."""
+
+from __future__ import annotations
+
+from hdrh.histogram import HdrHistogram
+
+from gingervane.audit import attempts
+from gingervane.audit.records import Day, Send
+
+_MAX_LATENCY = 600_000_000  # microseconds, ten minutes
+_SIGNIFICANT_DIGITS = 3
+
+
+def histograms(day: Day) -> dict[str, HdrHistogram]:
+    """Microseconds of attempts that were answered with 200, by class."""
+    by_class: dict[str, HdrHistogram] = {}
+    for record in day.tries:
+        if record.get("status") == 200:
+            histogram = by_class.setdefault(
+                record["query_class"], HdrHistogram(1, _MAX_LATENCY, _SIGNIFICANT_DIGITS)
+            )
+            histogram.record_value(max(int((record["ended"] - record["sent"]) * 1e6), 1))
+    return by_class
+
+
+def latencies(day: Day) -> dict[str, dict[str, float]]:
+    """Quantiles of the same in milliseconds."""
+    return {
+        name: {"count": h.get_total_count()}
+        | {f"p{q:g}": round(h.get_value_at_percentile(q) / 1000, 2) for q in (50, 90, 99, 99.9)}
+        for name, h in sorted(histograms(day).items())
+    }
+
+
+def hedged_requests(day: Day) -> int:
+    """Count the attempts that left while an earlier one of the part had not ended at its node."""
+    return sum(
+        any(_was_open(day, earlier, send.t) for earlier in sends[:index])
+        for sends in day.by_part.values()
+        for index, send in enumerate(sends[1:], 1)
+    )
+
+
+def _was_open(day: Day, send: Send, at: float) -> bool:
+    """Whether what was sent had not ended at its node at a moment."""
+    end = day.ends.get((send.node, send.took["call"])) if send.took else None
+    return end is None or end["t"] > at
+
+
+def most_executions_of_a_part(day: Day) -> int:
+    """Count how often the part was executed that was executed most often."""
+    return max((sum(attempts.was_executed(s) for s in sends) for sends in day.by_part.values()), default=0)
+
+
+def stray_work(day: Day) -> dict[str, float]:
+    """What went on below after a query had been answered: leaf sends, and seconds of the nodes' work on it."""
+    replied = {r["start"]: r["replies"][0] for r in day.tries if r.get("replies")}
+    after, sent, late, worked = 0, 0, 0.0, 0.0
+    for send in day.sends:
+        answers = [replied[part.start] for part in send.parts if part.start in replied]
+        if len(answers) < len(send.parts):
+            continue
+        sent += 1
+        after += send.t > max(answers)
+        done = day.ends.get((send.node, send.took["call"])) if send.took else None
+        if send.took and done and attempts.was_executed(send):
+            worked += done["t"] - send.took["t"]
+            late += max(done["t"] - max(send.took["t"], *answers), 0.0)
+    return {
+        "sends": after,
+        "share_of_sends": round(after / max(sent, 1), 5),
+        "work_s": round(late, 3),
+        "share_of_work": round(late / max(worked, 1e-9), 5),
+    }
--- /dev/null
+++ b/gingervane/audit/linking.py
@@ -0,0 +1,79 @@
+"""Links between the records of two socket ends: by the ports of a connection and the order of what passed on it."""
+
+from __future__ import annotations
+
+import bisect
+from collections import defaultdict
+
+from gingervane.audit.records import Branch, Day, Record, Send, ends_of
+
+
+def link_branches(
+    branches: list[Branch],
+    front_records: dict[str, list[Record]],
+    director: list[Record],
+) -> list[Branch]:
+    """Give each subtree the moment at which the child had read it: the next request on that connection."""
+    taps: dict[int, list[str]] = defaultdict(list)
+    for launch in [r for r in director if r["kind"] == "launched"]:
+        taps[launch["port"]].append(launch["tap"])
+    requests: dict[tuple[str, int], list[float]] = defaultdict(list)
+    for tap, records in front_records.items():
+        for record in records:
+            if record["kind"] == "request":
+                requests[tap, record["far"]].append(record["t"])
+    out = []
+    for branch in sorted(branches, key=lambda b: b.t):
+        linked = branch
+        for tap in taps[branch.far]:
+            later = [at for at in requests[tap, branch.near] if at >= branch.t]
+            if later:
+                requests[tap, branch.near].remove(min(later))
+                linked = branch._replace(read=min(later), child=tap)
+                break
+        out.append(linked)
+    return out
+
+
+def link_nodes(day: Day) -> None:
+    """Link each request that a node read to the latest send that had left on that connection."""
+    day.ends = ends_of(day.nodes)
+    by_connection: dict[tuple[int, int], list[Send]] = defaultdict(list)
+    for send in day.sends:
+        by_connection[send.node, send.near].append(send)
+    for record in day.nodes:
+        if "peer" in record:
+            sent = by_connection.get((record["node"], record["peer"]), [])
+            at = bisect.bisect_right(sent, record["t"], key=lambda s: s.t) - 1
+            if at >= 0 and sent[at].took is None:
+                sent[at].took = record
+
+
+def link_replies(day: Day, front_records: dict[str, list[Record]]) -> None:
+    """Add to each attempt when the co-ordinator had read it, at which tap, and when it wrote each reply."""
+    by_connection = _by_client_connection(day, front_records)
+    for record in day.tries:
+        passed = by_connection.get((record["coordinator"], record.get("port", -1)), [])
+        at = bisect.bisect_left(passed, record["sent"], key=lambda r: r["t"])
+        record["replies"] = []
+        for later in passed[at:]:
+            if later["kind"] == "request":
+                if "read" in record:
+                    break
+                record["read"], record["tap"] = later["t"], later["tap"]
+            else:
+                record["replies"].append(later["t"])
+
+
+def _by_client_connection(
+    day: Day, front_records: dict[str, list[Record]]
+) -> dict[tuple[int, int], list[Record]]:
+    """What passed on each connection of a client, by the co-ordinator and the client's port, in order of time."""
+    coordinator_of = {r["tap"]: r["coordinator"] for r in day.director if r["kind"] == "launched"}
+    out: dict[tuple[int, int], list[Record]] = defaultdict(list)
+    for tap, records in front_records.items():
+        for record in records:
+            out[coordinator_of[tap], record["far"]].append(record | {"tap": tap})
+    for passed in out.values():
+        passed.sort(key=lambda r: r["t"])
+    return out
--- /dev/null
+++ b/gingervane/audit/lost_requests.py
@@ -0,0 +1,65 @@
+"""The rule on lost requests: exactly one final answer in time, and nothing sent for the query after it."""
+
+from __future__ import annotations
+
+from gingervane.audit import attempts
+from gingervane.audit.records import Day, Part, Record
+from gingervane.audit.verdict import Verdict
+
+_LATE = 0.5  # seconds past a client's time in which an answer only earns nothing (the users' standing page)
+_AFTER_PAUSE = 0.15  # seconds after SIGCONT within which what ran out meanwhile is failed
+_CLOCK_ERROR = 0.002  # seconds by which two processes' readings of one moment may differ
+
+
+def judge(day: Day) -> Verdict:
+    """Judge every attempt whose client stayed and whose co-ordinator was not killed."""
+    verdict = Verdict()
+    for record in day.tries:
+        if record["outcome"] in ("left", "unreached") or attempts.coordinator_was_killed(day, record):
+            continue
+        name = attempts.describe(record)
+        if record["outcome"] != "reply":
+            verdict.tested += 1
+            verdict.breach(f"{name}: {record['outcome']}, no answer: {record.get('why')}")
+            continue
+        replies = record["replies"]
+        if len(replies) != 1 or record["extra"]:
+            verdict.breach(f"{name}: {len(replies)} replies on its connection")
+            continue
+        if not failed_late_after_pause(day, record):
+            verdict.put((replies[0] - record["sent"]) / record["timeout"], f"{name}: answered late")
+        _judge_sends_after_answer(day, record, verdict)
+    return verdict
+
+
+def _judge_sends_after_answer(day: Day, record: Record, verdict: Verdict) -> None:
+    """Nothing is sent for a query after its answer.
+
+    What a child sent before it had received the cancellation is stray work, and counted as such.
+    """
+    replied = record["replies"][0]
+    for tile in record["tiles"]:
+        for send in day.by_part.get(Part(record["start"], tile), []):
+            if send.t > replied + _CLOCK_ERROR and send.tap == record["tap"]:
+                late_ms = (send.t - replied) * 1000
+                verdict.breach(f"{attempts.describe(record)}: {tile} sent {late_ms:.1f} ms after its answer")
+
+
+def failed_late_after_pause(day: Day, record: Record) -> bool:
+    """Whether an attempt's time ran out while its co-ordinator was stopped (SIGSTOP) and it was failed at once after.
+
+    Nobody can answer then. By the users' page a request that is answered up to `_LATE` after its time earns nothing
+    and is not lost; one that is closed without an answer is.
+    """
+    until = record["sent"] + record["timeout"]
+    replied = record["replies"][0]
+    if record["status"] < 500 or replied > until + _LATE:
+        return False
+    signals = [r for r in day.director if r["kind"] == "signal" and r["coordinator"] == record["coordinator"]]
+    for stop in [r["t"] for r in signals if r["signal"] == "SIGSTOP"]:
+        resumed = next((r["t"] for r in signals if r["signal"] == "SIGCONT" and r["t"] > stop), None)
+        if resumed is None:
+            continue
+        if stop <= until <= resumed + _AFTER_PAUSE and replied <= resumed + _AFTER_PAUSE:
+            return True
+    return False
--- /dev/null
+++ b/gingervane/audit/retry_budget.py
@@ -0,0 +1,72 @@
+"""The rule on the retry budget: each co-ordinator's attempts beyond the first of a part, in any window."""
+
+from __future__ import annotations
+
+import bisect
+from collections import defaultdict
+
+from gingervane.audit.records import Day, Part
+from gingervane.audit.verdict import Verdict
+
+_MAX_SEND_DELAY = 0.1  # seconds from a query's reading to its admission, and from a decision to its send
+
+Times = list[float]
+
+
+def judge(day: Day) -> Verdict:
+    """Judge every retry and hedged request."""
+    verdict = Verdict()
+    received = _received(day)
+    for tap, times in _retries(day).items():
+        times.sort()
+        _judge_coordinator(day, tap, times, sorted(received[tap]), verdict)
+    return verdict
+
+
+def _retries(day: Day) -> dict[str, Times]:
+    """When each co-ordinator sent attempts beyond the first of a part or a subtree."""
+    retries: dict[str, Times] = defaultdict(list)
+    for sends in day.by_part.values():
+        senders: set[str] = set()
+        for send in sends:
+            if send.tap in senders:
+                retries[send.tap].append(send.t)
+            senders.add(send.tap)
+    subtrees: set[tuple[str, tuple[Part, ...]]] = set()
+    for branch in day.branches:
+        if (branch.tap, branch.parts) in subtrees:
+            retries[branch.tap].append(branch.t)
+        subtrees.add((branch.tap, branch.parts))
+    return retries
+
+
+def _received(day: Day) -> dict[str, list[tuple[float, int]]]:
+    """When each co-ordinator read queries and subtrees, and how many first attempts each allowed."""
+    received: dict[str, list[tuple[float, int]]] = defaultdict(list)
+    for branch in day.branches:
+        if branch.child:
+            received[branch.child].append((branch.read, 1 + len(branch.parts)))
+    for record in day.tries:
+        if "tap" in record:
+            received[record["tap"]].append((record["read"], 1 + len(record["tiles"])))
+    return received
+
+
+def _judge_coordinator(
+    day: Day, tap: str, retries: Times, received: list[tuple[float, int]], verdict: Verdict
+) -> None:
+    """Judge the window that ends with each retry; both lists are in order of time."""
+    budget = day.facts["budget"]
+    sums = [0]
+    for _, size in received:
+        sums.append(sums[-1] + size)
+    read_times = [at for at, _ in received]
+    first = 0
+    for index, at in enumerate(retries):
+        while retries[first] <= at - budget["span"]:
+            first += 1
+        low = bisect.bisect_right(read_times, at - budget["span"] - _MAX_SEND_DELAY)
+        first_attempts = sums[bisect.bisect_right(read_times, at)] - sums[low]
+        allowed = budget["free"] + budget["share"] * first_attempts
+        used = index - first + 1
+        verdict.put(used / max(allowed, 1e-9), f"{tap}: {used} further attempts, {allowed:.1f} allowed")
--- /dev/null
+++ b/gingervane/audit/served_weight.py
@@ -0,0 +1,73 @@
+"""Priority weight asked for, served, and the most that any co-ordinator could have served."""
+
+from __future__ import annotations
+
+from collections import defaultdict
+from typing import Any
+
+from gingervane.audit.records import Day, Record
+
+
+def served_weight(day: Day) -> dict[str, Any]:
+    """Sum the weights of all demands and of their answers.
+
+    The bound gives a query its full weight if, at some moment up to its latency objective, a replica of each needed
+    tile was up; it knows nothing of load, so that it is above what is possible under overload.
+    """
+    began, asked, served, bound = day.began(), 0.0, 0.0, 0.0
+    attempts: dict[int, list[Record]] = defaultdict(list)
+    by_class: dict[str, list[float]] = defaultdict(lambda: [0.0, 0.0])
+    for record in day.tries:
+        attempts[record["demand"]].append(record)
+    for demand in day.demands:
+        query_class = day.facts["classes"][demand["query_class"]]
+        asked += query_class["worth"]
+        by_class[demand["query_class"]][0] += query_class["worth"]
+        bound += _most_weight(day, demand, query_class, demand["t"] - began)
+        answer = next((r for r in attempts[demand["demand"]] if r.get("status") == 200), None)
+        if answer:
+            weight = _answer_weight(query_class, answer["ended"] - demand["t"], float(answer["coverage"]))
+            served += weight
+            by_class[demand["query_class"]][1] += weight
+    return {
+        "asked": round(asked, 3),
+        "served": round(served, 3),
+        "bound": round(bound, 3),
+        "by_class": {
+            name: {"asked": round(a, 3), "served": round(s, 3)} for name, (a, s) in by_class.items()
+        },
+    }
+
+
+def _most_weight(day: Day, demand: Record, query_class: Record, at: float) -> float:
+    """Weight of the best answer that any co-ordinator could have given (`at`: seconds into the day)."""
+    is_up = [_is_reachable(day, tile, at, at + query_class["aim"]) for tile in demand["names"]]
+    share = sum(is_up) / len(is_up)
+    if share == 1.0 or (query_class["partial"] and share >= query_class["least_share"]):
+        return float(query_class["worth"] * (1.0 if share == 1.0 else query_class["short_worth"] * share))
+    return 0.0
+
+
+def _answer_weight(query_class: Record, took: float, coverage: float) -> float:
+    """Weight that an answer earns by its latency and its coverage."""
+    if took <= query_class["aim"]:
+        late = 1.0
+    else:
+        late = query_class["late_worth"] if took <= query_class["deadline"] else 0.0
+    return float(
+        query_class["worth"] * late * (1.0 if coverage == 1.0 else query_class["short_worth"] * coverage)
+    )
+
+
+def _is_reachable(day: Day, tile: str, start: float, end: float) -> bool:
+    """Whether some replica of a tile is up at some moment of a span (seconds into the day)."""
+    count, width = day.facts["nodes"], day.facts["width"]
+    number = int(tile[1:])
+    for node in ((number + j) % count for j in range(width)):
+        at = start
+        for low, high in sorted(map(tuple, day.facts["down"].get(str(node), []))):
+            if low <= at < high:
+                at = high
+        if at <= end:
+            return True
+    return False
--- a/gingervane/emulator/world.py
+++ b/gingervane/emulator/world.py
@@ -116,7 +116,7 @@
         self.coordinators[number] = coordinator
         self._taps[coordinator] = tap
         self._record("launched", coordinator=number, tap=tap, port=number)
-        self._catalogue.told[tap].append((self.clock.now, self._list_version))
+        self._catalogue.notified[tap].append((self.clock.now, self._list_version))
         coordinator.endpoints_updated(self._members)
 
     def _plan_coordinator_faults(self) -> None:
@@ -178,7 +178,7 @@
 
     def _read_list(self, coordinator: SimCoordinator, members: tuple[Member, ...], version: int) -> None:
         if coordinator.alive:
-            self._catalogue.told[self._taps[coordinator]].append((self.clock.now, version))
+            self._catalogue.notified[self._taps[coordinator]].append((self.clock.now, version))
             coordinator.endpoints_updated(members)
 
     # ---- records
--- a/gingervane/experiments/experiment.py
+++ b/gingervane/experiments/experiment.py
@@ -170,22 +170,22 @@
 
 
 def _emulated(scenario: Scenario, assumed: dict[str, Any]) -> tuple[dict[str, Any], dict[str, str]]:
-    from gingervane.audit import rules
+    from gingervane.audit import figures
     from gingervane.emulator.assumptions import Assumptions
     from gingervane.emulator.world import World
 
     world = World(scenario, None, Assumptions()._replace(**assumed))
     day = world.run()
-    return world.judge(day), {n: h.encode().decode() for n, h in rules.histograms(day).items()}
+    return world.judge(day), {n: h.encode().decode() for n, h in figures.histograms(day).items()}
 
 
 def _rehearsed(scenario: Scenario, job: Job) -> tuple[dict[str, Any], dict[str, str]]:
-    from gingervane.audit import records, rules
+    from gingervane.audit import day_reader, figures
     from gingervane.experiments.scenario_runner import Rehearsal
 
     folder = Path(job.out) / "sockets"
     report = Rehearsal(scenario, folder).run()
-    return report, {n: h.encode().decode() for n, h in rules.histograms(records.load(folder)).items()}
+    return report, {n: h.encode().decode() for n, h in figures.histograms(day_reader.load(folder)).items()}
 
 
 def run(
--- a/tests/test_audit_held.py
+++ b/tests/test_audit_held.py
@@ -8,7 +8,7 @@
 import pytest
 
 from gingervane.audit.records import Day
-from gingervane.audit.rules import _failed_late_as_it_was_held
+from gingervane.audit.lost_requests import failed_late_after_pause
 
 
 def day(*signals: tuple[float, int, str]) -> Day:
@@ -44,4 +44,4 @@
         "replies": [replied],
         "coordinator": coordinator,
     }
-    assert _failed_late_as_it_was_held(HELD, record) is excused
+    assert failed_late_after_pause(HELD, record) is excused
--- a/tests/test_stored_files.py
+++ b/tests/test_stored_files.py
@@ -18,7 +18,7 @@
 import pytest
 
 from gingervane import interface as api
-from gingervane.audit import effects, records, rules
+from gingervane.audit import day_reader, effects, rules
 from gingervane.coordinator import boot_clock
 from gingervane.writes import write_ahead_log
 from gingervane.writes.write_ahead_log import WriteAheadLog
@@ -442,7 +442,7 @@
 
 
 def test_the_records_of_a_day_are_read_and_linked(stored: Path) -> None:
-    day = records.load(stored / "day")
+    day = day_reader.load(stored / "day")
     assert day.facts["name"] == "small" and day.began() == 9.5
     assert day.torn == 1, "a line was cut off as its process was killed"
     assert len(day.bodies) == day.tries[0]["body"][1] > 0
