--- a/benchmarks/common.py
+++ b/benchmarks/common.py
@@ -19,7 +19,7 @@
 
 from gingervane.experiments.toml_text import toml
 from gingervane.fake_servers.capacity import Model
-from gingervane.fake_servers.node import list_row, write_list
+from gingervane.fake_servers.server_list import list_row, write_list
 
 PROCESSES = 4  # of stand-ins, so that they are not what is measured
 ZONES = ["hall-a", "hall-b", "hall-c"]
--- a/gingervane/experiments/clients.py
+++ b/gingervane/experiments/clients.py
@@ -20,7 +20,7 @@
 from gingervane.fronts.routing import COVERAGE_HEADER, MISSING_HEADER, RETRY_HEADER
 from gingervane.scenarios.demands import BASE_MS, Demand
 from gingervane.scenarios.scenario import Scenario
-from gingervane.fake_servers.node import Recorder
+from gingervane.fake_servers.recorder import Recorder
 from gingervane.wire.http1 import Closed, HttpError
 from gingervane.wire.pool import Connection, Pool
 from gingervane.wire.remote_read import Match, Matcher, Query
--- a/gingervane/experiments/embedded.py
+++ b/gingervane/experiments/embedded.py
@@ -11,7 +11,8 @@
 from gingervane.daemon.app import App
 from gingervane.scenarios.coordinator_settings import ReplicaRing, coordinator_table
 from gingervane.fake_servers.capacity import Model
-from gingervane.fake_servers.node import FakeGrid, list_row, write_list
+from gingervane.fake_servers.node import FakeGrid
+from gingervane.fake_servers.server_list import list_row, write_list
 from gingervane.fake_servers.vectors import VectorGrid
 
 MODEL = Model()
--- a/gingervane/experiments/listing.py
+++ b/gingervane/experiments/listing.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import Any, NamedTuple, Protocol
 
-from gingervane.fake_servers.node import list_row, write_list
+from gingervane.fake_servers.server_list import list_row, write_list
 from gingervane.wire import http1
 from gingervane.wire.http1 import Limits
 from gingervane.wire.pool import Pool, exchange
--- a/gingervane/experiments/scenario_runner.py
+++ b/gingervane/experiments/scenario_runner.py
@@ -27,7 +27,7 @@
 from gingervane.scenarios.scenario import Scenario
 from gingervane.experiments.toml_text import toml
 from gingervane.experiments.vector_day import VectorLoad, VectorNodes, settled
-from gingervane.fake_servers.node import Recorder
+from gingervane.fake_servers.recorder import Recorder
 
 _SERVICE = "grid"  # the nodes' in Consul
 _START = (
--- a/gingervane/experiments/vector_day.py
+++ b/gingervane/experiments/vector_day.py
@@ -21,7 +21,8 @@
 
 from gingervane.scenarios.fixed_points import fixed_points
 from gingervane.scenarios.scenario import Scenario
-from gingervane.fake_servers.node import Recorder, list_row, write_list
+from gingervane.fake_servers.recorder import Recorder
+from gingervane.fake_servers.server_list import list_row, write_list
 from gingervane.vectors.points import shard_of
 from gingervane.wire import http1
 from gingervane.wire.http1 import Closed, Headers, HttpError, Limits
--- a/gingervane/fake_servers/consul.py
+++ b/gingervane/fake_servers/consul.py
@@ -25,7 +25,7 @@
 from urllib.parse import parse_qs, unquote
 
 from gingervane.fronts.http_server import Exchange, HttpServer, Reply, ServerLimits, plain
-from gingervane.fake_servers.node import Recorder
+from gingervane.fake_servers.recorder import Recorder
 from gingervane.wire import http1
 from gingervane.wire.http1 import Request
 
--- /dev/null
+++ b/gingervane/fake_servers/fake_server.py
@@ -0,0 +1,245 @@
+"""A server on loopback with a capacity model and faults, whatever protocol it speaks.
+
+Many servers live in one process. Owners: each server has a thread that accepts (and ends its connections when the
+server goes down) and one for each connection; its capacity and schedule are touched under its lock, never over I/O.
+"""
+
+from __future__ import annotations
+
+import contextlib
+import json
+import select
+import socket
+import struct
+import threading
+import time
+from abc import ABC, abstractmethod
+from collections.abc import Iterable
+from typing import Self
+
+from gingervane.fake_servers.capacity import Capacity, Job, Model
+from gingervane.fake_servers.faults import Fault, FaultError, Schedule
+from gingervane.fake_servers.recorder import Recorder
+from gingervane.wire import http1
+from gingervane.wire.http1 import Closed, HttpError, Limits, Request
+
+DEFAULT_MODEL = Model()
+REQUEST_LIMITS = Limits(16384, 16 << 20)  # bytes of a request's head and of its body
+QUEUE_FULL_FIELDS = (("Retry-After", "1"), ("Gingervane-Began", "no"))
+_BACKLOG = 512  # connections that wait to be accepted
+_FOREVER = 1e6  # seconds that a server which was overloaded stays down
+_ACCEPT_POLL = 20  # milliseconds between two looks at the schedule
+_DOWN_POLL = 0.005  # seconds between two looks at the clock while down
+_WORK_POLL = 0.1  # seconds between two looks at the schedule while a job runs
+_IDLE_TIMEOUT = 60.0  # seconds without a byte of a request
+_HOLD_TIMEOUT = 120.0  # seconds that an unanswered connection is kept
+_SEND_TIMEOUT = 30.0  # seconds
+_STOP_TIMEOUT = 5.0  # seconds
+_LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER by which a close resets the connection
+
+
+class FakeServer(ABC):
+    """One server on a port of its own. It starts warm unless told when it started."""
+
+    def __init__(
+        self,
+        number: int,
+        model: Model = DEFAULT_MODEL,
+        faults: Iterable[Fault] = (),
+        recorder: Recorder | None = None,
+        started_at: float = 0.0,
+    ) -> None:
+        self.id = number
+        self.model = model
+        self.schedule = Schedule(faults, number)
+        self.served = 0  # parts answered
+        self._recorder = recorder or Recorder(None)
+        self._capacity = Capacity(model, started_at)
+        self._lock = threading.Lock()
+        self._connections: set[socket.socket] = set()
+        self._listener = socket.create_server(("127.0.0.1", 0), backlog=_BACKLOG)
+        self.address: tuple[str, int] = self._listener.getsockname()[:2]
+        self._stop = threading.Event()
+        self._calls = 0
+        self._thread = threading.Thread(target=self._run, name=f"node-{number}", daemon=True)
+
+    def start(self) -> Self:
+        """Accept connections from now on."""
+        self._thread.start()
+        return self
+
+    def stop(self) -> None:
+        """Reset all connections and close the port."""
+        self._stop.set()
+        self._reset_connections()
+        self._listener.close()
+        self._thread.join(_STOP_TIMEOUT)
+
+    @property
+    def fallen(self) -> bool:
+        """Whether it has been overloaded."""
+        return self._capacity.fallen
+
+    def fault(
+        self, kind: str, seconds: float, size: float = 1.0, delay: float = 0.0, how: str = "crash"
+    ) -> None:
+        """Schedule a fault from now on. Raises FaultError."""
+        with self._lock:
+            self.schedule.add(Fault(kind, time.monotonic() + delay, seconds, size, how))
+
+    @abstractmethod
+    def _answer(self, sock: socket.socket, request: Request, body: bytes) -> bool:
+        """Answer one request; False if the connection is of no more use."""
+
+    # ---- up and down
+
+    def _run(self) -> None:
+        poll = select.poll()
+        poll.register(self._listener, select.POLLIN)
+        while not self._stop.is_set():
+            if down := self.schedule.down(time.monotonic()):
+                self._go_down(*down)
+                poll = select.poll()
+                if not self._stop.is_set():
+                    poll.register(self._listener, select.POLLIN)
+                continue
+            if not poll.poll(_ACCEPT_POLL):
+                continue
+            with contextlib.suppress(OSError):
+                sock, _ = self._listener.accept()
+                with self._lock:
+                    self._connections.add(sock)
+                threading.Thread(target=self._serve, args=(sock,), daemon=True).start()
+
+    def _go_down(self, until: float, how: str) -> None:
+        """Crashed: ports closed, connections reset. Vanished: nothing moves. Slow start afterwards."""
+        self._recorder.put("down", node=self.id, until=until, how=how)
+        if how == "crash":
+            self._listener.close()
+            self._reset_connections()
+        while time.monotonic() < until and not self._stop.wait(_DOWN_POLL):
+            pass
+        if how == "vanish":
+            self._reset_connections()
+        if self._stop.is_set():
+            return
+        with self._lock:
+            self._capacity = Capacity(self.model, time.monotonic())
+        if how == "crash":
+            self._listener = socket.create_server(self.address, backlog=_BACKLOG)
+        self._recorder.put("up", node=self.id)
+
+    def _reset_connections(self) -> None:
+        with self._lock:
+            connections, self._connections = self._connections, set()
+        for sock in connections:
+            with contextlib.suppress(OSError):
+                self._reset_on_close(sock)
+                sock.shutdown(socket.SHUT_RDWR)
+
+    def _reset_on_close(self, sock: socket.socket) -> None:
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_RESET)
+
+    def _is_silent(self, now: float) -> bool:
+        """Whether nothing is read or answered at all."""
+        if self.schedule.find("say_nothing", now):
+            return True
+        down = self.schedule.down(now)
+        return down is not None and down[1] == "vanish"
+
+    # ---- one connection
+
+    def _serve(self, sock: socket.socket) -> None:
+        def receive(size: int) -> bytes:
+            sock.settimeout(_IDLE_TIMEOUT)
+            return sock.recv(size)
+
+        reader = http1.Reader(receive, REQUEST_LIMITS)
+        try:
+            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+            self._serve_requests(sock, reader)
+        except HttpError as error:
+            with contextlib.suppress(OSError):
+                sock.sendall(http1.response(error.status, [("Connection", "close")], error.what.encode()))
+        except (OSError, Closed):
+            pass
+        finally:
+            with self._lock:
+                self._connections.discard(sock)
+            sock.close()
+
+    def _serve_requests(self, sock: socket.socket, reader: http1.Reader) -> None:
+        last = time.monotonic()
+        while not self._stop.is_set():
+            request = reader.request()
+            now = time.monotonic()
+            reap = self.schedule.find("idle_reap", now)
+            if reap and now - last > reap.size:
+                self._hold(sock)  # dropped unseen by something in between: silence
+                return
+            body = reader.body(request.headers)
+            if not self._answer(sock, request, body):
+                return
+            last = time.monotonic()
+
+    def _hold(self, sock: socket.socket) -> None:
+        """Say nothing until the other side gives up."""
+        with contextlib.suppress(OSError):
+            sock.settimeout(_HOLD_TIMEOUT)
+            while sock.recv(65536):
+                pass
+
+    def _control(self, sock: socket.socket, body: bytes) -> bool:
+        """Schedule a fault from JSON: kind, seconds, and where they matter size, delay and how."""
+        try:
+            order = json.loads(body)
+            self.fault(**order)
+        except (ValueError, TypeError, FaultError) as error:
+            return self._send(sock, 400, str(error).encode())
+        return self._send(sock, 200, b"scheduled")
+
+    def _send(
+        self,
+        sock: socket.socket,
+        status: int,
+        body: bytes,
+        fields: tuple[tuple[str, str], ...] = (),
+    ) -> bool:
+        """Send a line of plain text."""
+        sock.settimeout(_SEND_TIMEOUT)
+        sock.sendall(http1.response(status, [("Content-Type", "text/plain"), *fields], body + b"\n"))
+        return True
+
+    # ---- work
+
+    def _next_call(self) -> int:
+        with self._lock:
+            self._calls += 1
+            return self._calls
+
+    def _queue(self, now: float, parts: int) -> Job | None:
+        """Queue the work on some parts; None if it is rejected. Too much of it takes the server down."""
+        with self._lock:
+            job = None
+            if not self.schedule.strikes("reject", now):
+                job = self._capacity.take(now, parts, self.schedule.slowness(now))
+            if self._capacity.fallen:
+                self._recorder.put("fell", node=self.id)
+                self.schedule.add(Fault("vanish", now, _FOREVER))
+        return job
+
+    def _work(self, sock: socket.socket, job: Job) -> bool:
+        """Let the job's time pass; False if the other side left or the server went down meanwhile."""
+        poll = select.poll()
+        poll.register(sock, select.POLLRDHUP | select.POLLHUP | select.POLLERR)
+        end = job.end
+        while (now := time.monotonic()) < (end := max(end, self.schedule.still_until(now))):
+            if poll.poll(min(end - now, _WORK_POLL) * 1000) or self.schedule.down(time.monotonic()):
+                with self._lock:
+                    self._capacity.drop(job, time.monotonic())
+                return False
+        return True
+
+    def _never_answers(self, now: float) -> bool:
+        """Whether a request that came at `now` is one whose answer never leaves."""
+        return self.schedule.hangs(now) or self.schedule.strikes("lose_answers", now)
--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -22,7 +22,7 @@
 from gingervane.experiments.toml_text import toml
 from gingervane.fake_servers import data
 from gingervane.fake_servers.capacity import Model
-from gingervane.fake_servers.node import Recorder
+from gingervane.fake_servers.recorder import Recorder
 from gingervane.wire import http1, remote_read, snappy
 from gingervane.wire.remote_read import Match, Matcher, Query
 
--- a/tests/test_pinned_forms.py
+++ b/tests/test_pinned_forms.py
@@ -31,7 +31,8 @@
 from gingervane.scenarios.scenario import Scenario
 from gingervane.experiments.toml_text import toml
 from gingervane.node import config as node_config
-from gingervane.fake_servers.node import FakeGrid, Recorder
+from gingervane.fake_servers.node import FakeGrid
+from gingervane.fake_servers.recorder import Recorder
 from gingervane.wire.remote_read import Match, Matcher, Query
 from platform_standins import PATIENCE, ROOT
 
--- a/tests/test_tree_sockets.py
+++ b/tests/test_tree_sockets.py
@@ -15,7 +15,8 @@
 from gingervane.fronts.http_server import Exchange, HttpServer, Reply, ServerLimits, plain
 from gingervane.experiments.embedded import ZONES, Embedded
 from gingervane.fake_servers.capacity import Model
-from gingervane.fake_servers.node import Recorder, list_row
+from gingervane.fake_servers.recorder import Recorder
+from gingervane.fake_servers.server_list import list_row
 from gingervane.wire import http1, remote_read, snappy
 from gingervane.wire.http1 import Request
 from gingervane.wire.remote_read import Match, Matcher, Query, Series
