--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -26,18 +26,19 @@
 from gingervane.coordinator.types import EndpointsUpdated
 from gingervane.fronts.client import Client
 from gingervane.experiments.listing import ConsulListing, Row
-from gingervane.experiments.tables import toml
-from gingervane.membership.consul import EntryFieldNames, EntryReader
-from gingervane.membership.consul_polling import Backoff
-from gingervane.membership.mass_removal_guard import MassRemovalGuard
+from gingervane.experiments.toml_text import toml
 from gingervane.membership.reconciliation import Reconciliation
-from gingervane.membership.source_ordering import SourceReport
+from gingervane.membership.mass_removal_guard import MassRemovalGuard
 from gingervane.membership.source_owner import EndpointSources
 from gingervane.membership.view import Member, EndpointView
 from gingervane.membership.consul_watcher import ConsulService, create_watchers
 from gingervane.decisions.engine import DecisionEngine
 from gingervane.fake_servers.consul import Catalogue
 from gingervane.wire.remote_read import Match, Matcher, Query
+from gingervane.membership.source_ordering import SourceReport
+from gingervane.membership.consul import EntryReader
+from gingervane.membership.consul import EntryFieldNames
+from gingervane.membership.consul_polling import Backoff
 
 NODES, WORKERS = 150, 6
 ZONES = ("hall-a", "hall-b", "hall-c")
--- a/gingervane/experiments/experiment.py
+++ b/gingervane/experiments/experiment.py
@@ -29,8 +29,8 @@
 from pydantic import Field
 
 from gingervane.settings.daemon_settings import SettingsError, Table, validate
-from gingervane.experiments import scenario as scenarios
-from gingervane.experiments.scenario import Scenario
+from gingervane.scenarios import scenario as scenarios
+from gingervane.scenarios.scenario import Scenario
 from gingervane.experiments.store import Run, RunStore, code_version
 
 World = Literal["emulator", "sockets"]
@@ -73,7 +73,7 @@
     table = _toml(path)
     found = validate(Experiment, table, path)
     if found.scenario in scenarios.names():
-        where = Path(str(resources.files("gingervane.experiments") / "scenarios" / f"{found.scenario}.toml"))
+        where = Path(str(resources.files("gingervane.scenarios") / f"{found.scenario}.toml"))
     else:
         where = path.parent / found.scenario
     scenario = _toml(where)
@@ -170,21 +170,22 @@
 
 
 def _emulated(scenario: Scenario, assumed: dict[str, Any]) -> tuple[dict[str, Any], dict[str, str]]:
-    from gingervane.audit import rules
-    from gingervane.emulator.world import Assumed, World
+    from gingervane.audit import figures
+    from gingervane.emulator.assumptions import Assumptions
+    from gingervane.emulator.world import World
 
-    world = World(scenario, None, Assumed()._replace(**assumed))
+    world = World(scenario, None, Assumptions()._replace(**assumed))
     day = world.run()
-    return world.judge(day), {n: h.encode().decode() for n, h in rules.histograms(day).items()}
+    return world.judge(day), {n: h.encode().decode() for n, h in figures.histograms(day).items()}
 
 
 def _rehearsed(scenario: Scenario, job: Job) -> tuple[dict[str, Any], dict[str, str]]:
-    from gingervane.audit import records, rules
+    from gingervane.audit import day_reader, figures
     from gingervane.experiments.scenario_runner import Rehearsal
 
     folder = Path(job.out) / "sockets"
     report = Rehearsal(scenario, folder).run()
-    return report, {n: h.encode().decode() for n, h in rules.histograms(records.load(folder)).items()}
+    return report, {n: h.encode().decode() for n, h in figures.histograms(day_reader.load(folder)).items()}
 
 
 def run(
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -17,7 +17,7 @@
 from gingervane.emulator.world import World, emulate
 from gingervane.experiments import experiment as experiments
 from gingervane.experiments import figures
-from gingervane.experiments.scenario import Scenario, load
+from gingervane.scenarios.scenario import Scenario, load
 from gingervane.experiments.store import RunStore, StoreBusy
 from test_audit import DAY, RULES
 
@@ -76,13 +76,13 @@
     from gingervane.emulator import coordinator
 
     if rule == "drain":
-        listed = coordinator.SimCoordinator.listed
+        listed = coordinator.SimCoordinator.endpoints_updated
 
         def once(self: Any, members: Any, cached: bool = False) -> None:
             if not self._view.members:
                 listed(self, members, cached)
 
-        monkeypatch.setattr(coordinator.SimCoordinator, "listed", once)
+        monkeypatch.setattr(coordinator.SimCoordinator, "endpoints_updated", once)
     elif rule == "budget":
         honest = Config.module_settings
         monkeypatch.setattr(
@@ -93,10 +93,10 @@
             ),
         )
     else:  # what has just started is sent its share at once
-        listed = coordinator.SimCoordinator.listed
+        listed = coordinator.SimCoordinator.endpoints_updated
         monkeypatch.setattr(
             coordinator.SimCoordinator,
-            "listed",
+            "endpoints_updated",
             lambda self, members, cached=False: listed(
                 self, tuple(m._replace(started_at=0.0) for m in members), cached
             ),
@@ -121,7 +121,7 @@
 
 
 def write(folder: Path, text: str) -> Path:
-    from gingervane.experiments.tables import toml
+    from gingervane.experiments.toml_text import toml
 
     (folder / "day.toml").write_text(toml(DAY | {"seconds": 3}))
     path = folder / "tiny.toml"
