--- a/gingervane/daemon/app.py
+++ b/gingervane/daemon/app.py
@@ -22,9 +22,9 @@
 from gingervane.telemetry.daemon_metrics import Metrics
 from gingervane.settings.daemon_settings import Config
 from gingervane.fronts import http_server, remote_read
-from gingervane.fronts.routing import ClassOf, Front, Route, Router
+from gingervane.fronts.routing import FrontQueryClass, Front, Route, Router
 from gingervane.fronts.http_server import HttpServer, Reply, ServerLimits, plain
-from gingervane.fronts.remote_read import FrontLimits, RemoteReadFront, TreeSetting
+from gingervane.fronts.remote_read import FrontLimits, RemoteReadFront, TreeConfig
 from gingervane.fronts.shard_matching import ShardIndex
 from gingervane.membership.service import MembershipService, Rings
 from gingervane.tree import plan
@@ -168,7 +168,7 @@
         self.core = cores.make(settings, observer)
         self._pool = pool
         classes = {
-            c.name: ClassOf(3 * i, 3 * i + 1, 3 * i + 2, i, c.deadline, c.semantics, c.least_share)
+            c.name: FrontQueryClass(3 * i, 3 * i + 1, 3 * i + 2, i, c.deadline, c.semantics, c.least_share)
             for i, c in enumerate(config.classes)
         }
         self.branch, tree = self._make_branch(config, cores)
@@ -233,14 +233,14 @@
 
     def _make_branch(
         self, config: Config, cores: CoordinatorFactory
-    ) -> tuple[QueryCoordinator | None, TreeSetting | None]:
+    ) -> tuple[QueryCoordinator | None, TreeConfig | None]:
         """The core that decides among child co-ordinators: the same module, with subtrees as parts."""
-        self._peers, tree = plan.Peers({}, frozenset()), config.tree
+        self._peers, tree = plan.PeerCoordinators({}, frozenset()), config.tree
         if tree is None:
             return None, None
         core = cores.make(config.branch_settings(), _Branches(self.metrics), 1)
-        levels = plan.Limits(tree.fan_out, tree.levels, tree.ring, tree.width, tree.leaf_attempts)
-        return core, TreeSetting(core, tree.name, levels, lambda: self._peers)
+        levels = plan.TreeLimits(tree.fan_out, tree.levels, tree.ring, tree.width, tree.leaf_attempts)
+        return core, TreeConfig(core, tree.name, levels, lambda: self._peers)
 
     def _listed(self, listed: t.EndpointsUpdated) -> None:
         """News of nodes; with the first, queries are taken."""
@@ -261,7 +261,7 @@
         ready = frozenset(
             m.name for m in members.values() if m.state is api.ReplicaState.READY and m.name != own
         )
-        self._peers = plan.Peers({member.name: member.cell for member in members.values()}, ready)
+        self._peers = plan.PeerCoordinators({member.name: member.cell for member in members.values()}, ready)
         self.branch.endpoints_updated(listed._replace(membership=listed.membership._replace(replicas=rows)))
 
     @property
@@ -329,7 +329,7 @@
             "connections_refused": self._server.refused,
             "standstills": self._server.standstills,
             "threads": threading.active_count(),
-            "queries_cut": self._front.cuts,
+            "queries_cut": self._front.queries_split,
             "children_listed": len(self._peers.ready),
             "subtrees_open": self.branch.admission.open if self.branch else 0,
             "uptime_seconds": time.monotonic() - self._began,
--- a/gingervane/fronts/leaf_codec.py
+++ b/gingervane/fronts/leaf_codec.py
@@ -1,8 +1,8 @@
-"""How parts travel to replicas: remote read, checked before any of it counts. Names shared with other fronts."""
+"""Wire codec of parts sent to replicas: Prometheus remote read, and the checks of a reply before it counts."""
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from collections.abc import Callable, Iterator
 from typing import Any, NamedTuple
 
 import numpy as np
@@ -15,34 +15,44 @@
 
 PATH = "/api/v1/read"
 CONTENT_TYPE = "application/x-protobuf"
-VERSION_HEADER, VERSION = "X-Prometheus-Remote-Read-Version", "0.1.0"
-TIMEOUT_HEADER, PATH_HEADER = "Gingervane-Timeout-Ms", "Gingervane-Path"
+VERSION_HEADER = "X-Prometheus-Remote-Read-Version"
+VERSION = "0.1.0"
+TIMEOUT_HEADER = "Gingervane-Timeout-Ms"
+PATH_HEADER = "Gingervane-Path"
 
+# Estimates of memory, in bytes, besides the samples and the messages themselves.
+_SERIES_BYTES = 200
+_LABEL_BYTES = 100
+_SAMPLE_BYTES = 16
+_HISTOGRAM_BYTES = 100
 
-class Asked(NamedTuple):
-    """One query of a request as one shard is asked it."""
 
-    number: int  # of the query in the client's request
+class LeafQuery(NamedTuple):
+    """One query of a client's request as it is sent to one leaf."""
+
+    query_index: int  # of the query in the client's request
     body: bytes  # the Query message
     start_ms: int
     end_ms: int
 
 
-class Tile(NamedTuple):
-    """The content of one part: a shard and what it is asked."""
+class LeafContent(NamedTuple):
+    """The content of one part: a leaf (a shard by its name) and the queries for it."""
 
-    name: str
-    asked: tuple[Asked, ...]
+    leaf: str
+    queries: tuple[LeafQuery, ...]
 
 
-class RemoteReadExchange:
-    """Parts to replicas as remote read: one request for all parts of a call, checked before any of it counts."""
+class RemoteReadCodec:
+    """Encodes the parts of a batch as one remote read request and verifies the reply before any of it counts."""
 
-    def __init__(self, label: str, most_bytes: int) -> None:
-        self._label, self._most_bytes = label, most_bytes
+    def __init__(self, label: str, max_reply_bytes: int) -> None:
+        self._label = label
+        self._max_reply_bytes = max_reply_bytes
 
     def encode(self, contents: list[Any], seconds_left: list[float], address: tuple[str, int]) -> bytes:
-        queries = [asked.body for tile in contents for asked in tile.asked]
+        """Return the bytes of one request for all parts."""
+        queries = [query.body for part in contents for query in part.queries]
         body = snappy.compress(remote_read.write_request(queries, (Accepts.SAMPLES,)))
         fields = [
             ("Host", f"{address[0]}:{address[1]}"),
@@ -58,34 +68,44 @@
     def decode(
         self, contents: list[Any], status: int, header: Callable[[str], str], body: bytes
     ) -> list[Any]:
+        """Return the series of each part, one list for each of its queries. Raises InvalidReply."""
         check_status(status, header)
-        count = sum(len(tile.asked) for tile in contents)
-        try:
-            results = remote_read.read_response(snappy.decompress(body, self._most_bytes), count)
-        except (snappy.SnappyError, ProtobufError) as error:
-            raise t.InvalidReply(f"body: {error}") from None
-        if len(results) != count:
-            raise t.InvalidReply(f"{len(results)} results for {count} queries")
-        out: list[list[list[Series]]] = []
-        at = iter(results)
-        for tile in contents:
-            mine = [next(at) for _ in tile.asked]
-            for asked, result in zip(tile.asked, mine, strict=True):
-                if any((self._label, tile.name) not in series.labels for series in result):
-                    raise t.InvalidReply(f"a series outside {self._label}={tile.name!r}")
-                check_times(result, asked.start_ms, asked.end_ms)
-            out.append(mine)
-        return out
-
-    def result_size(self, result: Any) -> int:
-        return sum(size_of(series) for series in result)
+        count = sum(len(part.queries) for part in contents)
+        results = iter(read_results(body, count, self._max_reply_bytes))
+        return [self._take_part(part, results) for part in contents]
+
+    def _take_part(self, part: LeafContent, results: Iterator[list[Series]]) -> list[list[Series]]:
+        """Take the results of one part off the iterator and check them. Raises InvalidReply."""
+        part_results = [next(results) for _ in part.queries]
+        for query, result in zip(part.queries, part_results, strict=True):
+            if any((self._label, part.leaf) not in series.labels for series in result):
+                raise t.InvalidReply(f"a series outside {self._label}={part.leaf!r}")
+            check_times(result, query.start_ms, query.end_ms)
+        return part_results
+
+    def result_size(self, result: list[list[Series]]) -> int:
+        """Return roughly how many bytes the results of one part hold in memory."""
+        return sum(memory_size(series) for series in result)
+
+
+def read_results(body: bytes, count: int, max_bytes: int) -> list[list[Series]]:
+    """Decode the body of a reply to `count` queries. Raises InvalidReply."""
+    try:
+        results = remote_read.read_response(snappy.decompress(body, max_bytes), count)
+    except (snappy.SnappyError, ProtobufError) as error:
+        raise t.InvalidReply(f"body: {error}") from None
+    if len(results) != count:
+        raise t.InvalidReply(f"{len(results)} results for {count} queries")
+    return results
 
 
 def check_status(status: int, header: Callable[[str], str]) -> None:
-    """Raise BadReply unless a reply's head is that of an answer."""
+    """Raise InvalidReply unless a reply's head is that of an answer."""
     if status != 200:
-        idle = header(BEGAN_HEADER.lower()) == "no" and status in (429, 503, 508)
-        raise t.InvalidReply(f"status {status}", proves_not_executed=idle, overloaded=status in (429, 503))
+        not_executed = header(BEGAN_HEADER.lower()) == "no" and status in (429, 503, 508)
+        raise t.InvalidReply(
+            f"status {status}", proves_not_executed=not_executed, overloaded=status in (429, 503)
+        )
     if header("content-type").partition(";")[0].strip().lower() != CONTENT_TYPE:
         raise t.InvalidReply(f"content type {header('content-type')!r}")
     if header("content-encoding").lower() != "snappy":
@@ -93,19 +113,22 @@
 
 
 def check_times(result: list[Series], start_ms: int, end_ms: int) -> None:
-    """Raise BadReply for samples outside the time that was asked for."""
+    """Raise InvalidReply if a sample lies outside the time range of its query."""
     if result:
         times = np.concatenate([series.timestamps for series in result])
         if len(times) and (int(times.min()) < start_ms or int(times.max()) > end_ms):
             raise t.InvalidReply(f"samples outside {start_ms} to {end_ms} ms")
     for series in result:
-        if any(not start_ms <= at <= end_ms for at, _ in series.histograms):
+        if any(not start_ms <= time_ms <= end_ms for time_ms, _ in series.histograms):
             raise t.InvalidReply(f"histograms outside {start_ms} to {end_ms} ms")
 
 
-def size_of(result: list[Series]) -> int:
-    """Bytes that series hold in memory, roughly."""
+def memory_size(result: list[Series]) -> int:
+    """Return roughly how many bytes series hold in memory."""
     return sum(
-        200 + 100 * len(s.labels) + 16 * len(s.timestamps) + sum(100 + len(raw) for _, raw in s.histograms)
-        for s in result
+        _SERIES_BYTES
+        + _LABEL_BYTES * len(series.labels)
+        + _SAMPLE_BYTES * len(series.timestamps)
+        + sum(_HISTOGRAM_BYTES + len(message) for _, message in series.histograms)
+        for series in result
     )
--- a/gingervane/fronts/remote_read.py
+++ b/gingervane/fronts/remote_read.py
@@ -18,18 +18,7 @@
 from gingervane.coordinator import types as t
 from gingervane.coordinator.core import QueryCoordinator, Rejected
 from gingervane.coordinator.dispatch import QueryDispatcher, QueryRequest
-from gingervane.fronts import http_server
-from gingervane.fronts import subtree_codec
-from gingervane.fronts.routing import (
-    BEGAN_HEADER,
-    ClassOf,
-    Route,
-    bounded,
-    coverage_fields,
-    duration,
-    flag,
-    refusal,
-)
+from gingervane.fronts import http_server, subtree_codec
 from gingervane.fronts.http_server import Reply, plain
 from gingervane.fronts.leaf_codec import (
     CONTENT_TYPE,
@@ -37,45 +26,55 @@
     PATH_HEADER,
     VERSION,
     VERSION_HEADER,
-    Asked,
-    RemoteReadExchange,
-    Tile,
+    LeafContent,
+    LeafQuery,
+    RemoteReadCodec,
+)
+from gingervane.fronts.routing import (
+    BEGAN_HEADER,
+    FrontQueryClass,
+    Route,
+    bounded_header_value,
+    coverage_fields,
+    duration,
+    flag,
+    rejection,
 )
 from gingervane.fronts.shard_matching import PatternError, ShardIndex
 from gingervane.interface import RetrySafety
-from gingervane.limits.fair_queue import QueueFull
 from gingervane.limits.concurrency_limit import Gate
+from gingervane.limits.fair_queue import QueueFull
 from gingervane.merge import series as merging
 from gingervane.tree import coverage, plan
-from gingervane.tree.cost import Costs
-from gingervane.tree.subquery_context import LeafContent, SubqueryContext
-from gingervane.tree.wide_query_runner import Setting, WideRun, leaves_of
-from gingervane.tree.wide_query import End, WideQuery
-from gingervane.tree.wide_query import Rules as WideRules
+from gingervane.tree.cost import CostModels
+from gingervane.tree.subquery_context import LeafSubquery, SubqueryContext
+from gingervane.tree.wide_query import CompletionRules as WideRules
+from gingervane.tree.wide_query import WideQuery, WideQueryStatus
+from gingervane.tree.wide_query_runner import RunnerConfig, WideQueryRunner, leaf_results
 from gingervane.wire import remote_read, snappy
 from gingervane.wire.http1 import HttpError, Request
 from gingervane.wire.protobuf import ProtobufError
 from gingervane.wire.remote_read import Accepts, Match, Matcher, Query, Series
 
 NAME = "remote_read"
-_NO_TREE = plan.Limits(1 << 30, 16, 1, 1, 16)
-_NO_PEERS = plan.Peers({}, frozenset())
+_NO_TREE = plan.TreeLimits(1 << 30, 16, 1, 1, 16)
+_NO_PEERS = plan.PeerCoordinators({}, frozenset())
 _VERDICTS = {
-    End.WHOLE: t.QueryStatus.COMPLETE,
-    End.SHORT: t.QueryStatus.PARTIAL,
-    End.REFUSED: t.QueryStatus.REJECTED,
-    End.FAILED: t.QueryStatus.FAILED,
-    End.LEFT: t.QueryStatus.CLIENT_DISCONNECTED,
+    WideQueryStatus.COMPLETE: t.QueryStatus.COMPLETE,
+    WideQueryStatus.PARTIAL: t.QueryStatus.PARTIAL,
+    WideQueryStatus.REJECTED: t.QueryStatus.REJECTED,
+    WideQueryStatus.FAILED: t.QueryStatus.FAILED,
+    WideQueryStatus.CLIENT_DISCONNECTED: t.QueryStatus.CLIENT_DISCONNECTED,
 }
 
 
-class TreeSetting(NamedTuple):
+class TreeConfig(NamedTuple):
     """What a co-ordinator that may cut queries has besides. `peers`: all others, as the list has them now."""
 
-    branch: QueryCoordinator
-    name: str
-    limits: plan.Limits
-    peers: Callable[[], plan.Peers]
+    subtree_coordinator: QueryCoordinator
+    coordinator_name: str
+    limits: plan.TreeLimits
+    peers: Callable[[], plan.PeerCoordinators]
 
 
 class FrontLimits(NamedTuple):
@@ -118,23 +117,23 @@
         self,
         core: QueryCoordinator,
         shards: ShardIndex,
-        classes: dict[str, ClassOf],
+        classes: dict[str, FrontQueryClass],
         default_class: str,
         limits: FrontLimits,
         reply_bytes: int,
         keep_label: bool,
         gate: Gate,
-        tree: TreeSetting | None = None,
+        tree: TreeConfig | None = None,
     ) -> None:
         self._gate, self._longest = gate, max(kind.deadline for kind in classes.values())
         self._core, self._shards, self._classes, self._default = core, shards, classes, default_class
         self._limits, self._keep_label, self._tree = limits, keep_label, tree
-        self._exchange = RemoteReadExchange(shards.label, reply_bytes)
-        self._branch_exchange = subtree_codec.SubtreeExchange(shards.label, reply_bytes)
+        self._exchange = RemoteReadCodec(shards.label, reply_bytes)
+        self._branch_exchange = subtree_codec.SubtreeCodec(shards.label, reply_bytes)
         self._desk, self._lock = QueryDispatcher(core, classes), Lock()
-        self._costs = {name: Costs() for name in classes}
+        self._costs = {name: CostModels() for name in classes}
         self._spin = itertools.count(random.SystemRandom().randrange(1 << 16))
-        self.cuts = 0  # queries that were cut into subtrees
+        self.queries_split = 0  # queries that were cut into subtrees
 
     def routes(self) -> list[Route]:
         return [Route("POST", PATH, self.handle)]
@@ -153,7 +152,7 @@
             with self._gate.work(NAME, latest):
                 work = self._read_work(request, body, arrived)
         except QueueFull as error:
-            return refusal(error.retry_after, str(error), latest, proof=True)
+            return rejection(error.retry_after, str(error), latest, proof=True)
         except HttpError as error:
             return plain(error.status, error.what)
         except PatternError as error:
@@ -163,25 +162,25 @@
         reserve = self._desk.reserve(work.params.name, len(work.parts), work.until - work.arrived)
         task = self._task(work, work.until - reserve - time.monotonic())
         limits = self._tree.limits if self._tree else _NO_TREE
-        name = self._tree.name if self._tree else ""
+        name = self._tree.coordinator_name if self._tree else ""
         costs = self._costs[work.params.name]
         try:
             with self._lock:
                 plan.admit(task, name, limits, costs)
                 peers = self._tree.peers() if self._tree else _NO_PEERS
-                free = plan.free_places(peers, task.trail, limits)
-                cut = plan.cut(task, free, next(self._spin), limits, costs)
+                free = plan.available_positions(peers, task.trail, limits)
+                cut = plan.plan_query(task, free, next(self._spin), limits, costs)
         except plan.Rejection as error:
-            if error.loop:
+            if error.is_loop:
                 return plain(508, str(error), fields=((BEGAN_HEADER, "no"),))
-            return refusal(0.0, str(error), work.until, proof=True)
+            return rejection(0.0, str(error), work.until, proof=True)
         try:
             if cut.subtrees and self._tree:
                 result = self._ask_tree(work, task, cut, self._tree, client)
             else:
                 result = self._ask_leaves(work, task, work.until - reserve, client)
         except Rejected as error:
-            return refusal(error.retry_after, str(error), work.until, proof=True)
+            return rejection(error.retry_after, str(error), work.until, proof=True)
         try:
             with self._gate.work(NAME, work.until, must=True):
                 return self._reply(work, result)
@@ -191,37 +190,42 @@
 
     def _read_work(self, request: Request, body: bytes, arrived: float) -> _Work:
         params = self._params(request.target)
-        orders = subtree_codec.read_orders(request.headers)
+        orders = subtree_codec.read_context(request.headers)
         queries = self._read(request, body)
-        parts = self._parts(queries, [self._shards.touched(query.matchers) for query in queries])
+        parts = self._parts(queries, [self._shards.matching_shards(query.matchers) for query in queries])
         deadline = self._classes[params.name].deadline
         until = arrived + min(params.timeout or deadline, deadline)
-        names = tuple(part.content.name for part in parts)
+        names = tuple(part.content.leaf for part in parts)
         return _Work(params, orders, queries, parts, names, arrived, until)
 
-    def _task(self, work: _Work, left: float) -> plan.Task:
+    def _task(self, work: _Work, left: float) -> plan.QueryTask:
         if work.orders is not None:
             orders = work.orders
-            return plan.Task(work.names, left, orders.levels, orders.attempts, orders.trail)
+            return plan.QueryTask(
+                work.names, left, orders.levels_left, orders.attempts_per_leaf, orders.trail
+            )
         limits = self._tree.limits if self._tree else _NO_TREE
-        return plan.Task(work.names, left, limits.levels, limits.leaf_attempts)
+        return plan.QueryTask(work.names, left, limits.levels, limits.leaf_attempts)
 
     def _ask_leaves(
-        self, work: _Work, task: plan.Task, deadline: float, client: http_server.Exchange
+        self, work: _Work, task: plan.QueryTask, deadline: float, client: http_server.Exchange
     ) -> _Result:
         """Ask the leaves directly: the module decides all of it. Raises Refused."""
         kind = self._classes[work.params.name]
         if work.orders is None:
-            number, parts = kind.lenient if work.params.partial else kind.strict, work.parts
+            number, parts = kind.partial_class if work.params.partial else kind.strict_class, work.parts
         else:
-            number, parts = kind.collect, [part._replace(max_executions=task.attempts) for part in work.parts]
+            number, parts = (
+                kind.collecting_class,
+                [part._replace(max_executions=task.attempts) for part in work.parts],
+            )
         question = QueryRequest(work.params.name, number, parts, self._exchange, work.arrived, work.until)
         settled = self._desk.dispatch(question, client, deadline)
         final = settled.result
         if final.status is t.QueryStatus.COMPLETE:
             with self._lock:
-                self._costs[work.params.name].flat.learn(len(parts), settled.seconds)
-        held, used = leaves_of(parts, final, _leaf_content)
+                self._costs[work.params.name].flat.record(len(parts), settled.seconds)
+        held, used = leaf_results(parts, final, _leaf_content)
         return _Result(
             final.status,
             held,
@@ -236,45 +240,50 @@
     def _ask_tree(
         self,
         work: _Work,
-        task: plan.Task,
-        cut: plan.Plan,
-        tree: TreeSetting,
+        task: plan.QueryTask,
+        cut: plan.SubtreePlan,
+        tree: TreeConfig,
         client: http_server.Exchange,
     ) -> _Result:
         """Ask through child co-ordinators, and around those that fail."""
         kind, name = self._classes[work.params.name], work.params.name
-        self.cuts += 1
-        least = kind.least_share if work.params.partial else 1.0
-        rules = WideRules(kind.semantics, least, collect=work.orders is not None)
+        self.queries_split += 1
+        least = kind.required_share if work.params.partial else 1.0
+        rules = WideRules(kind.retry_safety, least, accepts_any_share=work.orders is not None)
         query = WideQuery(task, rules, tree.limits, self._costs[name], cut)
-        setting = Setting(
+        setting = RunnerConfig(
             self._core,
-            tree.branch,
+            tree.subtree_coordinator,
             self._exchange,
             self._branch_exchange,
-            tree.name,
+            tree.coordinator_name,
             name,
-            kind.collect,
-            kind.branch,
+            kind.collecting_class,
+            kind.subtree_class,
         )
         by_name = dict(zip(work.names, work.parts, strict=True))
         asked = [
-            (q, frozenset(n for n, part in by_name.items() if any(a.number == i for a in part.content.asked)))
+            (
+                q,
+                frozenset(
+                    n for n, part in by_name.items() if any(a.query_index == i for a in part.content.queries)
+                ),
+            )
             for i, q in enumerate(work.queries)
         ]
-        run = WideRun(query, setting, asked, by_name.__getitem__, _leaf_content)
-        client.watch(run.gone)
+        run = WideQueryRunner(query, setting, asked, by_name.__getitem__, _leaf_content)
+        client.watch(run.client_disconnected)
         outcome = run.run()
-        settled, finish = time.monotonic(), outcome.finish
-        verdict = _VERDICTS[finish.end]
+        settled, finish = time.monotonic(), outcome.result
+        verdict = _VERDICTS[finish.status]
         return _Result(
             verdict,
-            outcome.held,
+            outcome.results_by_leaf,
             finish.share,
             finish.retry_after,
-            outcome.why,
-            outcome.path,
-            finish.used,
+            outcome.detail,
+            outcome.attempts,
+            finish.attempts_used,
             lambda: self._desk.learn(name, len(work.parts), settled),
         )
 
@@ -313,7 +322,7 @@
 
     def _parts(self, queries: Sequence[Query], touched: list[list[int]]) -> list[t.PartPlan]:
         """A part for each shard that any query touches, holding all queries that do."""
-        by_shard: dict[int, list[Asked]] = {}
+        by_shard: dict[int, list[LeafQuery]] = {}
         label = self._shards.label
         for index, (query, shards) in enumerate(zip(queries, touched, strict=True)):
             others = tuple(m for m in query.matchers if m.name != label)
@@ -321,10 +330,10 @@
                 # The shard's name satisfies every matcher on its label: one that names it stands for them all.
                 mine = Matcher(Match.EQUAL, label, self._shards.names[shard])
                 body = remote_read.write_query(query._replace(matchers=(*others, mine)))
-                by_shard.setdefault(shard, []).append(Asked(index, body, query.start_ms, query.end_ms))
+                by_shard.setdefault(shard, []).append(LeafQuery(index, body, query.start_ms, query.end_ms))
         weight = 1.0 / max(len(by_shard), 1)
         return [
-            t.PartPlan(shard, weight, Tile(self._shards.names[shard], tuple(asked)))
+            t.PartPlan(shard, weight, LeafContent(self._shards.names[shard], tuple(asked)))
             for shard, asked in sorted(by_shard.items())
         ]
 
@@ -336,8 +345,8 @@
                 return self._answer(work, result)
             case t.QueryStatus.REJECTED:
                 # A class that is not safe to repeat is refused only on proof that nothing of it ran.
-                proof = self._classes[work.params.name].semantics is not RetrySafety.IDEMPOTENT
-                return refusal(result.retry_after, result.why or "refused", work.until, result.done, proof)
+                proof = self._classes[work.params.name].retry_safety is not RetrySafety.IDEMPOTENT
+                return rejection(result.retry_after, result.why or "refused", work.until, result.done, proof)
             case _:
                 why = f"failed: {result.why or 'no answer in time'}"
                 return plain(502, why)._replace(until=work.until, done=result.done)
@@ -369,7 +378,7 @@
                 (subtree_codec.USED, str(result.used)),
             ]
         if work.params.path:
-            fields.append((PATH_HEADER, bounded([self._step(note) for note in result.path])))
+            fields.append((PATH_HEADER, bounded_header_value([self._step(note) for note in result.path])))
         return Reply(200, fields, body, until=work.until, done=result.done)
 
     def _step(self, note: t.AttemptRecord) -> str:
@@ -385,5 +394,5 @@
     path: bool
 
 
-def _leaf_content(tile: Tile) -> LeafContent:
-    return LeafContent(tile.name, tuple(asked.number for asked in tile.asked))
+def _leaf_content(tile: LeafContent) -> LeafSubquery:
+    return LeafSubquery(tile.leaf, tuple(asked.query_index for asked in tile.queries))
--- a/gingervane/fronts/routing.py
+++ b/gingervane/fronts/routing.py
@@ -16,21 +16,21 @@
 
 BEGAN_HEADER, RETRY_HEADER = "Gingervane-Began", "Gingervane-Retry-After-Ms"
 COVERAGE_HEADER, MISSING_HEADER = "Gingervane-Coverage", "Gingervane-Missing"
-_MOST_HEADER = 4000
+_MAX_HEADER_LENGTH = 4000
 _DURATION = re.compile(r"([0-9]+(?:\.[0-9]+)?)(ms|s|m)?\Z")
 _UNITS = {"ms": 0.001, "s": 1.0, "m": 60.0, None: 1.0}
 
 
-class ClassOf(NamedTuple):
+class FrontQueryClass(NamedTuple):
     """A class as fronts name it: the module's numbers of its twins and, in the branch module, of itself."""
 
-    strict: int
-    lenient: int
-    collect: int
-    branch: int
+    strict_class: int
+    partial_class: int
+    collecting_class: int
+    subtree_class: int
     deadline: float
-    semantics: RetrySafety
-    least_share: float
+    retry_safety: RetrySafety
+    required_share: float
 
 
 class Route(NamedTuple):
@@ -92,7 +92,7 @@
     return found
 
 
-def refusal(
+def rejection(
     wait: float,
     why: str,
     until: float,
@@ -100,11 +100,11 @@
     proof: bool = False,
 ) -> Reply:
     """503: trying again is harmless, and nothing of the query goes on. `proof`: nothing of it ever began."""
-    reply = plain(503, f"refused: {why}", fields=refusal_fields(wait, proof))
+    reply = plain(503, f"refused: {why}", fields=rejection_headers(wait, proof))
     return reply._replace(until=until, done=done)
 
 
-def refusal_fields(wait: float, proof: bool) -> tuple[tuple[str, str], ...]:
+def rejection_headers(wait: float, proof: bool) -> tuple[tuple[str, str], ...]:
     """When to come back, in seconds and exactly."""
     fields = (("Retry-After", str(max(math.ceil(wait), 1))), (RETRY_HEADER, str(math.ceil(wait * 1000))))
     return (*fields, (BEGAN_HEADER, "no")) if proof else fields
@@ -113,13 +113,13 @@
 def coverage_fields(whole: bool, share: float, missing: Iterable[str]) -> list[tuple[str, str]]:
     """What an answer covers; rounded down, so that none under a share seems to have it."""
     fields = [(COVERAGE_HEADER, "1" if whole else f"{math.floor(share * 1e6) / 1e6:g}")]
-    return fields if whole else [*fields, (MISSING_HEADER, bounded(list(missing)))]
+    return fields if whole else [*fields, (MISSING_HEADER, bounded_header_value(list(missing)))]
 
 
-def bounded(words: list[str]) -> str:
+def bounded_header_value(words: list[str]) -> str:
     """Words in one header value; what does not fit is counted."""
     out: list[str] = []
-    room = _MOST_HEADER
+    room = _MAX_HEADER_LENGTH
     for index, word in enumerate(words):
         word = re.sub(r"[^!-+\--~ ]", "_", word)
         room -= len(word) + 1
--- a/gingervane/fronts/shard_matching.py
+++ b/gingervane/fronts/shard_matching.py
@@ -47,8 +47,8 @@
             return compile_pattern(matcher.value).match(value) is None
 
 
-_PLAIN = re.compile(r"[^\\.+*?()\[\]{}^$]*\Z")  # no special character but the bar
-_REMEMBERED = 512
+_LITERALS = re.compile(r"[^\\.+*?()\[\]{}^$]*\Z")  # no special character but the bar
+_CACHED_PATTERNS = 512
 
 
 class ShardIndex:
@@ -58,15 +58,15 @@
         self.label, self.names = label, tuple(names)
         self._number = {name: i for i, name in enumerate(names)}
         # Dashboards ask the same patterns over and over; the shards that one matches do not change.
-        self._matched = lru_cache(maxsize=_REMEMBERED)(self._match_all)
+        self._matched = lru_cache(maxsize=_CACHED_PATTERNS)(self._match_all)
 
     def _match_all(self, pattern: str) -> frozenset[int]:
-        if _PLAIN.match(pattern):  # names with bars between them need no matching
+        if _LITERALS.match(pattern):  # names with bars between them need no matching
             return frozenset(self._number[name] for name in pattern.split("|") if name in self._number)
         matcher = Matcher(Match.REGEX, self.label, pattern)
         return frozenset(i for i, name in enumerate(self.names) if matches(matcher, name))
 
-    def touched(self, matchers: Sequence[Matcher]) -> list[int]:
+    def matching_shards(self, matchers: Sequence[Matcher]) -> list[int]:
         """Numbers of the shards that can hold a match. Raises PatternError, for patterns on any label."""
         left: Sequence[int] = range(len(self.names))
         for matcher in matchers:
--- a/gingervane/fronts/subtree_codec.py
+++ b/gingervane/fronts/subtree_codec.py
@@ -1,10 +1,10 @@
-"""How a subtree travels to a child co-ordinator: remote read, with extension headers that any child may ignore.
+"""Wire codec of a subtree sent to a child co-ordinator: remote read with optional extension headers.
 
-Request headers: `Gingervane-Levels` (co-ordinators that may still stand below the child), `Gingervane-Attempts`
-(that may run for each leaf), `Gingervane-Trail` (names of the co-ordinators above, root first), and
-`Gingervane-Timeout-Ms`: durations travel, never times of day. Reply headers: `Gingervane-Leaves` and
-`Gingervane-Counts` (`tree.coverage`), `Gingervane-Used`. A reply without them is a plain server's: it proves the
-leaves of which it holds series and no others.
+Request headers: `Gingervane-Levels` (levels of co-ordinators allowed below the child), `Gingervane-Attempts`
+(attempts allowed for each leaf), `Gingervane-Trail` (names of the co-ordinators above, root first), and
+`Gingervane-Timeout-Ms`: durations are sent, never times of day. Reply headers: `Gingervane-Leaves` and
+`Gingervane-Counts` (see `tree.coverage`), `Gingervane-Used`. A reply without them comes from a plain server: it
+proves only the leaves of which it holds series.
 """
 
 from __future__ import annotations
@@ -16,116 +16,144 @@
 import re2
 
 from gingervane.coordinator import types as t
-from gingervane.fronts import leaf_codec as front
+from gingervane.fronts import leaf_codec
 from gingervane.fronts.routing import COVERAGE_HEADER
 from gingervane.tree import coverage
-from gingervane.tree.subquery_context import Ask, Got, SubqueryContext
+from gingervane.tree.subquery_context import SubqueryContext, SubtreeQuery, SubtreeResult
 from gingervane.wire import http1, remote_read, snappy
 from gingervane.wire.http1 import Headers, HttpError
-from gingervane.wire.protobuf import ProtobufError
-from gingervane.wire.remote_read import Accepts, Match, Matcher, Series
+from gingervane.wire.remote_read import Accepts, Match, Matcher, Query, Series
 
-LEVELS, ATTEMPTS, TRAIL = "Gingervane-Levels", "Gingervane-Attempts", "Gingervane-Trail"
-LEAVES, COUNTS, USED = "Gingervane-Leaves", "Gingervane-Counts", "Gingervane-Used"
-_MOST_TRAIL = 2000
+LEVELS = "Gingervane-Levels"
+ATTEMPTS = "Gingervane-Attempts"
+TRAIL = "Gingervane-Trail"
+LEAVES = "Gingervane-Leaves"
+COUNTS = "Gingervane-Counts"
+USED = "Gingervane-Used"
 
+_MAX_LEVELS = 16
+_MAX_ATTEMPTS = 16
+_MAX_TRAIL_HEADER = 2000  # characters
+_MAX_USED_DIGITS = 3  # a longer number in `Gingervane-Used` counts as none
 
-def read_orders(headers: Headers) -> SubqueryContext | None:
-    """The orders in a request's headers; None if it is no parent's. Raises HttpError."""
+
+def read_context(headers: Headers) -> SubqueryContext | None:
+    """Read the context that a parent sent in a request's headers; None if no parent sent it. Raises HttpError."""
     if not headers.all(LEVELS.lower()):
         return None
-    numbers = []
-    for name, most in ((LEVELS, 16), (ATTEMPTS, 16)):
-        text = headers.get(name.lower())
-        if not text.isascii() or not text.isdigit() or int(text[:4]) > most:
-            raise HttpError(400, f"header {name}: {text[:20]!r} is no number from 0 to {most}", True)
-        numbers.append(int(text))
+    levels_left = _read_number(headers, LEVELS, _MAX_LEVELS)
+    attempts_per_leaf = _read_number(headers, ATTEMPTS, _MAX_ATTEMPTS)
     trail = headers.get(TRAIL.lower())
-    if len(trail) > _MOST_TRAIL:
-        raise HttpError(400, f"header {TRAIL}: longer than {_MOST_TRAIL} characters", True)
-    return SubqueryContext(numbers[0], numbers[1], tuple(name for name in trail.split(",") if name))
+    if len(trail) > _MAX_TRAIL_HEADER:
+        raise HttpError(400, f"header {TRAIL}: longer than {_MAX_TRAIL_HEADER} characters", True)
+    return SubqueryContext(levels_left, attempts_per_leaf, tuple(name for name in trail.split(",") if name))
+
+
+def _read_number(headers: Headers, name: str, maximum: int) -> int:
+    text = headers.get(name.lower())
+    if not text.isascii() or not text.isdigit() or int(text[:4]) > maximum:
+        raise HttpError(400, f"header {name}: {text[:20]!r} is no number from 0 to {maximum}", True)
+    return int(text)
 
 
-class SubtreeExchange:
-    """Subtrees to child co-ordinators, one a call. Replies are checked leaf by leaf before any of them counts."""
+class SubtreeCodec:
+    """Encodes one subtree a request and verifies its reply leaf by leaf before any of it counts."""
 
-    def __init__(self, label: str, most_bytes: int) -> None:
-        self._label, self._most_bytes = label, most_bytes
+    def __init__(self, label: str, max_reply_bytes: int) -> None:
+        self._label = label
+        self._max_reply_bytes = max_reply_bytes
 
     def encode(self, contents: list[Any], seconds_left: list[float], address: tuple[str, int]) -> bytes:
-        (ask,) = contents
-        bodies = []
-        for _, query, leaves in ask.queries:
-            others = tuple(m for m in query.matchers if m.name != self._label)
-            mine = Matcher(Match.REGEX, self._label, "|".join(re2.escape(name) for name in leaves))
-            bodies.append(remote_read.write_query(query._replace(matchers=(*others, mine))))
-        body = snappy.compress(remote_read.write_request(bodies, (Accepts.SAMPLES,)))
+        """Return the bytes of the request for the one subtree in `contents`."""
+        subtree: SubtreeQuery
+        (subtree,) = contents
+        queries = [self._encode_query(query, leaves) for _, query, leaves in subtree.queries]
+        body = snappy.compress(remote_read.write_request(queries, (Accepts.SAMPLES,)))
         milliseconds = max(int(min(seconds_left) * 1000), 1)
-        target = (
-            front.PATH
-            + "?"
-            + urlencode(
-                {
-                    "class": ask.query_class,
-                    "timeout": f"{milliseconds}ms",
-                    "partial_response": "true",
-                }
-            )
-        )
-        orders = ask.orders
+        parameters = {
+            "class": subtree.query_class,
+            "timeout": f"{milliseconds}ms",
+            "partial_response": "true",
+        }
+        context = subtree.context
         fields = [
             ("Host", f"{address[0]}:{address[1]}"),
-            ("Content-Type", front.CONTENT_TYPE),
+            ("Content-Type", leaf_codec.CONTENT_TYPE),
             ("Content-Encoding", "snappy"),
-            (front.VERSION_HEADER, front.VERSION),
+            (leaf_codec.VERSION_HEADER, leaf_codec.VERSION),
             ("User-Agent", "gingervane"),
-            (LEVELS, str(orders.levels)),
-            (ATTEMPTS, str(orders.attempts)),
-            (TRAIL, ",".join(orders.trail)),
-            (front.TIMEOUT_HEADER, str(milliseconds)),
+            (LEVELS, str(context.levels_left)),
+            (ATTEMPTS, str(context.attempts_per_leaf)),
+            (TRAIL, ",".join(context.trail)),
+            (leaf_codec.TIMEOUT_HEADER, str(milliseconds)),
             ("Content-Length", str(len(body))),
         ]
-        return http1.head(f"POST {target} HTTP/1.1", fields) + body
+        return http1.head(f"POST {leaf_codec.PATH}?{urlencode(parameters)} HTTP/1.1", fields) + body
+
+    def _encode_query(self, query: Query, leaves: Sequence[str]) -> bytes:
+        """Encode a query with one matcher on the shard label, which names the leaves of the subtree."""
+        other_matchers = tuple(matcher for matcher in query.matchers if matcher.name != self._label)
+        leaf_pattern = "|".join(re2.escape(name) for name in leaves)
+        leaf_matcher = Matcher(Match.REGEX, self._label, leaf_pattern)
+        return remote_read.write_query(query._replace(matchers=(*other_matchers, leaf_matcher)))
 
     def decode(
         self, contents: list[Any], status: int, header: Callable[[str], str], body: bytes
     ) -> list[Any]:
-        (ask,) = contents
-        front.check_status(status, header)
+        """Return the verified result of the one subtree in `contents`. Raises InvalidReply."""
+        subtree: SubtreeQuery
+        (subtree,) = contents
+        leaf_codec.check_status(status, header)
+        results = leaf_codec.read_results(body, len(subtree.queries), self._max_reply_bytes)
+        by_leaf, series_leaves = self._group_by_leaf(subtree, results)
         try:
-            results = remote_read.read_response(snappy.decompress(body, self._most_bytes), len(ask.queries))
-        except (snappy.SnappyError, ProtobufError) as error:
-            raise t.InvalidReply(f"body: {error}") from None
-        if len(results) != len(ask.queries):
-            raise t.InvalidReply(f"{len(results)} results for {len(ask.queries)} queries")
-        held: dict[str, dict[int, list[Series]]] = {}
-        met: list[str] = []
-        for (number, query, leaves), result in zip(ask.queries, results, strict=True):
-            front.check_times(result, query.start_ms, query.end_ms)
+            series_counts = self._verified_counts(subtree, header, series_leaves)
+        except coverage.CoverageError as error:
+            raise t.InvalidReply(f"coverage: {error}") from None
+        received = {name: by_leaf.get(name, {}) for name in series_counts}
+        return [SubtreeResult(received, _read_used(header(USED.lower())))]
+
+    def _group_by_leaf(
+        self, subtree: SubtreeQuery, results: list[list[Series]]
+    ) -> tuple[dict[str, dict[int, list[Series]]], list[str]]:
+        """Group series by leaf and query, and name the leaf of each series. Raises InvalidReply."""
+        by_leaf: dict[str, dict[int, list[Series]]] = {}
+        series_leaves: list[str] = []
+        for (query_index, query, leaves), result in zip(subtree.queries, results, strict=True):
+            leaf_codec.check_times(result, query.start_ms, query.end_ms)
             allowed = frozenset(leaves)
             for series in result:
                 name = next((value for label, value in series.labels if label == self._label), "")
                 if name not in allowed:
                     raise t.InvalidReply(f"a series of {self._label}={name!r}, which was not asked for")
-                met.append(name)
-                held.setdefault(name, {}).setdefault(number, []).append(series)
-        try:
-            said = self._said(ask, header, met)
-        except coverage.CoverageError as error:
-            raise t.InvalidReply(f"coverage: {error}") from None
-        used = header(USED.lower())
-        kept = {name: held.get(name, {}) for name in said}
-        return [Got(kept, int(used) if used.isascii() and used.isdigit() and len(used) < 4 else None)]
+                series_leaves.append(name)
+                by_leaf.setdefault(name, {}).setdefault(query_index, []).append(series)
+        return by_leaf, series_leaves
 
-    def _said(self, ask: Ask, header: Callable[[str], str], met: Sequence[str]) -> dict[str, int]:
+    def _verified_counts(
+        self, subtree: SubtreeQuery, header: Callable[[str], str], series_leaves: Sequence[str]
+    ) -> dict[str, int]:
+        """Return the number of series of each leaf that the reply proves to hold. Raises CoverageError."""
         bitmap = header(LEAVES.lower())
         if not bitmap:
-            return coverage.of_plain(ask.leaves, met)
-        said = coverage.decode(ask.leaves, bitmap, header(COUNTS.lower()))
-        coverage.check(said, met)
-        if header(COVERAGE_HEADER.lower()) == "1" and len(said) < len(ask.leaves):
-            raise coverage.CoverageError(f"says whole and holds {len(said)} of {len(ask.leaves)} leaves")
-        return said
-
-    def result_size(self, result: Any) -> int:
-        return sum(front.size_of(found) for by_query in result.held.values() for found in by_query.values())
+            return coverage.leaves_with_series(subtree.leaves, series_leaves)
+        counts = coverage.decode(subtree.leaves, bitmap, header(COUNTS.lower()))
+        coverage.verify(counts, series_leaves)
+        if header(COVERAGE_HEADER.lower()) == "1" and len(counts) < len(subtree.leaves):
+            raise coverage.CoverageError(
+                f"says whole and holds {len(counts)} of {len(subtree.leaves)} leaves"
+            )
+        return counts
+
+    def result_size(self, result: SubtreeResult) -> int:
+        """Return roughly how many bytes a result holds in memory."""
+        return sum(
+            leaf_codec.memory_size(series)
+            for by_query in result.results_by_leaf.values()
+            for series in by_query.values()
+        )
+
+
+def _read_used(text: str) -> int | None:
+    valid = text.isascii() and text.isdigit() and len(text) <= _MAX_USED_DIGITS
+    return int(text) if valid else None
--- a/gingervane/tree/attempt_quota.py
+++ b/gingervane/tree/attempt_quota.py
@@ -14,35 +14,35 @@
     """The ledger of one wide query at one co-ordinator, by leaf."""
 
     def __init__(self, leaves: tuple[str, ...], most: int) -> None:
-        self.most = most
+        self.max_attempts = most
         self._used = dict.fromkeys(leaves, 0)  # by what is known, or else feared
-        self._out: dict[int, tuple[tuple[str, ...], int]] = {}
+        self._in_flight: dict[int, tuple[tuple[str, ...], int]] = {}
 
-    def left(self, leaf: str) -> int:
+    def remaining(self, leaf: str) -> int:
         """Attempts that may still run for a leaf, with all that is out counted as used."""
-        return self.most - self._used[leaf]
+        return self.max_attempts - self._used[leaf]
 
     def offer(self, leaves: tuple[str, ...], last: bool) -> int:
         """How many attempts a leaf a way may be handed; 0: it must not be taken. `last`: no other will follow."""
-        left = min((self.left(leaf) for leaf in leaves), default=0)
+        left = min((self.remaining(leaf) for leaf in leaves), default=0)
         return left if last or left <= 1 else left - 1
 
-    def begin(self, way: int, leaves: tuple[str, ...], attempts: int) -> None:
+    def reserve(self, way: int, leaves: tuple[str, ...], attempts: int) -> None:
         """A way (an attempt at a subtree, or a re-cut) is taken with so many attempts a leaf."""
-        if attempts < 1 or any(self.left(leaf) < attempts for leaf in leaves):
+        if attempts < 1 or any(self.remaining(leaf) < attempts for leaf in leaves):
             raise ValueError(f"way {way}: {attempts} attempts a leaf are not left")
-        self._out[way] = leaves, attempts
+        self._in_flight[way] = leaves, attempts
         for leaf in leaves:
             self._used[leaf] += attempts
 
-    def end(self, way: int, used: int | None) -> None:
+    def release(self, way: int, used: int | None) -> None:
         """A way has ended; `used`: what it says it used at most a leaf, None if nobody says."""
-        leaves, attempts = self._out.pop(way)
+        leaves, attempts = self._in_flight.pop(way)
         if used is not None and 0 <= used < attempts:
             for leaf in leaves:
                 self._used[leaf] -= attempts - used
 
     @property
-    def most_used(self) -> int:
+    def max_used(self) -> int:
         """What to tell a parent: the most that may have run for any leaf."""
         return max(self._used.values(), default=0)
--- a/gingervane/tree/cost.py
+++ b/gingervane/tree/cost.py
@@ -10,18 +10,18 @@
 
 from math import sqrt
 
-FADE = 0.98  # weight of an answer against the next one
-FEW = 8.0  # answers (by weight) until a model is believed
-DEVIATIONS = 2.0  # added to the mean where a time must hold
+DECAY = 0.98  # weight of an answer against the next one
+MIN_ANSWERS = 8.0  # answers (by weight) until a model is believed
+STANDARD_DEVIATIONS = 2.0  # added to the mean where a time must hold
 
 
-class LineModel:
+class LinearModel:
     """`base + each * leaves` seconds, with the spread about it."""
 
     def __init__(self) -> None:
         self._n = self._x = self._y = self._xx = self._xy = self._yy = 0.0
 
-    def learn(self, leaves: int, seconds: float) -> None:
+    def record(self, leaves: int, seconds: float) -> None:
         for name, value in (
             ("_n", 1.0),
             ("_x", leaves),
@@ -30,14 +30,14 @@
             ("_xy", leaves * seconds),
             ("_yy", seconds * seconds),
         ):
-            setattr(self, name, getattr(self, name) * FADE + value)
+            setattr(self, name, getattr(self, name) * DECAY + value)
 
     @property
-    def known(self) -> bool:
-        return self._n >= FEW
+    def is_reliable(self) -> bool:
+        return self._n >= MIN_ANSWERS
 
     @property
-    def each(self) -> float:
+    def seconds_per_leaf(self) -> float:
         """Seconds a leaf adds; 0 where all answers had one size, as then nothing tells."""
         spread = self._n * self._xx - self._x * self._x
         if spread <= 1e-9 * max(self._xx, 1.0):
@@ -45,35 +45,35 @@
         return max((self._n * self._xy - self._x * self._y) / spread, 0.0)
 
     @property
-    def base(self) -> float:
-        return max((self._y - self.each * self._x) / self._n, 0.0) if self._n else 0.0
+    def base_seconds(self) -> float:
+        return max((self._y - self.seconds_per_leaf * self._x) / self._n, 0.0) if self._n else 0.0
 
-    def mean(self, leaves: float) -> float:
-        return self.base + self.each * leaves
+    def expected_seconds(self, leaves: float) -> float:
+        return self.base_seconds + self.seconds_per_leaf * leaves
 
-    def likely(self, leaves: float) -> float:
+    def likely_seconds(self, leaves: float) -> float:
         """A time within which most answers of that size come."""
         if not self._n:
             return 0.0
-        mean, each = self._y / self._n, self.each
+        mean, each = self._y / self._n, self.seconds_per_leaf
         variance = max(
             self._yy / self._n - mean * mean - each * each * (self._xx / self._n - (self._x / self._n) ** 2),
             0.0,
         )
-        return self.mean(leaves) + DEVIATIONS * sqrt(variance)
+        return self.expected_seconds(leaves) + STANDARD_DEVIATIONS * sqrt(variance)
 
 
-class Costs:
+class CostModels:
     """The models of one class of query at one co-ordinator. Its caller sees to locking."""
 
     def __init__(self) -> None:
-        self.flat, self.subtree, self.finish = LineModel(), LineModel(), LineModel()
+        self.flat, self.subtree, self.finish = LinearModel(), LinearModel(), LinearModel()
 
-    def flat_time(self, leaves: int) -> float:
+    def flat_seconds(self, leaves: int) -> float:
         """Seconds for asking `leaves` leaves directly, all of them in."""
-        return self.flat.mean(leaves)
+        return self.flat.expected_seconds(leaves)
 
-    def tree_time(self, leaves: int, subtrees: int) -> float:
+    def tree_seconds(self, leaves: int, subtrees: int) -> float:
         """Seconds for the same through `subtrees` children, which work at one time."""
         largest = -(-leaves // subtrees)
-        return self.subtree.mean(largest)
+        return self.subtree.expected_seconds(largest)
--- a/gingervane/tree/coverage.py
+++ b/gingervane/tree/coverage.py
@@ -12,7 +12,7 @@
 from collections import Counter
 from collections.abc import Iterable, Sequence
 
-MOST_LEAVES = 20_000
+MAX_LEAVES = 20_000
 
 
 class CoverageError(ValueError):
@@ -36,8 +36,8 @@
 
 def decode(asked: Sequence[str], bitmap: str, counts: str) -> dict[str, int]:
     """The shards that a child says it holds, with their numbers of series. Raises CoverageError."""
-    if len(asked) > MOST_LEAVES:
-        raise CoverageError(f"{len(asked)} leaves asked, over the bound of {MOST_LEAVES}")
+    if len(asked) > MAX_LEAVES:
+        raise CoverageError(f"{len(asked)} leaves asked, over the bound of {MAX_LEAVES}")
     try:
         bits = base64.b64decode(bitmap, validate=True)
     except (binascii.Error, ValueError):
@@ -65,7 +65,7 @@
     return dict(zip(held, numbers, strict=True))
 
 
-def check(held: dict[str, int], met: Iterable[str]) -> None:
+def verify(held: dict[str, int], met: Iterable[str]) -> None:
     """Hold what a child says against the shard of each series in its answer. Raises CoverageError."""
     found = Counter(met)
     for name, count in found.items():
@@ -78,7 +78,7 @@
             raise CoverageError(f"no series of {name!r}, the child says {count}")
 
 
-def of_plain(asked: Sequence[str], met: Iterable[str]) -> dict[str, int]:
+def leaves_with_series(asked: Sequence[str], met: Iterable[str]) -> dict[str, int]:
     """The leaves that an answer without coverage headers proves: those of which it holds series.
 
     A shard without series may be empty or may be lacking: nothing proves which. It is not counted as held, so that
@@ -90,7 +90,7 @@
     return dict(found)
 
 
-class Sum:
+class LeafCoverage:
     """The leaves of one wide query: each is in at most once, whatever path it came by.
 
     `weights` sum to 1. The share is the sum over leaves, never over children.
@@ -102,13 +102,13 @@
 
     @property
     def share(self) -> float:
-        return 1.0 if self.whole else sum(self._weights[name] for name in self._source)
+        return 1.0 if self.complete else sum(self._weights[name] for name in self._source)
 
     @property
-    def whole(self) -> bool:
+    def complete(self) -> bool:
         return len(self._source) == len(self._weights)
 
-    def missing(self) -> list[str]:
+    def missing_leaves(self) -> list[str]:
         return [name for name in self._weights if name not in self._source]
 
     def add(self, source: int, held: Iterable[str]) -> set[str]:
--- a/gingervane/tree/subquery_context.py
+++ b/gingervane/tree/subquery_context.py
@@ -11,12 +11,12 @@
     `trail`: names of the co-ordinators above, root first.
     """
 
-    levels: int
-    attempts: int
+    levels_left: int
+    attempts_per_leaf: int
     trail: tuple[str, ...]
 
 
-class Ask(NamedTuple):
+class SubtreeQuery(NamedTuple):
     """A subtree for one attempt at it: the client's queries, the leaves of each that lie in it, and the orders.
 
     `queries`: number in the client's request, the protocol's own query, its leaves here. `leaves`: of all, sorted.
@@ -25,18 +25,18 @@
     queries: tuple[tuple[int, Any, tuple[str, ...]], ...]
     leaves: tuple[str, ...]
     query_class: str
-    orders: SubqueryContext
+    context: SubqueryContext
 
 
-class Got(NamedTuple):
+class SubtreeResult(NamedTuple):
     """What a child brought: results by leaf and by number of the client's query; what it says that it used."""
 
-    held: dict[str, dict[int, Any]]
-    used: int | None
+    results_by_leaf: dict[str, dict[int, Any]]
+    attempts_used: int | None
 
 
-class LeafContent(NamedTuple):
+class LeafSubquery(NamedTuple):
     """What a run must know of a leaf's part: its shard, and the numbers of the queries that its results answer."""
 
-    name: str
-    numbers: tuple[int, ...]
+    leaf: str
+    query_indexes: tuple[int, ...]
--- a/gingervane/tree/wide_query.py
+++ b/gingervane/tree/wide_query.py
@@ -19,108 +19,108 @@
 from typing import NamedTuple
 
 from gingervane.interface import RetrySafety
-from gingervane.tree.coverage import Sum
-from gingervane.tree.cost import Costs
 from gingervane.tree.attempt_quota import AttemptQuota
-from gingervane.tree.plan import Limits, Plan, Subtree, Task, share_time
+from gingervane.tree.cost import CostModels
+from gingervane.tree.coverage import LeafCoverage
+from gingervane.tree.plan import QueryTask, Subtree, SubtreePlan, TreeLimits, split_time
 
-EPSILON = 1e-6
+SHARE_ROUNDING = 1e-6
 
 
-class AskSubtree(NamedTuple):
+class QuerySubtree(NamedTuple):
     """Have a child answer for a subtree within `seconds`. `runs`: attempts a leaf for the first way that runs, and
     for each further one."""
 
-    way: int
+    subquery_id: int
     subtree: Subtree
     seconds: float
-    runs: tuple[int, ...]
+    attempts_by_execution: tuple[int, ...]
 
 
-class AskLeaves(NamedTuple):
+class QueryLeaves(NamedTuple):
     """Ask the leaves directly, within `seconds`, with so many attempts that may run for each."""
 
-    way: int
+    subquery_id: int
     leaves: tuple[str, ...]
     seconds: float
     attempts: int
 
 
-class Drop(NamedTuple):
+class CancelSubquery(NamedTuple):
     """Nobody waits for a way any more: cancel it, down to its leaves."""
 
-    way: int
+    subquery_id: int
 
 
-class End(Enum):
-    WHOLE = "whole"
-    SHORT = "short"
-    REFUSED = "refused"
+class WideQueryStatus(Enum):
+    COMPLETE = "whole"
+    PARTIAL = "short"
+    REJECTED = "refused"
     FAILED = "failed"
-    LEFT = "left"
+    CLIENT_DISCONNECTED = "left"
 
 
-class Finish(NamedTuple):
+class WideQueryResult(NamedTuple):
     """The one final answer. `used`: the most attempts that may have run for any leaf."""
 
-    end: End
+    status: WideQueryStatus
     share: float
     missing: tuple[str, ...]
     retry_after: float
-    used: int
+    attempts_used: int
 
 
-Action = AskSubtree | AskLeaves | Drop | Finish
+Action = QuerySubtree | QueryLeaves | CancelSubquery | WideQueryResult
 
 
-class Brought(NamedTuple):
+class SubqueryOutcome(NamedTuple):
     """How a way ended. `held`: leaves whose series it brought. `used`: attempts that may have run for any one leaf,
     None if nobody can say. `idle`: proof that nothing of it ran. `wait`: a refusal's advice, None if it was none."""
 
-    held: frozenset[str] = frozenset()
-    used: int | None = None
-    idle: bool = False
-    wait: float | None = None
+    received_leaves: frozenset[str] = frozenset()
+    attempts_used: int | None = None
+    never_executed: bool = False
+    retry_after: float | None = None
 
 
 @dataclass
-class _Way:
+class _Subquery:
     leaves: tuple[str, ...]
-    around: bool  # asks the leaves themselves
-    began: float = 0.0
+    direct: bool  # asks the leaves themselves
+    started_at: float = 0.0
 
 
 @dataclass
-class Rules:
+class CompletionRules:
     """What the class and the client allow. `least`: the least share of an answer; `collect`: any share will do, as
     the parent sums."""
 
-    semantics: RetrySafety
-    least: float
-    collect: bool = False
+    retry_safety: RetrySafety
+    required_share: float
+    accepts_any_share: bool = False
 
 
 @dataclass
 class WideQuery:
     """Feed it `start`, `ended`, `expire` and `leave`; carry out the actions; the last one is a Finish."""
 
-    task: Task
-    rules: Rules
-    limits: Limits
-    costs: Costs
-    plan: Plan  # of `plan.cut`, for this task
-    finished: Finish | None = None
-    _ways: dict[int, _Way] = field(default_factory=dict)
-    _next: int = 1
+    task: QueryTask
+    rules: CompletionRules
+    limits: TreeLimits
+    costs: CostModels
+    plan: SubtreePlan  # of `plan.cut`, for this task
+    result: WideQueryResult | None = None
+    _subqueries: dict[int, _Subquery] = field(default_factory=dict)
+    _next_id: int = 1
     _deadline: float = inf
-    _ran: bool = False  # something of it may have run
-    _advice: float = 0.0
-    _lost: set[str] = field(default_factory=set)  # leaves that no way is left to
+    _may_have_executed: bool = False  # something of it may have run
+    _retry_after: float = 0.0
+    _unreachable: set[str] = field(default_factory=set)  # leaves that no way is left to
 
     def __post_init__(self) -> None:
         weight = 1.0 / max(len(self.task.leaves), 1)
-        self.sum = Sum(dict.fromkeys(self.task.leaves, weight))
-        self.grants = AttemptQuota(self.task.leaves, min(self.task.attempts, self.limits.leaf_attempts))
+        self.coverage = LeafCoverage(dict.fromkeys(self.task.leaves, weight))
+        self.quota = AttemptQuota(self.task.leaves, min(self.task.attempts, self.limits.leaf_attempts))
 
     @property
     def deadline(self) -> float:
@@ -129,57 +129,61 @@
 
     def start(self, now: float) -> list[Action]:
         """Ask as planned."""
-        self._deadline = now + self.task.left
+        self._deadline = now + self.task.seconds_left
         if not self.plan.subtrees:
-            return self._around(now, self.task.leaves) or self._settle()
+            return self._query_leaves(now, self.task.leaves) or self._finish_if_decided()
         largest = max(len(subtree.leaves) for subtree in self.plan.subtrees)
-        share = share_time(self.task.left, largest, self.costs)
+        share = split_time(self.task.seconds_left, largest, self.costs)
         out: list[Action] = []
         for subtree in self.plan.subtrees:
-            first = self.grants.offer(subtree.leaves, last=False)
-            runs = (first,) if first == self.grants.most else (first, self.grants.most - first)
-            way = self._begin(now, subtree.leaves, sum(runs), around=False)
-            out.append(AskSubtree(way, subtree, share.branch, runs))
+            first = self.quota.offer(subtree.leaves, last=False)
+            runs = (first,) if first == self.quota.max_attempts else (first, self.quota.max_attempts - first)
+            way = self._register(now, subtree.leaves, sum(runs), around=False)
+            out.append(QuerySubtree(way, subtree, share.subtree_seconds, runs))
         return out
 
-    def ended(self, now: float, way: int, brought: Brought) -> list[Action]:
+    def subquery_finished(self, now: float, way: int, brought: SubqueryOutcome) -> list[Action]:
         """A way has ended; what it did not bring is asked around it."""
-        found = self._ways.pop(way, None)
-        if found is None or self.finished:
+        found = self._subqueries.pop(way, None)
+        if found is None or self.result:
             return []
-        self.grants.end(way, 0 if brought.idle else brought.used)
-        self._ran = self._ran or not brought.idle
-        if brought.wait is not None:
-            self._advice = max(self._advice, brought.wait)
-        self.sum.add(way, brought.held & set(found.leaves))
-        model = self.costs.flat if found.around else self.costs.subtree
-        if len(brought.held) == len(found.leaves):
-            model.learn(len(found.leaves), now - found.began)
-        missing = tuple(leaf for leaf in found.leaves if self.sum.source(leaf) is None)
+        self.quota.release(way, 0 if brought.never_executed else brought.attempts_used)
+        self._may_have_executed = self._may_have_executed or not brought.never_executed
+        if brought.retry_after is not None:
+            self._retry_after = max(self._retry_after, brought.retry_after)
+        self.coverage.add(way, brought.received_leaves & set(found.leaves))
+        model = self.costs.flat if found.direct else self.costs.subtree
+        if len(brought.received_leaves) == len(found.leaves):
+            model.record(len(found.leaves), now - found.started_at)
+        missing = tuple(leaf for leaf in found.leaves if self.coverage.source(leaf) is None)
         out: list[Action] = []
-        if missing and not found.around and (self.rules.semantics is RetrySafety.IDEMPOTENT or brought.idle):
-            out += self._around(now, missing)
-        asked = {leaf for one in self._ways.values() for leaf in one.leaves}
-        self._lost |= set(missing) - asked
-        return out + self._settle()
+        if (
+            missing
+            and not found.direct
+            and (self.rules.retry_safety is RetrySafety.IDEMPOTENT or brought.never_executed)
+        ):
+            out += self._query_leaves(now, missing)
+        asked = {leaf for one in self._subqueries.values() for leaf in one.leaves}
+        self._unreachable |= set(missing) - asked
+        return out + self._finish_if_decided()
 
     def expire(self, now: float) -> list[Action]:
         """The time is up: what is in goes out, if it may."""
-        return [] if self.finished or now < self._deadline else self._close(final=True)
+        return [] if self.result or now < self._deadline else self._finish_with_received(final=True)
 
-    def leave(self) -> list[Action]:
+    def client_disconnected(self) -> list[Action]:
         """The client has gone."""
-        return [] if self.finished else self._finish(End.LEFT)
+        return [] if self.result else self._finish(WideQueryStatus.CLIENT_DISCONNECTED)
 
     # ---- inside
 
-    def _begin(self, now: float, leaves: tuple[str, ...], attempts: int, around: bool) -> int:
-        way, self._next = self._next, self._next + 1
-        self.grants.begin(way, leaves, attempts)
-        self._ways[way] = _Way(leaves, around, now)
+    def _register(self, now: float, leaves: tuple[str, ...], attempts: int, around: bool) -> int:
+        way, self._next_id = self._next_id, self._next_id + 1
+        self.quota.reserve(way, leaves, attempts)
+        self._subqueries[way] = _Subquery(leaves, around, now)
         return way
 
-    def _around(self, now: float, leaves: tuple[str, ...]) -> list[Action]:
+    def _query_leaves(self, now: float, leaves: tuple[str, ...]) -> list[Action]:
         """Ask leaves directly: those with an attempt left, by how many they have left.
 
         In groups within the fan-out bound, each a way of its own: what the leaves' module refuses or loses of one
@@ -188,46 +192,52 @@
         left = self._deadline - now
         by_attempts: dict[int, list[str]] = {}
         for leaf in leaves:
-            if (attempts := self.grants.left(leaf)) > 0:
+            if (attempts := self.quota.remaining(leaf)) > 0:
                 by_attempts.setdefault(attempts, []).append(leaf)
         out: list[Action] = []
         bound = max(self.limits.fan_out, 1)
         for attempts, group in sorted(by_attempts.items()) if left > 0 else ():
             for start in range(0, len(group), bound):
                 some = tuple(group[start : start + bound])
-                way = self._begin(now, some, attempts, around=True)
-                out.append(AskLeaves(way, some, left, attempts))
+                way = self._register(now, some, attempts, around=True)
+                out.append(QueryLeaves(way, some, left, attempts))
         return out
 
-    def _settle(self) -> list[Action]:
+    def _finish_if_decided(self) -> list[Action]:
         """End at once what is whole, cannot become enough, or has no way out any more."""
-        if self.sum.whole:
-            return self._finish(End.WHOLE)
+        if self.coverage.complete:
+            return self._finish(WideQueryStatus.COMPLETE)
         weight = 1.0 / max(len(self.task.leaves), 1)
-        hopeless = 1.0 - weight * len(self._lost) < self.rules.least - EPSILON
-        if (hopeless and not self.rules.collect) or not self._ways:
-            return self._close(final=not self._ways)
+        hopeless = 1.0 - weight * len(self._unreachable) < self.rules.required_share - SHARE_ROUNDING
+        if (hopeless and not self.rules.accepts_any_share) or not self._subqueries:
+            return self._finish_with_received(final=not self._subqueries)
         return []
 
-    def _close(self, final: bool) -> list[Action]:
-        enough = self.sum.share >= self.rules.least - EPSILON or (self.rules.collect and self.sum.share > 0)
-        if self.sum.whole:
-            return self._finish(End.WHOLE)
+    def _finish_with_received(self, final: bool) -> list[Action]:
+        enough = self.coverage.share >= self.rules.required_share - SHARE_ROUNDING or (
+            self.rules.accepts_any_share and self.coverage.share > 0
+        )
+        if self.coverage.complete:
+            return self._finish(WideQueryStatus.COMPLETE)
         if final and enough:
-            return self._finish(End.SHORT)
+            return self._finish(WideQueryStatus.PARTIAL)
         # What is out may run still: only a class that is safe to repeat may be refused then.
-        harmless = self.rules.semantics is RetrySafety.IDEMPOTENT or not (self._ran or self._ways)
-        return self._finish(End.REFUSED if harmless else End.FAILED)
-
-    def _finish(self, end: End) -> list[Action]:
-        drops: list[Action] = [Drop(way) for way in self._ways]
-        self._ways.clear()
-        missing = tuple(self.sum.missing())
-        self.finished = Finish(end, self.sum.share, missing, self._advice, self.grants.most_used)
-        return [*drops, self.finished]
-
-
-def used_of(runs: Iterable[tuple[int, bool, int | None]]) -> tuple[int | None, bool]:
+        harmless = self.rules.retry_safety is RetrySafety.IDEMPOTENT or not (
+            self._may_have_executed or self._subqueries
+        )
+        return self._finish(WideQueryStatus.REJECTED if harmless else WideQueryStatus.FAILED)
+
+    def _finish(self, end: WideQueryStatus) -> list[Action]:
+        drops: list[Action] = [CancelSubquery(way) for way in self._subqueries]
+        self._subqueries.clear()
+        missing = tuple(self.coverage.missing_leaves())
+        self.result = WideQueryResult(
+            end, self.coverage.share, missing, self._retry_after, self.quota.max_used
+        )
+        return [*drops, self.result]
+
+
+def total_attempts_used(runs: Iterable[tuple[int, bool, int | None]]) -> tuple[int | None, bool]:
     """What a subtree's attempts used at most a leaf, and whether all are proved idle.
 
     `runs`: for each attempt the attempts a leaf that it was handed, whether it is proved never to have run, and what
--- a/gingervane/tree/wide_query_runner.py
+++ b/gingervane/tree/wide_query_runner.py
@@ -14,53 +14,53 @@
 from typing import Any, NamedTuple
 
 from gingervane.coordinator import types as t
-from gingervane.coordinator.core import ResultQueue, QueryCoordinator, Rejected, PendingQuery
-from gingervane.tree.subquery_context import Ask, Got, LeafContent, SubqueryContext
+from gingervane.coordinator.core import PendingQuery, QueryCoordinator, Rejected, ResultQueue
+from gingervane.tree.subquery_context import LeafSubquery, SubqueryContext, SubtreeQuery, SubtreeResult
 from gingervane.tree.wide_query import (
     Action,
-    AskLeaves,
-    AskSubtree,
-    Brought,
-    Drop,
-    Finish,
+    CancelSubquery,
+    QueryLeaves,
+    QuerySubtree,
+    SubqueryOutcome,
     WideQuery,
-    used_of,
+    WideQueryResult,
+    total_attempts_used,
 )
 
 _GONE = object()
 
 
-class Setting(NamedTuple):
+class RunnerConfig(NamedTuple):
     """What a wide query needs of its co-ordinator."""
 
-    core: QueryCoordinator  # asks leaves
-    branch: QueryCoordinator  # asks children
-    leaf_exchange: t.HttpCodec
-    branch_exchange: t.HttpCodec
-    name: str
+    leaf_coordinator: QueryCoordinator  # asks leaves
+    subtree_coordinator: QueryCoordinator  # asks children
+    leaf_codec: t.HttpCodec
+    subtree_codec: t.HttpCodec
+    coordinator_name: str
     query_class: str
     leaf_class: int  # the module's number of the class that collects
-    branch_class: int
+    subtree_class: int
 
 
-class Outcome(NamedTuple):
-    finish: Finish
-    held: dict[str, dict[int, Any]]  # by leaf and number of the query
-    path: list[t.AttemptRecord]
-    why: str
+class WideQueryOutcome(NamedTuple):
+    result: WideQueryResult
+    results_by_leaf: dict[str, dict[int, Any]]  # by leaf and number of the query
+    attempts: list[t.AttemptRecord]
+    detail: str
 
 
-class WideRun:
+class WideQueryRunner:
     """One query's run. `queries`: each with the leaves that it touches; `leaf_part` makes the part of a leaf, and
     `leaf_content` reads one."""
 
     def __init__(
         self,
         wide: WideQuery,
-        setting: Setting,
+        setting: RunnerConfig,
         queries: Sequence[tuple[Any, frozenset[str]]],
         leaf_part: Callable[[str], t.PartPlan],
-        leaf_content: Callable[[Any], LeafContent],
+        leaf_content: Callable[[Any], LeafSubquery],
     ) -> None:
         self._wide, self._set, self._queries = wide, setting, queries
         self._leaf_part, self._leaf_content = leaf_part, leaf_content
@@ -72,11 +72,11 @@
         self._path: list[t.AttemptRecord] = []
         self._why = ""
 
-    def gone(self) -> None:
+    def client_disconnected(self) -> None:
         """The client has left; from any thread."""
         self._answers.put(_GONE)
 
-    def run(self) -> Outcome:
+    def run(self) -> WideQueryOutcome:
         """Until the final answer is known and every ticket is settled."""
         finish = self._do(self._wide.start(time.monotonic()))
         while finish is None or self._way_of:
@@ -84,10 +84,10 @@
             if token is None:
                 finish = self._do(self._wide.expire(time.monotonic())) or finish
             elif token is _GONE:
-                finish = self._do(self._wide.leave()) or finish
+                finish = self._do(self._wide.client_disconnected()) or finish
             else:
                 finish = self._take(*token) or finish
-        return Outcome(finish, self._held, self._path, self._why)
+        return WideQueryOutcome(finish, self._held, self._path, self._why)
 
     def _next(self, timed: bool) -> Any:
         left = self._wide.deadline - time.monotonic()
@@ -98,49 +98,49 @@
         except Empty:
             return None
 
-    def _do(self, actions: Sequence[Action]) -> Finish | None:
-        finish: Finish | None = None
+    def _do(self, actions: Sequence[Action]) -> WideQueryResult | None:
+        finish: WideQueryResult | None = None
         todo = list(actions)
         while todo:
             action = todo.pop(0)
             match action:
-                case AskSubtree(way) | AskLeaves(way):
+                case QuerySubtree(way) | QueryLeaves(way):
                     try:
                         ticket = self._submit(action)
                     except Rejected as error:
                         self._why = str(error)
-                        brought = Brought(idle=True, wait=error.retry_after)
-                        todo += self._wide.ended(time.monotonic(), way, brought)
+                        brought = SubqueryOutcome(never_executed=True, retry_after=error.retry_after)
+                        todo += self._wide.subquery_finished(time.monotonic(), way, brought)
                     else:
                         self._ways[way] = ticket, action
                         self._way_of[ticket] = way
-                case Drop(way):
+                case CancelSubquery(way):
                     if way in self._ways:
                         self._ways[way][0].abandon()
-                case Finish():
+                case WideQueryResult():
                     finish = action
         return finish
 
-    def _submit(self, action: AskSubtree | AskLeaves) -> PendingQuery:
+    def _submit(self, action: QuerySubtree | QueryLeaves) -> PendingQuery:
         until = time.monotonic() + action.seconds
-        if isinstance(action, AskLeaves):
+        if isinstance(action, QueryLeaves):
             weight = 1.0 / len(action.leaves)
             parts = tuple(
                 self._leaf_part(name)._replace(weight=weight, max_executions=action.attempts)
                 for name in action.leaves
             )
             plan = t.QueryPlan(
-                self._set.leaf_class, until, parts, self._set.leaf_exchange, self._set.query_class
+                self._set.leaf_class, until, parts, self._set.leaf_codec, self._set.query_class
             )
-            return self._set.core.submit(plan, self._answers)
-        asks = tuple(self._ask(action, attempts) for attempts in action.runs)
-        part = t.PartPlan(action.subtree.place, 1.0, asks[-1], len(asks), asks)
+            return self._set.leaf_coordinator.submit(plan, self._answers)
+        asks = tuple(self._ask(action, attempts) for attempts in action.attempts_by_execution)
+        part = t.PartPlan(action.subtree.ring_position, 1.0, asks[-1], len(asks), asks)
         plan = t.QueryPlan(
-            self._set.branch_class, until, (part,), self._set.branch_exchange, self._set.query_class
+            self._set.subtree_class, until, (part,), self._set.subtree_codec, self._set.query_class
         )
-        return self._set.branch.submit(plan, self._answers)
+        return self._set.subtree_coordinator.submit(plan, self._answers)
 
-    def _ask(self, action: AskSubtree, attempts: int) -> Ask:
+    def _ask(self, action: QuerySubtree, attempts: int) -> SubtreeQuery:
         leaves = tuple(sorted(action.subtree.leaves))
         inside = frozenset(leaves)
         queries = tuple(
@@ -149,52 +149,56 @@
             if touched & inside
         )
         task = self._wide.task
-        orders = SubqueryContext(task.levels - 1, attempts, (*task.trail, self._set.name))
-        return Ask(queries, leaves, self._set.query_class, orders)
+        orders = SubqueryContext(task.levels - 1, attempts, (*task.trail, self._set.coordinator_name))
+        return SubtreeQuery(queries, leaves, self._set.query_class, orders)
 
-    def _take(self, ticket: PendingQuery, final: t.QueryResult) -> Finish | None:
+    def _take(self, ticket: PendingQuery, final: t.QueryResult) -> WideQueryResult | None:
         way = self._way_of.pop(ticket)
         _, action = self._ways.pop(way)
         self._path += final.attempts
         self._why = final.detail or self._why
         answered = final.status in (t.QueryStatus.COMPLETE, t.QueryStatus.PARTIAL)
         wait = final.retry_after if final.status is t.QueryStatus.REJECTED else None
-        if isinstance(action, AskSubtree):
-            got: Got | None = final.results.get(0) if answered else None
+        if isinstance(action, QuerySubtree):
+            got: SubtreeResult | None = final.results.get(0) if answered else None
             runs = [
                 (
-                    action.runs[min(note.earlier_executions, len(action.runs) - 1)],
+                    action.attempts_by_execution[
+                        min(note.earlier_executions, len(action.attempts_by_execution) - 1)
+                    ],
                     note.never_ran,
-                    got.used if got and note.outcome == "ok" else None,
+                    got.attempts_used if got and note.outcome == "ok" else None,
                 )
                 for note in final.attempts
             ]
-            used, idle = used_of(runs)
-            held = got.held if got else {}
+            used, idle = total_attempts_used(runs)
+            held = got.results_by_leaf if got else {}
         else:
-            held, used = leaves_of(ticket.plan.parts, final, self._leaf_content)
+            held, used = leaf_results(ticket.plan.parts, final, self._leaf_content)
             idle = not used
-        before = {name: self._wide.sum.source(name) for name in held}
-        actions = self._wide.ended(time.monotonic(), way, Brought(frozenset(held), used, idle, wait))
+        before = {name: self._wide.coverage.source(name) for name in held}
+        actions = self._wide.subquery_finished(
+            time.monotonic(), way, SubqueryOutcome(frozenset(held), used, idle, wait)
+        )
         for (
             name,
             by_query,
         ) in held.items():  # the series of a leaf are those of the way that it was counted from
-            if before[name] is None and self._wide.sum.source(name) == way:
+            if before[name] is None and self._wide.coverage.source(name) == way:
                 self._held[name] = by_query
         ticket.release()
         return self._do(actions)
 
 
-def leaves_of(
+def leaf_results(
     parts: Sequence[t.PartPlan],
     final: t.QueryResult,
-    leaf_content: Callable[[Any], LeafContent],
+    leaf_content: Callable[[Any], LeafSubquery],
 ) -> tuple[dict[str, dict[int, Any]], int]:
     """What leaves that were asked directly gave, by name and number of the query; most attempts that ran for one."""
     ran = Counter(note.shard for note in final.attempts if not note.never_ran)
     held: dict[str, dict[int, Any]] = {}
     for index, found in final.results.items():
         content = leaf_content(parts[index].content)
-        held[content.name] = dict(zip(content.numbers, found, strict=True))
+        held[content.leaf] = dict(zip(content.query_indexes, found, strict=True))
     return held, max(ran.values(), default=0)
--- a/gingervane/vectors/front.py
+++ b/gingervane/vectors/front.py
@@ -28,7 +28,14 @@
 from gingervane.coordinator.dispatch import QueryDispatcher, QueryRequest, DispatchResult
 from gingervane.writes.idempotency import Do, State
 from gingervane.writes.quorum_writes import Outcome, Work, QuorumWrites
-from gingervane.fronts.routing import ClassOf, Route, coverage_fields, duration, flag, refusal_fields
+from gingervane.fronts.routing import (
+    FrontQueryClass,
+    Route,
+    coverage_fields,
+    duration,
+    flag,
+    rejection_headers,
+)
 from gingervane.fronts.http_server import Exchange, Reply
 from gingervane.limits.fair_queue import QueueFull
 from gingervane.limits.concurrency_limit import Gate
@@ -63,7 +70,7 @@
     """A request's parameters."""
 
     name: str  # of the class
-    kind: ClassOf
+    kind: FrontQueryClass
     until: float
     partial: bool
 
@@ -76,7 +83,7 @@
         search: QueryDispatcher,
         writes: QuorumWrites,
         setting: VectorSetting,
-        classes: dict[str, ClassOf],
+        classes: dict[str, FrontQueryClass],
         gate: Gate,
     ) -> None:
         self._gate, self._longest = gate, max(kind.deadline for kind in classes.values())
@@ -134,7 +141,7 @@
         values = dict(parse_qsl(request.target.partition("?")[2], keep_blank_values=True))
         name = values.get("class", default)
         kind = self._classes.get(name)
-        if kind is None or kind.semantics is not self._classes[default].semantics:
+        if kind is None or kind.retry_safety is not self._classes[default].retry_safety:
             raise HttpError(400, f"parameter class: {name!r} is no class for this", True)
         timeout = duration(values["timeout"], "parameter timeout") if "timeout" in values else kind.deadline
         partial = flag(values.get("partial_response", "0"), "parameter partial_response")
@@ -234,7 +241,7 @@
         ask, shards = self._ask_of(request, arrived, self._set.search_class), self._set.shards
         bodies = tuple(one.body for one in asked)
         parts = [t.PartPlan(s, 1.0 / shards, ShardSearch(s, bodies)) for s in range(shards)]
-        number = ask.kind.lenient if ask.partial else ask.kind.strict
+        number = ask.kind.partial_class if ask.partial else ask.kind.strict_class
         question = QueryRequest(ask.name, number, parts, self._exchanges[collection.name], arrived, ask.until)
 
         def then(client: Exchange) -> Reply:
@@ -345,7 +352,7 @@
         def exchange(key: str, version: int, acked: Callable[[int, int], None]) -> WriteExchange:
             return WriteExchange(collection, key, version, acked)
 
-        return Work(collection.name, contents, exchange, ask.name, ask.kind.lenient, ask.until)
+        return Work(collection.name, contents, exchange, ask.name, ask.kind.partial_class, ask.until)
 
     def _reply(self, outcome: Outcome, arrived: float, until: float) -> Reply:
         match outcome.do:
@@ -382,7 +389,7 @@
 
 
 def _refused(why: str, wait: float, until: float, proof: bool = True) -> Reply:
-    return _error(503, f"refused: {why or 'refused'}", refusal_fields(wait, proof))._replace(until=until)
+    return _error(503, f"refused: {why or 'refused'}", rejection_headers(wait, proof))._replace(until=until)
 
 
 def _not_answered(final: t.QueryResult, until: float, proof: bool) -> Reply:
--- a/gingervane/vectors/service.py
+++ b/gingervane/vectors/service.py
@@ -10,7 +10,7 @@
 from gingervane.writes.missed_writes import Budget
 from gingervane.writes.replicated_shards import Keys, Replicated, Ring
 from gingervane.settings.daemon_settings import Config
-from gingervane.fronts.routing import ClassOf
+from gingervane.fronts.routing import FrontQueryClass
 from gingervane.limits.concurrency_limit import Gate
 from gingervane.membership.service import MembershipService, Rings
 from gingervane.vectors.front import VectorFront, VectorSetting
@@ -25,7 +25,7 @@
     def __init__(
         self,
         config: Config,
-        classes: dict[str, ClassOf],
+        classes: dict[str, FrontQueryClass],
         cores: CoordinatorFactory,
         observer: Callable[[str], QueryObserver],
         address: tuple[str, int],
@@ -37,7 +37,7 @@
         assert table is not None
         collections = {c.name: Collection(c.name, c.dims, c.distance) for c in table.collections}
         window = next(c.repeat_window or 0.0 for c in config.classes if c.name == table.upsert_class)
-        lenient = tuple(kind.lenient for kind in classes.values())
+        lenient = tuple(kind.partial_class for kind in classes.values())
         self.ring = Replicated(
             Ring(tuple(collections), table.cells, table.width, table.quorum, lenient),
             Keys(
--- a/tests/stored/make_fixtures.py
+++ b/tests/stored/make_fixtures.py
@@ -27,7 +27,7 @@
 from gingervane.coordinator import boot_clock
 from gingervane.writes.write_ahead_log import WriteAheadLog
 from gingervane.writes.idempotency import IdempotencyRecord, State
-from gingervane.fronts.leaf_codec import Asked, RemoteReadExchange, Tile
+from gingervane.fronts.leaf_codec import LeafQuery, RemoteReadCodec, LeafContent
 from gingervane.experiments.scenario import Scenario, VectorDay
 from gingervane.experiments.store import Run, RunStore
 from gingervane.experiments.vector_day import fixed_points
@@ -215,8 +215,8 @@
     start, end = 1_764_600_000_000, 1_764_600_060_000
     query = Query(start, end, (Matcher(Match.EQUAL, "__name__", "wind_speed"),))
     asked = query._replace(matchers=(*query.matchers, Matcher(Match.EQUAL, "tile", "t001")))
-    call = RemoteReadExchange("tile", 1 << 20).encode(
-        [Tile("t001", (Asked(0, write_query(asked), start, end),))], [0.5], ("127.0.0.1", 9001)
+    call = RemoteReadCodec("tile", 1 << 20).encode(
+        [LeafContent("t001", (LeafQuery(0, write_query(asked), start, end),))], [0.5], ("127.0.0.1", 9001)
     )
     body = snappy.compress(write_response([data.answer("t001", query)]))
     clients: list[dict[str, Any]] = [
--- a/tests/test_pinned_wire.py
+++ b/tests/test_pinned_wire.py
@@ -25,9 +25,9 @@
 from gingervane import interface as api
 from gingervane.coordinator.types import InvalidReply
 from gingervane.fronts import subtree_codec
-from gingervane.fronts.routing import coverage_fields, duration, flag, refusal
+from gingervane.fronts.routing import coverage_fields, duration, flag, rejection
 from gingervane.fronts.http_server import Exchange, HttpServer, Reply, ServerLimits, plain
-from gingervane.fronts.leaf_codec import Asked, RemoteReadExchange, Tile
+from gingervane.fronts.leaf_codec import LeafQuery, RemoteReadCodec, LeafContent
 from gingervane.experiments.embedded import Embedded
 from gingervane.membership import consul
 from gingervane.membership.consul import Pause
@@ -36,7 +36,7 @@
 from gingervane.node.discovery import replica_id
 from gingervane.fake_servers.vectors import VectorGrid
 from gingervane.tree import coverage
-from gingervane.tree.subquery_context import Ask, SubqueryContext
+from gingervane.tree.subquery_context import SubtreeQuery, SubqueryContext
 from gingervane.vectors.points import Collection, shard_of
 from gingervane.vectors.codec import SearchExchange, ShardSearch, ShardWrite, WriteExchange
 from gingervane.wire import frames, http1, remote_read, snappy
@@ -396,8 +396,8 @@
 
 
 def test_a_call_to_a_replica() -> None:
-    tile = Tile("t001", (Asked(0, QUERY_BYTES, 1000, 2000),))
-    data = RemoteReadExchange("tile", 1 << 20).encode([tile], [0.5, 0.0004], ("127.0.0.1", 9001))
+    tile = LeafContent("t001", (LeafQuery(0, QUERY_BYTES, 1000, 2000),))
+    data = RemoteReadCodec("tile", 1 << 20).encode([tile], [0.5, 0.0004], ("127.0.0.1", 9001))
     head, body = request_of(data)
     assert head.split("\r\n") == [
         "POST /api/v1/read HTTP/1.1",
@@ -412,10 +412,10 @@
 
 
 def test_a_subtree_as_it_leaves() -> None:
-    ask = Ask(
+    ask = SubtreeQuery(
         ((0, QUERY, ("t001", "t0.2")),), ("t001", "t0.2"), "area-report", SubqueryContext(1, 2, ("c0", "c1"))
     )
-    data = subtree_codec.SubtreeExchange("tile", 1 << 20).encode([ask], [1.25], ("127.0.0.1", 8001))
+    data = subtree_codec.SubtreeCodec("tile", 1 << 20).encode([ask], [1.25], ("127.0.0.1", 8001))
     head, body = request_of(data)
     assert head.split("\r\n") == [
         "POST /api/v1/read?class=area-report&timeout=1250ms&partial_response=true HTTP/1.1",
@@ -437,9 +437,9 @@
 
 def test_a_subtree_as_it_is_read() -> None:
     pairs = [("gingervane-levels", "1"), ("gingervane-attempts", "2"), ("gingervane-trail", "c0,c1")]
-    read = subtree_codec.read_orders(Headers(pairs))
+    read = subtree_codec.read_context(Headers(pairs))
     assert read is not None and tuple(read) == (1, 2, ("c0", "c1"))
-    assert subtree_codec.read_orders(Headers(pairs[1:])) is None, "no parent's"
+    assert subtree_codec.read_context(Headers(pairs[1:])) is None, "no parent's"
 
 
 def test_what_a_child_says_of_its_leaves() -> None:
@@ -451,7 +451,7 @@
 
 def idle_of(status: int, began: str) -> tuple[bool, bool]:
     """What a replica's failure proves, by its status and header."""
-    exchange = RemoteReadExchange("tile", 1 << 20)
+    exchange = RemoteReadCodec("tile", 1 << 20)
     with pytest.raises(InvalidReply) as caught:
         exchange.decode([], status, {"gingervane-began": began}.get, b"")  # type: ignore[arg-type]
     return caught.value.proves_not_executed, caught.value.overloaded
@@ -512,7 +512,7 @@
 
 def test_refusals_say_when_to_come_back() -> None:
     def fields(wait: float, proof: bool = False) -> list[tuple[str, str]]:
-        reply = refusal(wait, "why", 1.0, proof=proof)
+        reply = rejection(wait, "why", 1.0, proof=proof)
         assert (reply.status, reply.body) == (503, b"refused: why\n")
         return reply.fields
 
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -28,7 +28,7 @@
 from gingervane.writes.idempotency import Do, IdempotencyRecords, Limits, State
 from gingervane.fronts import connections as connections_module
 from gingervane.fronts.http_server import Exchange, Handler, HttpServer, Reply, ServerLimits, plain
-from gingervane.fronts.leaf_codec import RemoteReadExchange
+from gingervane.fronts.leaf_codec import RemoteReadCodec
 from gingervane.interface import AttemptOutcome
 from gingervane.node.replica_connection import FrameTravel, ReplicaConnection, LinkEnd, LinkEnded, LinkLimits
 from gingervane.node.replica_connections import ReplicaConnections
@@ -75,7 +75,7 @@
 
 
 def test_a_request_with_one_time_for_all_its_parts_is_told_the_least() -> None:
-    exchange = RemoteReadExchange("tile", 1 << 20)
+    exchange = RemoteReadCodec("tile", 1 << 20)
     head = exchange.encode([], [7.9, 1.2], ("127.0.0.1", 1)).split(b"\r\n\r\n")[0]
     assert b"Gingervane-Timeout-Ms: 1200" in head
 
--- a/tests/test_tree.py
+++ b/tests/test_tree.py
@@ -13,34 +13,34 @@
 
 from gingervane.interface import RetrySafety
 from gingervane.tree import coverage
-from gingervane.tree.cost import Costs, LineModel
-from gingervane.tree.coverage import CoverageError, Sum
 from gingervane.tree.attempt_quota import AttemptQuota
+from gingervane.tree.cost import CostModels, LinearModel
+from gingervane.tree.coverage import CoverageError, LeafCoverage
 from gingervane.tree.plan import (
-    Limits,
-    Peers,
-    Plan,
+    PeerCoordinators,
+    QueryTask,
     Rejection,
     Subtree,
-    Task,
+    SubtreePlan,
+    TreeLimits,
     admit,
-    cut,
-    free_places,
-    share_time,
+    available_positions,
+    plan_query,
+    split_time,
 )
 from gingervane.tree.wide_query import (
-    AskLeaves,
-    AskSubtree,
-    Brought,
-    Drop,
-    End,
-    Finish,
-    Rules,
+    CancelSubquery,
+    CompletionRules,
+    QueryLeaves,
+    QuerySubtree,
+    SubqueryOutcome,
     WideQuery,
-    used_of,
+    WideQueryResult,
+    WideQueryStatus,
+    total_attempts_used,
 )
 
-LIMITS = Limits(fan_out=4, levels=2, ring=6, width=2, leaf_attempts=3)
+LIMITS = TreeLimits(fan_out=4, levels=2, ring_size=6, placement_width=2, leaf_attempts=3)
 names = st.lists(
     st.text(st.characters(codec="utf-8", exclude_characters="|"), min_size=1, max_size=4),
     unique=True,
@@ -54,11 +54,11 @@
     bitmap, counts = coverage.encode(asked, held)
     assert coverage.decode(asked, bitmap, counts) == held
     met = [name for name, count in held.items() for _ in range(count)]
-    coverage.check(held, met)
+    coverage.verify(held, met)
     if met:
         for lie in (met[1:], [*met, met[0]], [*met, "|"]):
             with pytest.raises(CoverageError):
-                coverage.check(held, lie)
+                coverage.verify(held, lie)
 
 
 @given(names, st.binary(max_size=8), st.text(max_size=12))
@@ -85,14 +85,16 @@
         with pytest.raises(CoverageError, match=what):
             coverage.decode(asked, bitmap, counts)
     with pytest.raises(CoverageError, match="not asked for"):
-        coverage.of_plain(asked, ["a", "z"])
-    assert coverage.of_plain(asked, ["a", "a"]) == {"a": 2}, "what has no series is not proved to be held"
+        coverage.leaves_with_series(asked, ["a", "z"])
+    assert coverage.leaves_with_series(asked, ["a", "a"]) == {
+        "a": 2
+    }, "what has no series is not proved to be held"
 
 
 @given(st.lists(st.sets(st.integers(0, 9)), max_size=8), st.integers(1, 10))
 def test_the_share_is_a_sum_over_leaves(answers: list[set[int]], count: int) -> None:
     leaves = [f"l{i}" for i in range(count)]
-    total = Sum({name: (i + 1) / sum(range(1, count + 1)) for i, name in enumerate(leaves)})
+    total = LeafCoverage({name: (i + 1) / sum(range(1, count + 1)) for i, name in enumerate(leaves)})
     seen: set[str] = set()
     for source, answer in enumerate(answers):
         held = {f"l{i}" for i in answer}
@@ -102,11 +104,13 @@
     assert total.share == pytest.approx(
         sum((i + 1) for i in range(count) if f"l{i}" in seen) / sum(range(1, count + 1))
     )
-    assert total.whole == (len(seen) == count) and total.missing() == [n for n in leaves if n not in seen]
+    assert total.complete == (len(seen) == count) and total.missing_leaves() == [
+        n for n in leaves if n not in seen
+    ]
 
 
 tasks = st.builds(
-    Task,
+    QueryTask,
     st.integers(0, 200).map(lambda n: tuple(f"t{i:03d}" for i in range(n))),
     st.floats(0.01, 10.0),
     st.integers(0, 3),
@@ -118,13 +122,13 @@
 
 @given(tasks, st.lists(st.integers(0, 5), unique=True).map(sorted), st.integers(0, 99), costs)
 def test_a_cut_is_a_partition_within_bounds(
-    task: Task, free: list[int], spin: int, seen: list[tuple[int, float, float]]
+    task: QueryTask, free: list[int], spin: int, seen: list[tuple[int, float, float]]
 ) -> None:
-    learned = Costs()
+    learned = CostModels()
     for leaves, flat, subtree in seen:
-        learned.flat.learn(leaves, flat)
-        learned.subtree.learn(leaves, subtree)
-    plan = cut(task, free, spin, LIMITS, learned)
+        learned.flat.record(leaves, flat)
+        learned.subtree.record(leaves, subtree)
+    plan = plan_query(task, free, spin, LIMITS, learned)
     if not plan.subtrees:
         assert task.levels == 0 or not free or len(task.leaves) <= LIMITS.fan_out or task.attempts < 1
         return
@@ -132,18 +136,18 @@
     assert [leaf for subtree in plan.subtrees for leaf in subtree.leaves] == list(task.leaves)
     sizes = [len(subtree.leaves) for subtree in plan.subtrees]
     assert 2 <= len(sizes) <= LIMITS.fan_out and min(sizes) >= 1 and max(sizes) - min(sizes) <= 1
-    assert all(subtree.place in free for subtree in plan.subtrees)
+    assert all(subtree.ring_position in free for subtree in plan.subtrees)
     if len(task.leaves) <= LIMITS.fan_out:  # cut below the bound: then a tree must be the better one
-        best = min(learned.tree_time(len(task.leaves), k) for k in range(2, len(task.leaves) + 1))
-        assert best <= learned.flat_time(len(task.leaves))
+        best = min(learned.tree_seconds(len(task.leaves), k) for k in range(2, len(task.leaves) + 1))
+        assert best <= learned.flat_seconds(len(task.leaves))
 
 
 def test_wide_queries_of_many_roots_do_not_pile_on_one_place() -> None:
-    task = Task(tuple(f"t{i}" for i in range(16)), 4.0, 2, 3)
+    task = QueryTask(tuple(f"t{i}" for i in range(16)), 4.0, 2, 3)
     load = [0] * 6
     for spin in range(60):
-        for subtree in cut(task, range(6), spin, LIMITS, Costs()).subtrees:
-            load[subtree.place] += 1
+        for subtree in plan_query(task, range(6), spin, LIMITS, CostModels()).subtrees:
+            load[subtree.ring_position] += 1
     assert max(load) == min(load)
 
 
@@ -153,48 +157,52 @@
     st.lists(st.sampled_from("abcdefghz"), max_size=4),
 )
 def test_no_place_leads_back_up(places: dict[str, int], ready: set[str], trail: list[str]) -> None:
-    peers = Peers(places, frozenset(ready & set(places)))
-    for place in free_places(peers, trail, LIMITS):
-        holders = {n for n, at in places.items() if (at - place) % LIMITS.ring < LIMITS.width}
+    peers = PeerCoordinators(places, frozenset(ready & set(places)))
+    for place in available_positions(peers, trail, LIMITS):
+        holders = {n for n, at in places.items() if (at - place) % LIMITS.ring_size < LIMITS.placement_width}
         assert not holders & set(trail) and holders & ready
 
 
 def test_what_must_not_be_taken_is_refused() -> None:
-    learned = Costs()
+    learned = CostModels()
     for _ in range(20):
-        learned.flat.learn(4, 0.1)
-    task = Task(("a", "b", "c", "d"), 1.0, 1, 1, ("r", "m"))
+        learned.flat.record(4, 0.1)
+    task = QueryTask(("a", "b", "c", "d"), 1.0, 1, 1, ("r", "m"))
     admit(task, "x", LIMITS, learned)
     for bad, name, loop in (
         (task, "m", True),
         (task._replace(levels=3), "x", True),
-        (task._replace(left=0.02), "x", False),
+        (task._replace(seconds_left=0.02), "x", False),
         (task._replace(trail=tuple("abcdefghijklmnopq")), "x", True),
     ):
         with pytest.raises(Rejection) as caught:
             admit(bad, name, LIMITS, learned)
-        assert caught.value.loop == loop
+        assert caught.value.is_loop == loop
 
 
 @given(st.lists(st.tuples(st.integers(1, 60), st.floats(0, 0.01)), min_size=12, max_size=60))
 def test_the_line_is_learned(points: list[tuple[int, float]]) -> None:
-    model = LineModel()
+    model = LinearModel()
     for leaves, noise in points:
-        model.learn(leaves, 0.05 + 0.002 * leaves + noise)
+        model.record(leaves, 0.05 + 0.002 * leaves + noise)
     low, high = min(n for n, _ in points), max(n for n, _ in points)
     for leaves in (low, high):
-        assert 0.05 + 0.002 * leaves - 0.02 <= model.mean(leaves) <= 0.05 + 0.002 * leaves + 0.03
-        assert model.likely(leaves) >= model.mean(leaves) - 1e-9
+        assert 0.05 + 0.002 * leaves - 0.02 <= model.expected_seconds(leaves) <= 0.05 + 0.002 * leaves + 0.03
+        assert model.likely_seconds(leaves) >= model.expected_seconds(leaves) - 1e-9
 
 
 @given(st.floats(0.01, 30.0), st.integers(1, 100), st.one_of(st.none(), st.floats(0.001, 20.0)))
 def test_time_is_split_within_what_is_left(left: float, largest: int, usual: float | None) -> None:
-    learned = Costs()
+    learned = CostModels()
     for _ in range(10 if usual else 0):
-        learned.flat.learn(largest, usual or 0.0)
-    share = share_time(left, largest, learned)
-    assert share.branch > 0 and share.recut > 0 and share.branch + share.recut == pytest.approx(left)
-    assert share.branch >= left / 2 - 1e-9
+        learned.flat.record(largest, usual or 0.0)
+    share = split_time(left, largest, learned)
+    assert (
+        share.subtree_seconds > 0
+        and share.fallback_seconds > 0
+        and share.subtree_seconds + share.fallback_seconds == pytest.approx(left)
+    )
+    assert share.subtree_seconds >= left / 2 - 1e-9
 
 
 said = st.one_of(st.none(), st.integers(0, 6))
@@ -207,38 +215,41 @@
         offered = grants.offer(("a", "b"), last)
         if not offered:
             with pytest.raises(ValueError):
-                grants.begin(way, ("a",), 1)
+                grants.reserve(way, ("a",), 1)
             break
-        grants.begin(way, ("a", "b"), offered)
+        grants.reserve(way, ("a", "b"), offered)
         actually = offered if used is None else min(used, offered)  # what a child may do with it
         ran += actually
-        grants.end(way, used)
-        assert ran <= grants.most_used <= most
+        grants.release(way, used)
+        assert ran <= grants.max_used <= most
 
 
 def test_used_of_attempts() -> None:
-    assert used_of([(2, True, None), (1, True, None)]) == (0, True)
-    assert used_of([(2, False, None), (1, False, 1)]) == (3, False)
-    assert used_of([(2, False, 1)]) == (1, False) and used_of([(2, False, 9)]) == (2, False)
+    assert total_attempts_used([(2, True, None), (1, True, None)]) == (0, True)
+    assert total_attempts_used([(2, False, None), (1, False, 1)]) == (3, False)
+    assert total_attempts_used([(2, False, 1)]) == (1, False) and total_attempts_used([(2, False, 9)]) == (
+        2,
+        False,
+    )
 
 
 # ---- one query's life, in all orders
 
 LEAVES = ("a", "b", "c")
-CUT = Plan((Subtree(("a", "b"), 0), Subtree(("c",), 1)), "test")
+CUT = SubtreePlan((Subtree(("a", "b"), 0), Subtree(("c",), 1)), "test")
 ENDINGS = ("all", "none", "idle", "refused", "lie")
 
 
 class Life:
     """A query at two levels, with what the leaves really gave and how often they really ran."""
 
-    def __init__(self, rules: Rules, attempts: int) -> None:
-        task = Task(LEAVES, 4.0, 1, attempts)
-        self.query, self.rules, self.now = WideQuery(task, rules, LIMITS, Costs(), CUT), rules, 0.0
+    def __init__(self, rules: CompletionRules, attempts: int) -> None:
+        task = QueryTask(LEAVES, 4.0, 1, attempts)
+        self.query, self.rules, self.now = WideQuery(task, rules, LIMITS, CostModels(), CUT), rules, 0.0
         self.out: dict[int, tuple[tuple[str, ...], int]] = {}
         self.gave: set[str] = set()
         self.ran = dict.fromkeys(LEAVES, 0)
-        self.finals: list[Finish] = []
+        self.finals: list[WideQueryResult] = []
         self.around = 0
         self.do(self.query.start(0.0))
 
@@ -246,18 +257,18 @@
         for action in actions:
             assert not self.finals, "something after the final answer"
             match action:
-                case AskSubtree(way, subtree, seconds, runs):
+                case QuerySubtree(way, subtree, seconds, runs):
                     assert 0 < seconds < 4.0
                     self.out[way] = subtree.leaves, sum(runs)
-                case AskLeaves(way, leaves, seconds, granted):
+                case QueryLeaves(way, leaves, seconds, granted):
                     ran = any(self.ran[leaf] for leaf in leaves)
-                    assert self.rules.semantics is RetrySafety.IDEMPOTENT or not ran
+                    assert self.rules.retry_safety is RetrySafety.IDEMPOTENT or not ran
                     assert seconds <= 4.0 - self.now
                     self.out[way] = leaves, granted
                     self.around += 1
-                case Drop(way):
+                case CancelSubquery(way):
                     del self.out[way]
-                case Finish():
+                case WideQueryResult():
                     self.finals.append(action)
 
     def moves(self) -> Iterator[tuple[str, int, tuple[str, ...]]]:
@@ -278,19 +289,19 @@
             assert self.finals, "the time is up, and no answer"
             return
         if kind == "leave":
-            self.do(list(self.query.leave()))
+            self.do(list(self.query.client_disconnected()))
             return
         leaves, granted = self.out.pop(way)
         held = frozenset(part if kind in ("all", "some") else ())
         if kind == "idle" or kind == "refused":
-            brought = Brought(idle=True, wait=0.5 if kind == "refused" else None)
+            brought = SubqueryOutcome(never_executed=True, retry_after=0.5 if kind == "refused" else None)
         else:  # a child that says nothing of what it used may have used all
             used = 1 if kind in ("all", "some") else None
-            brought = Brought(held if kind != "lie" else frozenset({"z"}), used)
+            brought = SubqueryOutcome(held if kind != "lie" else frozenset({"z"}), used)
             for leaf in leaves:
                 self.ran[leaf] += granted if used is None else used
         self.gave |= held
-        self.do(list(self.query.ended(self.now, way, brought)))
+        self.do(list(self.query.subquery_finished(self.now, way, brought)))
 
     def check(self, attempts: int) -> None:
         assert len(self.finals) <= 1
@@ -298,12 +309,16 @@
         for final in self.finals:
             share = len(self.gave) / len(LEAVES)
             assert final.share <= share + 1e-9, "a share over what leaves gave"
-            assert final.end is not End.WHOLE or self.gave == set(LEAVES)
-            enough = final.share >= self.rules.least - 1e-9 or self.rules.collect
-            assert final.end is not End.SHORT or enough
+            assert final.status is not WideQueryStatus.COMPLETE or self.gave == set(LEAVES)
+            enough = final.share >= self.rules.required_share - 1e-9 or self.rules.accepts_any_share
+            assert final.status is not WideQueryStatus.PARTIAL or enough
             assert set(final.missing) >= set(LEAVES) - self.gave
             ran = any(self.ran.values())
-            assert final.end is not End.REFUSED or self.rules.semantics is RetrySafety.IDEMPOTENT or not ran
+            assert (
+                final.status is not WideQueryStatus.REJECTED
+                or self.rules.retry_safety is RetrySafety.IDEMPOTENT
+                or not ran
+            )
             assert not self.out
         assert self.finals or self.out, "neither an answer nor anything to wait for"
 
@@ -312,30 +327,34 @@
 @pytest.mark.parametrize("least,collect", [(1.0, False), (0.6, False), (1.0, True)])
 @pytest.mark.parametrize("attempts", [1, 2, 3])
 def test_every_order_of_one_life(semantics: RetrySafety, least: float, collect: bool, attempts: int) -> None:
-    start = Life(Rules(semantics, least, collect), attempts)
-    todo, explored, ends = [start], 0, set[End]()
+    start = Life(CompletionRules(semantics, least, collect), attempts)
+    todo, explored, ends = [start], 0, set[WideQueryStatus]()
     while todo:
         life = todo.pop()
         life.check(attempts)
         explored += 1
         if life.finals:
-            ends.add(life.finals[0].end)
+            ends.add(life.finals[0].status)
             continue
         for kind, way, part in life.moves():
             following = copy.deepcopy(life)
             following.move(kind, way, tuple(part))
             todo.append(following)
-    assert explored > 100 and {End.WHOLE, End.LEFT} <= ends
-    assert (End.SHORT in ends) == (least < 1.0 or collect)
-    assert (End.FAILED in ends) == (semantics is RetrySafety.NOT_IDEMPOTENT)
+    assert explored > 100 and {WideQueryStatus.COMPLETE, WideQueryStatus.CLIENT_DISCONNECTED} <= ends
+    assert (WideQueryStatus.PARTIAL in ends) == (least < 1.0 or collect)
+    assert (WideQueryStatus.FAILED in ends) == (semantics is RetrySafety.NOT_IDEMPOTENT)
 
 
 def test_what_is_asked_around_goes_in_groups() -> None:
     leaves = tuple(f"t{i}" for i in range(11))
-    plan = Plan((Subtree(leaves[:10], 0), Subtree(leaves[10:], 1)), "test")
-    query = WideQuery(Task(leaves, 4.0, 1, 3), Rules(RetrySafety.IDEMPOTENT, 1.0), LIMITS, Costs(), plan)
+    plan = SubtreePlan((Subtree(leaves[:10], 0), Subtree(leaves[10:], 1)), "test")
+    query = WideQuery(
+        QueryTask(leaves, 4.0, 1, 3), CompletionRules(RetrySafety.IDEMPOTENT, 1.0), LIMITS, CostModels(), plan
+    )
     first, _ = query.start(0.0)
-    assert isinstance(first, AskSubtree)
-    around = query.ended(0.1, first.way, Brought(idle=True, wait=0.2))
-    groups = [action.leaves for action in around if isinstance(action, AskLeaves)]
+    assert isinstance(first, QuerySubtree)
+    around = query.subquery_finished(
+        0.1, first.subquery_id, SubqueryOutcome(never_executed=True, retry_after=0.2)
+    )
+    groups = [action.leaves for action in around if isinstance(action, QueryLeaves)]
     assert [len(group) for group in groups] == [4, 4, 2] and sum(groups, ()) == leaves[:10]
--- a/tests/test_tree_sockets.py
+++ b/tests/test_tree_sockets.py
@@ -10,16 +10,16 @@
 from pathlib import Path
 
 import pytest
+from test_hard_cases import ALL, PATIENCE, ask, eventually, is_right
 
-from gingervane.fronts.client import Answer, Client
-from gingervane.fronts.http_server import Exchange, HttpServer, Reply, ServerLimits, plain
 from gingervane.experiments.embedded import ZONES, Embedded
 from gingervane.fake_servers.capacity import Model
 from gingervane.fake_servers.node import Recorder, list_row
+from gingervane.fronts.client import Answer, Client
+from gingervane.fronts.http_server import Exchange, HttpServer, Reply, ServerLimits, plain
 from gingervane.wire import http1, remote_read, snappy
 from gingervane.wire.http1 import Request
 from gingervane.wire.remote_read import Match, Matcher, Query, Series
-from test_hard_cases import ALL, PATIENCE, ask, eventually, is_right
 
 Change = Callable[[Reply, "Child"], Reply]
 
@@ -213,7 +213,7 @@
         answer = ask(fleet, ALL, "area-report")
         assert answer.status == 200 and is_right(answer, fleet.grid.tiles)
         assert made[0].asked + made[1].asked >= 3
-        cut = fleet.apps[1]._front.cuts
+        cut = fleet.apps[1]._front.queries_split
         assert cut == 0, "its own orders are its own affair, and it had none to cut by"
     finally:
         for child in made:
@@ -257,7 +257,10 @@
             answer = client.read([ALL], {"class": "area-report", "timeout": "4s"}, PATIENCE)
             client.close()
             assert answer.status == 200 and is_right(answer, fleet.grid.tiles)
-        assert middle.asked >= 6 and fleet.apps[0]._front.cuts == fleet.apps[2]._front.cuts == 2
+        assert (
+            middle.asked >= 6
+            and fleet.apps[0]._front.queries_split == fleet.apps[2]._front.queries_split == 2
+        )
     finally:
         middle.close()
         fleet.close()
@@ -338,7 +341,7 @@
         with socket.create_connection(fleet.address) as sock:
             sock.sendall(Client(fleet.address).request([ALL], {}))
             eventually(lambda: sum(app.core.requests_in_flight for app in fleet.apps) >= 6)
-            assert fleet.app._front.cuts == 1
+            assert fleet.app._front.queries_split == 1
         eventually(
             lambda: all(
                 core.admission.open == 0 and core.requests_in_flight == 0
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -219,7 +219,7 @@
 )
 def test_touched_shards_are_those_that_match(shards: list[str], asked: list[tuple[Match, str]]) -> None:
     index = ShardIndex("tile", shards)
-    found = index.touched([Matcher(kind, "tile", value) for kind, value in asked])
+    found = index.matching_shards([Matcher(kind, "tile", value) for kind, value in asked])
     plain = [
         i
         for i, name in enumerate(shards)
