--- a/gingervane/tree/__init__.py
+++ b/gingervane/tree/__init__.py
@@ -1,1 +1,1 @@
-"""The heart of wide queries: cutting them into subtrees, budgets and deadlines by level, coverage of leaves."""
+"""Decisions about wide queries: splitting into subtrees, attempts and deadlines by level, coverage of leaves."""
--- a/gingervane/tree/attempt_quota.py
+++ b/gingervane/tree/attempt_quota.py
@@ -1,48 +1,54 @@
-"""Attempts across levels: at most `most` may run at a leaf for one part of a root's query, by whatever path.
+"""Quota of attempts for each leaf of a wide query, over all paths of the tree that lead to it. Free of I/O.
 
-Three attempts at each of three levels would be 27. So each co-ordinator is handed a number of attempts that may run
-for each leaf below it, and hands each subtree a part of that: the first child gets all but one, so that it can copy
-for itself, and what is kept back is for one way round the child, a copy on its sibling or a re-cut. A child that
-answered says how many it used at most; of one that did not, all that it was handed counts as used, unless the
-transport proves that its query never began. Free of I/O.
+Three attempts at each of three levels would be 27. So each co-ordinator is granted a number of attempts for each leaf
+below it, and grants each subtree a part of them: the first child gets all but one, so that it can hedge by itself,
+and the one held back is for one path around the child: a hedged request to its sibling, or the leaves themselves. A
+child that answered reports how many it used at most; for one that did not, the whole grant counts as used, unless the
+transport proves that its query never began.
 """
 
 from __future__ import annotations
 
 
 class AttemptQuota:
-    """The ledger of one wide query at one co-ordinator, by leaf."""
+    """Attempts granted, in flight and used of one wide query at one co-ordinator, by leaf."""
 
-    def __init__(self, leaves: tuple[str, ...], most: int) -> None:
-        self.max_attempts = most
-        self._used = dict.fromkeys(leaves, 0)  # by what is known, or else feared
+    def __init__(self, leaves: tuple[str, ...], max_attempts: int) -> None:
+        self.max_attempts = max_attempts
+        self._used = dict.fromkeys(leaves, 0)  # includes what is reserved
         self._in_flight: dict[int, tuple[tuple[str, ...], int]] = {}
 
     def remaining(self, leaf: str) -> int:
-        """Attempts that may still run for a leaf, with all that is out counted as used."""
+        """Return how many attempts a leaf has left, with all that is in flight counted as used."""
         return self.max_attempts - self._used[leaf]
 
     def offer(self, leaves: tuple[str, ...], last: bool) -> int:
-        """How many attempts a leaf a way may be handed; 0: it must not be taken. `last`: no other will follow."""
-        left = min((self.remaining(leaf) for leaf in leaves), default=0)
-        return left if last or left <= 1 else left - 1
+        """Return how many attempts for each leaf a subquery may be granted; 0 means that it must not be sent.
 
-    def reserve(self, way: int, leaves: tuple[str, ...], attempts: int) -> None:
-        """A way (an attempt at a subtree, or a re-cut) is taken with so many attempts a leaf."""
+        `last`: no other subquery for these leaves will follow, so that nothing need be held back.
+        """
+        remaining = min((self.remaining(leaf) for leaf in leaves), default=0)
+        return remaining if last or remaining <= 1 else remaining - 1
+
+    def reserve(self, subquery_id: int, leaves: tuple[str, ...], attempts: int) -> None:
+        """Reserve attempts for each leaf of a subquery. Raises ValueError if they are not left."""
         if attempts < 1 or any(self.remaining(leaf) < attempts for leaf in leaves):
-            raise ValueError(f"way {way}: {attempts} attempts a leaf are not left")
-        self._in_flight[way] = leaves, attempts
+            raise ValueError(f"subquery {subquery_id}: {attempts} attempts a leaf are not left")
+        self._in_flight[subquery_id] = leaves, attempts
         for leaf in leaves:
             self._used[leaf] += attempts
 
-    def release(self, way: int, used: int | None) -> None:
-        """A way has ended; `used`: what it says it used at most a leaf, None if nobody says."""
-        leaves, attempts = self._in_flight.pop(way)
+    def release(self, subquery_id: int, used: int | None) -> None:
+        """Return unused attempts of a finished subquery.
+
+        `used`: the most attempts that it reports for any leaf; None if it does not say, which counts as all.
+        """
+        leaves, attempts = self._in_flight.pop(subquery_id)
         if used is not None and 0 <= used < attempts:
             for leaf in leaves:
                 self._used[leaf] -= attempts - used
 
     @property
     def max_used(self) -> int:
-        """What to tell a parent: the most that may have run for any leaf."""
+        """The most attempts that may have run for any leaf, as reported to the parent."""
         return max(self._used.values(), default=0)
--- a/gingervane/tree/subquery_context.py
+++ b/gingervane/tree/subquery_context.py
@@ -1,4 +1,4 @@
-"""What a parent tells a child beside the query, and what a child brings back: the same for every protocol."""
+"""Messages between a parent and a child co-ordinator, independent of the protocol that carries them."""
 
 from __future__ import annotations
 
@@ -6,37 +6,35 @@
 
 
 class SubqueryContext(NamedTuple):
-    """`levels`: of co-ordinators that may still stand below the child. `attempts`: that may run for each leaf.
+    """What a parent sends to a child beside the query."""
 
-    `trail`: names of the co-ordinators above, root first.
-    """
-
-    levels_left: int
-    attempts_per_leaf: int
-    trail: tuple[str, ...]
+    levels_left: int  # levels of co-ordinators that may still stand below the child
+    attempts_per_leaf: int  # attempts that may run for each leaf
+    trail: tuple[str, ...]  # names of the co-ordinators above, root first
 
 
 class SubtreeQuery(NamedTuple):
-    """A subtree for one attempt at it: the client's queries, the leaves of each that lie in it, and the orders.
+    """One attempt at a subtree: the client's queries, restricted to its leaves, and the context.
 
-    `queries`: number in the client's request, the protocol's own query, its leaves here. `leaves`: of all, sorted.
+    `queries` holds, for each query that touches the subtree, its index in the client's request, the protocol's own
+    query, and its leaves in the subtree.
     """
 
     queries: tuple[tuple[int, Any, tuple[str, ...]], ...]
-    leaves: tuple[str, ...]
+    leaves: tuple[str, ...]  # of all queries, sorted
     query_class: str
     context: SubqueryContext
 
 
 class SubtreeResult(NamedTuple):
-    """What a child brought: results by leaf and by number of the client's query; what it says that it used."""
+    """What a child returned."""
 
-    results_by_leaf: dict[str, dict[int, Any]]
-    attempts_used: int | None
+    results_by_leaf: dict[str, dict[int, Any]]  # by leaf, then by index of the client's query
+    attempts_used: int | None  # the most attempts for any leaf; None if the child does not say
 
 
 class LeafSubquery(NamedTuple):
-    """What a run must know of a leaf's part: its shard, and the numbers of the queries that its results answer."""
+    """What the runner needs to know of a leaf's part: its name and the queries that its results answer."""
 
     leaf: str
     query_indexes: tuple[int, ...]
