--- a/tests/stored/make_fixtures.py
+++ b/tests/stored/make_fixtures.py
@@ -28,7 +28,7 @@
 from gingervane.writes.write_ahead_log import WriteAheadLog
 from gingervane.writes.idempotency import IdempotencyRecord
 from gingervane.fronts.leaf_codec import LeafQuery, RemoteReadCodec, LeafContent
-from gingervane.experiments.scenario import Scenario, VectorDay
+from gingervane.scenarios.scenario import Scenario, VectorDay
 from gingervane.experiments.store import Run, RunStore
 from gingervane.scenarios.fixed_points import fixed_points
 from gingervane.membership.snapshot import Snapshot
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -37,7 +37,7 @@
     "experiments",
     "cli",
 )
-# The package itself only passes on the decision engine, and may be imported by all for its version and its path.
+# The package itself only passes on the decision engine; all may import it for its version and its path.
 PACKAGE = "gingervane"
 MODULES = sorted(path.relative_to(ROOT) for path in ROOT.rglob("*.py") if path != ROOT / "__init__.py")
 
--- a/tests/test_telemetry.py
+++ b/tests/test_telemetry.py
@@ -1,4 +1,4 @@
-"""Logs of daemon and node, counters of a node: what a line holds, what is bounded, that nobody waits for a reader."""
+"""Logs of daemon and node, counters of a node: lines, bounds, and that nobody waits for a reader."""
 
 from __future__ import annotations
 
