--- a/gingervane/fake_servers/vectors.py
+++ b/gingervane/fake_servers/vectors.py
@@ -22,7 +22,8 @@
 from gingervane.fake_servers.fleet import Orders, serve
 from gingervane.fake_servers.node import MODEL, Node, Recorder
 from gingervane.fake_servers.capacity import Model
-from gingervane.vectors.points import Collection, order_of, matches_filter
+from gingervane.vectors.filters import matches_filter
+from gingervane.vectors.points import Collection, order_of
 from gingervane.wire import http1
 from gingervane.wire.http1 import Request
 
--- a/gingervane/vectors/front.py
+++ b/gingervane/vectors/front.py
@@ -1,72 +1,31 @@
 """The vector front: Qdrant's REST API for search and point writes, over replicated shards.
 
-Searches ask one holder of each shard, through a core of their own; writes ask every holder of each shard they touch,
-through another, in which each holder is a part for itself. A search is answered whole or, to clients that ask with
-`partial_response=true`, short, with its coverage. A write is acknowledged once `quorum` holders of each of its
-shards have done it; the others are heard out, and what they then owe is repaired in the background and shows in
-metrics.
-
-Replies to writes: 200 done; 503 nothing of it ran, and asking again is harmless; 502 no promise; 409 the key may have
-run and its window is over; 422 the key was used for another content.
+Searches (`search_handler`) ask one replica of each shard, through a coordinator of their own. Writes
+(`write_handler`) go to every replica of each of their shards, through another coordinator, in which each replica is a
+part of its own. What replicas miss of a write is repaired in the background and shows in metrics.
 """
 
 from __future__ import annotations
 
-import hashlib
-import threading
-import time
-import uuid
-from collections.abc import Callable, Mapping
-from typing import Any, NamedTuple
-from urllib.parse import parse_qsl
-
-import orjson
+from collections.abc import Callable
+from functools import partial
+from typing import Any
 
-from gingervane.coordinator import types as t
-from gingervane.coordinator.core import Rejected
-from gingervane.writes.missed_writes import ShardKey
-from gingervane.coordinator.dispatch import QueryDispatcher, QueryRequest, DispatchResult
-from gingervane.writes.idempotency import KeyAction, WriteState
-from gingervane.writes.quorum_writes import QuorumWrites
-from gingervane.writes.write_replication import ReplicatedWrite, WriteOutcome
-from gingervane.fronts.routing import ClassOf, Route, coverage_fields, duration, flag, refusal_fields
+from gingervane.coordinator.dispatch import QueryDispatcher
 from gingervane.fronts.http_server import Exchange, Reply
-from gingervane.limits.fair_queue import QueueFull
+from gingervane.fronts.routing import ClassOf, Route
 from gingervane.limits.concurrency_limit import Gate
-from gingervane.vectors import points as reading
-from gingervane.vectors.points import RequestLimits, Collection, RequestError, SearchRequest, PointWrite
-from gingervane.vectors.topk import merge_hits
-from gingervane.vectors.codec import KEY_HEADER, ShardHits, SearchCodec, ShardSearch, ShardWrite, WriteCodec
+from gingervane.limits.fair_queue import QueueFull
+from gingervane.vectors.points import Collection, RequestError
+from gingervane.vectors.replies import collection_not_found, error_reply, rejection_reply, result_reply
+from gingervane.vectors.request_context import NAME, Execution, VectorFrontSettings, VectorRequest
+from gingervane.vectors.requests import decode
+from gingervane.vectors.search_handler import SearchHandler
+from gingervane.vectors.write_handler import WriteHandler
 from gingervane.wire.http1 import HttpError, Request
+from gingervane.writes.quorum_writes import QuorumWrites
 
-NAME = "vectors"
-_MOST_KEY = 200
-DONE_HEADER, STALE_HEADER = "Gingervane-Holders-Done", "Gingervane-Stale-Shards"
-
-
-class VectorFrontSettings(NamedTuple):
-    """What the front stands on. `quorum`: holders of a shard that must have done a write, of `width`."""
-
-    collections: Mapping[str, Collection]
-    shard_count: int
-    replication_factor: int
-    write_quorum: int
-    search_class: str
-    upsert_class: str
-    add_class: str
-    request_limits: RequestLimits
-
-
-_Then = Callable[[Exchange], Reply]  # what is left to do with a request that has been read
-
-
-class _Ask(NamedTuple):
-    """A request's parameters."""
-
-    name: str  # of the class
-    kind: ClassOf
-    until: float
-    partial: bool
+__all__ = ["NAME", "VectorFront"]
 
 
 class VectorFront:
@@ -74,326 +33,105 @@
 
     def __init__(
         self,
-        search: QueryDispatcher,
+        dispatcher: QueryDispatcher,
         writes: QuorumWrites,
-        setting: VectorFrontSettings,
+        settings: VectorFrontSettings,
         classes: dict[str, ClassOf],
         gate: Gate,
     ) -> None:
-        self._gate, self._longest = gate, max(kind.deadline for kind in classes.values())
-        self._desk, self._writes, self._set, self._classes = search, writes, setting, classes
-        self._exchanges = {c.name: SearchCodec(c, setting.shard_count) for c in setting.collections.values()}
-        self._lock = threading.Lock()
-        self._stale_shards = 0
+        """`dispatcher` is of the coordinator that decides searches."""
+        self._writes = writes
+        self._settings = settings
+        self._gate = gate
+        self._max_deadline = max(query_class.deadline for query_class in classes.values())
+        self._search_handler = SearchHandler(dispatcher, writes, settings, classes, gate)
+        self._write_handler = WriteHandler(writes, settings, classes)
 
     @property
     def counts(self) -> dict[str, int]:
-        return {**self._writes.counts, "stale_shards": self._stale_shards}
+        """Counts by the names that metrics give them."""
+        return {**self._writes.counts, "stale_shards": self._search_handler.stale_shard_count}
 
     def routes(self) -> list[Route]:
+        """Return the routes that this front serves."""
         base = "/collections/{name}"
+        search = self._search_handler.read
+        writes = self._write_handler
+        readers: list[tuple[str, str, Callable[[VectorRequest], Execution]]] = [
+            ("POST", "/points/search", partial(search, batch=False, in_object=False)),
+            ("POST", "/points/query", partial(search, batch=False, in_object=True)),
+            ("POST", "/points/search/batch", partial(search, batch=True, in_object=False)),
+            ("POST", "/points/query/batch", partial(search, batch=True, in_object=True)),
+            ("PUT", "/points", writes.read_upsert),
+            ("POST", "/points/payload", writes.read_payload),
+            ("POST", "/points/delete", writes.read_delete),
+        ]
         return [
             Route("GET", base, self._describe),
-            Route("POST", base + "/points/search", self._guard(self._search)),
-            Route("POST", base + "/points/query", self._guard(self._query)),
-            Route("POST", base + "/points/search/batch", self._guard(self._search_batch)),
-            Route("POST", base + "/points/query/batch", self._guard(self._query_batch)),
-            Route("PUT", base + "/points", self._guard(self._upsert)),
-            Route("POST", base + "/points/payload", self._guard(self._payload)),
-            Route("POST", base + "/points/delete", self._guard(self._delete)),
+            *(Route(method, base + path, self._handler(read)) for method, path, read in readers),
         ]
 
-    # ---- requests
-
-    def _guard(
-        self,
-        read: Callable[[Collection, dict[str, Any], Request, float], _Then],
+    def _handler(
+        self, read: Callable[[VectorRequest], Execution]
     ) -> Callable[[Request, bytes, float, Exchange, dict[str, str]], Reply]:
-        """Read in this front's turn, then do it; errors as the API says them."""
+        """Return a handler that reads a request in this front's turn, executes it, and maps errors to replies."""
 
         def handle(
             request: Request, body: bytes, arrived: float, client: Exchange, words: dict[str, str]
         ) -> Reply:
-            collection = self._set.collections.get(words["name"])
+            collection = self._settings.collections.get(words["name"])
             if collection is None:
-                return _error(404, f"Not found: Collection `{words['name']}` doesn't exist!")
-            latest = arrived + self._longest
+                return collection_not_found(words["name"])
+            latest_deadline = arrived + self._max_deadline
             try:
-                with self._gate.work(NAME, latest):
-                    then = read(collection, reading.decode(body), request, arrived)
-                return then(client)
+                with self._gate.work(NAME, latest_deadline):
+                    execute = read(VectorRequest(collection, decode(body), request, arrived))
+                return execute(client)
             except QueueFull as error:
-                return _refused(str(error), error.retry_after, latest)
+                return rejection_reply(str(error), error.retry_after, latest_deadline)
             except RequestError as error:
-                return _error(400, f"Wrong input: {error}")
+                return error_reply(400, f"Wrong input: {error}")
             except HttpError as error:
-                return _error(error.status, error.what)
+                return error_reply(error.status, error.what)
 
         return handle
 
-    def _ask_of(self, request: Request, arrived: float, default: str) -> _Ask:
-        values = dict(parse_qsl(request.target.partition("?")[2], keep_blank_values=True))
-        name = values.get("class", default)
-        kind = self._classes.get(name)
-        if kind is None or kind.semantics is not self._classes[default].semantics:
-            raise HttpError(400, f"parameter class: {name!r} is no class for this", True)
-        timeout = duration(values["timeout"], "parameter timeout") if "timeout" in values else kind.deadline
-        partial = flag(values.get("partial_response", "0"), "parameter partial_response")
-        return _Ask(name, kind, arrived + min(timeout, kind.deadline), partial)
-
     def _describe(
         self,
-        request: Request,
-        body: bytes,
+        _request: Request,
+        _body: bytes,
         arrived: float,
-        client: Exchange,
+        _client: Exchange,
         words: dict[str, str],
     ) -> Reply:
-        collection = self._set.collections.get(words["name"])
+        collection = self._settings.collections.get(words["name"])
         if collection is None:
-            return _error(404, f"Not found: Collection `{words['name']}` doesn't exist!")
-        return _result(
-            {
-                "status": "green",
-                "optimizer_status": "ok",
-                "segments_count": self._set.shard_count,
-                "payload_schema": {},
-                "config": {
-                    "params": {
-                        "vectors": {"size": collection.dims, "distance": collection.distance},
-                        "shard_number": self._set.shard_count,
-                        "replication_factor": self._set.replication_factor,
-                        "write_consistency_factor": self._set.write_quorum,
-                        "on_disk_payload": False,
-                    },
-                    "hnsw_config": {"m": 0, "ef_construct": 100, "full_scan_threshold": 10000},
-                    "optimizer_config": {
-                        "deleted_threshold": 0.2,
-                        "vacuum_min_vector_number": 1000,
-                        "default_segment_number": 0,
-                        "flush_interval_sec": 5,
-                    },
-                    "wal_config": {"wal_capacity_mb": 32, "wal_segments_ahead": 0},
-                },
+            return collection_not_found(words["name"])
+        return result_reply(_description(collection, self._settings), arrived)
+
+
+def _description(collection: Collection, settings: VectorFrontSettings) -> dict[str, Any]:
+    """Return what the API says of a collection; values that have no meaning here are those of a small Qdrant."""
+    return {
+        "status": "green",
+        "optimizer_status": "ok",
+        "segments_count": settings.shard_count,
+        "payload_schema": {},
+        "config": {
+            "params": {
+                "vectors": {"size": collection.dims, "distance": collection.distance},
+                "shard_number": settings.shard_count,
+                "replication_factor": settings.replication_factor,
+                "write_consistency_factor": settings.write_quorum,
+                "on_disk_payload": False,
             },
-            arrived,
-        )
-
-    # ---- search
-
-    def _search(
-        self,
-        collection: Collection,
-        body: dict[str, Any],
-        request: Request,
-        arrived: float,
-    ) -> _Then:
-        one = reading.read_search(body, collection, self._set.request_limits)
-        return self._find(collection, [one], request, arrived, lambda found: found[0])
-
-    def _query(
-        self,
-        collection: Collection,
-        body: dict[str, Any],
-        request: Request,
-        arrived: float,
-    ) -> _Then:
-        one = reading.read_search(body, collection, self._set.request_limits)
-        return self._find(collection, [one], request, arrived, lambda found: {"points": found[0]})
-
-    def _search_batch(
-        self,
-        collection: Collection,
-        body: dict[str, Any],
-        request: Request,
-        arrived: float,
-    ) -> _Then:
-        asked = reading.read_searches(body, collection, self._set.request_limits)
-        return self._find(collection, asked, request, arrived, lambda found: found)
-
-    def _query_batch(
-        self,
-        collection: Collection,
-        body: dict[str, Any],
-        request: Request,
-        arrived: float,
-    ) -> _Then:
-        asked = reading.read_searches(body, collection, self._set.request_limits)
-        return self._find(
-            collection, asked, request, arrived, lambda found: [{"points": one} for one in found]
-        )
-
-    def _find(
-        self,
-        collection: Collection,
-        asked: list[SearchRequest],
-        request: Request,
-        arrived: float,
-        shape: Callable[[list[Any]], Any],
-    ) -> _Then:
-        """Ask every shard, and merge."""
-        ask, shards = self._ask_of(request, arrived, self._set.search_class), self._set.shard_count
-        bodies = tuple(one.body for one in asked)
-        parts = [t.PartPlan(s, 1.0 / shards, ShardSearch(s, bodies)) for s in range(shards)]
-        number = ask.kind.lenient if ask.partial else ask.kind.strict
-        question = QueryRequest(ask.name, number, parts, self._exchanges[collection.name], arrived, ask.until)
-
-        def then(client: Exchange) -> Reply:
-            try:
-                settled = self._desk.dispatch(question, client)
-            except Rejected as error:
-                return _refused(str(error), error.retry_after, ask.until)
-            with self._gate.work(NAME, ask.until, must=True):
-                return self._found(collection, asked, ask, settled, arrived, shape)
-
-        return then
-
-    def _found(
-        self,
-        collection: Collection,
-        asked: list[SearchRequest],
-        ask: _Ask,
-        settled: DispatchResult,
-        arrived: float,
-        shape: Callable[[list[Any]], Any],
-    ) -> Reply:
-        """The reply to searches that have come to their end."""
-        final, shards = settled.result, self._set.shard_count
-        whole = final.status is t.QueryStatus.COMPLETE and len(final.results) == shards
-        if final.status not in (t.QueryStatus.COMPLETE, t.QueryStatus.PARTIAL) or not (whole or ask.partial):
-            reply = _not_answered(final, ask.until, proof=False)
-            return reply._replace(done=settled.release)
-        hits: dict[int, ShardHits] = final.results
-        found = [
-            merge_hits(
-                (h.lists[i] for h in hits.values()), one.offset, one.limit, collection.greater_is_nearer
-            )
-            for i, one in enumerate(asked)
-        ]
-        missing = [f"s{s}" for s in range(shards) if s not in hits]
-        fields = coverage_fields(whole, final.coverage, missing)
-        if stale := self._stale(collection, hits):
-            fields.append((STALE_HEADER, ",".join(f"s{s}" for s in stale)))
-        return _result(shape(found), arrived, fields)._replace(until=ask.until, done=settled.release)
-
-    def _stale(self, collection: Collection, hits: dict[int, ShardHits]) -> list[int]:
-        """Shards whose answer came from a holder that lacks a write which this co-ordinator has acknowledged."""
-        stale = [
-            s
-            for s, h in sorted(hits.items())
-            if h.freshness < self._writes.acknowledged_version(ShardKey(collection.name, s))
-        ]
-        with self._lock:
-            self._stale_shards += len(stale)
-        return stale
-
-    # ---- writes
-
-    def _upsert(
-        self,
-        collection: Collection,
-        body: dict[str, Any],
-        request: Request,
-        arrived: float,
-    ) -> _Then:
-        write = reading.read_upsert(body, collection, self._set.request_limits, self._set.shard_count)
-        return self._keyed(collection, write, request, arrived)
-
-    def _delete(
-        self,
-        collection: Collection,
-        body: dict[str, Any],
-        request: Request,
-        arrived: float,
-    ) -> _Then:
-        return self._keyed(
-            collection,
-            reading.read_delete(body, self._set.request_limits, self._set.shard_count),
-            request,
-            arrived,
-        )
-
-    def _payload(
-        self,
-        collection: Collection,
-        body: dict[str, Any],
-        request: Request,
-        arrived: float,
-    ) -> _Then:
-        values = dict(parse_qsl(request.target.partition("?")[2], keep_blank_values=True))
-        add = flag(values.get("increment", "0"), "parameter increment")
-        write = reading.read_payload(body, self._set.request_limits, self._set.shard_count, add)
-        if not add:
-            return self._keyed(collection, write, request, arrived)
-        # Additions have no key that replicas would know: each is sent again only on proof that it did not run.
-        ask = self._ask_of(request, arrived, self._set.add_class)
-        work = self._work(collection, write, ask)
-        return lambda client: self._reply(self._writes.write_without_key(work), arrived, ask.until)
-
-    def _keyed(self, collection: Collection, write: PointWrite, request: Request, arrived: float) -> _Then:
-        """A write that replicas know by its key."""
-        ask = self._ask_of(request, arrived, self._set.upsert_class)
-        key = request.headers.get(KEY_HEADER.lower())
-        if len(key) > _MOST_KEY or not key.isascii():
-            raise RequestError(f"header {KEY_HEADER}: more than {_MOST_KEY} characters, or not ASCII")
-        digest = hashlib.blake2b(
-            orjson.dumps([write.operation, sorted(write.by_shard.items())], option=orjson.OPT_SORT_KEYS),
-            digest_size=16,
-        ).hexdigest()
-        name = f"{collection.name}/{key or uuid.uuid4().hex}"
-        work = self._work(collection, write, ask)
-        return lambda client: self._reply(self._writes.write_with_key(name, digest, work), arrived, ask.until)
-
-    def _work(self, collection: Collection, write: PointWrite, ask: _Ask) -> ReplicatedWrite:
-        contents = {
-            shard: lambda holder, s=shard, b=body: ShardWrite(s, write.operation, b, holder)
-            for shard, body in write.by_shard.items()
-        }
-
-        def exchange(key: str, version: int, acked: Callable[[int, int], None]) -> WriteCodec:
-            return WriteCodec(collection, key, version, acked)
-
-        return ReplicatedWrite(collection.name, contents, exchange, ask.name, ask.kind.lenient, ask.until)
-
-    def _reply(self, outcome: WriteOutcome, arrived: float, until: float) -> Reply:
-        match outcome.action:
-            case KeyAction.WINDOW_EXPIRED:
-                what = "may have run, and replicas no longer know its key: look before you write again"
-                return _error(409, f"failed: {what}")._replace(until=until)
-            case KeyAction.KEY_REUSED:
-                return _error(422, f"header {KEY_HEADER}: was used for another content")._replace(until=until)
-            case KeyAction.OVER_CAPACITY:
-                return _refused("too many keys are in their window", 1.0, until)
-        match outcome.state:
-            case WriteState.COMPLETED:
-                fields = [(DONE_HEADER, f"{outcome.replicated_share:.3f}")]
-                fields += [("Gingervane-Repeat", "yes")] if outcome.replayed else []
-                result = {"operation_id": outcome.version, "status": "completed"}
-                return _result(result, arrived, fields)._replace(until=until)
-            case WriteState.NOT_EXECUTED:
-                return _refused(outcome.detail, outcome.retry_after, until)
-            case _:
-                return _error(502, f"failed: {outcome.detail}")._replace(until=until)
-
-
-def _json(status: int, content: Any, fields: list[tuple[str, str]]) -> Reply:
-    return Reply(status, [("Content-Type", "application/json"), *fields], orjson.dumps(content))
-
-
-def _result(result: Any, arrived: float, fields: list[tuple[str, str]] | None = None) -> Reply:
-    taken = round(time.monotonic() - arrived, 6)
-    return _json(200, {"result": result, "status": "ok", "time": taken}, fields or [])
-
-
-def _error(status: int, what: str, fields: tuple[tuple[str, str], ...] = ()) -> Reply:
-    return _json(status, {"status": {"error": what}, "time": 0.0, "result": None}, list(fields))
-
-
-def _refused(why: str, wait: float, until: float, proof: bool = True) -> Reply:
-    return _error(503, f"refused: {why or 'refused'}", refusal_fields(wait, proof))._replace(until=until)
-
-
-def _not_answered(final: t.QueryResult, until: float, proof: bool) -> Reply:
-    if final.status is t.QueryStatus.REJECTED:
-        return _refused(final.detail, final.retry_after, until, proof)
-    return _error(502, f"failed: {final.detail or 'no answer in time'}")._replace(until=until)
+            "hnsw_config": {"m": 0, "ef_construct": 100, "full_scan_threshold": 10000},
+            "optimizer_config": {
+                "deleted_threshold": 0.2,
+                "vacuum_min_vector_number": 1000,
+                "default_segment_number": 0,
+                "flush_interval_sec": 5,
+            },
+            "wal_config": {"wal_capacity_mb": 32, "wal_segments_ahead": 0},
+        },
+    }
--- /dev/null
+++ b/gingervane/vectors/request_context.py
@@ -0,0 +1,70 @@
+"""What the handlers of the vector API share: settings, a request that has been decoded, and its URL parameters."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Mapping
+from typing import Any, NamedTuple
+from urllib.parse import parse_qsl
+
+from gingervane.fronts.http_server import Exchange, Reply
+from gingervane.fronts.routing import ClassOf, duration, flag
+from gingervane.vectors.points import Collection
+from gingervane.vectors.requests import RequestLimits
+from gingervane.wire.http1 import HttpError, Request
+
+NAME = "vectors"  # of the front, where it shares limits with others
+
+
+class VectorFrontSettings(NamedTuple):
+    """Settings of the front."""
+
+    collections: Mapping[str, Collection]
+    shard_count: int
+    replication_factor: int
+    write_quorum: int  # replicas of a shard that must have executed a write
+    search_class: str
+    upsert_class: str
+    add_class: str
+    request_limits: RequestLimits
+
+
+class VectorRequest(NamedTuple):
+    """A request to a collection, with its JSON body decoded."""
+
+    collection: Collection
+    body: dict[str, Any]
+    http: Request
+    arrived: float  # on the monotonic clock
+
+    def url_parameters(self) -> dict[str, str]:
+        """Return the parameters after the question mark."""
+        return dict(parse_qsl(self.http.target.partition("?")[2], keep_blank_values=True))
+
+
+Execution = Callable[[Exchange], Reply]  # executes a request that has been read
+
+
+class ExecutionParameters(NamedTuple):
+    """How a request is to be executed."""
+
+    class_name: str
+    query_class: ClassOf
+    deadline: float  # of the client, on the monotonic clock
+    partial: bool  # whether the client takes partial answers
+
+
+def read_parameters(
+    request: VectorRequest, classes: Mapping[str, ClassOf], default_class: str
+) -> ExecutionParameters:
+    """Read the parameters class, timeout and partial_response. Raises HttpError."""
+    values = request.url_parameters()
+    name = values.get("class", default_class)
+    query_class = classes.get(name)
+    if query_class is None or query_class.semantics is not classes[default_class].semantics:
+        raise HttpError(400, f"parameter class: {name!r} is no class for this", True)
+    timeout = query_class.deadline
+    if "timeout" in values:
+        timeout = duration(values["timeout"], "parameter timeout")
+    partial = flag(values.get("partial_response", "0"), "parameter partial_response")
+    deadline = request.arrived + min(timeout, query_class.deadline)
+    return ExecutionParameters(name, query_class, deadline, partial)
--- /dev/null
+++ b/gingervane/vectors/search_handler.py
@@ -0,0 +1,147 @@
+"""Searches: every shard is asked, and their points are merged.
+
+A search is answered completely or, to a client that asks with `partial_response=true`, partially with its coverage.
+"""
+
+from __future__ import annotations
+
+import threading
+from typing import Any, NamedTuple
+
+from gingervane.coordinator import types as t
+from gingervane.coordinator.core import Rejected
+from gingervane.coordinator.dispatch import DispatchResult, QueryDispatcher, QueryRequest
+from gingervane.fronts.http_server import Exchange, Reply
+from gingervane.fronts.routing import ClassOf, coverage_fields
+from gingervane.limits.concurrency_limit import Gate
+from gingervane.vectors.codec import SearchCodec, ShardHits, ShardSearch
+from gingervane.vectors.points import Collection
+from gingervane.vectors.replies import rejection_reply, result_reply, unanswered_reply
+from gingervane.vectors.request_context import (
+    NAME,
+    Execution,
+    ExecutionParameters,
+    VectorFrontSettings,
+    VectorRequest,
+    read_parameters,
+)
+from gingervane.vectors.requests import SearchRequest, read_search, read_searches
+from gingervane.vectors.topk import merge_hits
+from gingervane.writes.missed_writes import ShardKey
+from gingervane.writes.quorum_writes import QuorumWrites
+
+STALE_HEADER = "Gingervane-Stale-Shards"
+
+
+class _SearchExecution(NamedTuple):
+    """Searches of one request, and the form of their result."""
+
+    searches: list[SearchRequest]
+    collection: Collection
+    parameters: ExecutionParameters
+    arrived: float
+    batch: bool  # a list of results, or just one
+    in_object: bool  # points as a field of an object, or as they are
+
+    def format(self, results: list[list[dict[str, Any]]]) -> Any:
+        """Return the results of all searches in the form that the client expects."""
+        formatted: list[Any] = [{"points": points} for points in results] if self.in_object else results
+        return formatted if self.batch else formatted[0]
+
+
+class SearchHandler:
+    """Reads and executes searches. `_lock` guards the count."""
+
+    def __init__(
+        self,
+        dispatcher: QueryDispatcher,
+        writes: QuorumWrites,
+        settings: VectorFrontSettings,
+        classes: dict[str, ClassOf],
+        gate: Gate,
+    ) -> None:
+        """`writes` tell how fresh an answer must be."""
+        self._dispatcher = dispatcher
+        self._writes = writes
+        self._settings = settings
+        self._classes = classes
+        self._gate = gate
+        self._codecs = {
+            collection.name: SearchCodec(collection, settings.shard_count)
+            for collection in settings.collections.values()
+        }
+        self._lock = threading.Lock()
+        self.stale_shard_count = 0
+
+    def read(self, request: VectorRequest, batch: bool, in_object: bool) -> Execution:
+        """Read one search or a batch, whose results are returned as lists or `in_object`."""
+        collection = request.collection
+        limits = self._settings.request_limits
+        if batch:
+            searches = read_searches(request.body, collection, limits)
+        else:
+            searches = [read_search(request.body, collection, limits)]
+        parameters = read_parameters(request, self._classes, self._settings.search_class)
+        execution = _SearchExecution(searches, collection, parameters, request.arrived, batch, in_object)
+        query = self._query(execution)
+
+        def execute(client: Exchange) -> Reply:
+            try:
+                dispatched = self._dispatcher.dispatch(query, client)
+            except Rejected as error:
+                return rejection_reply(str(error), error.retry_after, parameters.deadline)
+            with self._gate.work(NAME, parameters.deadline, must=True):
+                return self._reply(execution, dispatched)
+
+        return execute
+
+    def _query(self, execution: _SearchExecution) -> QueryRequest:
+        shards = self._settings.shard_count
+        bodies = tuple(search.body for search in execution.searches)
+        parts = [t.PartPlan(shard, 1.0 / shards, ShardSearch(shard, bodies)) for shard in range(shards)]
+        parameters = execution.parameters
+        query_class = parameters.query_class
+        return QueryRequest(
+            parameters.class_name,
+            query_class.lenient if parameters.partial else query_class.strict,
+            parts,
+            self._codecs[execution.collection.name],
+            execution.arrived,
+            parameters.deadline,
+        )
+
+    def _reply(self, execution: _SearchExecution, dispatched: DispatchResult) -> Reply:
+        result = dispatched.result
+        shards = self._settings.shard_count
+        deadline = execution.parameters.deadline
+        complete = result.status is t.QueryStatus.COMPLETE and len(result.results) == shards
+        answered = result.status in (t.QueryStatus.COMPLETE, t.QueryStatus.PARTIAL)
+        if not answered or not (complete or execution.parameters.partial):
+            return unanswered_reply(result, deadline)._replace(done=dispatched.release)
+        hits: dict[int, ShardHits] = result.results
+        merged = [
+            merge_hits(
+                (shard_hits.lists[index] for shard_hits in hits.values()),
+                search.offset,
+                search.limit,
+                execution.collection.greater_is_nearer,
+            )
+            for index, search in enumerate(execution.searches)
+        ]
+        missing = [f"s{shard}" for shard in range(shards) if shard not in hits]
+        fields = coverage_fields(complete, result.coverage, missing)
+        if stale := self._stale_shards(execution.collection, hits):
+            fields.append((STALE_HEADER, ",".join(f"s{shard}" for shard in stale)))
+        reply = result_reply(execution.format(merged), execution.arrived, fields)
+        return reply._replace(until=deadline, done=dispatched.release)
+
+    def _stale_shards(self, collection: Collection, hits: dict[int, ShardHits]) -> list[int]:
+        """Return shards whose replica lacks a write that this coordinator has acknowledged."""
+        stale = [
+            shard
+            for shard, shard_hits in sorted(hits.items())
+            if shard_hits.freshness < self._writes.acknowledged_version(ShardKey(collection.name, shard))
+        ]
+        with self._lock:
+            self.stale_shard_count += len(stale)
+        return stale
--- a/gingervane/vectors/service.py
+++ b/gingervane/vectors/service.py
@@ -13,9 +13,10 @@
 from gingervane.fronts.routing import ClassOf
 from gingervane.limits.concurrency_limit import Gate
 from gingervane.membership.service import MembershipService, Rings
-from gingervane.vectors.front import VectorFront, VectorFrontSettings
-from gingervane.vectors.points import RequestLimits as PointBounds
+from gingervane.vectors.front import VectorFront
+from gingervane.vectors.request_context import VectorFrontSettings
 from gingervane.vectors.points import Collection
+from gingervane.vectors.requests import RequestLimits
 from gingervane.vectors.replica_client import VectorReplicaClient
 
 
@@ -63,7 +64,7 @@
             table.search_class,
             table.upsert_class,
             table.add_class,
-            PointBounds(table.max_k, table.max_points, table.max_searches),
+            RequestLimits(table.max_k, table.max_points, table.max_searches),
         )
         self.front = VectorFront(self.shards.reads, self.shards.writes, setting, classes, gate)
         self.membership = MembershipService(
--- /dev/null
+++ b/gingervane/vectors/write_handler.py
@@ -0,0 +1,139 @@
+"""Writes of points: read, sent to every replica of their shards, and answered once a quorum has executed them.
+
+Replies: 200 completed; 503 nothing was executed, and a retry does no harm; 502 nothing is promised; 409 it may have
+been executed, and the window of its key is over; 422 the key was used with another content.
+"""
+
+from __future__ import annotations
+
+import hashlib
+import uuid
+from collections.abc import Callable
+
+import orjson
+
+from gingervane.fronts.http_server import Reply
+from gingervane.fronts.routing import ClassOf, flag
+from gingervane.vectors.codec import KEY_HEADER, ShardWrite, WriteCodec
+from gingervane.vectors.points import Collection, RequestError
+from gingervane.vectors.replies import error_reply, failure_reply, rejection_reply, result_reply
+from gingervane.vectors.request_context import (
+    Execution,
+    ExecutionParameters,
+    VectorFrontSettings,
+    VectorRequest,
+    read_parameters,
+)
+from gingervane.vectors.requests import PointWrite, read_delete, read_payload, read_upsert
+from gingervane.writes.idempotency import KeyAction, WriteState
+from gingervane.writes.quorum_writes import QuorumWrites
+from gingervane.writes.write_replication import ReplicatedWrite, WriteOutcome
+
+DONE_HEADER = "Gingervane-Holders-Done"
+REPEAT_HEADER = "Gingervane-Repeat"
+
+_MAX_KEY_LENGTH = 200  # characters
+_DIGEST_BYTES = 16
+_KEYS_FULL_RETRY_AFTER = 1.0  # seconds
+
+
+class WriteHandler:
+    """Reads and executes writes."""
+
+    def __init__(
+        self, writes: QuorumWrites, settings: VectorFrontSettings, classes: dict[str, ClassOf]
+    ) -> None:
+        self._writes = writes
+        self._settings = settings
+        self._classes = classes
+
+    def read_upsert(self, request: VectorRequest) -> Execution:
+        """Read points to insert or to replace."""
+        settings = self._settings
+        write = read_upsert(request.body, request.collection, settings.request_limits, settings.shard_count)
+        return self._with_key(request, write)
+
+    def read_delete(self, request: VectorRequest) -> Execution:
+        """Read points to delete."""
+        write = read_delete(request.body, self._settings.request_limits, self._settings.shard_count)
+        return self._with_key(request, write)
+
+    def read_payload(self, request: VectorRequest) -> Execution:
+        """Read a payload to set or to increment.
+
+        Increments have no key that replicas recognize: each is sent again only on proof that it was not executed.
+        """
+        increment = flag(request.url_parameters().get("increment", "0"), "parameter increment")
+        write = read_payload(
+            request.body, self._settings.request_limits, self._settings.shard_count, increment
+        )
+        if not increment:
+            return self._with_key(request, write)
+        parameters = read_parameters(request, self._classes, self._settings.add_class)
+        replicated = _replicated_write(request.collection, write, parameters)
+        return lambda _client: _reply(
+            self._writes.write_without_key(replicated), request.arrived, parameters.deadline
+        )
+
+    def _with_key(self, request: VectorRequest, write: PointWrite) -> Execution:
+        parameters = read_parameters(request, self._classes, self._settings.upsert_class)
+        key = request.http.headers.get(KEY_HEADER.lower())
+        if len(key) > _MAX_KEY_LENGTH or not key.isascii():
+            raise RequestError(f"header {KEY_HEADER}: more than {_MAX_KEY_LENGTH} characters, or not ASCII")
+        digest = _digest(write)
+        scoped_key = f"{request.collection.name}/{key or uuid.uuid4().hex}"
+        replicated = _replicated_write(request.collection, write, parameters)
+        return lambda _client: _reply(
+            self._writes.write_with_key(scoped_key, digest, replicated),
+            request.arrived,
+            parameters.deadline,
+        )
+
+
+def _digest(write: PointWrite) -> str:
+    content = orjson.dumps([write.operation, sorted(write.by_shard.items())], option=orjson.OPT_SORT_KEYS)
+    return hashlib.blake2b(content, digest_size=_DIGEST_BYTES).hexdigest()
+
+
+def _replicated_write(
+    collection: Collection, write: PointWrite, parameters: ExecutionParameters
+) -> ReplicatedWrite:
+    content_by_shard = {
+        shard: lambda replica, shard=shard, body=body: ShardWrite(shard, write.operation, body, replica)
+        for shard, body in write.by_shard.items()
+    }
+
+    def make_codec(key: str, version: int, acknowledged: Callable[[int, int], None]) -> WriteCodec:
+        return WriteCodec(collection, key, version, acknowledged)
+
+    return ReplicatedWrite(
+        collection.name,
+        content_by_shard,
+        make_codec,
+        parameters.class_name,
+        parameters.query_class.lenient,
+        parameters.deadline,
+    )
+
+
+def _reply(outcome: WriteOutcome, arrived: float, deadline: float) -> Reply:
+    match outcome.action:
+        case KeyAction.WINDOW_EXPIRED:
+            detail = "may have run, and replicas no longer know its key: look before you write again"
+            return error_reply(409, f"failed: {detail}")._replace(until=deadline)
+        case KeyAction.KEY_REUSED:
+            detail = f"header {KEY_HEADER}: was used for another content"
+            return error_reply(422, detail)._replace(until=deadline)
+        case KeyAction.OVER_CAPACITY:
+            return rejection_reply("too many keys are in their window", _KEYS_FULL_RETRY_AFTER, deadline)
+    match outcome.state:
+        case WriteState.COMPLETED:
+            fields = [(DONE_HEADER, f"{outcome.replicated_share:.3f}")]
+            if outcome.replayed:
+                fields.append((REPEAT_HEADER, "yes"))
+            result = {"operation_id": outcome.version, "status": "completed"}
+            return result_reply(result, arrived, fields)._replace(until=deadline)
+        case WriteState.NOT_EXECUTED:
+            return rejection_reply(outcome.detail, outcome.retry_after, deadline)
+        case _:
+            return failure_reply(outcome.detail, deadline)
