--- a/gingervane/vectors/codec.py
+++ b/gingervane/vectors/codec.py
@@ -1,8 +1,9 @@
-"""How parts of the vector front travel to replicas: Qdrant's batch operations, each naming its shard by `shard_key`.
+"""Encoding of parts for replicas: Qdrant's batch operations, each of which names its shard by `shard_key`.
 
-Replies are checked before any of it counts: shape, bounds, order, finite scores, ids that live in the shard. Headers
-beside the published API: `Idempotency-Key` and `Gingervane-Version` on writes; `Gingervane-Began: no` on a refusal
-proves that nothing was begun; `Gingervane-Freshness` on an answer has for each shard the newest version applied.
+Replies are checked before any of them counts: form, bounds, order, finite scores, and ids that live in the shard.
+There are headers beside the published API. Writes carry `Idempotency-Key` and `Gingervane-Version`.
+`Gingervane-Began: no` on a rejection proves that nothing was begun. `Gingervane-Freshness` on an answer has, for each
+shard, the newest version that the replica has applied.
 """
 
 from __future__ import annotations
@@ -19,27 +20,35 @@
 from gingervane.vectors.topk import is_sorted
 from gingervane.wire import http1
 
-KEY_HEADER, VERSION_HEADER, FRESHNESS_HEADER = "Idempotency-Key", "Gingervane-Version", "Gingervane-Freshness"
+KEY_HEADER = "Idempotency-Key"
+VERSION_HEADER = "Gingervane-Version"
+FRESHNESS_HEADER = "Gingervane-Freshness"
 TIMEOUT_HEADER = "Gingervane-Timeout-Ms"
 
+_OVERLOADED_STATUSES = (429, 503)
+_DECODED_SIZE_FACTOR = 3  # decoded JSON takes about so many times its encoded size
+_WRITE_RESULT_BYTES = 64
+_MAX_FRESHNESS_ENTRIES = 4096
+_MAX_FRESHNESS_ENTRY_LENGTH = 40  # characters, exclusive
+
 
 class ShardSearch(NamedTuple):
-    """The content of one part: a shard and all that is asked of it."""
+    """Content of a part: a shard, and all searches of a request."""
 
     shard: int
     searches: tuple[dict[str, Any], ...]
 
 
 class ShardHits(NamedTuple):
-    """A shard's answer: a list a search, its own newest version, and the bytes that it came in."""
+    """Result of a part: what a shard found."""
 
-    lists: list[list[dict[str, Any]]]
-    freshness: int
-    byte_count: int
+    lists: list[list[dict[str, Any]]]  # points for each search
+    freshness: int  # newest version that the replica has of the shard
+    byte_count: int  # of its share of the reply
 
 
 class ShardWrite(NamedTuple):
-    """The content of one part of a write: a shard, what is to be done there, and the holder that it is for."""
+    """Content of a part of a write: a shard, the operation there, and the replica that it is for."""
 
     shard: int
     operation: str
@@ -48,10 +57,10 @@
 
 
 class WriteAcknowledgement(NamedTuple):
-    """A holder has done its part. `repeat`: it had done so before, by the key."""
+    """Result of a part of a write: the replica has executed it."""
 
     shard: int
-    replayed: bool
+    replayed: bool  # it had executed it before, as it knew by the key
 
 
 def encode_request(
@@ -62,7 +71,7 @@
     seconds_left: float,
     fields: tuple[tuple[str, str], ...] = (),
 ) -> bytes:
-    """A JSON request's bytes."""
+    """Encode an HTTP request with a JSON body."""
     return (
         http1.head(
             f"{method} {target} HTTP/1.1",
@@ -80,119 +89,149 @@
 
 
 def decode_result(status: int, header: Callable[[str], str], body: bytes) -> Any:
-    """The `result` of a reply. Raises BadReply."""
+    """Decode the `result` of a reply. Raises InvalidReply."""
     if status != 200:
-        idle = header(BEGAN_HEADER.lower()) == "no" and status in (429, 503)
-        raise t.InvalidReply(f"status {status}", proves_not_executed=idle, overloaded=status in (429, 503))
+        overloaded = status in _OVERLOADED_STATUSES
+        not_executed = header(BEGAN_HEADER.lower()) == "no" and overloaded
+        raise t.InvalidReply(f"status {status}", proves_not_executed=not_executed, overloaded=overloaded)
     try:
-        found = orjson.loads(body)
-        return found["result"]
+        return orjson.loads(body)["result"]
     except (orjson.JSONDecodeError, KeyError, TypeError) as error:
         raise t.InvalidReply(f"body: {error!r}") from None
 
 
 class SearchCodec:
-    """Searches of one collection. Shared by all its requests, so that parts for one replica travel together."""
+    """Codec of the searches of one collection.
 
-    def __init__(self, collection: Collection, shards: int) -> None:
-        self._collection, self._shards = collection, shards
+    All requests of the collection share it, so that parts for one replica are sent together.
+    """
 
-    def encode(self, contents: list[Any], seconds_left: list[float], address: tuple[str, int]) -> bytes:
-        searches = [{**one, "shard_key": f"s{c.shard}"} for c in contents for one in c.searches]
+    def __init__(self, collection: Collection, shards: int) -> None:
+        self._collection = collection
+        self._shards = shards
+
+    def encode(
+        self, contents: list[ShardSearch], seconds_left: list[float], address: tuple[str, int]
+    ) -> bytes:
+        """Encode the searches of several parts as one batch."""
+        searches = [
+            {**search, "shard_key": f"s{content.shard}"}
+            for content in contents
+            for search in content.searches
+        ]
         target = f"/collections/{self._collection.name}/points/search/batch"
-        return encode_request(
-            "POST", target, address, orjson.dumps({"searches": searches}), min(seconds_left)
-        )
+        body = orjson.dumps({"searches": searches})
+        return encode_request("POST", target, address, body, min(seconds_left))
 
     def decode(
-        self, contents: list[Any], status: int, header: Callable[[str], str], body: bytes
-    ) -> list[Any]:
+        self, contents: list[ShardSearch], status: int, header: Callable[[str], str], body: bytes
+    ) -> list[ShardHits]:
+        """Decode and check the points for each part. Raises InvalidReply."""
         lists = decode_result(status, header, body)
-        count = sum(len(c.searches) for c in contents)
-        if not isinstance(lists, list) or len(lists) != count:
-            raise t.InvalidReply(
-                f"{len(lists) if isinstance(lists, list) else type(lists).__name__} results for {count}"
-            )
-        fresh = _freshness(header(FRESHNESS_HEADER.lower()))
-        out: list[ShardHits] = []
-        at = iter(lists)
+        expected = sum(len(content.searches) for content in contents)
+        if not isinstance(lists, list) or len(lists) != expected:
+            found = len(lists) if isinstance(lists, list) else type(lists).__name__
+            raise t.InvalidReply(f"{found} results for {expected}")
+        freshness = _decode_freshness(header(FRESHNESS_HEADER.lower()))
+        byte_count = len(body) // len(contents)
+        remaining = iter(lists)
+        hits: list[ShardHits] = []
         for content in contents:
-            mine = [next(at) for _ in content.searches]
-            for asked, found in zip(content.searches, mine, strict=True):
-                self._check(content.shard, asked, found)
-            out.append(ShardHits(mine, fresh.get(content.shard, 0), len(body) // len(contents)))
-        return out
-
-    def _check(self, shard: int, asked: dict[str, Any], found: Any) -> None:
-        if not isinstance(found, list) or len(found) > asked["limit"]:
-            raise t.InvalidReply(f"shard {shard}: no list of {asked['limit']} points at most")
-        for point in found:
-            try:
-                score, version, number = point["score"], point["version"], read_id(point["id"], "id")
-            except (KeyError, TypeError, RequestError) as error:
-                raise t.InvalidReply(f"shard {shard}: a point makes no sense: {error!r}") from None
-            if type(score) not in (int, float) or not isfinite(score) or type(version) is not int:
-                raise t.InvalidReply(f"shard {shard}: point {number!r} has no finite score and version")
-            if shard_of(number, self._shards) != shard:
-                raise t.InvalidReply(f"shard {shard}: point {number!r} lives elsewhere")
-        if not is_sorted(found, self._collection.greater_is_nearer):
+            own_lists = [next(remaining) for _ in content.searches]
+            for search, points in zip(content.searches, own_lists, strict=True):
+                self._check_points(content.shard, search, points)
+            hits.append(ShardHits(own_lists, freshness.get(content.shard, 0), byte_count))
+        return hits
+
+    def result_size(self, result: ShardHits) -> int:
+        """Return about how many bytes a result takes in memory."""
+        return _DECODED_SIZE_FACTOR * int(result.byte_count)
+
+    def _check_points(self, shard: int, search: dict[str, Any], points: Any) -> None:
+        if not isinstance(points, list) or len(points) > search["limit"]:
+            raise t.InvalidReply(f"shard {shard}: no list of {search['limit']} points at most")
+        for point in points:
+            self._check_point(shard, point)
+        if not is_sorted(points, self._collection.greater_is_nearer):
             raise t.InvalidReply(f"shard {shard}: not in order")
 
-    def result_size(self, result: Any) -> int:
-        return 3 * int(result.byte_count)  # decoded JSON takes about so much more
+    def _check_point(self, shard: int, point: Any) -> None:
+        try:
+            score = point["score"]
+            version = point["version"]
+            point_id = read_id(point["id"], "id")
+        except (KeyError, TypeError, RequestError) as error:
+            raise t.InvalidReply(f"shard {shard}: a point makes no sense: {error!r}") from None
+        if type(score) not in (int, float) or not isfinite(score) or type(version) is not int:
+            raise t.InvalidReply(f"shard {shard}: point {point_id!r} has no finite score and version")
+        if shard_of(point_id, self._shards) != shard:
+            raise t.InvalidReply(f"shard {shard}: point {point_id!r} lives elsewhere")
 
 
 class WriteCodec:
-    """One write request, to each holder of each of its shards."""
+    """Codec of one write, to each replica of each of its shards."""
 
     def __init__(
         self,
         collection: Collection,
         key: str,
         version: int,
-        acked: Callable[[int, int], None],
+        acknowledged: Callable[[int, int], None],
     ) -> None:
-        """`acked` is told of every holder's success, by shard and holder, also of one that comes when nobody waits
-        any more; on a sender's thread."""
-        self._collection, self._key, self._version, self._acked = collection, key, version, acked
-
-    def encode(self, contents: list[Any], seconds_left: list[float], address: tuple[str, int]) -> bytes:
-        operations = [{c.operation: {**c.body, "shard_key": f"s{c.shard}"}} for c in contents]
+        """`acknowledged` is called with the shard and the replica of every success, on a sender's thread.
+
+        It is also called for a success that comes when nobody waits for it any more.
+        """
+        self._collection = collection
+        self._key = key
+        self._version = version
+        self._acknowledged = acknowledged
+
+    def encode(
+        self, contents: list[ShardWrite], seconds_left: list[float], address: tuple[str, int]
+    ) -> bytes:
+        """Encode the operations of several parts as one batch."""
+        operations = [
+            {content.operation: {**content.body, "shard_key": f"s{content.shard}"}} for content in contents
+        ]
         target = f"/collections/{self._collection.name}/points/batch?wait=true"
-        fields = ((KEY_HEADER, self._key),) if self._key else ()
+        key_fields = ((KEY_HEADER, self._key),) if self._key else ()
         return encode_request(
             "POST",
             target,
             address,
             orjson.dumps({"operations": operations}),
             min(seconds_left),
-            (*fields, (VERSION_HEADER, str(self._version))),
+            (*key_fields, (VERSION_HEADER, str(self._version))),
         )
 
     def decode(
-        self, contents: list[Any], status: int, header: Callable[[str], str], body: bytes
-    ) -> list[Any]:
-        found = decode_result(status, header, body)
-        if not isinstance(found, list) or len(found) != len(contents):
+        self, contents: list[ShardWrite], status: int, header: Callable[[str], str], body: bytes
+    ) -> list[WriteAcknowledgement]:
+        """Decode and check the acknowledgement of each part. Raises InvalidReply."""
+        results = decode_result(status, header, body)
+        if not isinstance(results, list) or len(results) != len(contents):
             raise t.InvalidReply("not a result for each operation")
-        if any(not isinstance(one, dict) or one.get("status") != "completed" for one in found):
+        if any(not isinstance(result, dict) or result.get("status") != "completed" for result in results):
             raise t.InvalidReply("an operation was not completed")
         for content in contents:
-            self._acked(content.shard, content.replica)
+            self._acknowledged(content.shard, content.replica)
         return [
-            WriteAcknowledgement(c.shard, bool(one.get("repeat")))
-            for c, one in zip(contents, found, strict=True)
+            WriteAcknowledgement(content.shard, bool(result.get("repeat")))
+            for content, result in zip(contents, results, strict=True)
         ]
 
-    def result_size(self, result: Any) -> int:
-        return 64
+    def result_size(self, result: WriteAcknowledgement) -> int:  # noqa: ARG002 - as the protocol has it
+        """Return about how many bytes a result takes in memory."""
+        return _WRITE_RESULT_BYTES
 
 
-def _freshness(text: str) -> dict[int, int]:
-    """`s3=17,s4=2`; what makes no sense is left out."""
-    out: dict[int, int] = {}
-    for word in text.split(",")[:4096]:
-        name, _, version = word.strip().partition("=")
-        if name[:1] == "s" and name[1:].isdigit() and version.isdigit() and len(word) < 40:
-            out[int(name[1:])] = int(version)
-    return out
+def _decode_freshness(text: str) -> dict[int, int]:
+    """Decode `s3=17,s4=2` to versions by shard. Entries of another form are ignored."""
+    versions: dict[int, int] = {}
+    for entry in text.split(",")[:_MAX_FRESHNESS_ENTRIES]:
+        name, _, version = entry.strip().partition("=")
+        is_valid = name[:1] == "s" and name[1:].isdigit() and version.isdigit()
+        if is_valid and len(entry) < _MAX_FRESHNESS_ENTRY_LENGTH:
+            versions[int(name[1:])] = int(version)
+    return versions
--- a/gingervane/vectors/replica_client.py
+++ b/gingervane/vectors/replica_client.py
@@ -1,4 +1,4 @@
-"""How vector nodes are asked for marks of a shard, and points brought from one to another."""
+"""Client for the repair of vector nodes: asks for the states of points, and copies points between nodes."""
 
 from __future__ import annotations
 
@@ -8,48 +8,55 @@
 import orjson
 
 from gingervane.coordinator import types as t
+from gingervane.vectors.codec import decode_result, encode_request
+from gingervane.wire.http1 import Closed, HttpError
+from gingervane.wire.pool import Pool, exchange
 from gingervane.writes.missed_writes import ShardKey
 from gingervane.writes.repair_plan import PointState
 from gingervane.writes.shard_placement import ShardReplica
-from gingervane.vectors.codec import encode_request, decode_result
-from gingervane.wire.http1 import Closed, HttpError
-from gingervane.wire.pool import Pool, exchange
 
-_PATIENCE = 5.0  # seconds for one call
+_REQUEST_TIMEOUT = 5.0  # seconds
 
 
 class VectorReplicaClient:
-    """Over the daemon's pool; on the repairer's thread."""
+    """A `ShardReplicaClient` over the daemon's connection pool, for the repairer's thread."""
 
     def __init__(self, pool: Pool) -> None:
         self._pool = pool
 
-    def point_states(self, holder: ShardReplica, place: ShardKey) -> dict[str, PointState] | None:
-        found = self._call(holder, "GET", place, "marks", None)
+    def point_states(self, replica: ShardReplica, shard: ShardKey) -> dict[str, PointState] | None:
+        """Return what a replica has of a shard; None if it gives no valid reply."""
+        found = self._request(replica, "GET", shard, "marks", None)
+        if found is None:
+            return None
         try:
-            return (
-                None
-                if found is None
-                else {str(n): PointState(int(v), int(ops), int(d)) for n, (v, ops, d) in found.items()}
-            )
+            return {
+                str(point): PointState(int(version), int(additions), int(digest))
+                for point, (version, additions, digest) in found.items()
+            }
         except (ValueError, TypeError, AttributeError):
             return None
 
     def copy_points(
-        self, place: ShardKey, source: ShardReplica, target: ShardReplica, points: tuple[str, ...]
+        self, shard: ShardKey, source: ShardReplica, target: ShardReplica, points: tuple[str, ...]
     ) -> int:
-        found = self._call(source, "POST", place, "fetch", {"points": points})
+        """Copy points from one replica to another; return how many were copied."""
+        found = self._request(source, "POST", shard, "fetch", {"points": points})
         if not isinstance(found, list) or not found:
             return 0
-        return len(found) if self._call(target, "POST", place, "put", {"points": found}) is not None else 0
-
-    def _call(self, holder: ShardReplica, method: str, place: ShardKey, verb: str, content: Any) -> Any:
-        """A reply's result; None if there was none, or none that makes sense."""
-        target = f"/collections/{place.collection}/shards/{place.shard}/{verb}"
+        stored = self._request(target, "POST", shard, "put", {"points": found})
+        return 0 if stored is None else len(found)
+
+    def _request(
+        self, replica: ShardReplica, method: str, shard: ShardKey, operation: str, content: Any
+    ) -> Any:
+        """Return the result of a request; None if there is no valid reply."""
+        target = f"/collections/{shard.collection}/shards/{shard.shard}/{operation}"
         body = b"" if content is None else orjson.dumps(content)
         try:
-            data = encode_request(method, target, holder.address, body, _PATIENCE)
-            status, headers, reply = exchange(self._pool, holder.address, data, time.monotonic() + _PATIENCE)
+            data = encode_request(method, target, replica.address, body, _REQUEST_TIMEOUT)
+            deadline = time.monotonic() + _REQUEST_TIMEOUT
+            status, headers, reply = exchange(self._pool, replica.address, data, deadline)
             return decode_result(status, headers.get, reply)
         except (OSError, Closed, HttpError, t.InvalidReply, ValueError):
             return None
--- a/gingervane/vectors/service.py
+++ b/gingervane/vectors/service.py
@@ -1,4 +1,4 @@
-"""The vector side of one co-ordinator, put together from its settings."""
+"""The vector side of one coordinator, assembled from its settings."""
 
 from __future__ import annotations
 
@@ -6,67 +6,66 @@
 import zlib
 from collections.abc import Callable
 
-from gingervane.coordinator.core import QueryCoordinator, CoordinatorFactory, QueryObserver
-from gingervane.writes.missed_writes import RepairBudget
-from gingervane.writes.replicated_shards import IdempotencySettings, ReplicatedShards, ReplicationSettings
-from gingervane.settings.daemon_settings import Config
+from gingervane.coordinator import types as t
+from gingervane.coordinator.core import CoordinatorFactory, QueryCoordinator, QueryObserver
 from gingervane.fronts.routing import ClassOf
 from gingervane.limits.concurrency_limit import Gate
 from gingervane.membership.service import MembershipService, Rings
+from gingervane.settings.daemon_settings import Config, Vectors
 from gingervane.vectors.front import VectorFront
-from gingervane.vectors.request_context import VectorFrontSettings
 from gingervane.vectors.points import Collection
-from gingervane.vectors.requests import RequestLimits
 from gingervane.vectors.replica_client import VectorReplicaClient
+from gingervane.vectors.request_context import VectorFrontSettings
+from gingervane.vectors.requests import RequestLimits
+from gingervane.writes.missed_writes import RepairBudget
+from gingervane.writes.replicated_shards import IdempotencySettings, ReplicatedShards, ReplicationSettings
+
+_SEED_OFFSET = 7  # of the engines, against those of the daemon's other coordinators
 
 
 class VectorService:
-    """A front over a ring of vector nodes, with a list of its own."""
+    """A vector front over a ring of vector nodes, with an endpoint list of its own."""
 
     def __init__(
         self,
         config: Config,
         classes: dict[str, ClassOf],
-        cores: CoordinatorFactory,
+        coordinators: CoordinatorFactory,
         observer: Callable[[str], QueryObserver],
         address: tuple[str, int],
-        complain: Callable[[str], None],
+        report_fault: Callable[[str], None],
         gate: Gate,
     ) -> None:
-        """`observer` of a core by its name. Raises OSError if the intent log cannot be used."""
+        """`observer` makes the observer of a coordinator by its name; `address` is of this process.
+
+        Raises OSError if the write-ahead log cannot be used.
+        """
         table = config.vectors
         assert table is not None
-        collections = {c.name: Collection(c.name, c.dims, c.distance) for c in table.collections}
-        window = next(c.repeat_window or 0.0 for c in config.classes if c.name == table.upsert_class)
-        lenient = tuple(kind.lenient for kind in classes.values())
+        collections = {
+            collection.name: Collection(collection.name, collection.dims, collection.distance)
+            for collection in table.collections
+        }
         self.shards = ReplicatedShards(
-            ReplicationSettings(tuple(collections), table.cells, table.width, table.quorum, lenient),
-            IdempotencySettings(
-                window,
-                max(table.keep_keys, 2 * window),
-                table.most_keys,
-                table.intents,
-                zlib.crc32(f"{address}".encode()),
+            ReplicationSettings(
+                tuple(collections),
+                table.cells,
+                table.width,
+                table.quorum,
+                tuple(query_class.lenient for query_class in classes.values()),
             ),
+            _idempotency_settings(config, table, address),
             RepairBudget(table.repair_rate, 2 * table.repair_rate, table.repair_sweep),
             config.module_settings(),
-            VectorReplicaClient(cores.pool),
-            lambda settings, seen: cores.make(settings, seen, 7),
+            VectorReplicaClient(coordinators.pool),
+            lambda settings, own_observer: coordinators.make(settings, own_observer, _SEED_OFFSET),
             observer,
-            complain,
+            report_fault,
             classes,
         )
-        setting = VectorFrontSettings(
-            collections,
-            table.cells,
-            table.width,
-            table.quorum,
-            table.search_class,
-            table.upsert_class,
-            table.add_class,
-            RequestLimits(table.max_k, table.max_points, table.max_searches),
+        self.front = VectorFront(
+            self.shards.reads, self.shards.writes, _front_settings(table, collections), classes, gate
         )
-        self.front = VectorFront(self.shards.reads, self.shards.writes, setting, classes, gate)
         self.membership = MembershipService(
             table.membership,
             config.fleet,
@@ -74,30 +73,68 @@
             Rings(table.cells),
             address,
             self.shards.endpoints_updated,
-            lambda listed: None,
-            complain,
+            _ignore_peers,
+            report_fault,
             random.Random(),
         )
 
     @property
     def cores(self) -> list[QueryCoordinator]:
+        """The coordinator of searches, and that of writes."""
         return self.shards.cores
 
     def start(self) -> None:
-        """Raises ListError if the list cannot be read and nothing stands in for it."""
+        """Start everything.
+
+        Raises ListError if the endpoint list cannot be read and there is no substitute for it.
+        """
         self.shards.start()
         self.membership.start()
         self.shards.start_repair()
 
     def stop(self) -> None:
-        """Ends what is not a core: those are stopped with the daemon's others."""
+        """Stop everything but the coordinators, which are stopped with the daemon's others."""
         self.membership.stop()
         self.shards.stop()
 
     def close(self) -> None:
-        """After the cores have ended."""
+        """Close files, after the coordinators have stopped."""
         self.shards.close()
 
     def metrics(self) -> dict[str, float]:
-        found = {f"vector_{name}": float(value) for name, value in self.front.counts.items()}
-        return found | {f"vector_{name}": value for name, value in self.shards.repairer.metrics().items()}
+        """Return values by the names that metrics give them."""
+        counts = {f"vector_{name}": float(value) for name, value in self.front.counts.items()}
+        repair = {f"vector_{name}": value for name, value in self.shards.repairer.metrics().items()}
+        return counts | repair
+
+
+def _idempotency_settings(config: Config, table: Vectors, address: tuple[str, int]) -> IdempotencySettings:
+    window = next(
+        query_class.repeat_window or 0.0
+        for query_class in config.classes
+        if query_class.name == table.upsert_class
+    )
+    return IdempotencySettings(
+        window,
+        max(table.keep_keys, 2 * window),
+        table.most_keys,
+        table.intents,
+        zlib.crc32(f"{address}".encode()),
+    )
+
+
+def _front_settings(table: Vectors, collections: dict[str, Collection]) -> VectorFrontSettings:
+    return VectorFrontSettings(
+        collections,
+        table.cells,
+        table.width,
+        table.quorum,
+        table.search_class,
+        table.upsert_class,
+        table.add_class,
+        RequestLimits(table.max_k, table.max_points, table.max_searches),
+    )
+
+
+def _ignore_peers(_update: t.EndpointsUpdated) -> None:
+    """Take the list of peers, which vectors have no use for."""
--- a/gingervane/vectors/topk.py
+++ b/gingervane/vectors/topk.py
@@ -1,19 +1,19 @@
-"""The best of all shards' points, the same whatever came first. Free of I/O."""
+"""Merging of the best points of all shards, independent of the order of their replies. Free of I/O."""
 
 from __future__ import annotations
 
 import heapq
 from collections.abc import Iterable
-from itertools import islice
+from itertools import islice, pairwise
 from typing import Any
 
-from gingervane.vectors.points import order_of
+from gingervane.vectors.points import PointId, order_of
 
-Point = dict[str, Any]  # id, version, score, and payload and vector as asked
+Point = dict[str, Any]  # id, version, score, and payload and vector as requested
 
 
 def merge_hits(lists: Iterable[list[Point]], offset: int, limit: int, greater_is_nearer: bool) -> list[Point]:
-    """The points from `offset` on, `limit` at most, of lists that are each in order.
+    """Return at most `limit` points from `offset` on, of lists that are each in order.
 
     Ties are broken by id. A point that stands in more than one list (a shard was split, or a replica has not dropped
     what moved) counts once, by its newest version.
@@ -23,38 +23,44 @@
         return (-point["score"] if greater_is_nearer else point["score"]), order_of(point["id"])
 
     lists = list(lists)
-    newest = _newest(lists)
+    newest = _newest_of_duplicates(lists)
     if newest:
-        lists = [[p for p in found if p["version"] >= newest.get(p["id"], 0)] for found in lists]
+        lists = [
+            [point for point in points if point["version"] >= newest.get(point["id"], 0)] for points in lists
+        ]
     ordered = heapq.merge(*lists, key=key)
     if newest:
-        ordered = _once(ordered)
+        ordered = _without_duplicates(ordered)
     return list(islice(ordered, offset, offset + limit))
 
 
-def _newest(lists: list[list[Point]]) -> dict[Any, int]:
-    """Versions of points that stand in more than one list; empty in the usual case, which costs one pass."""
-    seen: dict[Any, int] = {}
-    twice: dict[Any, int] = {}
-    for found in lists:
-        for point in found:
-            number, version = point["id"], point["version"]
-            if number in seen:
-                twice[number] = max(version, seen[number], twice.get(number, 0))
-            seen[number] = version
-    return twice
+def is_sorted(points: list[Point], greater_is_nearer: bool) -> bool:
+    """Return whether a shard's list is in the order that `merge_hits` expects."""
+    sign = -1.0 if greater_is_nearer else 1.0
+    keys = [(sign * point["score"], order_of(point["id"])) for point in points]
+    return all(earlier <= later for earlier, later in pairwise(keys))
 
 
-def _once(points: Iterable[Point]) -> Iterable[Point]:
-    met = set()
-    for point in points:
-        if point["id"] not in met:
-            met.add(point["id"])
-            yield point
+def _newest_of_duplicates(lists: list[list[Point]]) -> dict[PointId, int]:
+    """Return the newest version of each point that stands in more than one list.
+
+    It is empty in the usual case, which costs one pass.
+    """
+    versions: dict[PointId, int] = {}
+    newest: dict[PointId, int] = {}
+    for points in lists:
+        for point in points:
+            point_id = point["id"]
+            version = point["version"]
+            if point_id in versions:
+                newest[point_id] = max(version, versions[point_id], newest.get(point_id, 0))
+            versions[point_id] = version
+    return newest
 
 
-def is_sorted(points: list[Point], greater_is_nearer: bool) -> bool:
-    """Whether a shard's list is in the order that `merge` takes for given."""
-    sign = -1.0 if greater_is_nearer else 1.0
-    keys = [(sign * p["score"], order_of(p["id"])) for p in points]
-    return all(a <= b for a, b in zip(keys, keys[1:], strict=False))
+def _without_duplicates(points: Iterable[Point]) -> Iterable[Point]:
+    seen: set[PointId] = set()
+    for point in points:
+        if point["id"] not in seen:
+            seen.add(point["id"])
+            yield point
