--- /dev/null
+++ b/tests/test_idempotency.py
@@ -0,0 +1,128 @@
+"""Idempotency records: what may be sent again, over crashes and repeats."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from hypothesis import settings as profile
+from hypothesis import strategies as st
+from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
+
+from gingervane.writes.idempotency import (
+    IdempotencyLimits,
+    IdempotencyRecord,
+    IdempotencyRecords,
+    KeyAction,
+    KeyDecision,
+    WriteState,
+)
+
+LIMITS = IdempotencyLimits(window=10.0, safety_margin=0.5, retention=40.0, max_records=6)
+
+
+class IdempotencyMachine(RuleBasedStateMachine):
+    """One coordinator's records, its log, its crashes, and a replica that drops repeats for the window."""
+
+    def __init__(self) -> None:
+        super().__init__()
+        self.now, self.version = 100.0, 0
+        self.records = IdempotencyRecords(LIMITS)
+        self.logged: dict[str, IdempotencyRecord] = {}  # what is on the disk
+        self.open: dict[str, tuple[KeyDecision, str]] = {}
+        self.first_seen: dict[str, float] = {}  # by the replica
+        self.effects: dict[tuple[str, int], int] = {}
+        self.refused: set[str] = set()
+
+    @rule(key=st.sampled_from("abcdefgh"), digest=st.sampled_from("xxxy"))
+    def ask(self, key: str, digest: str) -> None:
+        self.version += 1
+        known = self.records.get(key)
+        decision = self.records.begin(key, digest, self.version, self.now)
+        if decision.action is KeyAction.SEND:
+            entry = self.records.get(key)
+            assert entry is not None and key not in self.open and decision.send_deadline > self.now
+            self.logged[key] = entry
+            self.open[key] = decision, digest
+        elif decision.action is KeyAction.KEY_REUSED:
+            assert known is not None and known.digest != digest
+        elif decision.action is KeyAction.REPLAY_RESULT:
+            assert known is not None and known.state is WriteState.COMPLETED
+        elif decision.action is KeyAction.WAIT:
+            assert key in self.open
+        elif decision.action is KeyAction.OVER_CAPACITY:
+            assert len(self.records) == LIMITS.max_records
+
+    @precondition(lambda self: bool(self.open))
+    @rule(data=st.data(), reach=st.booleans(), end=st.sampled_from(list(WriteState)), late=st.booleans())
+    def work(self, data: Any, reach: bool, end: WriteState, late: bool) -> None:
+        """An open write reaches its replica, or not, and comes to an end, or not yet."""
+        key = data.draw(st.sampled_from(sorted(self.open)))
+        decision, _ = self.open[key]
+        if late:
+            self.now = max(self.now, decision.send_deadline - 0.01)
+        if reach and self.now < decision.send_deadline:
+            seen = self.first_seen.get(key)
+            if seen is None or self.now - seen >= LIMITS.window:
+                self.first_seen[key] = self.now
+                name = key, decision.version
+                self.effects[name] = self.effects.get(name, 0) + 1
+        if (
+            end is WriteState.IN_PROGRESS
+            or (end is WriteState.NOT_EXECUTED and reach)
+            or (end is WriteState.COMPLETED and not reach)
+        ):
+            return
+        if (
+            end is WriteState.NOT_EXECUTED
+            and key in self.first_seen
+            and self.effects.get((key, decision.version))
+        ):
+            return  # an earlier try ran: no proof that none did
+        self.records.finish(key, end, self.now, {"version": decision.version})
+        entry = self.records.get(key)
+        assert entry is not None
+        if data.draw(st.booleans()):  # the end's record is lost if a crash comes first
+            self.logged[key] = entry
+        del self.open[key]
+
+    @rule(down=st.sampled_from([0.0, 3.0, 9.6, 60.0]))
+    def crash(self, down: float) -> None:
+        self.now += down
+        self.records = IdempotencyRecords(LIMITS)
+        for key, entry in sorted(self.logged.items(), key=lambda item: item[1].updated_at):
+            self.records.restore(key, entry)
+        self.open.clear()
+
+    @rule(seconds=st.sampled_from([0.1, 4.0, 9.6, 45.0]))
+    def wait(self, seconds: float) -> None:
+        self.now += seconds
+
+    @invariant()
+    def no_effect_twice(self) -> None:
+        assert all(count == 1 for count in self.effects.values()), self.effects
+
+
+TestIntents = IdempotencyMachine.TestCase
+TestIntents.settings = profile(max_examples=120, stateful_step_count=30, deadline=None)
+
+
+def test_what_each_state_means() -> None:
+    records = IdempotencyRecords(LIMITS)
+    first = records.begin("k", "x", 7, 100.0)
+    assert first == KeyDecision(KeyAction.SEND, 7, 109.5)
+    assert records.begin("k", "x", 8, 101.0).action is KeyAction.WAIT
+    assert records.begin("k", "y", 8, 101.0).action is KeyAction.KEY_REUSED
+    records.finish("k", WriteState.UNKNOWN, 102.0)
+    assert records.begin("k", "x", 9, 105.0) == KeyDecision(
+        KeyAction.SEND, 7, 109.5
+    ), "the same version, the same end"
+    records.finish("k", WriteState.UNKNOWN, 106.0)
+    assert records.begin("k", "x", 9, 109.6).action is KeyAction.WINDOW_EXPIRED
+    records.begin("i", "x", 1, 100.0)
+    records.finish("i", WriteState.NOT_EXECUTED, 101.0)
+    assert records.begin("i", "x", 2, 130.0) == KeyDecision(
+        KeyAction.SEND, 1, 139.5
+    ), "none of it ran: a new window"
+    records.finish("i", WriteState.COMPLETED, 131.0, {"a": 1})
+    assert records.begin("i", "x", 2, 150.0) == KeyDecision(KeyAction.REPLAY_RESULT, 1, result={"a": 1})
+    assert records.begin("k", "x", 30, 190.0).action is KeyAction.SEND, "forgotten in the end"
