--- a/gingervane/vectors/service.py
+++ b/gingervane/vectors/service.py
@@ -47,13 +47,7 @@
             for collection in table.collections
         }
         self.shards = ReplicatedShards(
-            ReplicationSettings(
-                tuple(collections),
-                table.cells,
-                table.width,
-                table.quorum,
-                tuple(query_class.lenient for query_class in classes.values()),
-            ),
+            _replication_settings(table, tuple(collections), classes),
             _idempotency_settings(config, table, address),
             RepairBudget(table.repair_rate, 2 * table.repair_rate, table.repair_sweep),
             config.module_settings(),
@@ -63,10 +57,18 @@
             report_fault,
             classes,
         )
-        self.front = VectorFront(
-            self.shards.reads, self.shards.writes, _front_settings(table, collections), classes, gate
-        )
-        self.membership = MembershipService(
+        settings = _front_settings(table, collections)
+        self.front = VectorFront(self.shards.reads, self.shards.writes, settings, classes, gate)
+        self.membership = self._make_membership(config, table, address, report_fault)
+
+    def _make_membership(
+        self,
+        config: Config,
+        table: Vectors,
+        address: tuple[str, int],
+        report_fault: Callable[[str], None],
+    ) -> MembershipService:
+        return MembershipService(
             table.membership,
             config.fleet,
             None,
@@ -108,6 +110,18 @@
         return counts | repair
 
 
+def _replication_settings(
+    table: Vectors, collections: tuple[str, ...], classes: dict[str, ClassOf]
+) -> ReplicationSettings:
+    return ReplicationSettings(
+        collections,
+        table.cells,
+        table.width,
+        table.quorum,
+        tuple(query_class.lenient for query_class in classes.values()),
+    )
+
+
 def _idempotency_settings(config: Config, table: Vectors, address: tuple[str, int]) -> IdempotencySettings:
     window = next(
         query_class.repeat_window or 0.0
--- a/gingervane/writes/replicated_shards.py
+++ b/gingervane/writes/replicated_shards.py
@@ -70,19 +70,11 @@
 
         Raises OSError if the log cannot be used.
         """
-        read_settings = base_settings._replace(
-            coordinator_count=2 * base_settings.coordinator_count,
-            cell_count=replication.cell_count,
-            cells_per_replica=replication.replication_factor,
-        )
+        read_settings = _read_settings(base_settings, replication)
         class_names = tuple(class_names)
         write_observer = observer("write")
         self.placement = ShardPlacement(replication.cell_count, replication.replication_factor)
-        self._shards = [
-            ShardKey(collection, shard)
-            for collection in replication.collections
-            for shard in range(replication.cell_count)
-        ]
+        self._shards = _all_shards(replication)
         self.repairer = Repairer(
             MissedWrites(budget, self._shards, time.monotonic()),
             self.placement,
@@ -95,24 +87,24 @@
         self._log = _open_log(idempotency, records, clock, report_fault)
         self._read_coordinator = make_coordinator(read_settings, observer("search"))
         self._write_coordinator = make_coordinator(
-            write_settings(
-                read_settings,
-                replication.write_classes,
-                replication.write_quorum,
-                replication.replication_factor,
-            ),
-            write_observer,
+            _write_settings(read_settings, replication), write_observer
         )
         self.reads = QueryDispatcher(self._read_coordinator, class_names)
-        replicator = WriteReplicator(
-            QueryDispatcher(self._write_coordinator, class_names),
+        dispatcher = QueryDispatcher(self._write_coordinator, class_names)
+        replicator = self._make_replicator(replication, dispatcher, write_observer)
+        self.writes = QuorumWrites(replicator, records, self._log, clock, write_observer.log_message)
+
+    def _make_replicator(
+        self, replication: ReplicationSettings, dispatcher: QueryDispatcher, observer: QueryObserver
+    ) -> WriteReplicator:
+        return WriteReplicator(
+            dispatcher,
             self.placement,
             replication.write_quorum,
             replication.replication_factor,
             self.repairer,
-            write_observer.log_message,
+            observer.log_message,
         )
-        self.writes = QuorumWrites(replicator, records, self._log, clock, write_observer.log_message)
 
     @property
     def cores(self) -> list[QueryCoordinator]:
@@ -147,6 +139,28 @@
             self._log.close()
 
 
+def _all_shards(replication: ReplicationSettings) -> list[ShardKey]:
+    return [
+        ShardKey(collection, shard)
+        for collection in replication.collections
+        for shard in range(replication.cell_count)
+    ]
+
+
+def _read_settings(base: api.Settings, replication: ReplicationSettings) -> api.Settings:
+    return base._replace(
+        coordinator_count=2 * base.coordinator_count,
+        cell_count=replication.cell_count,
+        cells_per_replica=replication.replication_factor,
+    )
+
+
+def _write_settings(read_settings: api.Settings, replication: ReplicationSettings) -> api.Settings:
+    return write_settings(
+        read_settings, replication.write_classes, replication.write_quorum, replication.replication_factor
+    )
+
+
 def _limits(settings: IdempotencySettings) -> IdempotencyLimits:
     margin = min(_MAX_SAFETY_MARGIN, settings.window / _SAFETY_MARGIN_DIVISOR)
     return IdempotencyLimits(settings.window, margin, settings.retention, settings.max_keys)
--- a/tests/test_vectors.py
+++ b/tests/test_vectors.py
@@ -4,6 +4,7 @@
 
 import json
 import threading
+import time
 from collections.abc import Iterator
 from pathlib import Path
 from typing import Any
@@ -54,8 +55,6 @@
 
     def call(self, method: str, path: str, content: Any, *fields: tuple[str, str]) -> tuple[int, Any, Any]:
         """Status, decoded body, headers."""
-        import time
-
         body = content if isinstance(content, bytes) else json.dumps(content).encode()
         heads = [("Host", "x"), ("Content-Length", str(len(body))), *fields]
         data = http1.head(f"{method} /collections/{path} HTTP/1.1", heads) + body
@@ -194,8 +193,6 @@
 
 
 def shared_status(fleet: Fleet, body: bytes) -> tuple[int, Any, bytes]:
-    import time
-
     heads = [("Host", "x"), ("Content-Length", str(len(body)))]
     head = http1.head("PUT /collections/cos/points HTTP/1.1", heads)
     return exchange(fleet.pool, fleet.address, head + body[:1000], time.monotonic() + 30.0)
