--- a/tests/test_vectors.py
+++ b/tests/test_vectors.py
@@ -11,16 +11,12 @@
 
 import numpy as np
 import pytest
-from hypothesis import given
-from hypothesis import settings as profile
-from hypothesis import strategies as st
 from qdrant_client import QdrantClient, models
 
 from gingervane.daemon.app import App
 from gingervane.experiments.embedded import Embedded
 from gingervane.fake_servers.vectors import VectorGrid
 from gingervane.vectors.points import Collection, order_of, shard_of
-from gingervane.vectors.topk import merge_hits
 from gingervane.wire import http1
 from gingervane.wire.http1 import Limits
 from gingervane.wire.pool import Pool, exchange
@@ -32,7 +28,7 @@
 
 
 class Fleet(Embedded):
-    """Both fronts in one daemon, six vector nodes, three holders of each shard; two must do a write."""
+    """Both fronts in one daemon, six vector nodes, three replicas of each shard, and a write quorum of two."""
 
     def __init__(self, folder: Path | None = None, window: float = 2.0, **table: Any) -> None:
         grid = VectorGrid(NODES, COLLECTIONS, window=window)
@@ -44,7 +40,7 @@
 
     @property
     def shards(self) -> dict[int, list[Any]]:
-        """Holders' shards of the collection `cos`, by number."""
+        """The replicas' shards of the collection `cos`, by number."""
         assert self.vectors
         out: dict[int, list[Any]] = {}
         for node in self.vectors.nodes:
@@ -71,7 +67,7 @@
         return self.call("POST", "cos/points/payload?increment=true", content)[0]
 
     def of(self, number: int) -> list[Any]:
-        """What each holder has of a point."""
+        """What each replica has of a point."""
         return [shard.points.get(number) for shard in self.shards[shard_of(number, NODES)]]
 
 
@@ -365,31 +361,3 @@
         thread.join()
     assert set(codes) == {200}
     assert fleet.app.vectors and fleet.app.vectors.front.counts["writes"] == 1
-
-
-points = st.lists(
-    st.tuples(st.integers(0, 40), st.sampled_from([0.0, 0.5, 0.5, 1.0]), st.integers(1, 3)), max_size=30
-)
-
-
-@given(st.lists(points, max_size=5), st.integers(0, 5), st.integers(1, 40), st.booleans(), st.randoms())
-@profile(max_examples=150)
-def test_merging_is_sorting(lists: list[Any], offset: int, limit: int, greater: bool, rng: Any) -> None:
-    sign = -1.0 if greater else 1.0
-    best: dict[int, dict[str, Any]] = {}
-    shards = []
-    for rows in lists:
-        one = {n: {"id": n, "score": s, "version": v} for n, s, v in rows}
-        shards.append(sorted(one.values(), key=lambda p: (sign * p["score"], order_of(p["id"]))))
-    for found in shards:
-        for p in found:
-            if p["id"] not in best or p["version"] > best[p["id"]]["version"]:
-                best[p["id"]] = p
-    rng.shuffle(shards)
-    found = merge_hits(shards, offset, limit, greater)
-    versions = {(p["id"], p["version"]) for p in best.values()}
-    assert {(p["id"], p["version"]) for p in found} <= versions
-    assert [sign * p["score"] for p in found] == sorted(sign * p["score"] for p in found)
-    if all(sum(any(p["id"] == n for p in one) for one in shards) == 1 for n in best):
-        want = sorted(best.values(), key=lambda p: (sign * p["score"], order_of(p["id"])))
-        assert found == want[offset : offset + limit]
