--- a/gingervane/fake_servers/vector_shard.py
+++ b/gingervane/fake_servers/vector_shard.py
@@ -10,7 +10,7 @@
 import orjson
 
 from gingervane.vectors.points import Collection, order_of
-from gingervane.vectors.points import matches_filter
+from gingervane.vectors.filters import matches_filter
 
 Stored = dict[str, Any]  # id, version, ops (additions since the last upsert), vector, payload, deleted
 
