--- a/gingervane/decisions/engine.py
+++ b/gingervane/decisions/engine.py
@@ -1,11 +1,12 @@
 """Every decision of a gingervane co-ordinator. Types, events and actions: `gingervane/interface.py`.
 
-Ordinary path: a query takes the replica position with the fewest open requests; an idempotent part late by its
-class's 95th percentile gets one hedge; the first good answer wins and the other attempt is cancelled; a circuit
-breaker on the share of hedges pauses hedging. All else is an exception: docs/design.md says when it acts.
+Ordinary path: a query takes the replica position with the fewest open requests; an idempotent part late by
+its class's 95th percentile gets one hedge; the first good answer wins and the other attempt is cancelled; a
+circuit breaker on the share of hedges pauses hedging. All else is an exception: docs/design.md says when it
+acts.
 
-The engine passes each event to what owns the state that it changes. The rules are in the other modules of this
-package, one concern each, with their tuned values.
+The engine passes each event to what owns the state that it changes. The rules are in the other modules of
+this package, one concern each, with their tuned values.
 """
 
 from __future__ import annotations
@@ -175,7 +176,10 @@
             part.lost = target is None or not self.dispatcher.send(part, target)
 
     def _reject(self, query: Query, reason: api.QueryEndReason) -> None:
-        """End a query of which no part was sent. Lost parts earn slow-start tokens, but not for client retries."""
+        """End a query of which no part was sent.
+
+        If that is for want of replicas its parts earn slow-start tokens, but not those of client retries.
+        """
         if query.is_unanswerable() and not query.arrived.is_client_retry:
             self.slow_start.record_unservable(len(query.parts))
         self.completion.reject_or_fail(query, reason)
--- a/gingervane/decisions/latency.py
+++ b/gingervane/decisions/latency.py
@@ -1,4 +1,4 @@
-"""Estimates of latency: of the parts of a class, of the fleet at present, and of one replica against others."""
+"""Latency estimates: of the parts of a class, of the fleet at present, and of one replica against others."""
 
 from __future__ import annotations
 
--- a/gingervane/decisions/outlier_ejection.py
+++ b/gingervane/decisions/outlier_ejection.py
@@ -68,9 +68,10 @@
     def record_outcome(
         self, replica: KnownReplica, failure_weight: float, reason: api.EjectionReason | None = None
     ) -> None:
-        """Learn from a part: bad ones (failed, no response, overtaken by a hedge) eject, a good one reinstates.
+        """Learn from a part: a bad one may eject, a good one reinstates.
 
-        `failure_weight` is 0 for a good part. Nothing is concluded during an ejection but from a good part;
+        A part is bad if it failed, got no response or was overtaken by a hedge. `failure_weight` is 0 for a
+        good one. Nothing is concluded during an ejection but from a good part;
         after it one bad trial ejects for twice as long.
         """
         if replica.ejected_for and not failure_weight:
@@ -100,9 +101,9 @@
             self.record_outcome(replica, weight, api.EjectionReason.PEER_REPORTS)
 
     def _report_weight(self) -> float:
-        """Weight of one report: a bad part of one of many peers is little among all that the fleet sends there.
+        """Weight of one report.
 
-        Reports weigh as failures do for the circuit breaker, as a share of parts.
+        A bad part of one of many peers is little among all that the fleet sends to the replica. Reports weigh as failures do for the circuit breaker, as a share of parts.
         """
         fleet_rate = self._rate(MIN_PARTS_FOR_REPORTS) * self._coordinator_count
         sent = fleet_rate * SCORE_HALF_LIFE / max(self._membership.ready_count, 1)
@@ -111,8 +112,8 @@
     def _adjust_ejection(self, replica: KnownReplica, weight: float) -> None:
         """Let reports prolong or end an ejection, as trials by each co-ordinator alone add up.
 
-        As much evidence as ejects a replica keeps it out for another shortest ejection, without doubling, which
-        is for own trials; as much to the contrary reinstates it.
+        As much evidence as ejects a replica keeps it out for another shortest ejection, without doubling,
+        which is for own trials; as much to the contrary reinstates it.
         """
         self._add_evidence(replica, weight)
         if not replica.ejected_for:
@@ -137,14 +138,14 @@
         replica.failure_score_at = now
 
     def _may_eject(self, reason: api.EjectionReason | None) -> bool:
-        """Whether one more may be ejected. What cannot be reached is of no use, however many such there are."""
+        """Whether one more may be ejected: always if unreachable, as it is of no use whatever the others do."""
         if reason is api.EjectionReason.CONNECT_FAILED:
             return True
         ejected = sum(r.ready and r.ejected_for > 0 for r in self._membership.replicas.values())
         return ejected + 1 <= MAX_EJECTED_SHARE * self._membership.ready_count
 
     def _first_ejection_duration(self) -> float:
-        """At least as long as the next part for the replica takes to come, to those who would report on it."""
+        """Seconds, at least as many as the next part for it takes to come to those who would report on it."""
         observers = self._coordinator_count if self._gossip_allowed else 1
         return max(MIN_EJECTION, self._membership.ready_count / self._rate(1) / observers)
 
@@ -171,8 +172,8 @@
         """End an ejection.
 
         What did not respond for long may have restarted before the list says so: it is spared where another
-        holder is left. Without the comparison, what was slow, or is ejected for long as parts for it are rare,
-        would be taken for cold.
+        holder is left. Without the comparison, what was slow, or is ejected for long as parts for it are
+        rare, would be taken for cold.
         """
         if replica.last_unresponsive_at - replica.ejected_at > MIN_EJECTION:
             replica.suspected_restart_at = self._context.now
--- a/gingervane/decisions/query_completion.py
+++ b/gingervane/decisions/query_completion.py
@@ -40,8 +40,8 @@
     def update(self, query: Query) -> None:
         """End what can be: with enough for a complete answer, with all there is to come, or for want of it.
 
-        Between its steps a query has no parts, which says nothing of what was received: a timer that came just
-        then once took no open part for all parts received, and answered without any.
+        Between its steps a query has no parts, which says nothing of what was received: a timer that came
+        just then once took no open part for all parts received, and answered without any.
         """
         if not query.state.has_parts:
             return
--- a/gingervane/decisions/slow_start.py
+++ b/gingervane/decisions/slow_start.py
@@ -60,8 +60,8 @@
     def may_send(self, replica: KnownReplica, conservative: bool = False) -> bool:
         """Whether a replica is ready and, if cold, not near what would push it over.
 
-        `conservative`: nor may it be sent more than its share of what a ready replica gets, nor anything if it
-        is suspected of having restarted.
+        `conservative`: nor may it be sent more than its share of what a ready replica gets, nor anything if
+        it is suspected of having restarted.
         """
         now = self._context.now
         if conservative and now < replica.suspected_restart_at + self._duration:
--- a/tests/recordings/record_driver.py
+++ b/tests/recordings/record_driver.py
@@ -8,8 +8,8 @@
 Measured with `--lines` when the recordings were made, within functions: every line of driver.py, timers.py,
 attempt_outcome.py, response_time_reserve.py, shard_placement.py, process_pause.py and retry_after.py is taken. Not
 taken: in replica_start_times.py the one that forgets the oldest of more than 8192 starts (it would need a large
-fixture), in types.py the body of `InvalidReply`, which the driver never sees. Of the package `decisions`, which has
-recordings of its own, the lines that keep counts short after a long time and a few others.
+fixture), in types.py the body of `InvalidReply`, which the driver never sees. Of the package `decisions`,
+which has recordings of its own, the lines that keep counts short after a long time and a few others.
 """
 
 from __future__ import annotations
--- a/tests/test_recorded_decisions.py
+++ b/tests/test_recorded_decisions.py
@@ -3,8 +3,8 @@
 Each recording holds the batches that a simulated host gave to one co-ordinator, the actions that came back,
 and how far its random numbers were consumed. What decisions do not depend on, names and texts, is in none.
 
-Measured with coverage.py, by branch: the recordings take every line and branch of the package `decisions` but the
-body of `RankedSamples.extend`, which only tests call.
+Measured with coverage.py, by branch: the recordings take every line and branch of the package `decisions` but
+the body of `RankedSamples.extend`, which only tests call.
 """
 
 from __future__ import annotations
