--- a/gingervane/__init__.py
+++ b/gingervane/__init__.py
@@ -1,4 +1,4 @@
-"""gingervane: decisions of a co-ordinator of queries over replicated shards."""
+"""The decision engine of a co-ordinator that sends queries to replicated shards."""
 
 from gingervane.decisions.engine import DecisionEngine
 
--- a/gingervane/decisions/__init__.py
+++ b/gingervane/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""Every decision of a co-ordinator: standard library only, no I/O."""
+"""The decisions of a co-ordinator, a module a concern: standard library only, no I/O."""
--- a/gingervane/decisions/completeness.py
+++ b/gingervane/decisions/completeness.py
@@ -1,11 +1,11 @@
-"""Which answers a class of queries permits, from the parts that are in. Free of I/O, standard library only.
+"""Which answers a class of queries permits, from the parts received. Free of I/O, standard library only.
 
-One function says whether an answer may be given, and one whether it may be marked whole. The decision module
-asks them before it gives an answer, and the driver asks them again of the results in hand.
+One function says whether an answer may be given, and one whether it may be marked complete. The decision
+engine asks them before it gives an answer, and the driver asks them again of the results in hand.
 
-Shares are of the weight of the step's parts. Clients round weights to six digits, so that those of a step add
-up to 1 give or take `ROUNDING` a part. A sum reaches a share only if it does so both as it stands and as a
-fraction of the step's whole weight, so that rounding never makes an answer of too little.
+Coverage is a share of the weight of the step's parts. Clients round weights to six digits, so that those of a
+step add up to 1 give or take `WEIGHT_ROUNDING` a part. A sum reaches a share only if it does so both as it
+stands and as a fraction of the step's whole weight, so that rounding never makes an answer of too little.
 """
 
 from __future__ import annotations
@@ -15,12 +15,14 @@
 
 from gingervane.interface import QueryClass
 
-WEIGHT_ROUNDING = 5e-7  # of a weight with six digits
-FLOAT_ERROR = 1e-9  # of a sum of some hundred weights
+# Largest rounding error of a weight with six digits.
+WEIGHT_ROUNDING = 5e-7
+# Largest error of a sum of some hundred weights.
+FLOAT_ERROR = 1e-9
 
 
 class QueryState(Enum):
-    """Where a query is in its life."""
+    """State of a query: its first step, between the steps, its second step, or settled."""
 
     FIRST_STEP = "first step"
     BETWEEN_STEPS = "between steps"  # the first step is closed, and the parts of the second have not come
@@ -34,7 +36,7 @@
 
 
 class Coverage(NamedTuple):
-    """Parts of one step: how many there are and how many are in, and the weight of each."""
+    """How many parts of a step were requested and received, and their weights."""
 
     parts_requested: int
     parts_received: int
@@ -43,11 +45,11 @@
 
     @property
     def complete(self) -> bool:
-        """Whether every part is in. A step without parts is not complete: nothing of it has been asked."""
+        """Whether every part was received. A step without parts is not: nothing of it was requested."""
         return 0 < self.parts_requested == self.parts_received
 
     def reaches(self, share: float) -> bool:
-        """Whether what is in is at least this share of the step."""
+        """Whether what was received is at least this share of the step."""
         if self.complete:
             return True
         if not self.parts_received:
@@ -58,21 +60,21 @@
 
 
 def required_coverage(query_class: QueryClass, state: QueryState) -> float:
-    """The least share of a step for an answer; of a second one all, unless short answers are permitted."""
+    """The least share of a step for an answer; of a second one all, unless partial answers are permitted."""
     if state is QueryState.SECOND_STEP and query_class.required_coverage >= query_class.complete_coverage:
         return 1.0
     return min(query_class.required_coverage, query_class.complete_coverage)
 
 
 def may_answer(query_class: QueryClass, state: QueryState, coverage: Coverage) -> bool:
-    """Whether an answer may rest on what is in."""
+    """Whether an answer may rest on what was received."""
     return state.has_parts and coverage.reaches(required_coverage(query_class, state))
 
 
 def is_complete(query_class: QueryClass, state: QueryState, coverage: Coverage) -> bool:
-    """Whether a step may be called whole: a first one from its whole share on, a second one with all parts.
+    """Whether a step is complete: a first one from its complete coverage on, a second one with all parts.
 
-    An answer to a second step may be marked whole only if its first step was whole too.
+    An answer to a second step may be marked complete only if its first step was complete too.
     """
     if state is QueryState.FIRST_STEP and query_class.complete_coverage < 1.0:
         return coverage.reaches(query_class.complete_coverage)
--- a/gingervane/decisions/outlier_ejection.py
+++ b/gingervane/decisions/outlier_ejection.py
@@ -103,7 +103,8 @@
     def _report_weight(self) -> float:
         """Weight of one report.
 
-        A bad part of one of many peers is little among all that the fleet sends to the replica. Reports weigh as failures do for the circuit breaker, as a share of parts.
+        A bad part of one of many peers is little among all that the fleet sends to the replica. Reports weigh
+        as failures do for the circuit breaker, as a share of parts.
         """
         fleet_rate = self._rate(MIN_PARTS_FOR_REPORTS) * self._coordinator_count
         sent = fleet_rate * SCORE_HALF_LIFE / max(self._membership.ready_count, 1)
@@ -138,7 +139,7 @@
         replica.failure_score_at = now
 
     def _may_eject(self, reason: api.EjectionReason | None) -> bool:
-        """Whether one more may be ejected: always if unreachable, as it is of no use whatever the others do."""
+        """Whether one more may be ejected: always if unreachable, as it is then of no use to anybody."""
         if reason is api.EjectionReason.CONNECT_FAILED:
             return True
         ejected = sum(r.ready and r.ejected_for > 0 for r in self._membership.replicas.values())
--- a/gingervane/interface.py
+++ b/gingervane/interface.py
@@ -1,7 +1,8 @@
-"""Types that the decision module deals in: its settings, its events and its actions.
+"""Types that the decision engine deals in: its settings, its events and its actions.
 
-Nothing here decides anything, and nothing here has a default: a host fills in every field, so that
-whoever reads `decisions/engine.py` finds every tuned value there. Times are seconds of the host's clock.
+Nothing here decides anything, and what is tuned has no default here: a host fills in every field, and the
+tuned values stand in the modules of the package `decisions` that use them. Times are seconds of the host's
+clock.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 
 
 class RetrySafety(Enum):
-    """What a repeat of a part may do."""
+    """Whether a part that may have run may be sent again: always, within the window of its key, or never."""
 
     IDEMPOTENT = "safe"
     IDEMPOTENCY_KEY = "keyed"
@@ -21,13 +22,18 @@
 
 
 class ReplicaState(Enum):
+    """State of a replica in the endpoint list: in service, in graceful shutdown, or removed."""
+
     READY = "ready"
     DRAINING = "draining"
     GONE = "gone"
 
 
 class MembershipUpdateKind(Enum):
-    """How a membership event relates to the list held so far."""
+    """How a membership event relates to the endpoint list held so far.
+
+    It changes some lines, replaces the list, replaces it by a cached one, or says that the watch failed.
+    """
 
     DELTA = "delta"
     FULL = "full"
@@ -49,7 +55,7 @@
 
     @property
     def never_ran(self) -> bool:
-        """Whether this ending proves that the part had no effect: a fact of the protocol, not a choice."""
+        """Whether this outcome proves that the part had no effect: a fact of the protocol, not a choice."""
         return self in (AttemptOutcome.REJECTED, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.NEVER_SENT)
 
 
@@ -69,7 +75,7 @@
 class QueryEndReason(Enum):
     """Why a query ended as it did: the closed set that logs and counters use.
 
-    The decision module gives the first group, its host the second.
+    The decision engine gives the first group, its host the second.
     """
 
     UNSTATED = "unstated"
@@ -90,6 +96,8 @@
 
 
 class QueryClass(NamedTuple):
+    """What the site states for one class of queries. Coverage is a share of the weight of a step's parts."""
+
     latency_objective: float
     deadline: float
     retry_safety: RetrySafety
@@ -98,12 +106,12 @@
     required_coverage: float
     complete_coverage: float
     objective_stretch: float | None
-    late_weight: float  # share of the worth after the aim
-    partial_weight: float  # of an answer not marked whole: this times its share of what a whole one needs
+    late_weight: float  # value of a complete answer after the latency objective, as a share of one in time
+    partial_weight: float  # value of a partial answer: this times its share of the complete coverage
 
 
 class Settings(NamedTuple):
-    """What a co-ordinator is told once, when it starts. `None`: the site does not have it."""
+    """What a co-ordinator is given once, when it starts. `None`: the site does not have it."""
 
     coordinator_count: int
     zone: int
@@ -123,16 +131,18 @@
     slow_start_capacity: float
     slow_start_duration: float
     overload_window: float
-    overload_multiple: float  # of what a cold replica can do: sent more for `fall_time`, it falls over
+    overload_multiple: float  # of a cold replica's capacity: sent more for `overload_window`, it falls over
     retry_budget_free: float | None
     retry_budget_share: float | None
     retry_budget_window: float | None
     max_send_delay: float = 0.0  # seconds by which an attempt may leave later than it was decided, at most
-    drain_grace: float = inf  # seconds from being told that a replica drains in which it may still be sent to
+    drain_grace: float = (
+        inf  # seconds after the notice that a replica drains in which it may still be sent to
+    )
 
 
 class Replica(NamedTuple):
-    """One line of the membership list."""
+    """One line of the endpoint list."""
 
     id: int
     cell: int
@@ -143,6 +153,8 @@
 
 
 class MembershipChanged(NamedTuple):
+    """News of the endpoint list, or of the failure of its watch."""
+
     kind: MembershipUpdateKind
     replicas: tuple[Replica, ...]
 
@@ -161,6 +173,8 @@
 
 
 class PartArrived(NamedTuple):
+    """A part of a query: of its first step with the query, of its second with a later batch."""
+
     id: int
     query_number: int
     shard: int
@@ -168,6 +182,8 @@
 
 
 class AttemptEnded(NamedTuple):
+    """The outcome of an attempt. Attempts at a part are numbered from 0 in order of their sends."""
+
     part: int
     attempt: int
     replica: int
@@ -176,6 +192,8 @@
 
 
 class HealthCheckEnded(NamedTuple):
+    """The outcome of a health check, and the load that the replica reported."""
+
     replica: int
     outcome: AttemptOutcome
     latency: float
@@ -183,14 +201,20 @@
 
 
 class QueryAbandoned(NamedTuple):
+    """The client waits for a query no longer: it needs no end."""
+
     id: int
 
 
 class TimerFired(NamedTuple):
+    """A timer that the engine set has fired."""
+
     label: int
 
 
 class PeerMessageReceived(NamedTuple):
+    """A message of another co-ordinator."""
+
     sender: int
     payload: bytes
 
@@ -208,7 +232,7 @@
 
 
 class Send(NamedTuple):
-    """Ask a replica for a part; the attempt times out at `stop_at`."""
+    """Send a part to a replica; the attempt times out at `stop_at`."""
 
     part: int
     replica: int
@@ -216,19 +240,21 @@
 
 
 class Cancel(NamedTuple):
+    """Cancel an attempt; it still ends with an outcome."""
+
     part: int
     attempt: int
 
 
 class CloseIdle(NamedTuple):
-    """Shut the idle connections to a replica; what is sent next opens a new one."""
+    """Close the idle connections to a replica; what is sent next opens a new one."""
 
     replica: int
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """End the present step with the parts that are in. `reason` takes no part in comparisons."""
+    """End the present step with the parts received. `reason` takes no part in comparisons."""
 
     query: int
     complete: bool
@@ -237,7 +263,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Trying again is harmless; `come_again_in` (seconds) of 0 gives no advice."""
+    """End the query without an answer; a retry is harmless. `retry_after` (seconds) of 0 gives no advice."""
 
     query: int
     retry_after: float
@@ -246,19 +272,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """End the query without an answer and without a promise."""
+    """End the query without an answer, where a retry may not be harmless."""
 
     query: int
     reason: QueryEndReason = field(default=QueryEndReason.UNSTATED, compare=False)
 
 
 class SetTimer(NamedTuple):
+    """Ask for `TimerFired` with this label after `delay` seconds."""
+
     delay: float
     label: int
 
 
 class WatchMembership(NamedTuple):
-    """Ask for membership changes to be pushed from now on."""
+    """Watch the endpoint list: ask for membership changes from now on."""
 
 
 class SendToPeers(NamedTuple):
@@ -274,7 +302,7 @@
 
 
 class ReplicaEjected(NamedTuple):
-    """A replica's state change, for the log: out of selection for `seconds`."""
+    """A replica's health change, for the log: out of selection for `seconds`."""
 
     replica: int
     seconds: float
@@ -282,7 +310,7 @@
 
 
 class ReplicaReinstated(NamedTuple):
-    """A replica's state change, for the log: back in selection."""
+    """A replica's health change, for the log: back in selection."""
 
     replica: int
 
