--- a/gingervane/startup.py
+++ b/gingervane/startup.py
@@ -1,4 +1,4 @@
-"""What a co-ordinator is told once, at its start, as the platform names it: read into `interface.Settings`.
+"""What a co-ordinator is given once, at its start, as the platform names it: read into `interface.Settings`.
 
 The simulator sends lines `Key=value`, the platform nested JSON with the same names and units (seconds);
 `flatten` makes the second into the first, so that one reader serves both. Standard library only.
@@ -16,7 +16,7 @@
 
 
 class SettingsError(Exception):
-    """A key that the module needs is missing or malformed."""
+    """A key that the decision engine needs is missing or malformed."""
 
 
 def flatten(nested: Mapping[str, Any], prefix: str = "") -> dict[str, str]:
@@ -43,85 +43,109 @@
     return str(value).lower() if isinstance(value, bool) else str(value)
 
 
-def read_settings(pairs: Mapping[str, str]) -> api.Settings:
-    """Unknown keys are skipped; a needed key that is absent or bad is named in a SettingsError."""
+class _Pairs:
+    """The settings by key; a needed key that is absent or bad raises a `SettingsError` that names it."""
+
+    def __init__(self, pairs: Mapping[str, str]) -> None:
+        self._pairs = pairs
+
+    def __contains__(self, key: str) -> bool:
+        return key in self._pairs
 
-    def need(key: str, read: Callable[[str], T]) -> T:
-        if key not in pairs:
+    def need(self, key: str, read: Callable[[str], T]) -> T:
+        """The value of a key that must be there."""
+        if key not in self._pairs:
             raise SettingsError(f"settings: key {key} is missing")
         try:
-            return read(pairs[key])
+            return read(self._pairs[key])
         except (ValueError, KeyError, IndexError):
-            raise SettingsError(f"settings: key {key} has the bad value {pairs[key]!r}") from None
-
-    def maybe(key: str, read: Callable[[str], T]) -> T | None:
-        return need(key, read) if pairs.get(key) else None
-
-    # Guards against values that break the decisions long after the start, or let them wait for ever.
-    def number(value: str) -> float:
-        if not 0.0 <= (found := float(value)) < inf:  # nor NaN
-            raise ValueError
-        return found
-
-    def positive(value: str) -> float:
-        if not (found := number(value)):
-            raise ValueError
-        return found
-
-    def count(value: str) -> int:
-        if (found := int(value)) < 1:
-            raise ValueError
-        return found
-
-    def flag(value: str) -> bool:
-        return {"true": True, "false": False}[value]
-
-    def per_class(key: str, read: Callable[[str], T], index: int) -> T:
-        return need(key, lambda value: read(value.split(",")[index]))
-
-    def mode(value: str) -> bool:
-        return {"ask": True, "push": False}[value]
-
-    def query_class(i: int) -> api.QueryClass:
-        semantics = need(f"Classes.{i}.Semantics", api.RetrySafety)
-        keyed = semantics is api.RetrySafety.IDEMPOTENCY_KEY
-        return api.QueryClass(
-            latency_objective=need(f"Classes.{i}.AimS", number),
-            deadline=need(f"Classes.{i}.DeadlineS", positive),
-            retry_safety=semantics,
-            idempotency_window=need(f"Classes.{i}.WindowS", number) if keyed else None,
-            second_step_parts=per_class("Extra.ClassFetch", int, i),
-            required_coverage=per_class("Extra.MinShare", float, i),
-            complete_coverage=per_class("Extra.WholeAt", positive, i),
-            objective_stretch=maybe(f"Classes.{i}.AimStretch", float),
-            late_weight=need(f"Classes.{i}.LateWorth", float),
-            partial_weight=per_class("Extra.ShortWorth", float, i),
-        )
-
-    grace = maybe("Rules.StopSendingWithinS", number)
-    tenants = range(need("Tenants.count", int) if "Tenants.count" in pairs else 0)
+            raise SettingsError(f"settings: key {key} has the bad value {self._pairs[key]!r}") from None
+
+    def maybe(self, key: str, read: Callable[[str], T]) -> T | None:
+        """The value of a key that may be absent or empty."""
+        return self.need(key, read) if self._pairs.get(key) else None
+
+    def need_item(self, key: str, read: Callable[[str], T], index: int) -> T:
+        """One of several values that commas separate."""
+        return self.need(key, lambda value: read(value.split(",")[index]))
+
+
+# The readers refuse values that would break the decisions long after the start, or let them wait for ever.
+
+
+def _number(value: str) -> float:
+    number = float(value)
+    if not 0.0 <= number < inf:  # nor NaN
+        raise ValueError
+    return number
+
+
+def _positive(value: str) -> float:
+    number = _number(value)
+    if not number:
+        raise ValueError
+    return number
+
+
+def _count(value: str) -> int:
+    count = int(value)
+    if count < 1:
+        raise ValueError
+    return count
+
+
+def _flag(value: str) -> bool:
+    return {"true": True, "false": False}[value]
+
+
+def _is_polled(value: str) -> bool:
+    return {"ask": True, "push": False}[value]
+
+
+def read_settings(pairs: Mapping[str, str]) -> api.Settings:
+    """Unknown keys are skipped; a needed key that is absent or bad is named in a SettingsError."""
+    found = _Pairs(pairs)
+    drain_grace = found.maybe("Rules.StopSendingWithinS", _number)
+    tenants = range(found.need("Tenants.count", int) if "Tenants.count" in found else 0)
     return api.Settings(
-        coordinator_count=need("Balancers", count),
-        zone=need("Locality", int),
-        query_classes=tuple(query_class(i) for i in range(need("Classes.count", count))),
-        tenant_quotas=tuple(maybe(f"Tenants.{i}.QuotaPerS", number) for i in tenants),
-        timer_granularity=need("GranularityS", positive),
-        cell_count=need("Extra.Sets", count),
-        cells_per_replica=need("Extra.Width", count),
-        max_parts_per_request=need("Extra.PerCall", count),
-        max_attempts=need("Limits.SendCap", count),
-        cancellation_allowed=need("Limits.Cancelling", flag),
-        gossip_allowed=need("Limits.Peers", flag),
-        hedging_allowed=need("Limits.SecondCopies", flag),
-        retry_after_allowed=need("Limits.RetryAfter", flag),
-        max_retry_after=need("Limits.MaxRetryAfterS", number),
-        membership_polled=need("MembershipMode", mode),
-        slow_start_capacity=need("Rules.StartCapacity", number),
-        slow_start_duration=need("Rules.RampTimeS", number),
-        overload_window=need("Rules.FallS", number),
-        overload_multiple=need("Rules.TipMultiple", number),
-        retry_budget_free=maybe("Rules.BudgetFree", number),
-        retry_budget_share=maybe("Rules.ExtraRatio", number),
-        retry_budget_window=maybe("Rules.ResendSpanS", number),
-        drain_grace=inf if grace is None else grace,
+        coordinator_count=found.need("Balancers", _count),
+        zone=found.need("Locality", int),
+        query_classes=tuple(_read_query_class(found, i) for i in range(found.need("Classes.count", _count))),
+        tenant_quotas=tuple(found.maybe(f"Tenants.{i}.QuotaPerS", _number) for i in tenants),
+        timer_granularity=found.need("GranularityS", _positive),
+        cell_count=found.need("Extra.Sets", _count),
+        cells_per_replica=found.need("Extra.Width", _count),
+        max_parts_per_request=found.need("Extra.PerCall", _count),
+        max_attempts=found.need("Limits.SendCap", _count),
+        cancellation_allowed=found.need("Limits.Cancelling", _flag),
+        gossip_allowed=found.need("Limits.Peers", _flag),
+        hedging_allowed=found.need("Limits.SecondCopies", _flag),
+        retry_after_allowed=found.need("Limits.RetryAfter", _flag),
+        max_retry_after=found.need("Limits.MaxRetryAfterS", _number),
+        membership_polled=found.need("MembershipMode", _is_polled),
+        slow_start_capacity=found.need("Rules.StartCapacity", _number),
+        slow_start_duration=found.need("Rules.RampTimeS", _number),
+        overload_window=found.need("Rules.FallS", _number),
+        overload_multiple=found.need("Rules.TipMultiple", _number),
+        retry_budget_free=found.maybe("Rules.BudgetFree", _number),
+        retry_budget_share=found.maybe("Rules.ExtraRatio", _number),
+        retry_budget_window=found.maybe("Rules.ResendSpanS", _number),
+        drain_grace=inf if drain_grace is None else drain_grace,
+    )
+
+
+def _read_query_class(found: _Pairs, index: int) -> api.QueryClass:
+    retry_safety = found.need(f"Classes.{index}.Semantics", api.RetrySafety)
+    has_key = retry_safety is api.RetrySafety.IDEMPOTENCY_KEY
+    return api.QueryClass(
+        latency_objective=found.need(f"Classes.{index}.AimS", _number),
+        deadline=found.need(f"Classes.{index}.DeadlineS", _positive),
+        retry_safety=retry_safety,
+        idempotency_window=found.need(f"Classes.{index}.WindowS", _number) if has_key else None,
+        second_step_parts=found.need_item("Extra.ClassFetch", int, index),
+        required_coverage=found.need_item("Extra.MinShare", float, index),
+        complete_coverage=found.need_item("Extra.WholeAt", _positive, index),
+        objective_stretch=found.maybe(f"Classes.{index}.AimStretch", float),
+        late_weight=found.need(f"Classes.{index}.LateWorth", float),
+        partial_weight=found.need_item("Extra.ShortWorth", float, index),
     )
