--- a/gingervane/decisions/admission.py
+++ b/gingervane/decisions/admission.py
@@ -15,12 +15,13 @@
 from gingervane.decisions.replica_state import KnownReplica
 from gingervane.decisions.sliding_window import TRAFFIC_WINDOW, SlidingWindowCount
 
-# Share of the time to the objective that the slowest part may be expected to take (design page: admission).
+# Share of the time to the objective that the slowest part may be expected to take (docs/design.md,
+# admission).
 ADMISSION_LIMIT = 0.9
-# The same for a tenant that is over its quota (design page: admission).
+# The same for a tenant that is over its quota (docs/design.md, admission).
 ADMISSION_LIMIT_OVER_QUOTA = 0.65
 # Standard deviations by which what a tenant has sent must be over its quota: a few queries by chance, times
-# many co-ordinators, are no excess (design page: over a tenant's share).
+# many co-ordinators, are no excess (docs/design.md, tenant over its quota).
 QUOTA_TOLERANCE = 1.5
 # Added to a number of replicas so that its logarithm approximates the harmonic number, and that number for 0
 # replicas: minus Euler's constant.
--- a/gingervane/decisions/batch_context.py
+++ b/gingervane/decisions/batch_context.py
@@ -10,7 +10,7 @@
 from gingervane import interface as api
 
 # Timer granularities by which a timer may come late before a pause of this process is assumed
-# (design page: own standstill).
+# (docs/design.md, process pause).
 PAUSE_GRANULARITIES = 4
 
 
--- a/gingervane/decisions/circuit_breaker.py
+++ b/gingervane/decisions/circuit_breaker.py
@@ -4,9 +4,9 @@
 
 from gingervane.decisions.sliding_window import SlidingWindowCount
 
-# Events per part above which the breaker opens (design page).
+# Events per part above which the breaker opens (docs/design.md).
 OPEN_RATIO = 0.15
-# Events per part down to which an open breaker stays open (design page).
+# Events per part down to which an open breaker stays open (docs/design.md).
 CLOSE_RATIO = 0.10
 # Parts to which the events are compared at least, so that a few events after a pause do not open it.
 MIN_PARTS = 20
--- a/gingervane/decisions/hedging.py
+++ b/gingervane/decisions/hedging.py
@@ -16,18 +16,20 @@
 from gingervane.decisions.replica_selection import ReplicaSelector
 from gingervane.decisions.sliding_window import TRAFFIC_WINDOW, SlidingWindowCount
 
-# Share of the class's parts that end within the hedge delay (design page).
+# Share of the class's parts that end within the hedge delay (docs/design.md).
 HEDGE_PERCENTILE = 0.95
-# Hedge delays after which an attempt that nothing has overtaken counts as without response (design page).
+# Hedge delays after which an attempt that nothing has overtaken counts as without response
+# (docs/design.md).
 NO_RESPONSE_DELAYS = 2
-# Largest share of the open attempts that may be hedges (design page: cap on copies).
+# Largest share of the open attempts that may be hedges (docs/design.md, circuit breaker).
 MAX_HEDGED_SHARE = 0.25
-# Hedges that a query may have in any case, as a share of its parts (design page: cap on copies).
+# Hedges that a query may have in any case, as a share of its parts (docs/design.md, circuit breaker).
 MIN_HEDGED_SHARE_OF_QUERY = 0.10
-# Expected latency, as a multiple of the class's baseline, above which replicas are taken to queue (design
-# page: no copy under queueing).
+# Expected latency, as a multiple of the class's baseline, above which replicas are taken to queue
+# (docs/design.md, no hedge under queueing).
 QUEUEING_LATENCY = 2.0
-# Weight of a query that is missing at most where its late parts are stragglers and not queued (design page).
+# Weight of a query that is missing at most where its late parts are stragglers and not queued
+# (docs/design.md).
 MAX_STRAGGLER_WEIGHT = 0.10
 # Seconds for which a replica that does not respond is met on a new connection.
 RECONNECT_PERIOD = 2 * MAX_EJECTION
--- a/gingervane/decisions/idle_connections.py
+++ b/gingervane/decisions/idle_connections.py
@@ -13,8 +13,8 @@
 from gingervane.decisions.query_state import Attempt
 from gingervane.decisions.replica_state import KnownReplica
 
-# Seconds in which the limit on idle time doubles, and the longest sound idle time halves (design page: idle
-# connections shut).
+# Seconds in which the limit on idle time doubles, and the longest sound idle time halves (docs/design.md,
+# idle connections closed).
 HALF_LIFE = 10.0
 
 
--- a/gingervane/decisions/latency.py
+++ b/gingervane/decisions/latency.py
@@ -6,19 +6,19 @@
 from gingervane.decisions.replica_state import KnownReplica
 from gingervane.decisions.sliding_window import RankedSamples
 
-# Latencies of a class from which its percentiles are taken from the samples (design page).
+# Latencies of a class from which its percentiles are taken from the samples (docs/design.md).
 MIN_SAMPLES = 20
-# Share of the latency objective that stands for every percentile before that (design page).
+# Share of the latency objective that stands for every percentile before that (docs/design.md).
 INITIAL_PERCENTILE = 0.5
-# Factor by which the baseline median may grow with each query of the class (design page).
+# Factor by which the baseline median may grow with each query of the class (docs/design.md).
 BASELINE_GROWTH = 1.02
-# Outcomes over which the moving means run (design page: admission).
+# Outcomes over which the moving means run (docs/design.md, admission).
 MEAN_OUTCOMES = 40
-# Seconds in which the expected latency halves while nothing ends (design page: admission).
+# Seconds in which the expected latency halves while nothing ends (docs/design.md, admission).
 MEAN_HALF_LIFE = 2.0
-# Parts over which a replica's relative latency is averaged (design page: pace of servers).
+# Parts over which a replica's relative latency is averaged (docs/design.md, relative latency).
 RELATIVE_LATENCY_PARTS = 3
-# Seconds in which a replica's relative latency halves its distance to 1 (design page: pace of servers).
+# Seconds in which a replica's relative latency halves its distance to 1 (docs/design.md, relative latency).
 RELATIVE_LATENCY_HALF_LIFE = 8.0
 # Seconds that a median counts as at least, so that it can be divided by.
 MIN_MEDIAN = 1e-6
--- a/gingervane/decisions/outlier_ejection.py
+++ b/gingervane/decisions/outlier_ejection.py
@@ -13,23 +13,23 @@
 from gingervane.decisions.replica_state import KnownReplica
 from gingervane.decisions.sliding_window import TRAFFIC_WINDOW, SlidingWindowCount
 
-# Seconds in which a failure score halves (design page: outlier ejection).
+# Seconds in which a failure score halves (docs/design.md, outlier ejection).
 SCORE_HALF_LIFE = 2.0
 # Failure score above which a replica is ejected: one bad part is enough unless good ones vouch for it.
 EJECTION_SCORE = 0.6
 # Lowest failure score, so that no replica has more than one good part to its credit.
 MIN_SCORE = -1.0
-# Largest share of the ready replicas that may be ejected (design page).
+# Largest share of the ready replicas that may be ejected (docs/design.md).
 MAX_EJECTED_SHARE = 0.5
-# Shortest ejection, seconds; doubled at each failed trial (design page).
+# Shortest ejection, seconds; doubled at each failed trial (docs/design.md).
 MIN_EJECTION = 2.0
-# Longest ejection, seconds (design page).
+# Longest ejection, seconds (docs/design.md).
 MAX_EJECTION = 16.0
 # Weight of a bad part of one's own.
 FAILURE_WEIGHT = 1.0
-# Weight of a part rejected for a full queue, as a share of a bad part (design page).
+# Weight of a part rejected for a full queue, as a share of a bad part (docs/design.md).
 REJECTION_WEIGHT = 0.34
-# Largest weight of one peer's report, as a share of a bad part (design page).
+# Largest weight of one peer's report, as a share of a bad part (docs/design.md).
 MAX_REPORT_WEIGHT = 0.34
 # Parts that the fleet is taken to send to a replica at least, so that they can be divided by.
 MIN_FLEET_PARTS = 1e-6
--- a/gingervane/decisions/replica_selection.py
+++ b/gingervane/decisions/replica_selection.py
@@ -16,15 +16,15 @@
 from gingervane.decisions.replica_state import KnownReplica
 from gingervane.decisions.slow_start import SlowStart
 
-# Age of a replica's oldest request, as a share of the time to the objective, from which on a new part behind
-# it would be late (design page: backed-up server).
+# Age of a replica's oldest request, as a share of the time to the objective, from which on a new part
+# behind it would be late (docs/design.md, head-of-line blocking).
 MAX_REQUEST_AGE = 0.35
-# Open requests that sending to another zone counts as (design page: own-zone row).
+# Open requests that sending to another zone counts as (docs/design.md, own-zone candidate).
 ZONE_CROSSING_COST = 0.5
-# Relative latency, as a multiple of the best holder's, above which a replica is left for it (design page:
-# pace of servers).
+# Relative latency, as a multiple of the best holder's, above which a replica is left for it
+# (docs/design.md, relative latency).
 MAX_RELATIVE_LATENCY = 2.5
-# Share of a query's parts, one at least, that may be sent to ejected replicas as trials (design page:
+# Share of a query's parts, one at least, that may be sent to ejected replicas as trials (docs/design.md,
 # probation).
 MAX_TRIAL_SHARE = 0.10
 
--- a/gingervane/decisions/retry_budget.py
+++ b/gingervane/decisions/retry_budget.py
@@ -6,7 +6,8 @@
 from gingervane.decisions.batch_context import BatchContext
 from gingervane.decisions.sliding_window import SlidingWindowCount
 
-# Share of the budget's free attempts that hedges must leave to retries (design page: retries before copies).
+# Share of the budget's free attempts that hedges must leave to retries (docs/design.md, retries before
+# hedges).
 RESERVED_FOR_RETRIES = 1 / 2
 
 
--- a/gingervane/decisions/sliding_window.py
+++ b/gingervane/decisions/sliding_window.py
@@ -6,9 +6,9 @@
 from collections import deque
 from collections.abc import Iterable
 
-# Seconds over which traffic, hedges and failures are counted (design page).
+# Seconds over which traffic, hedges and failures are counted (docs/design.md).
 TRAFFIC_WINDOW = 10.0
-# Number of latencies that a ranking holds (design page).
+# Number of latencies that a ranking holds (docs/design.md).
 MAX_SAMPLES = 200
 
 
--- a/gingervane/decisions/slow_start.py
+++ b/gingervane/decisions/slow_start.py
@@ -14,9 +14,9 @@
 from gingervane.decisions.replica_state import KnownReplica
 from gingervane.decisions.sliding_window import TRAFFIC_WINDOW, SlidingWindowCount
 
-# Parts that a cold replica may be sent before they are earned, as the draw comes unevenly (design page).
+# Parts that a cold replica may be sent before they are earned, as the draw comes unevenly (docs/design.md).
 MAX_TOKEN_DEBT = 1.0
-# Tokens that can be saved up, in parts (design page).
+# Tokens that can be saved up, in parts (docs/design.md).
 MAX_TOKENS = 1.0
 # Parts that all co-ordinators together may send in the overload window though nothing is answered.
 MIN_PARTS_PER_OVERLOAD_WINDOW = 0.5
