--- a/gingervane/decisions/admission.py
+++ b/gingervane/decisions/admission.py
@@ -38,7 +38,6 @@
         self,
         settings: api.Settings,
         context: BatchContext,
-        *,
         membership: Membership,
         latency: LatencyEstimator,
         dispatcher: AttemptDispatcher,
--- a/gingervane/decisions/attempt_dispatch.py
+++ b/gingervane/decisions/attempt_dispatch.py
@@ -1,4 +1,4 @@
-"""Sends attempts, under every rule on sending, and keeps those that have not ended."""
+"""Sends attempts as the rules permit, and keeps those that have not ended."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from gingervane.decisions.query_state import Attempt, Part
 from gingervane.decisions.replica_selection import ReplicaSelector
 from gingervane.decisions.replica_state import KnownReplica, RequestKey
-from gingervane.decisions.retry_budget import RetryBudget
+from gingervane.decisions.retry_budget import RetryBudget, time_margin
 from gingervane.decisions.sliding_window import SlidingWindowCount
 from gingervane.decisions.slow_start import SlowStart
 
@@ -30,7 +30,6 @@
         retry_budget: RetryBudget,
         idle_connections: IdleConnectionLimit,
         first_sends: SlidingWindowCount,
-        time_margin: float,
         start_hedge_timer: Callable[[Attempt], None],
     ) -> None:
         self._settings = settings
@@ -40,7 +39,7 @@
         self._retry_budget = retry_budget
         self._idle_connections = idle_connections
         self._first_sends = first_sends
-        self._time_margin = time_margin
+        self._time_margin = time_margin(settings)
         self._start_hedge_timer = start_hedge_timer
         self.open_attempts = dict[tuple[int, int], Attempt]()  # by part and number
         self._parts_sent = Counter[KnownReplica]()  # in this batch
@@ -67,7 +66,7 @@
         return True
 
     def _open(self, part: Part, replica: KnownReplica, hedged: bool) -> Attempt:
-        """Make the attempt and put it into the books of the part and the replica."""
+        """Make the attempt and record it with its part and its replica."""
         now = self._context.now
         batch = self._context.batch
         request = RequestKey(now, batch, self._parts_sent[replica] // self._settings.max_parts_per_request)
@@ -108,7 +107,7 @@
         return self._context.now < first_run_at + window - self._time_margin
 
     def close(self, event: api.AttemptEnded) -> Attempt | None:
-        """Take an attempt that has ended out of the books; none if it is not known."""
+        """Remove an attempt that has ended, and return it; none if it is not known."""
         attempt = self.open_attempts.pop((event.part, event.attempt), None)
         if attempt is None:
             return None
--- a/gingervane/decisions/engine.py
+++ b/gingervane/decisions/engine.py
@@ -47,51 +47,47 @@
         self.membership = Membership(settings, self.context)
         self.slow_start = SlowStart(settings, self.context, self.membership)
         self.latency = LatencyEstimator(settings.query_classes)
-        # What counts towards a window stays on the safe side of it by this time: an attempt may leave later
-        # than it was decided, and a timer may fire later than it was set for.
-        time_margin = settings.timer_granularity + settings.max_send_delay
         first_sends = SlidingWindowCount(TRAFFIC_WINDOW)
-        self.outlier_detector = OutlierDetector(settings, self.context, self.membership, first_sends)
-        self.idle_connections = IdleConnectionLimit(self.context)
-        self.retry_budget = RetryBudget(settings, self.context, time_margin)
-        self.selector = ReplicaSelector(settings, self.context, self.membership, self.slow_start)
-        self.dispatcher = AttemptDispatcher(
+        self._outlier_detector = OutlierDetector(settings, self.context, self.membership, first_sends)
+        self._idle_connections = IdleConnectionLimit(self.context)
+        self._retry_budget = RetryBudget(settings, self.context)
+        self._selector = ReplicaSelector(settings, self.context, self.membership, self.slow_start)
+        self._dispatcher = AttemptDispatcher(
             settings,
             self.context,
-            selector=self.selector,
+            selector=self._selector,
             slow_start=self.slow_start,
-            retry_budget=self.retry_budget,
-            idle_connections=self.idle_connections,
+            retry_budget=self._retry_budget,
+            idle_connections=self._idle_connections,
             first_sends=first_sends,
-            time_margin=time_margin,
             start_hedge_timer=self._start_hedge_timer,
         )
-        self.admission = AdmissionControl(
-            settings,
-            self.context,
-            membership=self.membership,
-            latency=self.latency,
-            dispatcher=self.dispatcher,
+        self._admission = AdmissionControl(
+            settings, self.context, self.membership, self.latency, self._dispatcher
         )
         self.hedging = Hedging(
             self.context,
-            admission=self.admission,
-            dispatcher=self.dispatcher,
+            admission=self._admission,
+            dispatcher=self._dispatcher,
             first_sends=first_sends,
-            idle_connections=self.idle_connections,
+            idle_connections=self._idle_connections,
             latency=self.latency,
-            outlier_detector=self.outlier_detector,
-            selector=self.selector,
+            outlier_detector=self._outlier_detector,
+            selector=self._selector,
         )
         self.completion = QueryCompletion(
-            settings, self.context, admission=self.admission, dispatcher=self.dispatcher
+            settings, self.context, admission=self._admission, dispatcher=self._dispatcher
         )
         self._changed_queries = dict[int, Query]()  # that have parts which came in this batch
-        self._handlers: dict[type, Callable[..., None]] = {
+        self._handlers = self._event_handlers()
+
+    def _event_handlers(self) -> dict[type, Callable[..., None]]:
+        """What takes each event. Health checks are not asked for."""
+        return {
             api.AttemptEnded: self._on_attempt_ended,
             api.MembershipChanged: self.membership.update,
             api.PartArrived: self._on_part_arrived,
-            api.PeerMessageReceived: self.outlier_detector.on_peer_message,
+            api.PeerMessageReceived: self._outlier_detector.on_peer_message,
             api.QueryAbandoned: self._on_query_abandoned,
             api.QueryArrived: self._on_query_arrived,
             api.TimerFired: self.context.fire,
@@ -100,15 +96,15 @@
     def handle(self, now: float, events: Sequence[api.Event]) -> list[api.Action]:
         """Take one batch of events in order and say what to do."""
         self.context.begin(now, events)
-        self.selector.begin_batch()
-        self.dispatcher.begin_batch()
+        self._selector.begin_batch()
+        self._dispatcher.begin_batch()
         if self.context.batch == 1 and self.settings.membership_polled:
             self.membership.watch()
         # What came during a pause of this process is read before any timer, or replicas that have answered
         # would be taken for silent.
         for event in sorted(events, key=_is_timer):
             handler = self._handlers.get(type(event))
-            if handler is not None:  # health checks are not asked for
+            if handler is not None:
                 handler(event)
         changed = self._changed_queries
         self._changed_queries = {}
@@ -132,8 +128,8 @@
         query = Query(event, query_class, min(now + objective, answer_by), answer_by)
         self.completion.open(query)
         self._changed_queries[event.id] = query
-        self.retry_budget.record_request()
-        self.admission.record_query(event.tenant)
+        self._retry_budget.record_request()
+        self._admission.record_query(event.tenant)
         self.latency.update_baseline(event.query_class)
         self.context.set_timer(answer_by - now, partial(self.completion.on_deadline, query))
         if query_class.required_coverage < query_class.complete_coverage:
@@ -141,7 +137,7 @@
             self.context.set_timer(delay, partial(self.completion.update, query))
 
     def _on_part_arrived(self, event: api.PartArrived) -> None:
-        self.retry_budget.record_request()
+        self._retry_budget.record_request()
         self.slow_start.record_request()
         query = self.completion.queries_by_number.get(event.query_number)
         if query is not None:
@@ -151,9 +147,9 @@
     def _start_parts(self, query: Query) -> None:
         """Send the parts of a step, or reject the query."""
         for part in query.parts:
-            part.lost = not self.selector.has_holder(part)
+            part.lost = not self._selector.has_holder(part)
         parts = [part for part in query.parts if not part.lost]
-        replicas = self.selector.assign(parts)
+        replicas = self._selector.assign(parts)
         if not parts or query.is_unanswerable():
             self._reject(query, api.QueryEndReason.NO_REPLICA)
         elif self._is_over_capacity(query, parts, replicas):
@@ -166,14 +162,14 @@
         """Whether to shed a query; not one whose first step has been answered."""
         if query.state is QueryState.SECOND_STEP:
             return False
-        return self.admission.is_over_capacity(query, parts, replicas)
+        return self._admission.is_over_capacity(query, parts, replicas)
 
     def _send_parts(self, query: Query, parts: list[Part], replicas: list[KnownReplica]) -> None:
         for part, replica in zip(parts, replicas, strict=True):
             # Two parts of one query can use up a cold replica's tokens: the second goes elsewhere.
-            preferred = self.selector.is_preferred(replica, query)
-            target = replica if preferred else self.selector.substitute(part)
-            part.lost = target is None or not self.dispatcher.send(part, target)
+            preferred = self._selector.is_preferred(replica, query)
+            target = replica if preferred else self._selector.substitute(part)
+            part.lost = target is None or not self._dispatcher.send(part, target)
 
     def _reject(self, query: Query, reason: api.QueryEndReason) -> None:
         """End a query of which no part was sent.
@@ -185,7 +181,7 @@
         self.completion.reject_or_fail(query, reason)
 
     def _on_attempt_ended(self, event: api.AttemptEnded) -> None:
-        attempt = self.dispatcher.close(event)
+        attempt = self._dispatcher.close(event)
         if attempt is None:
             return
         self._record_health(attempt, event.outcome)
@@ -207,7 +203,7 @@
             self.slow_start.record_answer()
             # An answer as late as a missing response would let a jammed replica back in, for all peers.
             if attempt.hedge_delays < NO_RESPONSE_DELAYS:
-                self.outlier_detector.record_outcome(replica, 0.0)
+                self._outlier_detector.record_outcome(replica, 0.0)
             if attempt.hedged and not attempt.part.done and not self.context.process_paused:
                 self._record_lost_to_hedge(attempt.part)
         elif outcome not in OWN_ENDINGS:
@@ -217,12 +213,12 @@
             # To eject what is only full would send its load to the next holder.
             rejected = outcome is api.AttemptOutcome.REJECTED
             weight = REJECTION_WEIGHT if rejected else FAILURE_WEIGHT
-            self.outlier_detector.record_outcome(replica, weight, api.EjectionReason(outcome.value))
+            self._outlier_detector.record_outcome(replica, weight, api.EjectionReason(outcome.value))
 
     def _record_lost_to_hedge(self, part: Part) -> None:
         """What a hedge overtook in spite of its later start is slow, whatever the fleet does."""
         for attempt in part.attempts:
-            self.outlier_detector.record_outcome(
+            self._outlier_detector.record_outcome(
                 attempt.replica, FAILURE_WEIGHT, api.EjectionReason.LOST_TO_HEDGE
             )
 
@@ -233,7 +229,7 @@
         replica = attempt.replica
         replica.last_answered_send_at = max(replica.last_answered_send_at, attempt.request.sent_at)
         replica.unresponsive_until = 0.0
-        self.idle_connections.record_answer(attempt)
+        self._idle_connections.record_answer(attempt)
         if self.context.process_paused:
             return
         query = attempt.part.query
@@ -252,7 +248,7 @@
             # would raise the percentile to the objective where over 5% of parts get no response.
             hedge_delay = part.may_have_run.get(1, 0.0) - part.first_sent_at
             self.latency.samples[query.arrived.query_class].append(max(latency, hedge_delay))
-        self.dispatcher.cancel(part)
+        self._dispatcher.cancel(part)
         query.receive(part)
         self.completion.update(query)
 
@@ -260,8 +256,8 @@
         """Try a failed part again at another replica, which is no hedge; with no way left it is lost."""
         if part.done or part.attempts:
             return
-        replica = self.selector.substitute(part)
-        part.lost = replica is None or not self.dispatcher.send(part, replica)
+        replica = self._selector.substitute(part)
+        part.lost = replica is None or not self._dispatcher.send(part, replica)
         self.completion.update(part.query)
 
 
--- a/gingervane/decisions/hedging.py
+++ b/gingervane/decisions/hedging.py
@@ -31,7 +31,7 @@
 # Weight of a query that is missing at most where its late parts are stragglers and not queued
 # (docs/design.md).
 MAX_STRAGGLER_WEIGHT = 0.10
-# Seconds for which a replica that does not respond is met on a new connection.
+# Seconds for which a replica that does not respond is next reached over a new connection.
 RECONNECT_PERIOD = 2 * MAX_EJECTION
 
 
@@ -71,7 +71,7 @@
         self._context.set_timer(delay, partial(self._on_timer, attempt))
 
     def _on_timer(self, attempt: Attempt) -> None:
-        """Judge a silent replica, and send a hedge if the part is still out and a hedge can be of use."""
+        """Record a missing response, and send a hedge if the attempt is still open and that can be of use."""
         if not attempt.open:
             return
         self.start_timer(attempt)
--- a/gingervane/decisions/idle_connections.py
+++ b/gingervane/decisions/idle_connections.py
@@ -52,7 +52,7 @@
     def prepare_send(self, replica: KnownReplica) -> float:
         """Close the replica's idle connections if need be; return for how long they were idle before a send.
 
-        A replica that stopped responding under its parts may be well, and is met on a new connection too.
+        A replica that stopped responding may be well, and is reached over a new connection too.
         """
         now = self._context.now
         idle = now - replica.last_sent_at if replica.last_sent_at else 0.0  # a first send follows no pause
--- a/gingervane/decisions/retry_budget.py
+++ b/gingervane/decisions/retry_budget.py
@@ -11,20 +11,28 @@
 RESERVED_FOR_RETRIES = 1 / 2
 
 
+def time_margin(settings: api.Settings) -> float:
+    """Seconds by which to stay on the safe side of a stated window.
+
+    An attempt may leave later than it was decided, and the host's timers have a granularity.
+    """
+    return settings.timer_granularity + settings.max_send_delay
+
+
 class RetryBudget:
     """Counts requests and further attempts, each on the safe side of the stated window.
 
-    An attempt may leave later than it was decided, and the host's timers have a granularity: attempts count
-    for that much longer than the window, requests for that much less.
+    Attempts count for longer than the window by the time margin, requests for that much less.
     """
 
-    def __init__(self, settings: api.Settings, context: BatchContext, time_margin: float) -> None:
+    def __init__(self, settings: api.Settings, context: BatchContext) -> None:
         self._context = context
         self._free = settings.retry_budget_free
         self._share = settings.retry_budget_share or 0.0
         window = settings.retry_budget_window or 0.0
-        self._further_attempts = SlidingWindowCount(window + time_margin)
-        self._requests = SlidingWindowCount(window - time_margin)
+        margin = time_margin(settings)
+        self._further_attempts = SlidingWindowCount(window + margin)
+        self._requests = SlidingWindowCount(window - margin)
 
     def record_request(self) -> None:
         """Count a query or a part that came."""
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -158,14 +158,18 @@
 )
 def test_bad_input_gives_one_plain_line(data: bytes, words: str) -> None:
     command = [sys.executable, "-m", "gingervane.benchlink"]
-    done = subprocess.run(command, input=data, cwd=ROOT, capture_output=True)
+    done = subprocess.run(command, input=data, cwd=ROOT, capture_output=True, check=False)
     lines = done.stderr.decode().splitlines()
     assert done.returncode != 0 and len(lines) == 1 and words in lines[0]
 
 
 def test_end_of_input_is_a_clean_exit() -> None:
     done = subprocess.run(
-        [sys.executable, "-m", "gingervane.benchlink"], input=frame(1.0, 1), cwd=ROOT, capture_output=True
+        [sys.executable, "-m", "gingervane.benchlink"],
+        input=frame(1.0, 1),
+        cwd=ROOT,
+        capture_output=True,
+        check=False,
     )
     assert done.returncode == 0 and len(done.stdout) == 12 and not done.stderr
 
