--- a/gingervane/decisions/outlier_ejection.py
+++ b/gingervane/decisions/outlier_ejection.py
@@ -13,23 +13,23 @@
 from gingervane.decisions.replica_state import KnownReplica
 from gingervane.decisions.sliding_window import TRAFFIC_WINDOW, SlidingWindowCount
 
-# Seconds in which a failure score halves (design page: outlier ejection).
+# Seconds in which a failure score halves (docs/design.md, outlier ejection).
 SCORE_HALF_LIFE = 2.0
 # Failure score above which a replica is ejected: one bad part is enough unless good ones vouch for it.
 EJECTION_SCORE = 0.6
 # Lowest failure score, so that no replica has more than one good part to its credit.
 MIN_SCORE = -1.0
-# Largest share of the ready replicas that may be ejected (design page).
+# Largest share of the ready replicas that may be ejected (docs/design.md).
 MAX_EJECTED_SHARE = 0.5
-# Shortest ejection, seconds; doubled at each failed trial (design page).
+# Shortest ejection, seconds; doubled at each failed trial (docs/design.md).
 MIN_EJECTION = 2.0
-# Longest ejection, seconds (design page).
+# Longest ejection, seconds (docs/design.md).
 MAX_EJECTION = 16.0
 # Weight of a bad part of one's own.
 FAILURE_WEIGHT = 1.0
-# Weight of a part rejected for a full queue, as a share of a bad part (design page).
+# Weight of a part rejected for a full queue, as a share of a bad part (docs/design.md).
 REJECTION_WEIGHT = 0.34
-# Largest weight of one peer's report, as a share of a bad part (design page).
+# Largest weight of one peer's report, as a share of a bad part (docs/design.md).
 MAX_REPORT_WEIGHT = 0.34
 # Parts that the fleet is taken to send to a replica at least, so that they can be divided by.
 MIN_FLEET_PARTS = 1e-6
@@ -68,9 +68,10 @@
     def record_outcome(
         self, replica: KnownReplica, failure_weight: float, reason: api.EjectionReason | None = None
     ) -> None:
-        """Learn from a part: bad ones (failed, no response, overtaken by a hedge) eject, a good one reinstates.
+        """Learn from a part: a bad one may eject, a good one reinstates.
 
-        `failure_weight` is 0 for a good part. Nothing is concluded during an ejection but from a good part;
+        A part is bad if it failed, got no response or was overtaken by a hedge. `failure_weight` is 0 for a
+        good one. Nothing is concluded during an ejection but from a good part;
         after it one bad trial ejects for twice as long.
         """
         if replica.ejected_for and not failure_weight:
@@ -100,9 +101,10 @@
             self.record_outcome(replica, weight, api.EjectionReason.PEER_REPORTS)
 
     def _report_weight(self) -> float:
-        """Weight of one report: a bad part of one of many peers is little among all that the fleet sends there.
+        """Weight of one report.
 
-        Reports weigh as failures do for the circuit breaker, as a share of parts.
+        A bad part of one of many peers is little among all that the fleet sends to the replica. Reports weigh
+        as failures do for the circuit breaker, as a share of parts.
         """
         fleet_rate = self._rate(MIN_PARTS_FOR_REPORTS) * self._coordinator_count
         sent = fleet_rate * SCORE_HALF_LIFE / max(self._membership.ready_count, 1)
@@ -111,8 +113,8 @@
     def _adjust_ejection(self, replica: KnownReplica, weight: float) -> None:
         """Let reports prolong or end an ejection, as trials by each co-ordinator alone add up.
 
-        As much evidence as ejects a replica keeps it out for another shortest ejection, without doubling, which
-        is for own trials; as much to the contrary reinstates it.
+        As much evidence as ejects a replica keeps it out for another shortest ejection, without doubling,
+        which is for own trials; as much to the contrary reinstates it.
         """
         self._add_evidence(replica, weight)
         if not replica.ejected_for:
@@ -137,14 +139,14 @@
         replica.failure_score_at = now
 
     def _may_eject(self, reason: api.EjectionReason | None) -> bool:
-        """Whether one more may be ejected. What cannot be reached is of no use, however many such there are."""
+        """Whether one more may be ejected: always if unreachable, as it is then of no use to anybody."""
         if reason is api.EjectionReason.CONNECT_FAILED:
             return True
         ejected = sum(r.ready and r.ejected_for > 0 for r in self._membership.replicas.values())
         return ejected + 1 <= MAX_EJECTED_SHARE * self._membership.ready_count
 
     def _first_ejection_duration(self) -> float:
-        """At least as long as the next part for the replica takes to come, to those who would report on it."""
+        """Seconds, at least as many as the next part for it takes to come to those who would report on it."""
         observers = self._coordinator_count if self._gossip_allowed else 1
         return max(MIN_EJECTION, self._membership.ready_count / self._rate(1) / observers)
 
@@ -171,8 +173,8 @@
         """End an ejection.
 
         What did not respond for long may have restarted before the list says so: it is spared where another
-        holder is left. Without the comparison, what was slow, or is ejected for long as parts for it are rare,
-        would be taken for cold.
+        holder is left. Without the comparison, what was slow, or is ejected for long as parts for it are
+        rare, would be taken for cold.
         """
         if replica.last_unresponsive_at - replica.ejected_at > MIN_EJECTION:
             replica.suspected_restart_at = self._context.now
--- a/gingervane/decisions/slow_start.py
+++ b/gingervane/decisions/slow_start.py
@@ -14,9 +14,9 @@
 from gingervane.decisions.replica_state import KnownReplica
 from gingervane.decisions.sliding_window import TRAFFIC_WINDOW, SlidingWindowCount
 
-# Parts that a cold replica may be sent before they are earned, as the draw comes unevenly (design page).
+# Parts that a cold replica may be sent before they are earned, as the draw comes unevenly (docs/design.md).
 MAX_TOKEN_DEBT = 1.0
-# Tokens that can be saved up, in parts (design page).
+# Tokens that can be saved up, in parts (docs/design.md).
 MAX_TOKENS = 1.0
 # Parts that all co-ordinators together may send in the overload window though nothing is answered.
 MIN_PARTS_PER_OVERLOAD_WINDOW = 0.5
@@ -60,8 +60,8 @@
     def may_send(self, replica: KnownReplica, conservative: bool = False) -> bool:
         """Whether a replica is ready and, if cold, not near what would push it over.
 
-        `conservative`: nor may it be sent more than its share of what a ready replica gets, nor anything if it
-        is suspected of having restarted.
+        `conservative`: nor may it be sent more than its share of what a ready replica gets, nor anything if
+        it is suspected of having restarted.
         """
         now = self._context.now
         if conservative and now < replica.suspected_restart_at + self._duration:
--- a/gingervane/vectors/request_context.py
+++ b/gingervane/vectors/request_context.py
@@ -61,7 +61,7 @@
     values = request.url_parameters()
     name = values.get("class", default_class)
     query_class = classes.get(name)
-    if query_class is None or query_class.semantics is not classes[default_class].semantics:
+    if query_class is None or query_class.retry_safety is not classes[default_class].semantics:
         raise HttpError(400, f"parameter class: {name!r} is no class for this", True)
     timeout = query_class.deadline
     if "timeout" in values:
