--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -1,4 +1,4 @@
-"""The driver's four promises, whatever comes in whatever order: a state machine around the real module."""
+"""The driver's guarantees, whatever comes in whatever order: a state machine around the real module."""
 
 from __future__ import annotations
 
@@ -32,8 +32,8 @@
 ROWS = tuple(replica(i, cell=i, zone=i % 2) for i in range(4))
 
 
-class Plain:
-    """An exchange that is never asked to do anything."""
+class UnusedCodec:
+    """A codec that is never asked to encode or decode."""
 
     def encode(self, contents: list[Any], seconds_left: list[float], address: tuple[str, int]) -> bytes:
         raise NotImplementedError
@@ -47,66 +47,71 @@
         return 10
 
 
-class Spy:
-    """The module, with its sends and the endings that it is told of held against each other."""
+class CheckedModule:
+    """The decision module, with its sends checked against the ends of attempts that it is notified of."""
 
     def __init__(self, module: DecisionEngine) -> None:
-        self.module, self.made, self.out = module, Counter[int](), set[tuple[int, int]]()
+        self.module = module
+        self.attempts_made = Counter[int]()  # attempts, by part
+        self.in_flight = set[tuple[int, int]]()
 
     def handle(self, now: float, events: Sequence[api.Event]) -> list[api.Action]:
         for event in events:
             if isinstance(event, api.AttemptEnded):
-                assert (event.part, event.attempt) in self.out, "an ending without a send, or a second one"
-                self.out.remove((event.part, event.attempt))
+                assert (
+                    event.part,
+                    event.attempt,
+                ) in self.in_flight, "an ending without a send, or a second one"
+                self.in_flight.remove((event.part, event.attempt))
         actions = self.module.handle(now, events)
         for action in actions:
             if isinstance(action, api.Send):
-                self.out.add((action.part, self.made[action.part]))
-                self.made[action.part] += 1
+                self.in_flight.add((action.part, self.attempts_made[action.part]))
+                self.attempts_made[action.part] += 1
         return actions
 
 
-class Machine(RuleBasedStateMachine):
+class DriverMachine(RuleBasedStateMachine):
     def __init__(self) -> None:
         super().__init__()
-        self.spy = Spy(DecisionEngine(SETTINGS, 5))
-        self.driver, self.now, self.next = Driver(self.spy, SETTINGS), 100.0, 1
-        self.calls: list[t.BatchRequest] = []
-        self.finals: dict[int, list[t.QueryResult]] = {}
+        self.module = CheckedModule(DecisionEngine(SETTINGS, 5))
+        self.driver, self.now, self.next = Driver(self.module, SETTINGS), 100.0, 1
+        self.batches: list[t.BatchRequest] = []
+        self.query_results: dict[int, list[t.QueryResult]] = {}
         self.plans: dict[int, t.QueryPlan] = {}
         self.results: dict[str, tuple[int, int]] = {}
         self.pending: list[t.Input] = []
-        self.listed({})
+        self.update_endpoints({})
 
     def step(self, *inputs: t.Input) -> None:
-        settled = {q for q, found in self.finals.items() if found}
+        completed = {q for q, found in self.query_results.items() if found}
         for effect in self.driver.step(self.now, [*self.pending, *inputs]):
             match effect:
-                case t.StartRequest(call):
-                    assert call.open_attempts > 0
-                    self.calls.append(call)
-                    for errand in call.attempts:
-                        assert errand.content[0] not in settled, "sent for a query that was over"
-                case t.CompleteQuery(settle, final, _):
-                    settle(final)
+                case t.StartRequest(batch):
+                    assert batch.open_attempts > 0
+                    self.batches.append(batch)
+                    for attempt in batch.attempts:
+                        assert attempt.content[0] not in completed, "sent for a query that was over"
+                case t.CompleteQuery(on_result, result, _):
+                    on_result(result)
         self.pending = []
 
-    def listed(self, states: dict[int, api.ReplicaState]) -> None:
+    def update_endpoints(self, states: dict[int, api.ReplicaState]) -> None:
         rows = tuple(r._replace(state=states.get(r.id, r.state)) for r in ROWS)
         event = api.MembershipChanged(api.MembershipUpdateKind.FULL, rows)
         self.step(t.EndpointsUpdated(event, {r.id: ("127.0.0.1", r.id + 1) for r in rows}))
 
-    def ended(self, call: t.BatchRequest, outcome: api.AttemptOutcome) -> list[t.Input]:
-        out: list[t.Input] = []
-        for errand in call.attempts:
-            claimed = errand.claim()
-            good = outcome is api.AttemptOutcome.OK and (claimed or errand.content[2])
-            name = f"{errand.part}/{errand.attempt}"
-            self.results[name] = errand.content[0], errand.content[1]
-            out.append(
-                t.AttemptFinished(errand.part, errand.attempt, outcome, self.now, name if good else None)
+    def ended(self, batch: t.BatchRequest, outcome: api.AttemptOutcome) -> list[t.Input]:
+        inputs: list[t.Input] = []
+        for attempt in batch.attempts:
+            claimed = attempt.claim()
+            good = outcome is api.AttemptOutcome.OK and (claimed or attempt.content[2])
+            name = f"{attempt.part}/{attempt.attempt}"
+            self.results[name] = attempt.content[0], attempt.content[1]
+            inputs.append(
+                t.AttemptFinished(attempt.part, attempt.attempt, outcome, self.now, name if good else None)
             )
-        return out
+        return inputs
 
     @rule(
         kind=st.integers(0, 3),
@@ -118,15 +123,15 @@
         number, self.next = self.next, self.next + 1
         weight = 1 / len(shards)
         parts = tuple(t.PartPlan(s, weight, (number, i, True)) for i, s in enumerate(sorted(shards)))
-        plan = t.QueryPlan(kind, self.now + time, parts, EXCHANGE)
-        self.finals[number], self.plans[number] = [], plan
-        arrived = t.QuerySubmitted(number, plan, self.finals[number].append)
+        plan = t.QueryPlan(kind, self.now + time, parts, CODEC)
+        self.query_results[number], self.plans[number] = [], plan
+        arrived = t.QuerySubmitted(number, plan, self.query_results[number].append)
         if hold:
             self.pending.append(arrived)
         else:
             self.step(arrived)
 
-    @precondition(lambda self: self.calls)
+    @precondition(lambda self: self.batches)
     @rule(
         pick=st.integers(0, 1 << 20),
         outcome=st.sampled_from([api.AttemptOutcome.OK] * 6 + ENDINGS),
@@ -134,10 +139,10 @@
         again=st.booleans(),
     )
     def end(self, pick: int, outcome: api.AttemptOutcome, hold: bool, again: bool) -> None:
-        """A call ends, also one that was called off, at times twice, at times in one batch with others."""
-        index = pick % len(self.calls)
-        call = self.calls[index] if again else self.calls.pop(index)
-        self.pending += self.ended(call, outcome)
+        """A batch ends, also one that was cancelled, at times twice, at times in one step with others."""
+        index = pick % len(self.batches)
+        batch = self.batches[index] if again else self.batches.pop(index)
+        self.pending += self.ended(batch, outcome)
         if not hold:
             self.step()
 
@@ -154,16 +159,16 @@
         self.now += seconds
         self.step()
 
-    @precondition(lambda self: self.finals)
+    @precondition(lambda self: self.query_results)
     @rule(pick=st.integers(0, 1 << 20), hold=st.booleans())
     def leave(self, pick: int, hold: bool) -> None:
-        self.pending.append(t.ClientDisconnected(sorted(self.finals)[pick % len(self.finals)]))
+        self.pending.append(t.ClientDisconnected(sorted(self.query_results)[pick % len(self.query_results)]))
         if not hold:
             self.step()
 
     @rule(states=st.dictionaries(st.integers(0, 3), st.sampled_from(list(api.ReplicaState)), max_size=3))
     def change(self, states: dict[int, api.ReplicaState]) -> None:
-        self.listed(states)
+        self.update_endpoints(states)
 
     @rule()
     def shut(self) -> None:
@@ -172,10 +177,10 @@
 
     @invariant()
     def promises(self) -> None:
-        for number, finals in self.finals.items():
-            assert len(finals) <= 1, "settled twice"
+        for number, query_results in self.query_results.items():
+            assert len(query_results) <= 1, "settled twice"
             plan = self.plans[number]
-            for final in finals:
+            for final in query_results:
                 assert final.status is not t.QueryStatus.COMPLETE or len(final.results) == len(plan.parts)
                 for index, name in final.results.items():
                     assert name is not None and self.results[name] == (number, index)
@@ -183,7 +188,7 @@
                 assert not short or final.coverage >= CLASSES[plan.query_class].required_coverage - 1e-9
 
     def teardown(self) -> None:
-        """All timers run out: nothing stays open, and the module has heard the end of each send."""
+        """All timers run out: nothing stays open, and the module was notified of the end of each send."""
         self.step()
         for _ in range(2000):
             due = self.driver.next_due()
@@ -191,26 +196,26 @@
                 break
             self.now = max(self.now, due)
             self.step()
-        assert all(len(finals) == 1 for finals in self.finals.values())
+        assert all(len(query_results) == 1 for query_results in self.query_results.values())
         assert self.driver.open_queries == 0 and self.driver.attempts_out == 0 and self.driver.held_bytes == 0
-        assert not self.spy.out
+        assert not self.module.in_flight
 
 
-EXCHANGE = Plain()
-TestDriver = Machine.TestCase
+CODEC = UnusedCodec()
+TestDriver = DriverMachine.TestCase
 TestDriver.settings = profile(max_examples=120, stateful_step_count=40)
 
 
-class Bench:
-    """One driver and hand-fed inputs."""
+class DriverHarness:
+    """One driver, with inputs given by hand."""
 
     def __init__(self, kind: api.QueryClass, chosen: api.Settings | None = None) -> None:
         chosen = chosen or SETTINGS._replace(
             query_classes=(kind,), cell_count=1, cells_per_replica=1, max_parts_per_request=1
         )
-        self.spy, self.now = Spy(DecisionEngine(chosen, 1)), 100.0
-        self.driver = Driver(self.spy, chosen)
-        self.finals: list[t.QueryResult] = []
+        self.module, self.now = CheckedModule(DecisionEngine(chosen, 1)), 100.0
+        self.driver = Driver(self.module, chosen)
+        self.query_results: list[t.QueryResult] = []
         rows = tuple(replica(i) for i in range(3))
         event = api.MembershipChanged(api.MembershipUpdateKind.FULL, rows)
         self.step(t.EndpointsUpdated(event, {r.id: ("127.0.0.1", 1) for r in rows}))
@@ -225,8 +230,8 @@
         return out
 
     def ask(self, seconds: float) -> list[t.BatchRequest]:
-        plan = t.QueryPlan(0, self.now + seconds, (t.PartPlan(0, 1.0, "x"),), EXCHANGE)
-        return self.step(t.QuerySubmitted(1, plan, self.finals.append))
+        plan = t.QueryPlan(0, self.now + seconds, (t.PartPlan(0, 1.0, "x"),), CODEC)
+        return self.step(t.QuerySubmitted(1, plan, self.query_results.append))
 
     def run_to(self, at: float) -> list[t.BatchRequest]:
         out = []
@@ -237,103 +242,105 @@
         return out
 
 
-def good(call: t.BatchRequest, now: float, result: str) -> t.AttemptFinished:
-    call.attempts[0].claim()
+def succeed(batch: t.BatchRequest, now: float, result: str) -> t.AttemptFinished:
+    batch.attempts[0].claim()
     return t.AttemptFinished(
-        call.attempts[0].part, call.attempts[0].attempt, api.AttemptOutcome.OK, now, result
+        batch.attempts[0].part, batch.attempts[0].attempt, api.AttemptOutcome.OK, now, result
     )
 
 
-def test_copy_and_original_answer_in_one_batch() -> None:
-    bench = Bench(query_class(aim=1.0, deadline=3.0))
-    first = bench.ask(3.0)
-    copy = bench.run_to(bench.now + 0.6)
+def test_hedged_request_and_original_answer_in_one_batch() -> None:
+    harness = DriverHarness(query_class(aim=1.0, deadline=3.0))
+    first = harness.ask(3.0)
+    copy = harness.run_to(harness.now + 0.6)
     assert len(first) == len(copy) == 1 and first[0].replica != copy[0].replica
-    bench.step(good(copy[0], bench.now, "copy"), good(first[0], bench.now, "original"))
-    bench.step()
-    assert [f.status for f in bench.finals] == [t.QueryStatus.COMPLETE]
-    assert bench.finals[0].results == {0: "copy"} and not bench.spy.out
+    harness.step(succeed(copy[0], harness.now, "copy"), succeed(first[0], harness.now, "original"))
+    harness.step()
+    assert [f.status for f in harness.query_results] == [t.QueryStatus.COMPLETE]
+    assert harness.query_results[0].results == {0: "copy"} and not harness.module.in_flight
 
 
 def test_reply_in_the_batch_in_which_its_query_expires() -> None:
-    bench = Bench(query_class(aim=1.0, deadline=3.0))
-    (call,) = bench.ask(0.2)
-    bench.now = 100.2  # its timer is due; the answer is in the same batch and comes first
-    bench.step(good(call, bench.now, "late but here"))
-    bench.step()
-    assert [f.status for f in bench.finals] == [t.QueryStatus.COMPLETE] and not bench.spy.out
-    bench.step(good(call, bench.now, "again"))
-    assert len(bench.finals) == 1 and bench.driver.counts.late_endings == 1
-
-
-def test_an_attempt_that_never_left_is_proof() -> None:
-    """An unsafe query whose attempt no sender had claimed may be refused; one whose attempt left may not."""
-    for leaves, verdict in ((False, t.QueryStatus.REJECTED), (True, t.QueryStatus.FAILED)):
-        bench = Bench(query_class(aim=1.0, deadline=3.0, semantics=api.RetrySafety.NOT_IDEMPOTENT))
-        (call,) = bench.ask(0.5)
-        if leaves:
-            assert call.attempts[0].claim()
-        bench.run_to(bench.now + 1.0)
-        assert [f.status for f in bench.finals] == [verdict] and not call.attempts[0].claim()
-
-
-def test_shutdown_refuses_only_what_cannot_have_run() -> None:
-    for semantics, verdict in (
+    harness = DriverHarness(query_class(aim=1.0, deadline=3.0))
+    (batch,) = harness.ask(0.2)
+    harness.now = 100.2  # its timer is due; the answer is in the same batch and comes first
+    harness.step(succeed(batch, harness.now, "late but here"))
+    harness.step()
+    assert [f.status for f in harness.query_results] == [
+        t.QueryStatus.COMPLETE
+    ] and not harness.module.in_flight
+    harness.step(succeed(batch, harness.now, "again"))
+    assert len(harness.query_results) == 1 and harness.driver.counts.late_endings == 1
+
+
+def test_an_attempt_that_was_never_sent_is_proof() -> None:
+    """A query that is not idempotent may be rejected if no sender had claimed its attempt, but not if one had."""
+    for is_sent, status in ((False, t.QueryStatus.REJECTED), (True, t.QueryStatus.FAILED)):
+        harness = DriverHarness(query_class(aim=1.0, deadline=3.0, semantics=api.RetrySafety.NOT_IDEMPOTENT))
+        (batch,) = harness.ask(0.5)
+        if is_sent:
+            assert batch.attempts[0].claim()
+        harness.run_to(harness.now + 1.0)
+        assert [f.status for f in harness.query_results] == [status] and not batch.attempts[0].claim()
+
+
+def test_shutdown_rejects_only_what_cannot_have_run() -> None:
+    for retry_safety, status in (
         (api.RetrySafety.IDEMPOTENT, t.QueryStatus.REJECTED),
         (api.RetrySafety.NOT_IDEMPOTENT, t.QueryStatus.FAILED),
     ):
-        bench = Bench(query_class(aim=1.0, deadline=3.0, semantics=semantics))
-        bench.ask(3.0)
-        bench.step(t.Shutdown())
-        assert [f.status for f in bench.finals] == [verdict]
+        harness = DriverHarness(query_class(aim=1.0, deadline=3.0, semantics=retry_safety))
+        harness.ask(3.0)
+        harness.step(t.Shutdown())
+        assert [f.status for f in harness.query_results] == [status]
 
 
-def test_advice_follows_how_fast_room_comes() -> None:
-    advice = RetryAfterEstimate(1.0)
-    assert advice.seconds_until_free(10.0, 5) == 1.0, "nothing is known"
+def test_retry_after_follows_how_fast_capacity_comes_free() -> None:
+    estimate = RetryAfterEstimate(1.0)
+    assert estimate.seconds_until_free(10.0, 5) == 1.0, "nothing is known"
     for tick in range(100):
-        advice.freed(10.0 + tick * 0.02, 2)  # a hundred a second
-    assert 0.08 <= advice.seconds_until_free(12.0, 10) <= 0.12
-    assert advice.seconds_until_free(12.0, 1) == 0.02 and advice.seconds_until_free(12.0, 10_000) == 1.0
-    assert advice.seconds_until_free(20.0, 10) == 1.0, "old rates are forgotten"
+        estimate.freed(10.0 + tick * 0.02, 2)  # a hundred a second
+    assert 0.08 <= estimate.seconds_until_free(12.0, 10) <= 0.12
+    assert estimate.seconds_until_free(12.0, 1) == 0.02 and estimate.seconds_until_free(12.0, 10_000) == 1.0
+    assert estimate.seconds_until_free(20.0, 10) == 1.0, "old rates are forgotten"
 
 
-def test_what_waited_too_long_for_a_sender() -> None:
-    def call() -> t.BatchRequest:
-        errands = [
+def test_overdue_retries_are_not_sent() -> None:
+    def batch() -> t.BatchRequest:
+        attempts = [
             t.AttemptRequest(n, attempt, "", api.RetrySafety.NOT_IDEMPOTENT)
             for n, attempt in ((1, 0), (2, 1))
         ]
-        return t.BatchRequest(1, 1, ("h", 1), Plain(), errands, 9.0, decided_at=5.0)
+        return t.BatchRequest(1, 1, ("h", 1), UnusedCodec(), attempts, 9.0, decided_at=5.0)
 
-    made = call()
-    go, stale = made.claim_sendable(5.04)
+    made = batch()
+    sendable, overdue = made.claim_sendable(5.04)
     assert (
-        [e.part for e in go] == [1, 2] and not stale and made.claim_sendable(5.04) == ([], [])
+        [e.part for e in sendable] == [1, 2] and not overdue and made.claim_sendable(5.04) == ([], [])
     ), "claimed once"
-    go, stale = call().claim_sendable(5.06)
-    assert [e.part for e in go] == [1] and [e.part for e in stale] == [2]
-    made = call()
+    sendable, overdue = batch().claim_sendable(5.06)
+    assert [e.part for e in sendable] == [1] and [e.part for e in overdue] == [2]
+    made = batch()
     made.attempts[1].claim()  # ended by the driver meanwhile
     assert [len(found) for found in made.claim_sendable(5.06)] == [1, 0]
 
 
-def test_requests_read_after_a_standstill() -> None:
-    still = ProcessPauseDetector(100.0)
+def test_requests_read_after_a_process_pause() -> None:
+    detector = ProcessPauseDetector(100.0)
     for n in range(20):
-        still.tick(100.0 + n * 0.05)
-    assert still.arrival_time(101.0) == 101.0 and still.count == 0
-    assert still.arrival_time(102.0) == 100.95, "woken before the ticker"
-    still.tick(102.0)
-    assert still.count == 1 and still.arrival_time(102.05) == 100.95
-    assert still.arrival_time(102.05, since=101.5) == 101.5, "not before the exchange that went before it"
+        detector.tick(100.0 + n * 0.05)
+    assert detector.arrival_time(101.0) == 101.0 and detector.count == 0
+    assert detector.arrival_time(102.0) == 100.95, "woken before the ticker"
+    detector.tick(102.0)
+    assert detector.count == 1 and detector.arrival_time(102.05) == 100.95
+    assert detector.arrival_time(102.05, since=101.5) == 101.5, "not before the exchange that went before it"
     for n in range(5):
-        still.tick(102.0 + n * 0.05)
-    assert still.arrival_time(102.2) == 102.2 and still.count == 1
+        detector.tick(102.0 + n * 0.05)
+    assert detector.arrival_time(102.2) == 102.2 and detector.count == 1
 
 
-def test_what_no_cancel_may_stop_is_kept_back_while_it_has_not_begun() -> None:
-    """Its query is over, or its twin has answered: what no sender has claimed needs no leave to stop."""
+def test_unsent_attempts_are_withheld_where_cancelling_is_not_allowed() -> None:
+    """Its query is over, or the hedged request has answered: what no sender has claimed may be withheld."""
     chosen = SETTINGS._replace(
         query_classes=CLASSES[:1],
         cell_count=1,
@@ -342,31 +349,31 @@
         max_parts_per_request=1,
     )
     for answered in (True, False):
-        bench = Bench(CLASSES[0], chosen)
-        (first,) = bench.ask(3.0)
-        (copy,) = bench.run_to(bench.now + 0.6)
+        harness = DriverHarness(CLASSES[0], chosen)
+        (first,) = harness.ask(3.0)
+        (copy,) = harness.run_to(harness.now + 0.6)
         assert first.attempts[0].attempt == 0 and copy.attempts[0].attempt == 1
-        bench.step(good(copy, bench.now, "copy") if answered else t.ClientDisconnected(1))
-        bench.step()
-        assert not first.attempts[0].claim() and not bench.spy.out
-        assert [f.status for f in bench.finals] == [
+        harness.step(succeed(copy, harness.now, "copy") if answered else t.ClientDisconnected(1))
+        harness.step()
+        assert not first.attempts[0].claim() and not harness.module.in_flight
+        assert [f.status for f in harness.query_results] == [
             t.QueryStatus.COMPLETE if answered else t.QueryStatus.CLIENT_DISCONNECTED
         ]
 
 
-def test_a_list_goes_before_an_ending_in_the_same_batch() -> None:
+def test_an_endpoint_list_goes_before_the_end_of_an_attempt_in_the_same_batch() -> None:
     """The ending has the part sent again: neither to a replica that the next list says drains, nor to one
     that it says is gone, whose address the driver no longer has (which broke the decision thread)."""
     for state, which in itertools.product((api.ReplicaState.DRAINING, api.ReplicaState.GONE), (1, 2)):
-        bench = Bench(query_class(aim=1.0, deadline=3.0))
-        (call,) = bench.ask(3.0)
-        keeps = (call.replica + which) % 3
+        harness = DriverHarness(query_class(aim=1.0, deadline=3.0))
+        (batch,) = harness.ask(3.0)
+        keeps = (batch.replica + which) % 3
         rows = tuple(replica(i, state=api.ReplicaState.READY if i == keeps else state) for i in range(3))
-        call.attempts[0].claim()
+        batch.attempts[0].claim()
         ended = t.AttemptFinished(
-            call.attempts[0].part, 0, api.AttemptOutcome.CONNECT_FAILED, bench.now, None, "refused"
+            batch.attempts[0].part, 0, api.AttemptOutcome.CONNECT_FAILED, harness.now, None, "refused"
         )
-        again = bench.step(
+        again = harness.step(
             ended, t.EndpointsUpdated(api.MembershipChanged(api.MembershipUpdateKind.DELTA, rows), {})
         )
-        assert [c.replica for c in again] == [keeps]
+        assert [batch.replica for batch in again] == [keeps]
