--- a/tests/test_answers_property.py
+++ b/tests/test_answers_property.py
@@ -1,7 +1,7 @@
 """Driver and module with drawn settings: whatever comes, in whatever order and batch, no answer is false.
 
-The machine keeps its own books of what has been answered, from what it handed to the driver, and holds each
-answer and each second step against them. On the text of the incident it finds the empty second step.
+The machine keeps ledgers of its own of what has been answered, from what it handed to the driver, and checks each
+answer and each second step against them. On the code of the incident it finds the empty second step.
 """
 
 from __future__ import annotations
@@ -19,10 +19,12 @@
 from gingervane.decisions.engine import DecisionEngine
 from hosts import BASE, query_class, replica
 
-# Time passes between two turns, as for a decision thread: where latencies are nought, hedge timers are due
-# at once, and with a clock that stands they would be due for ever.
+# Time passes between two turns, as for a decision thread: where latencies are zero, hedge timers are due at once, and
+# with a clock that stands still they would be due for ever.
 TURN = 0.001  # seconds
-AIM, DEADLINE, SLACK = 0.5, 2.0, 1e-4  # seconds; of a sum of weights
+OBJECTIVE = 0.5  # seconds, the latency objective
+DEADLINE = 2.0  # seconds
+SLACK = 1e-4  # of a sum of weights
 SHARES = ((1.0, 1.0), (0.75, 0.75), (0.5, 1.0), (0.5, 0.75), (1.0, 0.75), (0.7, 0.9))
 ROWS = tuple(replica(number, zone=number % 2) for number in range(4))
 REPLICAS = {row.id: ("127.0.0.1", row.id + 1) for row in ROWS}
@@ -30,15 +32,15 @@
 
 
 class Content(NamedTuple):
-    """What a part holds, by which its books are found."""
+    """What a part asks for, by which its ledger is found."""
 
     query: int
     step: int
     shard: int
 
 
-class Travel:
-    """A protocol that is never asked to write."""
+class UnusedCodec:
+    """A codec that is never asked to encode."""
 
     def encode(self, contents: list[Any], seconds_left: list[float], address: tuple[str, int]) -> bytes:
         raise NotImplementedError
@@ -47,25 +49,25 @@
         return 1
 
 
-class Book:
+class QueryLedger:
     """One query, as its client and its replicas see it."""
 
     def __init__(self, kind: api.QueryClass, weights: dict[int, float], deadline: float) -> None:
         self.kind, self.weights, self.deadline = kind, weights, deadline
         self.answered: set[tuple[int, int]] = set()  # (step, shard) of parts answered
-        self.second: tuple[int, ...] | None = None
-        self.first_whole = True
-        self.finals: list[t.QueryResult] = []
-        self.aim = 0.0
+        self.second_step_shards: tuple[int, ...] | None = None
+        self.first_step_complete = True
+        self.results: list[t.QueryResult] = []
+        self.objective_at = 0.0
 
     def first_share(self, shards: set[int]) -> float:
         return sum(self.weights[shard] for shard in shards)
 
 
-TRAVEL = Travel()
+CODEC = UnusedCodec()
 
 
-class Machine(RuleBasedStateMachine):
+class AnswersMachine(RuleBasedStateMachine):
     """Settings are drawn once; then anything may come."""
 
     @initialize(
@@ -90,7 +92,7 @@
         window = 1.0 if semantics is api.RetrySafety.IDEMPOTENCY_KEY else None
         drawn = zip(shares, second, (api.RetrySafety.IDEMPOTENT, semantics), strict=True)
         self.classes = tuple(
-            query_class(AIM, DEADLINE, meaning, window, count, least, whole, late, 0.9)
+            query_class(OBJECTIVE, DEADLINE, meaning, window, count, least, whole, late, 0.9)
             for (least, whole), count, meaning in drawn
         )
         config = BASE._replace(
@@ -101,10 +103,10 @@
             cancellation_allowed=cancels,
         )
         self.driver, self.now = Driver(DecisionEngine(config, 5), config), 100.0
-        self.books: dict[int, Book] = {}
-        self.out: list[t.AttemptRequest] = []  # claimed and unanswered
+        self.ledgers: dict[int, QueryLedger] = {}
+        self.in_flight: list[t.AttemptRequest] = []  # claimed and unanswered
         self.pending: list[t.Input] = []
-        self.list_them({})
+        self.update_endpoints({})
 
     # ---- what comes
 
@@ -115,20 +117,20 @@
         hold=st.booleans(),
     )
     def arrive(self, kind: int, weights: list[float], time: float, hold: bool) -> None:
-        number, total = len(self.books) + 1, sum(weights)
+        number, total = len(self.ledgers) + 1, sum(weights)
         shares = {shard: round(weight / total, 6) for shard, weight in enumerate(weights)}
-        book = self.books[number] = Book(self.classes[kind], shares, self.now + time)
-        book.aim = self.now + AIM
+        ledger = self.ledgers[number] = QueryLedger(self.classes[kind], shares, self.now + time)
+        ledger.objective_at = self.now + OBJECTIVE
         parts = tuple(t.PartPlan(s, w, Content(number, 1, s)) for s, w in shares.items())
         has_second = self.classes[kind].second_step_parts > 0
         plan = t.QueryPlan(
             kind,
-            book.deadline,
+            ledger.deadline,
             parts,
-            TRAVEL,
+            CODEC,
             second_step=self._second_step(number) if has_second else None,
         )
-        self.pending.append(t.QuerySubmitted(number, plan, book.finals.append))
+        self.pending.append(t.QuerySubmitted(number, plan, ledger.results.append))
         if not hold:
             self.turn()
 
@@ -139,18 +141,18 @@
     )
     def end(self, picks: list[int], outcome: api.AttemptOutcome, hold: bool) -> None:
         for pick in picks:
-            if not self.out:
+            if not self.in_flight:
                 break
-            errand = self.out.pop(pick % len(self.out))
-            content: Content = errand.content
-            result = content if outcome is api.AttemptOutcome.OK else None
-            if result:
-                self.books[content.query].answered.add((content.step, content.shard))
-            self.pending.append(t.AttemptFinished(errand.part, errand.attempt, outcome, self.now, result))
+            attempt = self.in_flight.pop(pick % len(self.in_flight))
+            content: Content = attempt.content
+            answer = content if outcome is api.AttemptOutcome.OK else None
+            if answer:
+                self.ledgers[content.query].answered.add((content.step, content.shard))
+            self.pending.append(t.AttemptFinished(attempt.part, attempt.attempt, outcome, self.now, answer))
         if not hold:
             self.turn()
 
-    @rule(seconds=st.sampled_from([0.001, 0.02, 0.1, AIM - 0.01, 1.0]))
+    @rule(seconds=st.sampled_from([0.001, 0.02, 0.1, OBJECTIVE - 0.01, 1.0]))
     def wait(self, seconds: float) -> None:
         """Timers fire in batches of their own."""
         until = self.now + seconds
@@ -159,32 +161,32 @@
             self.turn()
         self.now = max(self.now, until)
 
-    @rule(seconds=st.sampled_from([0.005, 0.1, AIM, 1.0]))
+    @rule(seconds=st.sampled_from([0.005, 0.1, OBJECTIVE, 1.0]))
     def stand_still(self, seconds: float) -> None:
         """Whatever is pending, and all timers due, come in one batch."""
         self.now += seconds
         self.turn()
 
-    @precondition(lambda self: any(book.aim > self.now for book in self.books.values()))
+    @precondition(lambda self: any(ledger.objective_at > self.now for ledger in self.ledgers.values()))
     @rule(pick=st.integers(0, 1 << 16), some=st.lists(st.integers(0, 1 << 16), max_size=6))
-    def meet_an_aim(self, pick: int, some: list[int]) -> None:
-        """Answers come in the very batch in which the aim timer of a query is due."""
-        books = [book for book in self.books.values() if book.aim > self.now]
-        aim = books[pick % len(books)].aim
-        self.wait(aim - self.now - 3 * BASE.timer_granularity)
-        self.now = aim
+    def reach_an_objective(self, pick: int, some: list[int]) -> None:
+        """Answers come in the very batch in which the objective timer of a query is due."""
+        ledgers = [ledger for ledger in self.ledgers.values() if ledger.objective_at > self.now]
+        objective_at = ledgers[pick % len(ledgers)].objective_at
+        self.wait(objective_at - self.now - 3 * BASE.timer_granularity)
+        self.now = objective_at
         self.end(some, api.AttemptOutcome.OK, hold=True)
         self.turn()
 
-    @precondition(lambda self: self.books)
+    @precondition(lambda self: self.ledgers)
     @rule(pick=st.integers(0, 1 << 16), hold=st.booleans())
     def leave(self, pick: int, hold: bool) -> None:
-        self.pending.append(t.ClientDisconnected(1 + pick % len(self.books)))
+        self.pending.append(t.ClientDisconnected(1 + pick % len(self.ledgers)))
         if not hold:
             self.turn()
 
     @rule(states=st.dictionaries(st.integers(0, 3), st.sampled_from(list(api.ReplicaState)), max_size=3))
-    def list_them(self, states: dict[int, api.ReplicaState]) -> None:
+    def update_endpoints(self, states: dict[int, api.ReplicaState]) -> None:
         rows = tuple(row._replace(state=states.get(row.id, row.state)) for row in ROWS)
         self.pending.append(
             t.EndpointsUpdated(api.MembershipChanged(api.MembershipUpdateKind.FULL, rows), dict(REPLICAS))
@@ -192,7 +194,7 @@
         self.turn()
 
     @rule()
-    def shut(self) -> None:
+    def shut_down(self) -> None:
         self.pending.append(t.Shutdown())
         self.turn()
 
@@ -200,65 +202,67 @@
 
     def turn(self) -> None:
         inputs, self.pending = self.pending, []
-        before = {number for number, book in self.books.items() if book.finals}
+        before = {number for number, ledger in self.ledgers.items() if ledger.results}
         for effect in self.driver.step(self.now, inputs):
             match effect:
-                case t.StartRequest(call):
-                    for errand in call.attempts:
-                        assert errand.content.query not in before, "sent after its query's end"
-                        if errand.claim():
-                            self.out.append(errand)
-                case t.CompleteQuery(settled, final, _):
-                    settled(final)
+                case t.StartRequest(batch):
+                    for attempt in batch.attempts:
+                        assert attempt.content.query not in before, "sent after its query's end"
+                        if attempt.claim():
+                            self.in_flight.append(attempt)
+                case t.CompleteQuery(on_result, result, _):
+                    on_result(result)
 
     def _second_step(self, number: int) -> Callable[[dict[int, Any], bool], tuple[t.PartPlan, ...]]:
         def begin(results: dict[int, Any], whole: bool) -> tuple[t.PartPlan, ...]:
-            book = self.books[number]
+            ledger = self.ledgers[number]
             named = {content.shard for content in results.values()}
-            assert book.second is None, "a second step twice"
-            assert named <= {shard for step, shard in book.answered if step == 1}, "names a shard not in"
-            share = book.first_share(named)
-            assert named and share >= min(book.kind.required_coverage, book.kind.complete_coverage) - SLACK
-            assert not whole or share >= book.kind.complete_coverage - SLACK, "marked whole that is not"
-            chosen = tuple(sorted(named)[: book.kind.second_step_parts])
-            book.second, book.first_whole = chosen, whole
+            assert ledger.second_step_shards is None, "a second step twice"
+            assert named <= {shard for step, shard in ledger.answered if step == 1}, "names a shard not in"
+            share = ledger.first_share(named)
+            assert (
+                named and share >= min(ledger.kind.required_coverage, ledger.kind.complete_coverage) - SLACK
+            )
+            assert not whole or share >= ledger.kind.complete_coverage - SLACK, "marked whole that is not"
+            chosen = tuple(sorted(named)[: ledger.kind.second_step_parts])
+            ledger.second_step_shards, ledger.first_step_complete = chosen, whole
             return tuple(t.PartPlan(s, 1 / len(chosen), Content(number, 2, s)) for s in chosen)
 
         return begin
 
     @invariant()
     def answers_are_honest(self) -> None:
-        for number, book in getattr(self, "books", {}).items():
-            assert len(book.finals) <= 1, "two final answers"
-            for final in book.finals:
+        for number, ledger in getattr(self, "ledgers", {}).items():
+            assert len(ledger.results) <= 1, "two results"
+            for result in ledger.results:
                 assert (
-                    final.reason is not api.QueryEndReason.COVERAGE_CHECK_FAILED
+                    result.reason is not api.QueryEndReason.COVERAGE_CHECK_FAILED
                 ), "the module called a false answer"
-                if final.status in (t.QueryStatus.COMPLETE, t.QueryStatus.PARTIAL):
-                    self._check(number, book, final)
-
-    def _check(self, number: int, book: Book, final: t.QueryResult) -> None:
-        kind, step = book.kind, 2 if book.kind.second_step_parts else 1
-        got = {content.shard for content in final.results.values()}
-        assert all(content == Content(number, step, content.shard) for content in final.results.values())
-        assert got <= {shard for s, shard in book.answered if s == step}, "a part that was not answered"
-        marked = final.status is t.QueryStatus.COMPLETE or final.marked_complete
+                if result.status in (t.QueryStatus.COMPLETE, t.QueryStatus.PARTIAL):
+                    self._check(number, ledger, result)
+
+    def _check(self, number: int, ledger: QueryLedger, result: t.QueryResult) -> None:
+        kind, step = ledger.kind, 2 if ledger.kind.second_step_parts else 1
+        got = {content.shard for content in result.results.values()}
+        assert all(content == Content(number, step, content.shard) for content in result.results.values())
+        assert got <= {shard for s, shard in ledger.answered if s == step}, "a part that was not answered"
+        marked = result.status is t.QueryStatus.COMPLETE or result.marked_complete
         if step == 1:
-            share = book.first_share(got)
+            share = ledger.first_share(got)
             assert (
                 got and share >= min(kind.required_coverage, kind.complete_coverage) - SLACK
             ), "under its least share"
             assert not marked or share >= kind.complete_coverage - SLACK, "marked whole that is not"
             return
-        assert book.second, "no second step was asked"
-        share = len(got) / len(book.second)
+        assert ledger.second_step_shards, "no second step was asked"
+        share = len(got) / len(ledger.second_step_shards)
         least = kind.required_coverage if kind.required_coverage < kind.complete_coverage else 1.0
         assert share >= least - SLACK, "under its least share"
-        assert not marked or (book.first_whole and share == 1.0), "marked whole that is not"
+        assert not marked or (ledger.first_step_complete and share == 1.0), "marked whole that is not"
 
     def teardown(self) -> None:
-        """All timers run out: every query has had its one end."""
-        if not hasattr(self, "books"):
+        """All timers run out: every query has its one result."""
+        if not hasattr(self, "ledgers"):
             return
         self.turn()
         for _ in range(3000):
@@ -267,9 +271,9 @@
                 break
             self.now = max(self.now + TURN, due)
             self.turn()
-        assert all(len(book.finals) == 1 for book in self.books.values())
+        assert all(len(ledger.results) == 1 for ledger in self.ledgers.values())
         self.answers_are_honest()
 
 
-TestAnswers = Machine.TestCase
+TestAnswers = AnswersMachine.TestCase
 TestAnswers.settings = profile(max_examples=600, stateful_step_count=30, deadline=None)
--- a/tests/test_incident_partial.py
+++ b/tests/test_incident_partial.py
@@ -41,8 +41,9 @@
 )
 
 ROOT = Path(__file__).parents[1]
-AIM = 0.4  # seconds
-ROUNDS, QUERIES = 6, 12  # a new node each round, which has learned no delays that would have it shed load
+AIM = 0.4  # seconds, the latency objective
+ROUNDS = 6  # a new node each, which has learned no delays that would have it shed load
+QUERIES = 12  # a round
 
 
 def settings(least: float, whole: float) -> dict[str, Any]:
@@ -164,8 +165,8 @@
         time.sleep(0.002)
 
 
-class _Contents:
-    """An exchange that is never asked to write."""
+class _UnusedCodec:
+    """A codec that is never asked to encode."""
 
     def encode(self, contents: list[Any], seconds_left: list[float], address: tuple[str, int]) -> bytes:
         raise NotImplementedError
@@ -180,7 +181,7 @@
     kind = query_class(aim=AIM, deadline=3.0, second=2, least=least, whole=whole)
     config = BASE._replace(query_classes=(kind,), coordinator_count=1, hedging_allowed=False)
     driver = Driver(DecisionEngine(config, 5), config)
-    finals: list[t.QueryResult] = []
+    query_results: list[t.QueryResult] = []
     driver.step(
         100.0,
         [
@@ -192,12 +193,12 @@
     )
     parts = tuple(t.PartPlan(shard, 0.25, f"q.{shard}") for shard in range(4))
 
-    def second(results: dict[int, Any], whole: bool) -> tuple[t.PartPlan, ...]:
-        return tuple(t.PartPlan(shard, 0.5, f"q.{shard}.b") for shard in sorted(results)[:2])
+    def second_step(first_results: dict[int, Any], whole: bool) -> tuple[t.PartPlan, ...]:
+        return tuple(t.PartPlan(shard, 0.5, f"q.{shard}.b") for shard in sorted(first_results)[:2])
 
-    plan = t.QueryPlan(0, 103.0, parts, _Contents(), second_step=second)
-    effects = driver.step(100.1, [t.QuerySubmitted(1, plan, finals.append)])
-    errands = {
+    plan = t.QueryPlan(0, 103.0, parts, _UnusedCodec(), second_step=second_step)
+    effects = driver.step(100.1, [t.QuerySubmitted(1, plan, query_results.append)])
+    attempts = {
         e.content: e
         for effect in effects
         if isinstance(effect, t.StartRequest)
@@ -205,8 +206,8 @@
     }
 
     def ended(content: str, now: float) -> t.AttemptFinished:
-        assert errands[content].claim()
-        return t.AttemptFinished(errands[content].part, 0, api.AttemptOutcome.OK, now, content)
+        assert attempts[content].claim()
+        return t.AttemptFinished(attempts[content].part, 0, api.AttemptOutcome.OK, now, content)
 
     driver.step(100.2, [ended("q.0", 100.2), ended("q.1", 100.2)])
     batch = 100.1 + AIM + 0.05  # the aim timer is due in it
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -20,7 +20,7 @@
         self.now, self.ahead = 1000.0, ahead
         self.starts = ReplicaStartTimes(lambda: self.now, lambda: 1e9 + self.now + self.ahead)
 
-    def told(self, cached: bool = False, **starts: float) -> dict[str, float]:
+    def place(self, cached: bool = False, **starts: float) -> dict[str, float]:
         """Places of starts that are given on the monotonic clock."""
         placed = self.starts.place({ord(k): 1e9 + at if at else 0.0 for k, at in starts.items()}, cached)
         return {chr(number): at for number, at in placed.items()}
@@ -28,25 +28,25 @@
 
 def test_a_sound_clock_places_starts_where_they_are() -> None:
     clocks = Clocks()
-    assert clocks.told(a=990.0, b=0.0) == pytest.approx({"a": 990.0, "b": 0.0})
+    assert clocks.place(a=990.0, b=0.0) == pytest.approx({"a": 990.0, "b": 0.0})
     clocks.now = 1010.0
     clocks.starts.message_received()
     clocks.now = 1012.0
-    assert clocks.told(c=1010.5) == pytest.approx({"c": 1010.5}) and not clocks.starts.corrections
+    assert clocks.place(c=1010.5) == pytest.approx({"c": 1010.5}) and not clocks.starts.corrections
 
 
 @pytest.mark.parametrize("ahead", [-HOUR, -5.0, HOUR, 20.0])
-def test_a_start_told_of_later_is_never_placed_far_too_early(ahead: float) -> None:
+def test_a_start_listed_later_is_never_placed_far_too_early(ahead: float) -> None:
     """A wall clock that was off before the process began: a restart must not pass for a warm replica."""
     clocks = Clocks(ahead)
-    clocks.told(a=500.0, b=800.0)
+    clocks.place(a=500.0, b=800.0)
     clocks.now = 1030.0
     clocks.starts.message_received()
     clocks.now = 1032.0
-    (placed,) = clocks.told(c=1031.0).values()
+    (placed,) = clocks.place(c=1031.0).values()
     assert 1031.0 - LISTING_LAG <= placed <= 1032.0
     clocks.now = 1034.0
-    (placed,) = clocks.told(a=1033.0).values()  # one that was known, with a new start
+    (placed,) = clocks.place(a=1033.0).values()  # one that was known, with a new start
     assert 1033.0 - LISTING_LAG <= placed <= 1034.0
     assert clocks.starts.corrections
 
@@ -54,43 +54,43 @@
 @pytest.mark.parametrize("step", [-HOUR, -5.0, 5.0, HOUR])
 def test_a_step_after_the_start_moves_no_known_start(step: float) -> None:
     clocks = Clocks()
-    before = clocks.told(a=995.0, b=400.0)
+    before = clocks.place(a=995.0, b=400.0)
     clocks.now, clocks.ahead = 1001.0, step
-    assert clocks.told(a=995.0, b=400.0) == before
+    assert clocks.place(a=995.0, b=400.0) == before
     clocks.now = 1003.0
-    (placed,) = clocks.told(c=1002.0).values()
+    (placed,) = clocks.place(c=1002.0).values()
     assert 1002.0 - LISTING_LAG <= placed <= 1003.0
 
 
 def test_a_start_in_the_future_corrects_the_places_of_all() -> None:
     clocks = Clocks(ahead=-HOUR)
-    found = clocks.told(a=999.0, b=900.0)
+    found = clocks.place(a=999.0, b=900.0)
     assert found["a"] == pytest.approx(1000.0) and found["b"] == pytest.approx(901.0)
 
 
-def test_a_kept_list_says_nothing_of_when_the_next_one_changed() -> None:
-    """A replica that started long after the kept list and long before this process is warm."""
+def test_a_cached_list_says_nothing_of_when_the_next_one_changed() -> None:
+    """A replica that started long after the cached list and long before this process is warm."""
     clocks = Clocks()
-    clocks.told(cached=True, a=100.0)
+    clocks.place(cached=True, a=100.0)
     clocks.starts.message_received()
-    assert clocks.told(a=100.0, b=600.0) == pytest.approx({"a": 100.0, "b": 600.0})
+    assert clocks.place(a=100.0, b=600.0) == pytest.approx({"a": 100.0, "b": 600.0})
     assert not clocks.starts.corrections
 
 
 def test_a_replica_that_comes_back_without_a_restart_keeps_its_start() -> None:
     clocks = Clocks()
-    clocks.told(a=100.0, b=200.0)
+    clocks.place(a=100.0, b=200.0)
     clocks.now = 1100.0
-    clocks.told(b=200.0)  # a is gone
+    clocks.place(b=200.0)  # a is gone
     clocks.now = 1200.0
-    assert clocks.told(a=100.0) == pytest.approx({"a": 100.0}) and not clocks.starts.corrections
+    assert clocks.place(a=100.0) == pytest.approx({"a": 100.0}) and not clocks.starts.corrections
 
 
 def test_what_was_missed_in_an_outage_may_have_started_in_it() -> None:
     clocks = Clocks()
-    clocks.told(a=100.0)
+    clocks.place(a=100.0)
     clocks.now = 1060.0  # nothing was heard for a minute
-    assert clocks.told(b=1010.0) == pytest.approx({"b": 1010.0})
+    assert clocks.place(b=1010.0) == pytest.approx({"b": 1010.0})
 
 
 EVENTS = st.tuples(st.floats(0.1, 5.0), st.floats(0.0, LISTING_LAG - 0.1), st.floats(-1e4, 1e4))
@@ -102,7 +102,7 @@
 ) -> None:
     """Each event: seconds since the last, how long ago the replica started, a step of the wall clock."""
     clocks = Clocks()
-    clocks.told(z=50.0)
+    clocks.place(z=50.0)
     for number, (gap, lag, step) in enumerate(events):
         clocks.now += gap
         clocks.ahead += step
@@ -113,12 +113,16 @@
 
 
 def test_a_listed_restart_is_not_placed_before_the_list_behind_which_it_came() -> None:
-    """The twin, for lists from files and catalogues: a start that changes, and one in the future."""
+    """The same for lists from files and catalogues: a start that changes, and one in the future."""
     old = Member(1, "a", ("127.0.0.1", 1), 0, 0, api.ReplicaState.READY, 100.0)
     view = View()
     view.take((old,), 1000.0)
-    for told, now, placed in ((-2600.0, 1050.0, 1050.0), (4700.0, 1060.0, 1060.0), (1058.0, 1061.0, 1058.0)):
-        listed = view.take((old._replace(started_at=told),), now)
+    for started, now, placed in (
+        (-2600.0, 1050.0, 1050.0),
+        (4700.0, 1060.0, 1060.0),
+        (1058.0, 1061.0, 1058.0),
+    ):
+        listed = view.take((old._replace(started_at=started),), now)
         assert listed and listed.membership.replicas[0].started_at == placed
     new = old._replace(id=2, started_at=200.0)
     listed = view.take((old, new), 1070.0)
