--- a/gingervane/coordinator/admission.py
+++ b/gingervane/coordinator/admission.py
@@ -38,7 +38,7 @@
         max_retry_after: float,
         now: Callable[[], float] = time.monotonic,
     ) -> None:
-        """`max_retry_after`: seconds, the longest wait that a rejected client is told."""
+        """`max_retry_after`: seconds, the longest Retry-After."""
         self._limits = limits
         self._max_retry_after = max_retry_after
         self._now = now
--- a/gingervane/coordinator/core.py
+++ b/gingervane/coordinator/core.py
@@ -83,7 +83,7 @@
         """
         # The lock guards against a query that is admitted before the end, and put behind it where nobody looks.
         with self._submit_lock:
-            self.admission.admit(1 + len(plan.parts), self._driver.held_bytes)
+            self.admission.admit(1 + len(plan.parts), self._driver.open_result_bytes)
             query = PendingQuery(
                 next(self._query_ids), plan, self.admission, self.observer, self.client_disconnected, results
             )
--- a/gingervane/coordinator/driver.py
+++ b/gingervane/coordinator/driver.py
@@ -28,11 +28,12 @@
 from gingervane.coordinator.driver_counts import Counts, increment
 from gingervane.coordinator.open_queries import OpenQueries, OpenQuery
 from gingervane.coordinator.query_completion import (
-    HostEnd,
-    QueryEnd,
+    CLIENT_DISCONNECTED,
+    Completion,
+    completions_at_shutdown,
     coverage_violation,
-    ends_at_shutdown,
     result_of,
+    shutdown,
 )
 from gingervane.coordinator.timers import WheelTimers
 from gingervane.decisions.completeness import QueryState
@@ -51,7 +52,7 @@
 
     now: float
     effects: list[t.Effect] = field(default_factory=list)
-    host_ends: dict[int, HostEnd] = field(default_factory=dict)  # queries that end without an action, by id
+    completions: dict[int, Completion] = field(default_factory=dict)  # without an action, by id of the query
 
 
 def _observe_nothing(outcome: api.AttemptOutcome, replica: int, seconds: float) -> None:
@@ -82,12 +83,12 @@
         return len(self._open.queries)
 
     @property
-    def attempts_out(self) -> int:
+    def attempts_in_flight(self) -> int:
         """Attempts that have not ended."""
         return self._open.attempts_in_flight
 
     @property
-    def held_bytes(self) -> int:
+    def open_result_bytes(self) -> int:
         """Bytes of the results of open queries."""
         return self._open.result_bytes
 
@@ -107,10 +108,8 @@
         events += self._take_due_timers(turn)
         if events:
             self._execute(self._module.handle(now, events), turn)
-        for query_id, end in turn.host_ends.items():
-            self._complete_query(
-                now, query_id, QueryEnd(end.status, end.reason, detail=end.detail), turn.effects
-            )
+        for query_id, completion in turn.completions.items():
+            self._complete_query(now, query_id, completion, turn.effects)
         return _finish_effects(turn.effects)
 
     def abandon(self) -> list[t.ResultCallback]:
@@ -156,21 +155,21 @@
                     events += self._attempts.record_end(item, turn.effects)
                 case t.ClientDisconnected(query_id):
                     if query_id in self._open.queries:
-                        turn.host_ends.setdefault(query_id, HostEnd(t.QueryStatus.CLIENT_DISCONNECTED))
+                        turn.completions.setdefault(query_id, CLIENT_DISCONNECTED)
                         events.append(api.QueryAbandoned(query_id))
                 case t.PeerMessageReceived(sender, payload):
                     events.append(api.PeerMessageReceived(sender, payload))
                 case t.Shutdown():
                     self._shutting_down = True
-                    turn.host_ends = ends_at_shutdown(self._open, self._settings) | turn.host_ends
-                    events += [api.QueryAbandoned(query_id) for query_id in turn.host_ends]
+                    turn.completions = completions_at_shutdown(self._open, self._settings) | turn.completions
+                    events += [api.QueryAbandoned(query_id) for query_id in turn.completions]
         return events
 
     def _submit(self, submitted: t.QuerySubmitted, turn: _Turn) -> list[api.Event]:
         self.counts.queries += 1
         query = self._open.add(submitted)
         if self._shutting_down:
-            turn.host_ends[query.id] = HostEnd(t.QueryStatus.REJECTED, "shutting down")
+            turn.completions[query.id] = shutdown(t.QueryStatus.REJECTED)
             return []
         plan = submitted.plan
         arrived = api.QueryArrived(
@@ -225,11 +224,11 @@
                 case api.Answer(query_id, complete, reason):
                     self._answer(query_id, complete, reason, turn)
                 case api.Reject(query_id, retry_after, reason):
-                    end = QueryEnd(t.QueryStatus.REJECTED, reason, retry_after)
-                    self._complete_query(turn.now, query_id, end, effects)
+                    completion = Completion(t.QueryStatus.REJECTED, reason, retry_after)
+                    self._complete_query(turn.now, query_id, completion, effects)
                 case api.Fail(query_id, reason):
-                    end = QueryEnd(t.QueryStatus.FAILED, reason)
-                    self._complete_query(turn.now, query_id, end, effects)
+                    completion = Completion(t.QueryStatus.FAILED, reason)
+                    self._complete_query(turn.now, query_id, completion, effects)
                 case _:
                     effects += self._pass_on(action)
 
@@ -276,17 +275,17 @@
         if violation := coverage_violation(query, query_class, coverage, complete):
             # It cannot happen; were it to, no one gets a false answer.
             received = f"{coverage.parts_received} of {coverage.parts_requested} parts are in"
-            end = QueryEnd(
+            completion = Completion(
                 t.QueryStatus.FAILED,
                 api.QueryEndReason.COVERAGE_CHECK_FAILED,
                 detail=f"internal: {violation}: {received}",
             )
-            self._complete_query(turn.now, query_id, end, turn.effects)
+            self._complete_query(turn.now, query_id, completion, turn.effects)
         elif query.submitted.plan.second_step is None or query.in_second_step:
             # An answer that its class takes for complete says all the same what is missing.
             status = t.QueryStatus.COMPLETE if complete and coverage.complete else t.QueryStatus.PARTIAL
             self._complete_query(
-                turn.now, query_id, QueryEnd(status, reason, complete=complete), turn.effects
+                turn.now, query_id, Completion(status, reason, complete=complete), turn.effects
             )
         else:
             self._begin_second_step(query, query.submitted.plan.second_step, complete, turn)
@@ -303,14 +302,16 @@
         first_index = len(query.submitted.plan.parts)
         self._deferred_events += self._begin_step(query, second_step(first_results, complete), first_index)
 
-    def _complete_query(self, now: float, query_id: int, end: QueryEnd, effects: list[t.Effect]) -> None:
+    def _complete_query(
+        self, now: float, query_id: int, completion: Completion, effects: list[t.Effect]
+    ) -> None:
         """Give a query its one result, and withhold what is left of it."""
         query = self._open.remove(query_id)
         if query is None:
             return
-        result = result_of(query, end)
-        increment(self.counts.reasons, end.reason.value)
-        increment(self.counts.verdicts, end.status.value)
+        result = result_of(query, completion)
+        increment(self.counts.reasons, completion.reason.value)
+        increment(self.counts.verdicts, completion.status.value)
         effects.append(t.CompleteQuery(query.submitted.on_result, result, query_id))
         for part_id in query.part_ids:
             self._deferred_events += self._attempts.withhold_unsent(part_id, now, effects)
--- a/gingervane/coordinator/ports.py
+++ b/gingervane/coordinator/ports.py
@@ -15,7 +15,9 @@
 class QueryObserver(Protocol):
     """Notified of what passes, for logs and metrics."""
 
-    def query_completed(self, query: int, plan: t.QueryPlan, final: t.QueryResult, seconds: float) -> None:
+    def query_completed(
+        self, query_id: int, plan: t.QueryPlan, result: t.QueryResult, seconds: float
+    ) -> None:
         """A query has its result, so many seconds after it was submitted."""
 
     def attempt_finished(self, outcome: api.AttemptOutcome, replica: int, seconds: float) -> None:
--- a/gingervane/coordinator/query_completion.py
+++ b/gingervane/coordinator/query_completion.py
@@ -16,28 +16,22 @@
 ANSWERED = (t.QueryStatus.COMPLETE, t.QueryStatus.PARTIAL)
 
 
-class HostEnd(NamedTuple):
-    """An end of a query that the driver gives without an action of the decision module."""
+class Completion(NamedTuple):
+    """How a query ends. `detail`: in place of the last failed attempt's; `complete`: marked as complete."""
 
     status: t.QueryStatus
+    reason: api.QueryEndReason
+    retry_after: float = 0.0
     detail: str = ""
+    complete: bool = False
 
-    @property
-    def reason(self) -> api.QueryEndReason:
-        """Why the query ends."""
-        if self.status is t.QueryStatus.CLIENT_DISCONNECTED:
-            return api.QueryEndReason.CLIENT_DISCONNECTED
-        return api.QueryEndReason.SHUTDOWN
 
+CLIENT_DISCONNECTED = Completion(t.QueryStatus.CLIENT_DISCONNECTED, api.QueryEndReason.CLIENT_DISCONNECTED)
 
-class QueryEnd(NamedTuple):
-    """The end of a query. `detail`: in place of the last failed attempt's; `complete`: marked as complete."""
 
-    status: t.QueryStatus
-    reason: api.QueryEndReason
-    retry_after: float = 0.0
-    detail: str = ""
-    complete: bool = False
+def shutdown(status: t.QueryStatus) -> Completion:
+    """Return the completion of a query that a shutdown ends."""
+    return Completion(status, api.QueryEndReason.SHUTDOWN, detail="shutting down")
 
 
 def coverage_violation(
@@ -51,20 +45,20 @@
     return ""
 
 
-def result_of(query: OpenQuery, end: QueryEnd) -> t.QueryResult:
+def result_of(query: OpenQuery, completion: Completion) -> t.QueryResult:
     """Return the result of a query that ends so."""
     coverage = query.coverage
-    answered = end.status in ANSWERED
+    answered = completion.status in ANSWERED
     return t.QueryResult(
-        end.status,
+        completion.status,
         query.results if answered else {},
-        end.retry_after,
-        end.detail or _default_detail(query, end.status),
+        completion.retry_after,
+        completion.detail or _default_detail(query, completion.status),
         query.attempts,
         min(coverage.weight_received, 1.0),
         query.result_bytes if answered else 0,
-        end.complete,
-        end.reason,
+        completion.complete,
+        completion.reason,
         2 if query.in_second_step else 1,
         coverage.parts_requested,
         coverage.parts_received,
@@ -77,18 +71,18 @@
     return query.detail
 
 
-def ends_at_shutdown(open_queries: OpenQueries, settings: api.Settings) -> dict[int, HostEnd]:
+def completions_at_shutdown(open_queries: OpenQueries, settings: api.Settings) -> dict[int, Completion]:
     """How to end every open query at a shutdown, by id.
 
     A query is rejected if the client may repeat it without harm, else failed. No event tells the decision module, and
     none is needed: it follows from what may have run.
     """
-    ends: dict[int, HostEnd] = {}
+    completions: dict[int, Completion] = {}
     for query in open_queries.queries.values():
         query_class = settings.query_classes[query.submitted.plan.query_class]
         parts = [open_queries.parts[part_id] for part_id in query.part_ids]
         may_have_run = any(part.possible_executions or part.in_flight for part in parts)
         harmless = query_class.retry_safety is api.RetrySafety.IDEMPOTENT or not may_have_run
         status = t.QueryStatus.REJECTED if harmless else t.QueryStatus.FAILED
-        ends[query.id] = HostEnd(status, "shutting down")
-    return ends
+        completions[query.id] = shutdown(status)
+    return completions
--- a/gingervane/emulator/coordinator.py
+++ b/gingervane/emulator/coordinator.py
@@ -157,7 +157,7 @@
             return
         size = 1 + len(asked.parts)
         try:
-            self.admission.admit(size, self.driver.held_bytes)
+            self.admission.admit(size, self.driver.open_result_bytes)
         except Rejected as error:
             asked.answer(t.QueryResult(t.QueryStatus.REJECTED, retry_after=error.retry_after), now)
             return
--- a/tests/recordings/driver_codec.py
+++ b/tests/recordings/driver_codec.py
@@ -299,7 +299,7 @@
 
     def _state(self) -> list[Any]:
         driver = self.driver
-        return [driver.next_due(), driver.open_queries, driver.attempts_out, driver.held_bytes]
+        return [driver.next_due(), driver.open_queries, driver.attempts_in_flight, driver.open_result_bytes]
 
     def _take_observed(self) -> list[Any]:
         if self._scripted:
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -197,7 +197,11 @@
             self.now = max(self.now, due)
             self.step()
         assert all(len(query_results) == 1 for query_results in self.query_results.values())
-        assert self.driver.open_queries == 0 and self.driver.attempts_out == 0 and self.driver.held_bytes == 0
+        assert (
+            self.driver.open_queries == 0
+            and self.driver.attempts_in_flight == 0
+            and self.driver.open_result_bytes == 0
+        )
         assert not self.module.in_flight
 
 
