--- a/gingervane/emulator/coordinator.py
+++ b/gingervane/emulator/coordinator.py
@@ -159,7 +159,7 @@
             return
         size = 1 + len(request.parts)
         try:
-            self.admission.admit(size, self.driver.held_bytes)
+            self.admission.admit(size, self.driver.open_result_bytes)
         except Rejected as error:
             rejection = t.QueryResult(t.QueryStatus.REJECTED, retry_after=error.retry_after)
             request.on_answer(rejection, now)
