--- a/gingervane/daemon/app.py
+++ b/gingervane/daemon/app.py
@@ -201,7 +201,7 @@
                 listen.stack_bytes,
             ),
         )
-        self._server.on_fault = lambda error: self._log.error("request broke", exc_info=error)
+        self._server.on_handler_failure = lambda error: self._log.error("request broke", exc_info=error)
         rings = Rings(config.shards.cells, config.tree.ring if config.tree else 1)
         self.membership = MembershipService(
             config.membership,
@@ -326,8 +326,8 @@
             "client_connections": self._server.connections,
             "turns_refused": self.gate.refused,
             "turns_waiting": sum(map(self.gate.waiting, self.gate.names)),
-            "connections_refused": self._server.refused,
-            "standstills": self._server.standstills,
+            "connections_refused": self._server.rejected,
+            "standstills": self._server.process_pauses,
             "threads": threading.active_count(),
             "queries_cut": self._front.cuts,
             "children_listed": len(self._peers.ready),
--- a/gingervane/fronts/http_server.py
+++ b/gingervane/fronts/http_server.py
@@ -34,16 +34,16 @@
     `quiet` may go.
     """
 
-    connections: int = 2000
-    idle: float = 60.0
-    head: float = 5.0
-    body: float = 10.0
-    write: float = 10.0
-    message: Limits = Limits()
-    stack: int = 256 * 1024
-    silent: float | None = None
-    crowd: int = 1 << 30
-    quiet: float = 2.0
+    max_connections: int = 2000
+    idle_timeout: float = 60.0
+    head_timeout: float = 5.0
+    body_timeout: float = 10.0
+    write_timeout: float = 10.0
+    message_limits: Limits = Limits()
+    thread_stack_bytes: int = 256 * 1024
+    first_byte_timeout: float | None = None
+    crowd_threshold: int = 1 << 30
+    min_idle: float = 2.0
 
 
 class Reply(NamedTuple):
@@ -64,7 +64,7 @@
     def watch(self, gone: Callable[[], None]) -> None:
         """Have `gone` called, once, if the client leaves before the reply."""
 
-    def left(self) -> bool:
+    def is_disconnected(self) -> bool:
         """Whether the client has left by now."""
 
     def send_raw(self, data: bytes) -> None:
@@ -84,7 +84,7 @@
     def watch(self, gone: Callable[[], None]) -> None:
         self._connections.watch(self._one, gone)
 
-    def left(self) -> bool:
+    def is_disconnected(self) -> bool:
         return is_disconnected(self._one.sock)
 
     @property
@@ -123,7 +123,13 @@
         fields = [("Retry-After", "1"), ("Connection", "close"), ("Content-Type", "text/plain")]
         self._connections = ConnectionManager(
             listener,
-            ConnectionLimits(limits.connections, limits.idle, limits.silent, limits.crowd, limits.quiet),
+            ConnectionLimits(
+                limits.max_connections,
+                limits.idle_timeout,
+                limits.first_byte_timeout,
+                limits.crowd_threshold,
+                limits.min_idle,
+            ),
             self._work,
             http1.response(503, fields, b"too many connections\n"),
         )
@@ -131,11 +137,11 @@
         self.begin_shutdown = self._connections.begin_shutdown
         self.stop_accepting = self._connections.stop_accepting
 
-        self.faults = 0  # requests whose handler broke
-        self.on_fault: Callable[[BaseException], None] = lambda error: None
+        self.handler_failures = 0  # requests whose handler broke
+        self.on_handler_failure: Callable[[BaseException], None] = lambda error: None
 
     def start(self) -> None:
-        threading.stack_size(self._limits.stack)
+        threading.stack_size(self._limits.thread_stack_bytes)
         self._connections.start()
         start_thread(self._tick, "ticker")
 
@@ -150,7 +156,7 @@
             self._still.tick(time.monotonic())
 
     @property
-    def standstills(self) -> int:
+    def process_pauses(self) -> int:
         """Times that this process stood still."""
         return self._still.count
 
@@ -160,7 +166,7 @@
         return len(self._connections)
 
     @property
-    def ends(self) -> Mapping[str, int]:
+    def close_reasons(self) -> Mapping[str, int]:
         """Connections ended, by `CloseReason`."""
         return self._connections.close_reasons
 
@@ -170,7 +176,7 @@
         return self._connections.failures
 
     @property
-    def refused(self) -> int:
+    def rejected(self) -> int:
         """Connections past the bound."""
         return self._connections.rejected
 
@@ -178,7 +184,7 @@
         """A request has begun on a connection: serve it, and those that came behind it."""
         if not isinstance(one.worker_state, _Reading):
             timed = _Timed(one.sock)
-            one.worker_state = _Reading(timed, http1.Reader(timed.receive, self._limits.message))
+            one.worker_state = _Reading(timed, http1.Reader(timed.receive, self._limits.message_limits))
         reading, began, replied = one.worker_state, one.request_started, one.last_reply
         try:
             while (
@@ -193,7 +199,9 @@
         """One request and its reply. `began`: its first byte came; `replied`: the one before it was done with."""
         sock, reader = one.sock, reading.reader
         arrived = self._still.came(began, replied)
-        reading.timed.until = began + self._limits.head  # the time for a head runs from its first byte
+        reading.timed.until = (
+            began + self._limits.head_timeout
+        )  # the time for a head runs from its first byte
         what = "request head"
         try:
             request = reader.request()
@@ -202,7 +210,7 @@
                     raise HttpError(417, "request headers: Expect is not 100-continue")
                 if not reader.waiting:
                     sock.sendall(b"HTTP/1.1 100 Continue\r\n\r\n")
-            reading.timed.until, what = time.monotonic() + self._limits.body, "request body"
+            reading.timed.until, what = time.monotonic() + self._limits.body_timeout, "request body"
             body = reader.body(request.headers)
         except HttpError as error:
             self._write(sock, plain(error.status, error.what, close=True))
@@ -215,8 +223,8 @@
         try:
             reply = self._handler(request, body, arrived, _Client(one, self._connections))
         except Exception as error:  # a bug must not leave a request that has been read without an answer
-            self.faults += 1
-            self.on_fault(error)
+            self.handler_failures += 1
+            self.on_handler_failure(error)
             self._write(sock, plain(500, "failed: internal error", close=True))
             return NextStep.CLOSE
         try:
@@ -236,7 +244,7 @@
         data = http1.response(reply.status, fields, reply.body)
         if SOCKET_RECORDER.on:
             SOCKET_RECORDER.put("reply", *_ports(sock), status=reply.status)
-        _send_all(sock, data, time.monotonic() + self._limits.write)
+        _send_all(sock, data, time.monotonic() + self._limits.write_timeout)
 
 
 def _within(sock: socket.socket, until: float, call: Callable[[], T]) -> T:
--- a/gingervane/node/client_front.py
+++ b/gingervane/node/client_front.py
@@ -16,7 +16,7 @@
 from gingervane.coordinator import types as t
 from gingervane.coordinator.core import QueryCoordinator, Rejected
 from gingervane.fronts.http_server import Exchange, Reply, plain
-from gingervane.node.replica_connection import FrameTravel, Value
+from gingervane.node.replica_connection_types import FrameCodec, PartResult
 from gingervane.wire.frames import Asked
 from gingervane.wire.http1 import HttpError, Request
 
@@ -34,7 +34,7 @@
     def __init__(self, core: QueryCoordinator, class_names: tuple[str, ...], shards: int) -> None:
         self._core, self._shards = core, shards
         self._classes = {name: number for number, name in enumerate(class_names)}
-        self._travel = FrameTravel()
+        self._travel = FrameCodec()
         self._lock, self._open = Lock(), set[str]()
         self.ready = False
 
@@ -50,7 +50,7 @@
             name, plan = self._read(request, word, body, arrived)
         except HttpError as error:
             return plain(error.status, error.what)
-        if client.left():  # guards against sending on what lay unread when its client went
+        if client.is_disconnected():  # guards against sending on what lay unread when its client went
             return plain(500, "its client has left", close=True)
         with self._lock:
             if name in self._open:
@@ -76,7 +76,7 @@
 
     def _reply(self, final: t.QueryResult) -> Reply:
         if final.status in (t.QueryStatus.COMPLETE, t.QueryStatus.PARTIAL):
-            values: list[Value] = list(final.results.values())
+            values: list[PartResult] = list(final.results.values())
             full = final.status is t.QueryStatus.COMPLETE or final.marked_complete
             pieces = [{"tablet": value.shard, "cell": value.cell} for value in values]
             return Reply(200, [_JSON], orjson.dumps({"full": full, "pieces": pieces}))
@@ -158,7 +158,7 @@
         name: str,
         text: bytes,
         most: int,
-        results: dict[int, Value],
+        results: dict[int, PartResult],
         whole: bool,
     ) -> tuple[t.PartPlan, ...]:
         """The second step goes to the shards with the highest scores among those that are in."""
--- a/gingervane/node/replica_connection.py
+++ b/gingervane/node/replica_connection.py
@@ -1,12 +1,12 @@
-"""One connection to a replica, which carries many parts at once.
+"""One connection to a replica, which carries many parts at once: connecting, connected, broken.
 
-Owners: the decision thread alone starts calls, withdraws them, writes and closes; it never waits. The reader thread
-of `links.py` sees the connection come up or fail and reads answers. `_lock` guards the books and is never held over
-I/O. A socket is closed by the decision thread once the reader has let go of it (`reading`), so that no number is used
-anew under either.
+Ownership: the decision thread alone sends batches, abandons parts, writes and closes; it never waits. The reader
+thread of `replica_connections.py` sees the connection established or failed and reads replies. The lock guards the
+parts in flight and the frame queue and is never held over I/O. A socket is closed by the decision thread once the
+reader polls it no more (`polled`), so that no file number is reused under either.
 
-Each errand of a call is reported once by the link, or not at all if the driver ended it; the driver drops what comes
-second. Nothing is decided here: times come from the settings, the call and the protocol.
+Each attempt of a batch is reported once by the connection, or not at all if the driver ended it; the driver drops
+what comes second. Nothing is decided here: times come from the settings, the batch and the protocol.
 """
 
 from __future__ import annotations
@@ -17,432 +17,339 @@
 import select
 import socket
 import time
-from collections import deque
 from collections.abc import Callable
-from enum import Enum
 from threading import Lock
-from typing import Any, NamedTuple
 
 from gingervane.coordinator import types as t
 from gingervane.interface import AttemptOutcome
+from gingervane.node.connection_recorder import ConnectionRecorder
+from gingervane.node.frame_queue import FrameQueue, OutgoingFrame
+from gingervane.node.parts_in_flight import PartInFlight, PartsInFlight
+from gingervane.node.replica_connection_types import (
+    DecodeCell,
+    OnConnectionClosed,
+    ReplicaCloseReason,
+    ReplicaConnectionClosed,
+    ReplicaConnectionLimits,
+    ReportAttempts,
+)
+from gingervane.node.reply_reader import ReplyReader
 from gingervane.wire import frames
-from gingervane.wire.frames import Answer, FrameError, FrameReader
+from gingervane.wire.frames import FrameError
 from gingervane.wire.local_failures import is_local, is_passing
 from gingervane.wire.socket_recorder import SOCKET_RECORDER
 
-_READ = 65536
-_MOST_PAST = 1024  # ids
-_OUTCOMES = {"served": AttemptOutcome.OK, "broke": AttemptOutcome.ERROR, "skipped": AttemptOutcome.REJECTED}
-
-
-class LinkEnd(Enum):
-    """Why a connection to a replica ended."""
-
-    CONNECT_FAILED = "connect failed"
-    CONNECT_TIMEOUT = "connect timed out"
-    LOCAL_FAILURE = "local resource failure"  # of this machine: says nothing of the replica
-    WRITE_FAILED = "write failed"
-    READ_FAILED = "read failed"
-    CLOSED_BY_PEER = "closed by the replica"
-    PROTOCOL_ERROR = "protocol error"
-    IDLE = "idle"
-    DROPPED = "dropped while idle"
-    NO_ROOM = "made room"
-    CANCELLED_IN_FRAME = "cancelled inside a frame"
-    LATE_IN_FRAME = "late inside a frame"
-    INTERNAL = "internal error"
-
-
-class LinkEnded(NamedTuple):
-    """A connection's end, for the log. `out`: parts that ended with it, `unsent` of them not written whole."""
-
-    address: tuple[str, int]
-    reason: LinkEnd
-    detail: str
-    out: int
-    unsent: int
-
-
-class LinkLimits(NamedTuple):
-    """`streams`: parts at once on a connection; `links`: connections in all; `idle`: seconds after which a quiet
-    one is not written to any more; `connect`: seconds for a new one to come up."""
-
-    streams: int
-    links: int
-    idle: float
-    connect: float
-
-
-class Value(NamedTuple):
-    """A part that is in, as its replica gave it."""
-
-    shard: int
-    score: int
-    cell: str
-
-
-class FrameTravel:
-    """How parts travel in frames."""
-
-    def encode(
-        self,
-        contents: list[frames.Asked],
-        seconds_left: list[float],
-        address: tuple[str, int],
-    ) -> bytes:
-        return frames.call(contents, [max(int(left * 1000), 1) for left in seconds_left])
-
-    def result_size(self, result: Value) -> int:
-        return 100
-
-
-class _Out(NamedTuple):
-    errand: t.AttemptRequest
-    call: t.BatchRequest
-
-
-Report = Callable[[list[t.AttemptFinished]], None]
-OnEnd = Callable[[LinkEnded], None]  # called from the decision thread and the reader; must not wait
-CheckValue = Callable[[bytes], str | None]
+_RECEIVE_BYTES = 65536
+_FRAME_PREFIX_BYTES = 5  # of a frame: its length and its letter
 
 
 class ReplicaConnection:
-    """One connection. `_up`: it may be written to; `_rest`: of a frame that it has not taken yet."""
+    """One connection; `on_writable` is called by the reader once frames can be written, at first or again."""
 
     def __init__(
         self,
         address: tuple[str, int],
-        limits: LinkLimits,
-        report: Report,
-        check: CheckValue,
-        ready: Callable[[ReplicaConnection], None],
+        limits: ReplicaConnectionLimits,
+        report: ReportAttempts,
+        decode_cell: DecodeCell,
+        on_writable: Callable[[ReplicaConnection], None],
         poll: select.epoll,
-        on_end: OnEnd,
+        on_closed: OnConnectionClosed,
     ) -> None:
-        self.address, self._limits, self._report, self._check = address, limits, report, check
-        self._on_end = on_end
-        self._ready, self._lock, self._poll = ready, Lock(), poll
+        self.address = address
+        self._limits = limits
+        self._report = report
+        self._on_closed = on_closed
+        self._on_writable = on_writable
+        self._lock = Lock()
+        self._poll = poll
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self.number = self.sock.fileno()
-        self.out: dict[str, _Out] = {}
-        self._gone: dict[str, float] = {}  # withdrawn and perhaps still answered -> when that ends
-        self._past = deque[str](maxlen=_MOST_PAST)  # withdrawn, and past that time
-        self._pending: deque[t.BatchRequest | bytes] = deque()
-        self._rest = b""
-        self._half: set[str] = set()  # parts of the frame that `_rest` ends
-        self._rest_of: t.BatchRequest | None = None  # whose frame that is, if a further attempt is in it
-        self._encoded_at = 0.0  # when that frame was made
-        self._reader = FrameReader()
-        self.broken, self._up, self.reading = False, False, False
-        self.used = time.monotonic()
-        self.up_by = self.used + limits.connect
-        self.retired = False  # takes nothing new; goes once nothing is out on it
-
-    # ---- the decision thread
-
-    def room(self, parts: int, now: float) -> bool:
-        if self.broken or self.retired or not self._has_place(parts, now):
-            return False
-        return bool(self.out) or now - self.used < self._limits.idle
+        now = time.monotonic()
+        self._parts = PartsInFlight(now)
+        self._queue = FrameQueue()
+        self._recorder = ConnectionRecorder(self.sock, address, self._parts)
+        self._replies = ReplyReader(self._parts, self._lock, decode_cell, self._recorder)
+        self.connect_deadline = now + limits.connect_timeout
+        self._connected = False  # frames may be written
+        self.broken = False
+        self.polled = False  # by the reader
+        self.retired = False  # takes nothing new; goes once nothing is in flight
 
-    def _has_place(self, parts: int, now: float) -> bool:
-        """Whether the replica surely reads that many more. What was withdrawn may run on there and keep its place:
-        past the streams of a connection a part lies unread, and arrives when its query is long answered."""
-        if len(self.out) + len(self._gone) + parts > self._limits.streams:
-            with self._lock:
-                # Their places are free again. Guards against an answer that comes later still and would pass for
-                # spoilt: all that is out here would end with it.
-                self._past.extend(part for part, until in self._gone.items() if until <= now)
-                self._gone = {part: until for part, until in self._gone.items() if until > now}
-        return len(self.out) + len(self._gone) + parts <= self._limits.streams
+    @property
+    def in_flight(self) -> dict[str, PartInFlight]:
+        """The parts in flight, by id."""
+        return self._parts.by_id
+
+    @property
+    def last_used(self) -> float:
+        """When a batch was last sent, or a reply last read."""
+        return self._parts.last_used
 
     @property
-    def rising(self) -> bool:
-        return not self._up and not self.broken
+    def is_connecting(self) -> bool:
+        """Whether it is neither established nor failed yet."""
+        return not self._connected and not self.broken
 
     @property
-    def closable(self) -> bool:
-        return self.broken and not self.reading
+    def can_close_socket(self) -> bool:
+        """Whether neither thread uses the socket any more."""
+        return self.broken and not self.polled
+
+    # ---- the decision thread: connecting, batches
 
     def connect(self) -> None:
-        """Begin to. The reader, which must know of this link already, sees it come up or fail."""
+        """Begin to connect. The reader, which must know of this connection already, sees it established or failed."""
         self.sock.setblocking(False)
         code = self.sock.connect_ex(self.address)
         if code not in (0, errno.EINPROGRESS, errno.EINTR):  # an interrupted one goes on
-            self._not_connected(code)
+            self._fail_connect(code)
             return
         try:
             self._poll.register(self.number, select.EPOLLOUT)
         except OSError as error:  # guards the decision thread, which runs this
-            self.fail(LinkEnd.LOCAL_FAILURE, f"epoll: {error}", connected=False)
+            self.fail(ReplicaCloseReason.LOCAL_FAILURE, f"epoll: {error}", connected=False)
             return
-        self.reading = True
+        self.polled = True
 
-    def _not_connected(self, code: int) -> None:
-        """An attempt to connect has failed; `code` is its error number."""
-        reason = LinkEnd.LOCAL_FAILURE if is_local(code) else LinkEnd.CONNECT_FAILED
-        self.fail(reason, os.strerror(code), connected=False)
+    def can_take(self, parts: int, now: float) -> bool:
+        """Whether a batch of so many parts may be sent here."""
+        if self.broken or self.retired or not self._has_streams(parts, now):
+            return False
+        return bool(self.in_flight) or now - self.last_used < self._limits.idle_timeout
 
-    def start(self, call: t.BatchRequest, now: float) -> bool:
-        """Take a call; False if the link has broken."""
+    def _has_streams(self, parts: int, now: float) -> bool:
+        """Whether the replica surely reads that many more.
+
+        What was abandoned may run on there and keep its stream: past the streams of a connection a part lies unread,
+        and arrives when its query is long completed.
+        """
+        if self._parts.streams_used + parts > self._limits.streams:
+            with self._lock:
+                self._parts.expire(now)
+        return self._parts.streams_used + parts <= self._limits.streams
+
+    def send_batch(self, batch: t.BatchRequest, now: float) -> bool:
+        """Take a batch; False if the connection is broken."""
         with self._lock:
             if self.broken:
                 return False
-            for errand in call.attempts:
-                self.out[errand.content.id] = _Out(errand, call)
-            self.used = now
-            self._pending.append(call)
-        call.transport_token = self
+            self._parts.add(batch, now)
+            self._queue.add(batch)
+        batch.transport_token = self
         self.flush()
         return True
 
-    def withdraw(self, errand: t.AttemptRequest, tell: bool, over: bool) -> None:
-        part = errand.content.id
+    def abandon(self, request: t.AttemptRequest, tell: bool, over: bool) -> None:
+        """Give up an attempt: `tell` its replica to cancel it, or its time is `over`."""
+        part_id = request.content.id
         with self._lock:
-            held = self.out.get(part)
-            if self.broken or held is None or held.errand is not errand:
+            if self.broken or not self._parts.holds(request):
                 return
-            begun = part in self._half
+            is_partially_sent = self._queue.is_partially_sent(part_id)
             if tell or over:
-                del self.out[part]
-                self._gone[part] = held.call.expires_at
-            if tell and not begun:
-                self._pending.append(frames.cancel(part))
-        if begun:
-            # Guards against a part that arrives after its query's answer: its frame must never be whole.
-            self.fail(LinkEnd.CANCELLED_IN_FRAME)
+                self._parts.abandon(part_id)
+            if tell and not is_partially_sent:
+                self._queue.add(frames.cancel(part_id))
+        if is_partially_sent:
+            # Guards against a part that arrives after its query's completion: its frame must never be complete.
+            self.fail(ReplicaCloseReason.CANCELLED_IN_FRAME)
         elif tell:
             self.flush()
 
+    # ---- the decision thread: writing
+
     def flush(self) -> None:
-        """Write what waits, as far as the connection takes it."""
+        """Write what waits, as far as the socket takes it."""
         while True:
             with self._lock:
-                if self.broken or not self._up or not (self._rest or self._pending):
+                if self.broken or not self._connected or not self._queue:
                     return
-                # Not half-written any more as far as the reader knows: were it to break now, the rest may have gone.
-                data, parts, self._half = self._rest, self._half, set()
-                item = None if data else self._pending.popleft()
-            if data and parts and self._rest_is_late(time.monotonic()):
-                self.fail(LinkEnd.LATE_IN_FRAME, unwritten=parts)
+                item = self._queue.take()
+            if not isinstance(item, OutgoingFrame):
+                frame = self._encode(item)
+            elif item.parts and item.is_overdue(time.monotonic()):
+                self.fail(ReplicaCloseReason.LATE_IN_FRAME, unwritten=item.parts)
                 return
-            if item is not None:
-                self._rest_of = (
-                    item
-                    if isinstance(item, t.BatchRequest) and any(e.attempt for e in item.attempts)
-                    else None
-                )
-                self._encoded_at = time.monotonic()
-                data, parts = (item, set[str]()) if isinstance(item, bytes) else self._prepare(item)
-                if data and SOCKET_RECORDER.on:
-                    self._trace("call" if parts else "cancel", parts=sorted(parts) or data[5:].decode())
-            if not data:
-                continue
-            sent = 0
-            try:
-                sent = self.sock.send(data, socket.MSG_DONTWAIT)
-            except OSError as error:
-                if not is_passing(error):
-                    self.fail(LinkEnd.WRITE_FAILED, str(error), unwritten=parts)
-                    return
-            with self._lock:
-                self._rest, self._half = data[sent:], parts if sent < len(data) else set()
-            if sent < len(data):
-                self._watch_for(select.EPOLLIN | select.EPOLLOUT)
+            else:
+                frame = item
+            if frame.data and not self._write(frame):
                 return
 
-    def _rest_is_late(self, now: float) -> bool:
-        """Whether the rest of a call's frame may not leave any more.
-
-        An attempt counts from its frame's last byte: a further one would be past its window or its budget's span, and
-        the time that any of them tells its replica was right when the frame was encoded.
-        """
-        further = self._rest_of is not None and self._rest_of.is_send_overdue(now)
-        return further or now - self._encoded_at > t.MAX_SEND_DELAY
-
-    def _watch_for(self, what: int) -> None:
+    def _write(self, frame: OutgoingFrame) -> bool:
+        """Write a frame; return whether the socket took it completely."""
+        sent = 0
         try:
-            self._poll.modify(self.number, what)
-        except (OSError, ValueError) as error:
-            # Where the reader has let go of it, it is broken already. Else nothing would wake it any more.
-            self.fail(LinkEnd.LOCAL_FAILURE, f"epoll: {error}")
+            sent = self.sock.send(frame.data, socket.MSG_DONTWAIT)
+        except OSError as error:
+            if not is_passing(error):
+                self.fail(ReplicaCloseReason.WRITE_FAILED, str(error), unwritten=frame.parts)
+                return False
+        is_complete = sent == len(frame.data)
+        with self._lock:
+            self._queue.partial = None if is_complete else frame.after(sent)
+        if not is_complete:
+            self._request_events(select.EPOLLIN | select.EPOLLOUT)
+        return is_complete
+
+    def _encode(self, item: t.BatchRequest | bytes) -> OutgoingFrame:
+        """Make the frame of a batch, which is empty if nothing of it may be sent now, or of a cancellation."""
+        encoded_at = time.monotonic()
+        if isinstance(item, bytes):
+            frame = OutgoingFrame(item, set(), None, encoded_at)
+        else:
+            has_retry = any(request.attempt for request in item.attempts)
+            data, parts = self._encode_batch(item)
+            frame = OutgoingFrame(data, parts, item if has_retry else None, encoded_at)
+        if frame.data and SOCKET_RECORDER.on:
+            kind = "call" if frame.parts else "cancel"
+            self._recorder.record(
+                kind, parts=sorted(frame.parts) or frame.data[_FRAME_PREFIX_BYTES:].decode()
+            )
+        return frame
 
-    def _prepare(self, call: t.BatchRequest) -> tuple[bytes, set[str]]:
-        """The bytes of what of a call may leave now, and the ids of its parts; none if nothing may."""
+    def _encode_batch(self, batch: t.BatchRequest) -> tuple[bytes, set[str]]:
+        """Encode what of a batch may be sent now; return the frame and the ids of its parts, both empty for none."""
         now = time.monotonic()
-        errands, stale = call.claim_sendable(now)
-        left = {errand.content.id for errand in errands}
-        if len(errands) < len(call.attempts):
+        requests, stale = batch.claim_sendable(now)
+        sendable = {request.content.id for request in requests}
+        if len(requests) < len(batch.attempts):
             with self._lock:
-                for errand in call.attempts:
-                    held = self.out.get(errand.content.id)
-                    if held and held.errand is errand and errand.content.id not in left:
-                        del self.out[errand.content.id]
+                self._parts.remove_unsendable(batch, sendable)
         if stale:
-            self._report(
-                [
-                    t.AttemptFinished(
-                        e.part, e.attempt, AttemptOutcome.NEVER_SENT, now, None, "waited too long"
-                    )
-                    for e in stale
-                ]
-            )
-        if not errands:
+            self._report_never_sent(stale, now)
+        if not requests:
             return b"", set()
-        contents = [errand.content for errand in errands]
-        return call.codec.encode(contents, call.seconds_left(errands, now), call.address), left
-
-    def _trace(self, kind: str, **fields: Any) -> None:
-        with contextlib.suppress(OSError):
-            held, gone = len(self.out), len(self._gone)
-            SOCKET_RECORDER.put(
-                kind, self.sock.getsockname()[1], 0, to=self.address[0], held=held, gone=gone, **fields
-            )
+        contents = [request.content for request in requests]
+        return batch.codec.encode(contents, batch.seconds_left(requests, now), batch.address), sendable
 
-    def shut(self) -> None:
-        """Be done with the connection: the reader sees its end and lets go of it."""
-        with contextlib.suppress(OSError):
-            self.sock.shutdown(socket.SHUT_RDWR)
+    def _report_never_sent(self, stale: list[t.AttemptRequest], now: float) -> None:
+        outcome, detail = AttemptOutcome.NEVER_SENT, "waited too long"
+        self._report([t.AttemptFinished(e.part, e.attempt, outcome, now, None, detail) for e in stale])
 
     # ---- the reader
 
-    def seen(self, what: int, endings: list[t.AttemptFinished]) -> None:
-        """Something has happened to the connection; answers are added to `endings`."""
+    def handle_event(self, events: int, finished: list[t.AttemptFinished]) -> None:
+        """Handle events of the socket; attempts that replies finish are added to `finished`."""
         try:
-            if self.rising:
-                self._came_up()
+            if self.is_connecting:
+                self._finish_connect()
             elif not self.broken:
-                if what & select.EPOLLOUT:
-                    self._watch_for(select.EPOLLIN)
-                    self._ready(self)
-                if what & ~select.EPOLLOUT:
-                    self._read(endings)
-        except Exception as error:  # a bug must not leave an attempt without an ending, nor end the reader
-            self.fail(LinkEnd.INTERNAL, f"{type(error).__name__}: {error}", connected=self._up)
-        self._let_go_if_broken()
-
-    def overdue(self, now: float) -> None:
-        """Its time to come up is over."""
-        if self.rising and now >= self.up_by:
-            self.fail(LinkEnd.CONNECT_TIMEOUT, connected=False)
-        self._let_go_if_broken()
-
-    def _let_go_if_broken(self) -> None:
-        if self.broken and self.reading:
+                if events & select.EPOLLOUT:
+                    self._request_events(select.EPOLLIN)
+                    self._on_writable(self)
+                if events & ~select.EPOLLOUT:
+                    self._receive(finished)
+        # A bug must not leave an attempt without an outcome, nor end the reader.
+        except Exception as error:  # noqa: BLE001
+            detail = f"{type(error).__name__}: {error}"
+            self.fail(ReplicaCloseReason.INTERNAL_ERROR, detail, connected=self._connected)
+        self._unregister_if_broken()
+
+    def check_connect_timeout(self, now: float) -> None:
+        """Fail if the connection is not established in time."""
+        if self.is_connecting and now >= self.connect_deadline:
+            self.fail(ReplicaCloseReason.CONNECT_TIMEOUT, connected=False)
+        self._unregister_if_broken()
+
+    def _unregister_if_broken(self) -> None:
+        if self.broken and self.polled:
             with contextlib.suppress(OSError, ValueError):
                 self._poll.unregister(self.number)
-            self.reading = False
+            self.polled = False
 
-    def _came_up(self) -> None:
+    def _finish_connect(self) -> None:
+        """Take a connection into use that is established, or fail it."""
         if code := self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
-            self._not_connected(code)
+            self._fail_connect(code)
             return
         self.sock.setblocking(True)  # all is read and written with MSG_DONTWAIT
         with contextlib.suppress(OSError):  # without it, frames may be sent a little later
             self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self._watch_for(select.EPOLLIN)
+        self._request_events(select.EPOLLIN)
         with self._lock:
-            self._up = True
+            self._connected = True
         if SOCKET_RECORDER.on:
-            self._trace("up")
-        self._ready(self)
+            self._recorder.record("up")
+        self._on_writable(self)
 
-    def _read(self, endings: list[t.AttemptFinished]) -> None:
+    def _receive(self, finished: list[t.AttemptFinished]) -> None:
         try:
-            data = self.sock.recv(_READ, socket.MSG_DONTWAIT)
+            data = self.sock.recv(_RECEIVE_BYTES, socket.MSG_DONTWAIT)
         except OSError as error:
             if not is_passing(error):  # else there is more to be read, and the reader comes again
-                self.fail(LinkEnd.READ_FAILED, str(error))
+                self.fail(ReplicaCloseReason.READ_FAILED, str(error))
             return
         if not data:
-            self.fail(LinkEnd.CLOSED_BY_PEER)
+            self.fail(ReplicaCloseReason.CLOSED_BY_PEER)
             return
-        at = time.monotonic()
-        self._reader.feed(data)
         try:
-            while (found := self._reader.next()) is not None:
-                self._take(*found, at, endings)
+            self._replies.read(data, time.monotonic(), finished)
         except FrameError as error:
-            if endings:  # in the order in which they came: these before what else was out here
-                self._report(list(endings))
-                endings.clear()
-            self.fail(LinkEnd.PROTOCOL_ERROR, str(error))
-
-    def _take(self, letter: bytes, rest: bytes, at: float, endings: list[t.AttemptFinished]) -> None:
-        """One frame off the connection. Raises FrameError if it spoils the connection."""
-        if letter != frames.ANSWER:
-            raise FrameError(f"frame {letter!r} that nobody asked for")
-        answer = frames.read_answer(rest)
-        with self._lock:
-            held = self.out.pop(answer.id, None)
-            known = held or self._gone.pop(answer.id, None) is not None or answer.id in self._past
-        if SOCKET_RECORDER.on:
-            self._trace("answer", part=answer.id, end=answer.end, waited=held is not None)
-        if not known:
-            raise FrameError(f"answer to a part {answer.id} that is not out")
-        self.used = at
-        if held is None:
-            return
-        errand, result = held.errand, self._value(held.errand.content.shard, answer)
-        outcome = _OUTCOMES[answer.end]
-        if outcome is AttemptOutcome.OK and result is None:
-            endings.append(
-                t.AttemptFinished(
-                    errand.part, errand.attempt, AttemptOutcome.ERROR, at, None, "spoilt: its value"
-                )
-            )
-            raise FrameError("answer: its value cannot be read")
-        why = "" if result else f"the replica answered {answer.end}"
-        endings.append(t.AttemptFinished(errand.part, errand.attempt, outcome, at, result, why))
+            if finished:  # in the order in which they came: these before what else was in flight here
+                self._report(list(finished))
+                finished.clear()
+            self.fail(ReplicaCloseReason.PROTOCOL_ERROR, str(error))
+
+    # ---- both threads
 
-    def _value(self, shard: int, answer: Answer) -> Value | None:
-        cell = self._check(answer.value)
-        if answer.end != "served" or cell is None or answer.score is None:
-            return None
-        return Value(shard, answer.score, cell)
+    def _request_events(self, events: int) -> None:
+        try:
+            self._poll.modify(self.number, events)
+        except (OSError, ValueError) as error:
+            # Where the reader polls it no more, it is broken already. Else nothing would wake the reader any more.
+            self.fail(ReplicaCloseReason.LOCAL_FAILURE, f"epoll: {error}")
+
+    def _fail_connect(self, code: int) -> None:
+        """Fail after an error number of an attempt to connect."""
+        reason = ReplicaCloseReason.LOCAL_FAILURE if is_local(code) else ReplicaCloseReason.CONNECT_FAILED
+        self.fail(reason, os.strerror(code), connected=False)
 
     def fail(
         self,
-        reason: LinkEnd,
+        reason: ReplicaCloseReason,
         detail: str = "",
         unwritten: set[str] | None = None,
         connected: bool = True,
     ) -> None:
-        """The connection is of no further use: end all that is out on it, once.
+        """Break the connection and finish all attempts in flight on it; the first call counts.
 
-        `unwritten`: parts of a frame that the connection did not take.
+        `unwritten`: parts of a frame that the socket did not take.
         """
-        why = f"{reason.value}: {detail}" if detail else reason.value
+        text = f"{reason.value}: {detail}" if detail else reason.value
         with self._lock:
             if self.broken:
                 return
             self.broken = True
-            out, self.out = self.out, {}
-            waiting = {
-                e.content.id for c in self._pending if isinstance(c, t.BatchRequest) for e in c.attempts
-            }
-            never = waiting | self._half | (unwritten or set())
-            self._pending.clear()
+            parts = self._parts.take_all()
+            unsent = self._queue.unsent_parts() | (unwritten or set())
+            self._queue.clear()
         if SOCKET_RECORDER.on:
-            self._trace("broken", why=why, out=sorted(out), never=sorted(never))
-        self.shut()
-        unsent = len(out) if not connected else len(never & out.keys())
-        self._on_end(LinkEnded(self.address, reason, detail, len(out), unsent))
+            self._recorder.record("broken", why=text, out=sorted(parts), never=sorted(unsent))
+        self.shut_down()
+        unsent_count = len(unsent & parts.keys()) if connected else len(parts)
+        self._on_closed(ReplicaConnectionClosed(self.address, reason, detail, len(parts), unsent_count))
+        if not connected:
+            unsent = set(parts)
+        self._report_broken(parts, unsent, reason, text)
+
+    def _report_broken(
+        self, parts: dict[str, PartInFlight], unsent: set[str], reason: ReplicaCloseReason, detail: str
+    ) -> None:
+        """Report the attempts that ended with the connection; `unsent` have proof that they never ran."""
         now = time.monotonic()
-        endings = []
-        for part, held in out.items():
-            outcome = (
-                AttemptOutcome.CONNECT_FAILED if not connected or part in never else AttemptOutcome.RESET
-            )
-            if reason is LinkEnd.LOCAL_FAILURE and outcome is AttemptOutcome.CONNECT_FAILED:
-                outcome = AttemptOutcome.NEVER_SENT  # the same proof, and nothing that the replica has done
-            endings.append(t.AttemptFinished(held.errand.part, held.errand.attempt, outcome, now, None, why))
-        if endings:
-            self._report(endings)
-
-
-def hex_cell(value: bytes) -> str | None:
-    """A value as clients get it, or None if it is none: 16 hex digits."""
-    if len(value) != 16 or value.strip(b"0123456789abcdef"):
-        return None
-    return value.decode()
+        # The same proof, but after a failure of this machine it says nothing of the replica.
+        is_local_failure = reason is ReplicaCloseReason.LOCAL_FAILURE
+        never_ran = AttemptOutcome.NEVER_SENT if is_local_failure else AttemptOutcome.CONNECT_FAILED
+        finished = []
+        for part_id, part in parts.items():
+            outcome = never_ran if part_id in unsent else AttemptOutcome.RESET
+            request = part.request
+            finished.append(t.AttemptFinished(request.part, request.attempt, outcome, now, None, detail))
+        if finished:
+            self._report(finished)
+
+    def shut_down(self) -> None:
+        """Shut down the socket: the reader sees its end and polls it no more."""
+        with contextlib.suppress(OSError):
+            self.sock.shutdown(socket.SHUT_RDWR)
--- a/gingervane/node/replica_connections.py
+++ b/gingervane/node/replica_connections.py
@@ -1,9 +1,9 @@
-"""All connections to replicas; the carrier of the node's `Core`. `link.py` has one connection.
+"""All connections to replicas; the transport of the node's query coordinator.
 
-The decision thread alone starts calls, opens and closes connections. One reader thread serves all of them: it sees
-them come up or fail, has them read answers, and tells when a full socket takes bytes again. What it has seen it says
-through `Links._ready`, on which the decision thread acts at its next turn: nobody but that begins a frame, so none
-begins once its query is settled.
+The decision thread alone sends batches, opens and closes connections. One reader thread serves all of them: it sees
+them established or failed, has them read replies, and notices when a full socket takes bytes again. What it has seen
+it passes on through a queue of writable connections, on which the decision thread acts at its next turn: no other
+thread begins a frame, so none begins once its query is completed.
 """
 
 from __future__ import annotations
@@ -14,153 +14,192 @@
 from collections import deque
 
 from gingervane.coordinator import types as t
-from gingervane.node.replica_connection import (
-    CheckValue,
-    ReplicaConnection,
-    LinkEnd,
-    LinkLimits,
-    OnEnd,
-    Report,
+from gingervane.node.replica_connection import ReplicaConnection
+from gingervane.node.replica_connection_types import (
+    DecodeCell,
+    OnConnectionClosed,
+    ReplicaCloseReason,
+    ReplicaConnectionClosed,
+    ReplicaConnectionLimits,
+    ReportAttempts,
     hex_cell,
 )
 from gingervane.wire.local_failures import patiently, start_thread
 
-SPARE = 8  # descriptors of links on their way out, beyond `LinkLimits.links`
+SPARE_DESCRIPTORS = 8  # of connections that are being closed, beyond the limit on the others
+_SWEEP_INTERVAL = 1.0  # seconds
+_MIN_POLL_TIMEOUT = 0.001  # seconds
+
+
+def _ignore_closed(_closed: ReplicaConnectionClosed) -> None:
+    """Do nothing."""
 
 
 class ReplicaConnections:
-    """All connections to replicas. Methods that the reader runs: `_run`, `_wake`; all others: the decision thread."""
+    """All connections to replicas.
+
+    The reader thread runs `_run` and `_wake`; the decision thread all other methods.
+    """
 
     def __init__(
         self,
-        limits: LinkLimits,
-        report: Report,
-        check: CheckValue = hex_cell,
-        on_end: OnEnd = lambda ended: None,
+        limits: ReplicaConnectionLimits,
+        report: ReportAttempts,
+        decode_cell: DecodeCell = hex_cell,
+        on_closed: OnConnectionClosed = _ignore_closed,
     ) -> None:
-        self._limits, self._report, self._check, self._on_end = limits, report, check, on_end
-        self._links: dict[tuple[str, int], list[ReplicaConnection]] = {}
-        self._swept = time.monotonic()
-        self._ready: deque[ReplicaConnection] = deque()
+        self._limits = limits
+        self._report = report
+        self._decode_cell = decode_cell
+        self._on_closed = on_closed
+        self._by_address: dict[tuple[str, int], list[ReplicaConnection]] = {}
+        self._last_sweep = time.monotonic()
+        self._writable: deque[ReplicaConnection] = deque()
         self._poll = patiently(select.epoll)
-        self._by_number: dict[
-            int, ReplicaConnection
-        ] = {}  # entered by the decision thread, which also takes out what it closes
-        self._rising: deque[ReplicaConnection] = (
-            deque()
-        )  # those that connect, the one that must be up first first
+        # By file number. The decision thread enters connections, and removes those that it closes.
+        self._by_number: dict[int, ReplicaConnection] = {}
+        self._connecting: deque[ReplicaConnection] = deque()  # the earliest deadline first
         self._closed = False
         start_thread(self._run, "links")
 
-    def _run(self) -> None:
-        """The reader: one thread for all links, as one each adds up to tens of thousands over a fleet's machine."""
-        while not self._closed:
-            now = time.monotonic()
-            while self._rising and (self._rising[0].up_by <= now or not self._rising[0].rising):
-                self._rising.popleft().overdue(now)
-            # Nothing wakes it when a connection is begun, so it looks as often as halves the lateness.
-            wait = self._limits.connect / 2
-            if self._rising:
-                wait = min(wait, self._rising[0].up_by - now)
-            endings: list[t.AttemptFinished] = []
-            for number, what in self._look(max(wait, 0.001)):
-                if link := self._by_number.get(number):
-                    link.seen(what, endings)
-            if endings:
-                self._report(endings)
-
-    def _look(self, seconds: float) -> list[tuple[int, int]]:
-        """What has happened to the links within some time."""
-        try:
-            return self._poll.poll(seconds)
-        except OSError:  # guards the reader, without which no answer would be read any more
-            return []
-
     @property
     def in_flight(self) -> int:
-        return sum(len(link.out) for links in list(self._links.values()) for link in list(links))
+        """Parts in flight on all connections."""
+        by_address = list(self._by_address.values())
+        return sum(len(each.in_flight) for connections in by_address for each in list(connections))
 
     @property
     def count(self) -> int:
         """Connections that hold a descriptor."""
         return len(self._by_number)
 
-    def start(self, call: t.BatchRequest) -> bool:
+    # ---- the reader
+
+    def _run(self) -> None:
+        """Serve all connections: one thread each would add up to tens of thousands over a fleet's machine."""
+        while not self._closed:
+            timeout = self._check_connecting(time.monotonic())
+            finished: list[t.AttemptFinished] = []
+            for number, events in self._wait(max(timeout, _MIN_POLL_TIMEOUT)):
+                if connection := self._by_number.get(number):
+                    connection.handle_event(events, finished)
+            if finished:
+                self._report(finished)
+
+    def _check_connecting(self, now: float) -> float:
+        """Fail connections that are not established in time; return the seconds until that is to be checked again."""
+        connecting = self._connecting
+        while connecting and (connecting[0].connect_deadline <= now or not connecting[0].is_connecting):
+            connecting.popleft().check_connect_timeout(now)
+        # Nothing wakes the reader when a connection is begun, so it looks as often as halves the lateness.
+        timeout = self._limits.connect_timeout / 2
+        if connecting:
+            timeout = min(timeout, connecting[0].connect_deadline - now)
+        return timeout
+
+    def _wait(self, timeout: float) -> list[tuple[int, int]]:
+        """Wait up to `timeout` seconds for events; return each as a file number and its event mask."""
+        try:
+            return self._poll.poll(timeout)
+        except OSError:  # guards the reader, without which no reply would be read any more
+            return []
+
+    def _wake(self, connection: ReplicaConnection) -> None:
+        """Have the decision thread write to a connection. An empty report gives it a turn."""
+        self._writable.append(connection)
+        self._report([])
+
+    # ---- the decision thread
+
+    def start(self, batch: t.BatchRequest) -> bool:
+        """Send a batch on a connection that takes it or a new one; False if none may be opened."""
         now = time.monotonic()
-        if now - self._swept >= 1.0:
+        if now - self._last_sweep >= _SWEEP_INTERVAL:
             self._sweep(now)
-        for link in self._links.get(call.address, ()):
-            if link.room(len(call.attempts), now) and link.start(call, now):
+        for connection in self._by_address.get(batch.address, ()):
+            if connection.can_take(len(batch.attempts), now) and connection.send_batch(batch, now):
                 return True
-        if self.count >= self._limits.links and not self._make_room(now):
+        if self.count >= self._limits.max_connections and not self._ensure_capacity(now):
             return False
         try:
-            link = ReplicaConnection(
-                call.address, self._limits, self._report, self._check, self._wake, self._poll, self._on_end
+            connection = ReplicaConnection(
+                batch.address,
+                self._limits,
+                self._report,
+                self._decode_cell,
+                self._wake,
+                self._poll,
+                self._on_closed,
             )
         except OSError:  # out of descriptors: no reason for the decision thread to end
             return False
-        self._links.setdefault(call.address, []).append(link)
-        self._by_number[link.number] = link
-        link.start(call, now)
-        link.connect()
-        self._rising.append(link)
+        self._by_address.setdefault(batch.address, []).append(connection)
+        self._by_number[connection.number] = connection
+        connection.send_batch(batch, now)
+        connection.connect()
+        self._connecting.append(connection)
         return True
 
-    def _make_room(self, now: float) -> bool:
-        """Whether one more may be opened. Guards against refusing a part, with more replicas than links may be held,
-        while quiet links stand by: the one that was used the longest time ago gives way."""
+    def _ensure_capacity(self, now: float) -> bool:
+        """Whether one more connection may be opened.
+
+        Guards against failing a part, with more replicas than connections may be held, while idle connections stand
+        by: the least recently used one is closed.
+        """
         self._sweep(now)
-        live = [link for link in self._by_number.values() if not link.broken]
-        if len(live) >= self._limits.links:
-            quiet = min((link for link in live if not link.out), key=lambda link: link.used, default=None)
-            if quiet is None:
+        live = [each for each in self._by_number.values() if not each.broken]
+        if len(live) >= self._limits.max_connections:
+            idle = (each for each in live if not each.in_flight)
+            oldest = min(idle, key=lambda each: each.last_used, default=None)
+            if oldest is None:
                 return False
-            quiet.fail(LinkEnd.NO_ROOM)
-        return self.count < self._limits.links + SPARE
-
-    def _wake(self, link: ReplicaConnection) -> None:
-        """The reader: a link can be written to again. An empty report gives the decision thread a turn."""
-        self._ready.append(link)
-        self._report([])
+            oldest.fail(ReplicaCloseReason.EVICTED)
+        return self.count < self._limits.max_connections + SPARE_DESCRIPTORS
 
     def maintain(self) -> None:
-        while self._ready:
-            self._ready.popleft().flush()
+        """Write to the connections that take bytes again."""
+        while self._writable:
+            self._writable.popleft().flush()
 
-    def cancel(self, call: t.BatchRequest) -> None:
-        """Each errand is withdrawn by itself."""
+    def cancel(self, batch: t.BatchRequest) -> None:
+        """Do nothing: each attempt of a batch is abandoned by itself."""
 
-    def abandon(self, call: t.BatchRequest, errand: t.AttemptRequest, tell: bool, over: bool) -> None:
-        if isinstance(call.transport_token, ReplicaConnection):
-            call.transport_token.withdraw(errand, tell, over)
+    def abandon(self, batch: t.BatchRequest, request: t.AttemptRequest, tell: bool, over: bool) -> None:
+        """Give up an attempt: `tell` its replica to cancel it, or its time is `over`."""
+        if isinstance(batch.transport_token, ReplicaConnection):
+            batch.transport_token.abandon(request, tell, over)
 
     def close_idle(self, address: tuple[str, int]) -> None:
-        for link in self._links.get(address, ()):
-            link.retired = True  # what is sent next opens a new one, whatever is still out on this
-            if not link.out:
-                link.fail(LinkEnd.DROPPED)
+        """Retire all connections to an address: what is sent next opens a new one, whatever is still in flight."""
+        for connection in self._by_address.get(address, ()):
+            connection.retired = True
+            if not connection.in_flight:
+                connection.fail(ReplicaCloseReason.RETIRED)
 
     def close(self) -> None:
+        """Shut down all connections."""
         self._closed = True
-        for link in self._by_number.values():
-            link.shut()
+        for connection in self._by_number.values():
+            connection.shut_down()
 
     def _sweep(self, now: float) -> None:
-        """Let go of connections that are quiet for too long or done with."""
-        self._swept = now
-        for address, links in list(self._links.items()):
-            kept = []
-            for link in links:
-                if not link.out and (link.retired or now - link.used >= self._limits.idle):
-                    link.fail(LinkEnd.IDLE)
-                if link.closable:
-                    del self._by_number[link.number]
-                    with contextlib.suppress(OSError):
-                        link.sock.close()
-                else:
-                    kept.append(link)
-            if kept:
-                self._links[address] = kept
+        """Close connections that are idle for too long or done with."""
+        self._last_sweep = now
+        for address, connections in list(self._by_address.items()):
+            remaining = [each for each in connections if not self._close_if_unused(each, now)]
+            if remaining:
+                self._by_address[address] = remaining
             else:
-                del self._links[address]
+                del self._by_address[address]
+
+    def _close_if_unused(self, connection: ReplicaConnection, now: float) -> bool:
+        """Fail a connection that is idle for too long; close its socket, and return True, once nobody uses it."""
+        idle_timeout = self._limits.idle_timeout
+        if not connection.in_flight and (connection.retired or now - connection.last_used >= idle_timeout):
+            connection.fail(ReplicaCloseReason.IDLE_TIMEOUT)
+        if not connection.can_close_socket:
+            return False
+        del self._by_number[connection.number]
+        with contextlib.suppress(OSError):
+            connection.sock.close()
+        return True
--- /dev/null
+++ b/gingervane/node/reply_reader.py
@@ -0,0 +1,87 @@
+"""Turns the bytes that a replica sends on one connection into finished attempts.
+
+Called by the reader thread alone.
+"""
+
+from __future__ import annotations
+
+from threading import Lock
+
+from gingervane.coordinator import types as t
+from gingervane.interface import AttemptOutcome
+from gingervane.node.connection_recorder import ConnectionRecorder
+from gingervane.node.parts_in_flight import PartInFlight, PartsInFlight
+from gingervane.node.replica_connection_types import DecodeCell, PartResult
+from gingervane.wire import frames
+from gingervane.wire.frames import Answer, FrameError, FrameReader
+from gingervane.wire.socket_recorder import SOCKET_RECORDER
+
+_SERVED = "served"
+_OUTCOMES = {_SERVED: AttemptOutcome.OK, "broke": AttemptOutcome.ERROR, "skipped": AttemptOutcome.REJECTED}
+
+
+class ReplyReader:
+    """Reads replies to the parts in flight."""
+
+    def __init__(
+        self,
+        parts: PartsInFlight,
+        lock: Lock,
+        decode_cell: DecodeCell,
+        recorder: ConnectionRecorder,
+    ) -> None:
+        self._parts = parts
+        self._lock = lock
+        self._decode_cell = decode_cell
+        self._recorder = recorder
+        self._frames = FrameReader()
+
+    def read(self, data: bytes, received_at: float, finished: list[t.AttemptFinished]) -> None:
+        """Read what was received, and add the attempts that it finishes to `finished`.
+
+        Raises FrameError if the connection cannot be used any more; replies before that count.
+        """
+        self._frames.feed(data)
+        while (frame := self._frames.next()) is not None:
+            letter, body = frame
+            self._read_frame(letter, body, received_at, finished)
+
+    def _read_frame(
+        self, letter: bytes, body: bytes, received_at: float, finished: list[t.AttemptFinished]
+    ) -> None:
+        if letter != frames.ANSWER:
+            raise FrameError(f"frame {letter!r} that nobody asked for")
+        answer = frames.read_answer(body)
+        with self._lock:
+            part, is_known = self._parts.pop_answered(answer.id)
+        if SOCKET_RECORDER.on:
+            self._recorder.record("answer", part=answer.id, end=answer.end, waited=part is not None)
+        if not is_known:
+            raise FrameError(f"answer to a part {answer.id} that is not out")
+        self._parts.last_used = received_at
+        if part is not None:
+            self._finish(part, answer, received_at, finished)
+
+    def _finish(
+        self, part: PartInFlight, answer: Answer, received_at: float, finished: list[t.AttemptFinished]
+    ) -> None:
+        request = part.request
+        result = self._read_result(request.content.shard, answer)
+        outcome = _OUTCOMES[answer.end]
+        if outcome is AttemptOutcome.OK and result is None:
+            outcome = AttemptOutcome.ERROR
+            detail = "spoilt: its value"
+            finished.append(
+                t.AttemptFinished(request.part, request.attempt, outcome, received_at, None, detail)
+            )
+            raise FrameError("answer: its value cannot be read")
+        detail = "" if result else f"the replica answered {answer.end}"
+        finished.append(
+            t.AttemptFinished(request.part, request.attempt, outcome, received_at, result, detail)
+        )
+
+    def _read_result(self, shard: int, answer: Answer) -> PartResult | None:
+        cell = self._decode_cell(answer.value)
+        if answer.end != _SERVED or cell is None or answer.score is None:
+            return None
+        return PartResult(shard, answer.score, cell)
--- a/gingervane/node/service.py
+++ b/gingervane/node/service.py
@@ -26,8 +26,8 @@
 from gingervane.node.client_front import ClientFront
 from gingervane.node.config import Config, ConfigError
 from gingervane.node.discovery import ListError, ListReader, Watch
-from gingervane.node.replica_connection import LinkEnded, LinkLimits
-from gingervane.node.replica_connections import ReplicaConnections, SPARE
+from gingervane.node.replica_connection_types import ReplicaConnectionClosed, ReplicaConnectionLimits
+from gingervane.node.replica_connections import ReplicaConnections, SPARE_DESCRIPTORS
 from gingervane.node.peer_socket import PeerSocket
 from gingervane.coordinator.replica_start_times import ReplicaStartTimes
 from gingervane.telemetry.node_telemetry import Telemetry
@@ -134,8 +134,10 @@
         self.telemetry = telemetry
         settings = config.settings
         # Half for replicas, half for clients, who need no more than a third for requests.
-        links = max(config.sockets // 2 - OWN_DESCRIPTORS - SPARE, 1)
-        limits = LinkLimits(config.streams, links, 0.8 * config.conn_idle, config.connect_timeout)
+        links = max(config.sockets // 2 - OWN_DESCRIPTORS - SPARE_DESCRIPTORS, 1)
+        limits = ReplicaConnectionLimits(
+            config.streams, links, 0.8 * config.conn_idle, config.connect_timeout
+        )
         reader = ListReader(config.zones, ReplicaStartTimes(), telemetry.info)
         # Room for every part of as many queries as there can be connections: descriptors bound it, not this.
         most = AdmissionLimits(config.sockets * (1 + config.shards), 64 << 20)
@@ -144,7 +146,7 @@
             settings,
             most,
             CoreLog(telemetry, config.class_names, reader.host),
-            lambda report: ReplicaConnections(limits, report, on_end=self._link_ended),
+            lambda report: ReplicaConnections(limits, report, on_closed=self._link_ended),
             ClusterPorts(self._subscribe, self._tell_peers),
             gather=settings.timer_granularity,
         )
@@ -167,44 +169,44 @@
             known = None
         if known:
             self.core.endpoints_updated(known)
-        connections = max(config.sockets - links - SPARE - OWN_DESCRIPTORS - MAX_CLOSING, 1)
+        connections = max(config.sockets - links - SPARE_DESCRIPTORS - OWN_DESCRIPTORS - MAX_CLOSING, 1)
         self.server = HttpServer(
             *config.listen,
             self.front.handle,
             ServerLimits(
-                connections=connections,
-                head=1.5,
-                body=1.0,
-                write=5.0,
-                message=Limits(16384, 65536),
-                silent=2.0,
-                crowd=config.sockets // 6,  # half of what clients may hold for requests
+                max_connections=connections,
+                head_timeout=1.5,
+                body_timeout=1.0,
+                write_timeout=5.0,
+                message_limits=Limits(16384, 65536),
+                first_byte_timeout=2.0,
+                crowd_threshold=config.sockets // 6,  # half of what clients may hold for requests
             ),
         )
 
         counts = self.core.driver_counts
         telemetry.add_source("attempts", lambda: counts.outcomes)
         telemetry.add_source("driver", counts.totals)
-        telemetry.add_source("client_connections_ended", lambda: self.server.ends)
+        telemetry.add_source("client_connections_ended", lambda: self.server.close_reasons)
         telemetry.add_source("client_calls_failed", lambda: self.server.failures)
-        self.server.on_fault = self._request_broke
+        self.server.on_handler_failure = self._request_broke
 
     def _request_broke(self, error: BaseException) -> None:
         """From a client's thread: its request has been answered with 500."""
         trace = "".join(traceback.format_exception(error))
         self.telemetry.error("request_broke", error=f"{type(error).__name__}: {error}", trace=trace)
 
-    def _link_ended(self, ended: LinkEnded) -> None:
+    def _link_ended(self, ended: ReplicaConnectionClosed) -> None:
         """From the decision thread or the links' reader."""
         self.telemetry.counters.add("replica_connections_ended", ended.reason)
-        if ended.out or self.telemetry.debug_on:
+        if ended.parts_in_flight or self.telemetry.debug_on:
             self.telemetry.info(
                 "replica_connection_ended",
                 address=f"{ended.address[0]}:{ended.address[1]}",
                 reason=ended.reason,
                 detail=ended.detail,
-                out=ended.out,
-                unsent=ended.unsent,
+                out=ended.parts_in_flight,
+                unsent=ended.parts_unsent,
             )
 
     def _subscribe(self) -> None:
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -649,7 +649,7 @@
 
 def test_descriptors_add_up_to_the_limit(tmp_path: Path) -> None:
     """Clients, those at their end, links, links at their end and the node's own are all that there can be."""
-    from gingervane.node.replica_connections import ReplicaConnections, SPARE
+    from gingervane.node.replica_connections import ReplicaConnections, SPARE_DESCRIPTORS
     from gingervane.node.service import OWN_DESCRIPTORS
 
     for sockets in (256, 1024, 4096):
@@ -657,7 +657,7 @@
         links = platform.node.core._senders
         assert isinstance(links, ReplicaConnections)
         clients = connections_of(platform)._limits.max_connections + MAX_CLOSING
-        assert clients + links._limits.links + SPARE + OWN_DESCRIPTORS == sockets
+        assert clients + links._limits.max_connections + SPARE_DESCRIPTORS + OWN_DESCRIPTORS == sockets
         platform.close()
 
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -20,8 +20,10 @@
 from gingervane.coordinator.driver import Driver
 from gingervane.interface import AttemptOutcome, RetrySafety
 from gingervane.node import config as configuration
-from gingervane.node.replica_connection import FrameTravel, ReplicaConnection, LinkLimits
+from gingervane.node.replica_connection import ReplicaConnection
+from gingervane.node.replica_connection_types import FrameCodec, ReplicaConnectionLimits
 from gingervane.node.replica_connections import ReplicaConnections
+from gingervane.node.reply_reader import ReplyReader
 from gingervane.node.service import CoreLog
 from gingervane.decisions.engine import DecisionEngine
 from gingervane.wire.frames import Asked
@@ -59,13 +61,13 @@
 @pytest.fixture
 def rising(monkeypatch: pytest.MonkeyPatch) -> Iterator[threading.Event]:
     """No connection to a replica comes up before this is set."""
-    up, came_up = threading.Event(), ReplicaConnection._came_up
+    up, came_up = threading.Event(), ReplicaConnection._finish_connect
 
     def held(self: ReplicaConnection) -> None:
         up.wait(PATIENCE)
         came_up(self)
 
-    monkeypatch.setattr(ReplicaConnection, "_came_up", held)
+    monkeypatch.setattr(ReplicaConnection, "_finish_connect", held)
     yield up
     up.set()
 
@@ -76,6 +78,12 @@
     return links
 
 
+def half_sent(link: ReplicaConnection) -> set[str]:
+    """Ids of the parts in a frame that has left in part."""
+    frame = link._queue.partial
+    return frame.parts if frame else set()
+
+
 def asked(*replicas: Replica) -> list[str]:
     return [part.id for replica in replicas for part in replica.parts.items]
 
@@ -101,10 +109,10 @@
         t.AttemptRequest(number, 0, Asked(name, 0, "", b"x"), RetrySafety.IDEMPOTENT),
         ("127.0.0.1", replica.port),
     )
-    call = t.BatchRequest(number, 1, where, FrameTravel(), [errand], time.monotonic())
+    call = t.BatchRequest(number, 1, where, FrameCodec(), [errand], time.monotonic())
     assert links.start(call)
     while len(replica.parts.items) < number:
-        until(lambda: links._ready or len(replica.parts.items) == number, "the connection is up")
+        until(lambda: links._writable or len(replica.parts.items) == number, "the connection is up")
         links.maintain()
     return call
 
@@ -112,7 +120,12 @@
 def test_an_answer_that_comes_after_its_part_s_time_spoils_nothing() -> None:
     """Its place on the connection has been given to another part by then, which ended with the connection."""
     replica, told = Replica(0, lambda wire, part: None), Waiter()
-    links = ReplicaConnections(LinkLimits(streams=1, links=4, idle=PATIENCE, connect=PATIENCE), told.put)
+    links = ReplicaConnections(
+        ReplicaConnectionLimits(
+            streams=1, max_connections=4, idle_timeout=PATIENCE, connect_timeout=PATIENCE
+        ),
+        told.put,
+    )
     first = send(links, replica, 1, "a.0")
     links.abandon(first, first.attempts[0], tell=True, over=True)
     send(links, replica, 2, "b.0")
@@ -132,15 +145,18 @@
     """The reader has taken the answer off its books and not told of it yet: nothing is out on the link."""
     replica, other, told = Replica(0), Replica(0), Waiter()
     idle = 0.0 if why == "idle for too long" else PATIENCE
-    links = ReplicaConnections(LinkLimits(streams=4, links=1, idle=idle, connect=PATIENCE), told.put)
-    value, reads, go = ReplicaConnection._value, threading.Event(), threading.Event()
+    links = ReplicaConnections(
+        ReplicaConnectionLimits(streams=4, max_connections=1, idle_timeout=idle, connect_timeout=PATIENCE),
+        told.put,
+    )
+    value, reads, go = ReplyReader._read_result, threading.Event(), threading.Event()
 
-    def held(self: ReplicaConnection, *args: Any) -> Any:
+    def held(self: ReplyReader, *args: Any) -> Any:
         reads.set()
         go.wait(PATIENCE)
         return value(self, *args)
 
-    monkeypatch.setattr(ReplicaConnection, "_value", held)
+    monkeypatch.setattr(ReplyReader, "_read_result", held)
     send(links, replica, 1, "a.0")
     assert reads.wait(PATIENCE)
     (link,) = links._by_number.values()
@@ -151,7 +167,7 @@
     elif why == "makes room":
         errand = t.AttemptRequest(2, 0, Asked("b.0", 0, "", b"x"), RetrySafety.IDEMPOTENT)
         where = "127.0.0.1", other.port
-        assert links.start(t.BatchRequest(2, 2, where, FrameTravel(), [errand], time.monotonic() + PATIENCE))
+        assert links.start(t.BatchRequest(2, 2, where, FrameCodec(), [errand], time.monotonic() + PATIENCE))
     assert link.broken
     go.set()
     told.wait(1, lambda endings: any(ended.part == 1 for ended in endings))
@@ -164,7 +180,12 @@
 
 def test_a_part_given_to_a_link_that_was_told_to_retire_goes_on_another() -> None:
     replica, told = Replica(0, lambda wire, part: None), Waiter()
-    links = ReplicaConnections(LinkLimits(streams=4, links=4, idle=PATIENCE, connect=PATIENCE), told.put)
+    links = ReplicaConnections(
+        ReplicaConnectionLimits(
+            streams=4, max_connections=4, idle_timeout=PATIENCE, connect_timeout=PATIENCE
+        ),
+        told.put,
+    )
     send(links, replica, 1, "a.0")
     links.close_idle(("127.0.0.1", replica.port))  # with a part out: it stays until that is answered
     send(links, replica, 2, "b.0")
@@ -200,18 +221,18 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Told as could-not-connect, which proves that it never ran: then it must not leave once that is up."""
-    late, came_up = list[ReplicaConnection](), ReplicaConnection._came_up
+    late, came_up = list[ReplicaConnection](), ReplicaConnection._finish_connect
 
     def held(self: ReplicaConnection) -> None:
         late.extend([self] if not late else [])
         if self is not late[0] or self.broken:
             came_up(self)
 
-    monkeypatch.setattr(ReplicaConnection, "_came_up", held)
+    monkeypatch.setattr(ReplicaConnection, "_finish_connect", held)
     platform = Platform(tmp_path, settings=with_limits(ConnectTimeoutS=0.1))
     assert platform.ask("q", {0: 1.0}, "/book")[0] == 200
     assert late[0].broken
-    late[0]._came_up()  # now it is up, so to speak
+    late[0]._finish_connect()  # now it is up, so to speak
     links_of(platform).maintain()
     for number in range(10):
         assert platform.ask(f"after{number}", {0: 1.0})[0] == 200
@@ -275,7 +296,7 @@
     text = json.dumps({"tablets": [{"tablet": 0, "fraction": 1}], "statement": "x" * 60000})
     sock.sendall(request("gone", text))
     links = links_of(platform)._by_number
-    until(lambda: any(link._half for link in links.values()), "half of the frame has left")
+    until(lambda: any(half_sent(link) for link in links.values()), "half of the frame has left")
     sock.close()
     assert settled.wait() == [("gone", t.QueryStatus.CLIENT_DISCONNECTED)]
     replica.reading.set()
@@ -305,7 +326,7 @@
 
 def a_query(number: int, now: float) -> t.QuerySubmitted:
     part = t.PartPlan(0, 1.0, Asked(f"q{number}.0", 0, "", b"x"))
-    return t.QuerySubmitted(number, t.QueryPlan(0, now + 6.0, (part,), FrameTravel()), lambda final: None)
+    return t.QuerySubmitted(number, t.QueryPlan(0, now + 6.0, (part,), FrameCodec()), lambda final: None)
 
 
 def two_replicas() -> t.EndpointsUpdated:
@@ -358,10 +379,15 @@
 ) -> None:
     """An attempt counts from its frame's last byte: that came when its window or budget's span was over."""
     replica, told = stops_reading(monkeypatch), Waiter()
-    links = ReplicaConnections(LinkLimits(streams=4, links=4, idle=PATIENCE, connect=PATIENCE), told.put)
+    links = ReplicaConnections(
+        ReplicaConnectionLimits(
+            streams=4, max_connections=4, idle_timeout=PATIENCE, connect_timeout=PATIENCE
+        ),
+        told.put,
+    )
     now, where = time.monotonic(), ("127.0.0.1", replica.port)
     errand = t.AttemptRequest(1, 1, Asked("a.0", 0, "", b"x" * 60000), RetrySafety.IDEMPOTENCY_KEY)
-    call = t.BatchRequest(1, 1, where, FrameTravel(), [errand], now + PATIENCE, decided_at=now + PATIENCE)
+    call = t.BatchRequest(1, 1, where, FrameCodec(), [errand], now + PATIENCE, decided_at=now + PATIENCE)
     assert links.start(call)
     (link,) = links._by_number.values()
 
@@ -369,7 +395,7 @@
         links.maintain()
         return True
 
-    until(lambda: tended() and link._half, "half of the frame has left")
+    until(lambda: tended() and half_sent(link), "half of the frame has left")
     call.decided_at = now - PATIENCE  # so long ago, by now
     replica.reading.set()
     until(lambda: tended() and any(told.items), "its ending is told")
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -25,7 +25,7 @@
 from gingervane.node.config import ConfigError, read
 from gingervane.node.discovery import ListReader, replica_id
 from gingervane.coordinator.replica_start_times import ReplicaStartTimes
-from gingervane.node.replica_connections import ReplicaConnections, SPARE
+from gingervane.node.replica_connections import ReplicaConnections, SPARE_DESCRIPTORS
 from gingervane.wire import frames
 from platform_standins import (
     PATIENCE,
@@ -440,8 +440,8 @@
     assert isinstance(links, ReplicaConnections)
     start, taken = links.start, list[bool]()
 
-    def note(call: BatchRequest) -> bool:
-        taken.append(start(call))
+    def note(batch: BatchRequest) -> bool:
+        taken.append(start(batch))
         return taken[-1]
 
     links.start = note  # type: ignore[method-assign]
@@ -450,7 +450,7 @@
     met = sum(bool(replica.parts.items) for replica in replicas)
     assert met > 12, met  # far more than the 4 links there may be
     assert len(taken) >= 160 and all(taken)
-    assert links.count <= 4 + SPARE
+    assert links.count <= 4 + SPARE_DESCRIPTORS
     mine = [thread for thread in threading.enumerate() if thread.ident not in before]
     assert sum(thread.name.startswith("link") for thread in mine) == 1
     platform.close()
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -30,7 +30,13 @@
 from gingervane.fronts.http_server import Exchange, Handler, HttpServer, Reply, ServerLimits, plain
 from gingervane.fronts.leaf_codec import RemoteReadExchange
 from gingervane.interface import AttemptOutcome
-from gingervane.node.replica_connection import FrameTravel, ReplicaConnection, LinkEnd, LinkEnded, LinkLimits
+from gingervane.node.replica_connection import ReplicaConnection
+from gingervane.node.replica_connection_types import (
+    FrameCodec,
+    ReplicaCloseReason,
+    ReplicaConnectionClosed,
+    ReplicaConnectionLimits,
+)
 from gingervane.node.replica_connections import ReplicaConnections
 from gingervane.decisions.engine import DecisionEngine
 from gingervane.wire import local_failures
@@ -39,7 +45,9 @@
 from hosts import BASE, query_class, replica
 from platform_standins import PATIENCE, Platform, Replica, Waiter, connections_of, reply, request, until
 
-LIMITS = LinkLimits(streams=8, links=4, idle=PATIENCE, connect=PATIENCE)
+LIMITS = ReplicaConnectionLimits(
+    streams=8, max_connections=4, idle_timeout=PATIENCE, connect_timeout=PATIENCE
+)
 
 
 # ---- the deadline that is passed on
@@ -60,7 +68,7 @@
             )
         ],
     )
-    travel = FrameTravel()
+    travel = FrameCodec()
 
     def arrived(number: int, left: float) -> t.QuerySubmitted:
         part = t.PartPlan(0, 1.0, Asked(f"q{number}.0", 0, "", b"x"))
@@ -85,9 +93,7 @@
     errand = t.AttemptRequest(
         1, attempt, Asked(f"{name}.0", 0, "", text), api.RetrySafety.IDEMPOTENT, stop_at
     )
-    call = t.BatchRequest(
-        1, 1, ("127.0.0.1", replica.port), FrameTravel(), [errand], stop_at, open_attempts=1
-    )
+    call = t.BatchRequest(1, 1, ("127.0.0.1", replica.port), FrameCodec(), [errand], stop_at, open_attempts=1)
     call.decided_at = time.monotonic()
     return call
 
@@ -119,8 +125,10 @@
     call = a_call(there, "big", b"x" * (8 << 20))
     assert links.start(call)
     (link,) = links._by_number.values()
-    until(tended(links, lambda: link._rest), "half a frame")
-    until(lambda: time.monotonic() - link._encoded_at > t.MAX_SEND_DELAY, "its time to pass")
+    until(tended(links, lambda: link._queue.partial), "half a frame")
+    half = link._queue.partial
+    assert half is not None
+    until(lambda: time.monotonic() - half.encoded_at > t.MAX_SEND_DELAY, "its time to pass")
     there.reading.set()  # takes bytes again
     until(tended(links, lambda: told.items), "its ending")
     assert told.items[0].outcome is AttemptOutcome.CONNECT_FAILED and not there.parts.items
@@ -179,8 +187,8 @@
 
     for server in serve(handler):
         found: list[BaseException] = []
-        server.on_fault = found.append
-        assert asked(server)[0] == 500 and server.faults == 1 and isinstance(found[0], RuntimeError)
+        server.on_handler_failure = found.append
+        assert asked(server)[0] == 500 and server.handler_failures == 1 and isinstance(found[0], RuntimeError)
         assert asked(server)[0] == 200
 
 
@@ -248,7 +256,7 @@
     assert platform.ask("q1", {0: 1.0})[0] == 503
     failing.clear()
     counters = platform.node.telemetry.counters
-    assert counters.get("replica_connections_ended", LinkEnd.LOCAL_FAILURE) >= 1
+    assert counters.get("replica_connections_ended", ReplicaCloseReason.LOCAL_FAILURE) >= 1
     assert not any(name == "replicas_ejected" for name, _ in counters.snapshot())
     assert platform.ask("q2", {0: 1.0})[0] == 200
     platform.close()
@@ -289,13 +297,16 @@
     def came_up(self: ReplicaConnection) -> None:
         raise ValueError("a bug")
 
-    ended: list[LinkEnded] = []
+    ended: list[ReplicaConnectionClosed] = []
     told = Waiter()
     there = Replica(0)
-    monkeypatch.setattr(ReplicaConnection, "_came_up", came_up)
-    links = ReplicaConnections(LIMITS, reports_to(told), on_end=ended.append)
+    monkeypatch.setattr(ReplicaConnection, "_finish_connect", came_up)
+    links = ReplicaConnections(LIMITS, reports_to(told), on_closed=ended.append)
     assert links.start(a_call(there, "q", b"x"))
-    assert told.wait()[0].outcome is AttemptOutcome.CONNECT_FAILED and ended[0].reason is LinkEnd.INTERNAL
+    assert (
+        told.wait()[0].outcome is AttemptOutcome.CONNECT_FAILED
+        and ended[0].reason is ReplicaCloseReason.INTERNAL_ERROR
+    )
     links.close()
     there.close()
 
