--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -202,7 +202,7 @@
 
     for server in serve(handler):
         start = time.monotonic() - 1.0
-        server._still.held(start, time.monotonic() + PATIENCE)
+        server._pauses.held(start, time.monotonic() + PATIENCE)
         assert asked(server)[0] == 200 and arrivals == [start]
 
 
