--- a/gingervane/node/client_front.py
+++ b/gingervane/node/client_front.py
@@ -1,12 +1,14 @@
-"""The platform's clients: an HTTP request to a plan of parts, and the one final answer back.
+"""The platform's clients: an HTTP request to a plan of parts, and the one query result back.
 
-Strict: what cannot be a query of this platform gets one 4xx and reaches nobody. Called by the HTTP server's threads;
-`_open` is shared by them under a lock. Every decision about a query that is taken is the module's.
+Strict: what cannot be a query of this platform gets one 4xx and reaches no replica. Called by the HTTP server's
+threads; the ids of open queries are shared by them under a lock. Every decision about an admitted query is the
+decision module's.
 """
 
 from __future__ import annotations
 
 import re
+from collections.abc import Callable
 from threading import Lock
 from typing import Any
 from urllib.parse import unquote
@@ -24,158 +26,187 @@
 _MILLISECONDS = re.compile(r"[0-9]{1,9}\Z")
 _TOKEN = re.compile(r"[0-9A-Fa-f]{16}\Z")
 _WEIGHT_SLACK = 0.002  # of a sum of rounded weights
+_MAX_GUESS = 1e12  # microseconds
 _STATUS = {t.QueryStatus.REJECTED: 503, t.QueryStatus.FAILED: 500, t.QueryStatus.CLIENT_DISCONNECTED: 500}
 _JSON = ("Content-Type", "application/json")
+_HEALTH_PATHS = ("/ready", "/health")
+
+SecondStep = Callable[[dict[int, PartResult], bool], tuple[t.PartPlan, ...]]
 
 
 class ClientFront:
     """Handles `POST /CLASS` and `GET /ready`. A class may have any name, those two words among them."""
 
     def __init__(self, core: QueryCoordinator, class_names: tuple[str, ...], shards: int) -> None:
-        self._core, self._shards = core, shards
+        self._core = core
+        self._shards = shards
         self._classes = {name: number for number, name in enumerate(class_names)}
-        self._travel = FrameCodec()
-        self._lock, self._open = Lock(), set[str]()
+        self._codec = FrameCodec()
+        self._lock = Lock()
+        self._open_ids = set[str]()
         self.ready = False
 
     def handle(self, request: Request, body: bytes, arrived: float, client: Exchange) -> Reply:
+        """Answer a request; the query in it, if any, is completed by then."""
         path = request.target.partition("?")[0]
-        word = path[1:].partition("/")[0]
-        word = word if word in self._classes else unquote(word)  # as it stands, or encoded
-        if path in ("/ready", "/health") and (request.method != "POST" or word not in self._classes):
-            if request.method not in ("GET", "HEAD"):
-                return plain(405, "only GET here", fields=(("Allow", "GET"),))
-            return plain(200, "ready") if self.ready else plain(503, "not ready")
+        class_name = path[1:].partition("/")[0]
+        if class_name not in self._classes:  # as it stands, or encoded
+            class_name = unquote(class_name)
+        if path in _HEALTH_PATHS and (request.method != "POST" or class_name not in self._classes):
+            return self._health(request)
         try:
-            name, plan = self._read(request, word, body, arrived)
+            query_id, plan = self._read_query(request, class_name, body, arrived)
         except HttpError as error:
             return plain(error.status, error.what)
-        if client.is_disconnected():  # guards against sending on what lay unread when its client went
+        if client.is_disconnected():  # guards against forwarding what lay unread when its client disconnected
             return plain(500, "its client has left", close=True)
         with self._lock:
-            if name in self._open:
+            if query_id in self._open_ids:
                 return plain(409, "X-Request-ID: a request with this id is open")
-            self._open.add(name)
+            self._open_ids.add(query_id)
+        return self._run_query(query_id, plan, client)
+
+    def _health(self, request: Request) -> Reply:
+        if request.method not in ("GET", "HEAD"):
+            return plain(405, "only GET here", fields=(("Allow", "GET"),))
+        return plain(200, "ready") if self.ready else plain(503, "not ready")
+
+    def _run_query(self, query_id: str, plan: t.QueryPlan, client: Exchange) -> Reply:
+        """Submit a query and wait for its result."""
         try:
-            ticket = self._core.submit(plan)
+            pending = self._core.submit(plan)
         except Rejected as error:
-            self._close(name)
-            return _refusal(str(error), error.retry_after)
-        client.watch(ticket.abandon)
-        final = ticket.wait()
+            self._forget(query_id)
+            return _rejection(str(error), error.retry_after)
+        client.watch(pending.abandon)
+        result = pending.wait()
 
-        def done() -> None:
-            self._close(name)
-            ticket.release()
+        def release() -> None:
+            self._forget(query_id)
+            pending.release()
 
-        return self._reply(final)._replace(done=done)
+        return self._reply(result)._replace(done=release)
 
-    def _close(self, name: str) -> None:
+    def _forget(self, query_id: str) -> None:
         with self._lock:
-            self._open.discard(name)
+            self._open_ids.discard(query_id)
 
-    def _reply(self, final: t.QueryResult) -> Reply:
-        if final.status in (t.QueryStatus.COMPLETE, t.QueryStatus.PARTIAL):
-            values: list[PartResult] = list(final.results.values())
-            full = final.status is t.QueryStatus.COMPLETE or final.marked_complete
-            pieces = [{"tablet": value.shard, "cell": value.cell} for value in values]
+    def _reply(self, result: t.QueryResult) -> Reply:
+        if result.status in (t.QueryStatus.COMPLETE, t.QueryStatus.PARTIAL):
+            parts: list[PartResult] = list(result.results.values())
+            full = result.status is t.QueryStatus.COMPLETE or result.marked_complete
+            pieces = [{"tablet": part.shard, "cell": part.cell} for part in parts]
             return Reply(200, [_JSON], orjson.dumps({"full": full, "pieces": pieces}))
-        if final.status is t.QueryStatus.REJECTED:
-            return _refusal(final.detail or "refused", final.retry_after)
-        return plain(_STATUS[final.status], final.detail or "failed")
+        if result.status is t.QueryStatus.REJECTED:
+            return _rejection(result.detail or "refused", result.retry_after)
+        return plain(_STATUS[result.status], result.detail or "failed")
 
-    # ---- reading
+    # ---- reading a query
 
-    def _read(self, request: Request, word: str, body: bytes, arrived: float) -> tuple[str, t.QueryPlan]:
-        number = self._classes.get(word)
+    def _read_query(
+        self, request: Request, class_name: str, body: bytes, arrived: float
+    ) -> tuple[str, t.QueryPlan]:
+        """Read a query; return its id and its plan. Raises HttpError."""
+        number = self._classes.get(class_name)
         if number is None:
             raise HttpError(404, "path: no class of that name")
         if request.method != "POST":
             raise HttpError(405, "only POST here")
-        name = _one(request, "x-request-id", _ID)
-        wait = int(_one(request, "x-timeout-ms", _MILLISECONDS))
-        if wait == 0:
+        query_id = _single_header(request, "x-request-id", _ID)
+        timeout_ms = int(_single_header(request, "x-timeout-ms", _MILLISECONDS))
+        if timeout_ms == 0:
             raise HttpError(400, "X-Timeout-Ms: no time at all")
-        marks = request.headers.all("x-retried")
-        if marks not in ([], ["0"], ["1"]):
+        retried = request.headers.all("x-retried")
+        if retried not in ([], ["0"], ["1"]):
             raise HttpError(400, "X-Retried: not 1")
-        try:
-            data = orjson.loads(body)
-        except orjson.JSONDecodeError as error:
-            raise HttpError(400, f"body: {error}") from None
-        if not isinstance(data, dict) or not isinstance(data.get("tablets"), list):
-            raise HttpError(400, "body: no object with tablets")
-        text = data.get("statement")
-        if not isinstance(text, str):
-            raise HttpError(400, "body: statement is no string")
-        parts, cost = self._parts(name, data["tablets"], text.encode())
-        kind = self._core.settings.query_classes[number]
-        plan = t.QueryPlan(
-            number,
-            arrived + min(wait / 1000, kind.deadline),
-            parts,
-            self._travel,
-            name,
-            marks == ["1"],
-            cost,
-            (lambda results, whole: self._second(name, text.encode(), kind.second_step_parts, results, whole))
-            if kind.second_step_parts
-            else None,
-        )
-        return name, plan
-
-    def _parts(self, name: str, tablets: list[Any], text: bytes) -> tuple[tuple[t.PartPlan, ...], float]:
-        """The parts and the guess at their work, in seconds."""
+        tablets, text = _read_body(body)
+        parts, cost = self._read_parts(query_id, tablets, text)
+        query_class = self._core.settings.query_classes[number]
+        deadline = arrived + min(timeout_ms / 1000, query_class.deadline)
+        second_step = _second_step(query_id, text, query_class.second_step_parts)
+        is_client_retry = retried == ["1"]
+        plan = t.QueryPlan(number, deadline, parts, self._codec, query_id, is_client_retry, cost, second_step)
+        return query_id, plan
+
+    def _read_parts(
+        self, query_id: str, tablets: list[Any], text: bytes
+    ) -> tuple[tuple[t.PartPlan, ...], float]:
+        """Return the parts and the guess at their work, in seconds. Raises HttpError."""
         if not 1 <= len(tablets) <= self._shards:
             raise HttpError(400, f"tablets: {len(tablets)} of them; there are {self._shards} shards")
-        parts, seen, cost = [], set[int](), 0.0
+        parts = []
+        shards = set[int]()
+        cost = 0.0
         for index, tablet in enumerate(tablets):
-            where = f"tablets.{index}"
-            if not isinstance(tablet, dict):
-                raise HttpError(400, f"{where}: no object")
-            shard: Any = tablet.get("tablet")
-            weight: Any = tablet.get("fraction")
-            guess, token = tablet.get("guess", 0), tablet.get("token")
-            if not isinstance(shard, int) or isinstance(shard, bool) or not 0 <= shard < self._shards:
-                raise HttpError(400, f"{where}.tablet: no shard")
-            if shard in seen:
-                raise HttpError(400, f"{where}.tablet: shard {shard} stands there twice")
-            if not _is_number(weight) or not 0 < weight <= 1:
-                raise HttpError(400, f"{where}.fraction: not above 0 and up to 1")
-            if not _is_number(guess) or not 0 <= guess < 1e12:
-                raise HttpError(400, f"{where}.guess: no number of microseconds")
-            if token is not None and not (isinstance(token, str) and _TOKEN.match(token)):
-                raise HttpError(400, f"{where}.token: not 16 hex digits")
-            seen.add(shard)
+            shard, weight, guess = self._read_tablet(tablet, f"tablets.{index}", shards)
+            shards.add(shard)
             cost += guess / 1e6
-            parts.append(t.PartPlan(shard, float(weight), Asked(f"{name}.{shard}", shard, "", text)))
+            parts.append(t.PartPlan(shard, float(weight), Asked(f"{query_id}.{shard}", shard, "", text)))
         if abs(sum(part.weight for part in parts) - 1.0) > _WEIGHT_SLACK:
             raise HttpError(400, "tablets: their fractions do not add up to 1")
         return tuple(parts), cost
 
-    def _second(
-        self,
-        name: str,
-        text: bytes,
-        most: int,
-        results: dict[int, PartResult],
-        whole: bool,
-    ) -> tuple[t.PartPlan, ...]:
-        """The second step goes to the shards with the highest scores among those that are in."""
-        values = sorted(results.values(), key=lambda value: (-value.score, value.shard))
-        chosen = values[:most]
-        words = (
-            f",from={'+'.join(str(v.shard) for v in sorted(values, key=lambda v: v.shard))},whole={whole:d}"
-        )
+    def _read_tablet(self, tablet: Any, where: str, shards: set[int]) -> tuple[int, float, float]:
+        """Return shard, weight and guess of a tablet whose shard is not among `shards`. Raises HttpError."""
+        if not isinstance(tablet, dict):
+            raise HttpError(400, f"{where}: no object")
+        shard: Any = tablet.get("tablet")
+        weight: Any = tablet.get("fraction")
+        guess: Any = tablet.get("guess", 0)
+        token = tablet.get("token")
+        if not isinstance(shard, int) or isinstance(shard, bool) or not 0 <= shard < self._shards:
+            raise HttpError(400, f"{where}.tablet: no shard")
+        if shard in shards:
+            raise HttpError(400, f"{where}.tablet: shard {shard} stands there twice")
+        if not _is_number(weight) or not 0 < weight <= 1:
+            raise HttpError(400, f"{where}.fraction: not above 0 and up to 1")
+        if not _is_number(guess) or not 0 <= guess < _MAX_GUESS:
+            raise HttpError(400, f"{where}.guess: no number of microseconds")
+        if token is not None and not (isinstance(token, str) and _TOKEN.match(token)):
+            raise HttpError(400, f"{where}.token: not 16 hex digits")
+        return shard, weight, guess
+
+
+def _read_body(body: bytes) -> tuple[list[Any], bytes]:
+    """Return the tablets of a query's body and the text of its statement. Raises HttpError."""
+    try:
+        data = orjson.loads(body)
+    except orjson.JSONDecodeError as error:
+        raise HttpError(400, f"body: {error}") from None
+    if not isinstance(data, dict) or not isinstance(data.get("tablets"), list):
+        raise HttpError(400, "body: no object with tablets")
+    statement = data.get("statement")
+    if not isinstance(statement, str):
+        raise HttpError(400, "body: statement is no string")
+    return data["tablets"], statement.encode()
+
+
+def _second_step(query_id: str, text: bytes, max_parts: int) -> SecondStep | None:
+    """Return what plans a query's second step, or None if it has none.
+
+    The second step goes to the shards with the highest scores among the results of the first.
+    """
+    if not max_parts:
+        return None
+
+    def plan(results: dict[int, PartResult], complete: bool) -> tuple[t.PartPlan, ...]:
+        ranked = sorted(results.values(), key=lambda result: (-result.score, result.shard))
+        chosen = ranked[:max_parts]
+        sources = "+".join(str(result.shard) for result in sorted(ranked, key=lambda result: result.shard))
+        words = f",from={sources},whole={complete:d}"
         return tuple(
-            t.PartPlan(v.shard, 1 / len(chosen), Asked(f"{name}.{v.shard}.b", v.shard, words, text))
-            for v in chosen
+            t.PartPlan(
+                each.shard, 1 / len(chosen), Asked(f"{query_id}.{each.shard}.b", each.shard, words, text)
+            )
+            for each in chosen
         )
 
+    return plan
+
 
-def _one(request: Request, name: str, form: re.Pattern[str]) -> str:
+def _single_header(request: Request, name: str, pattern: re.Pattern[str]) -> str:
     values = request.headers.all(name)
-    if len(values) != 1 or not form.match(values[0]):
+    if len(values) != 1 or not pattern.match(values[0]):
         raise HttpError(400, f"{name}: must stand there once, as the protocol has it")
     return values[0]
 
@@ -184,6 +215,6 @@
     return isinstance(value, int | float) and not isinstance(value, bool)
 
 
-def _refusal(why: str, come_again_in: float) -> Reply:
-    fields = (("Retry-After", f"{come_again_in:.3f}"),) if come_again_in > 0 else ()
-    return plain(503, why, fields=fields)
+def _rejection(detail: str, retry_after: float) -> Reply:
+    fields = (("Retry-After", f"{retry_after:.3f}"),) if retry_after > 0 else ()
+    return plain(503, detail, fields=fields)
--- a/gingervane/node/config.py
+++ b/gingervane/node/config.py
@@ -1,4 +1,4 @@
-"""What the platform tells a co-ordinator: the file that `NODE_CONFIG` names, read whole or refused with one error."""
+"""The configuration of a co-ordinator: the file that `NODE_CONFIG` names, read completely or rejected."""
 
 from __future__ import annotations
 
@@ -16,36 +16,42 @@
 
 Address = tuple[str, int]
 _ADDRESS = re.compile(r"([0-9.]{7,15}):([0-9]{1,5})\Z")
+_DEFAULT_SOCKETS = 1024  # descriptors, where the configuration names no limit
+_PORTS = 65536  # of an address
 
 
 class ConfigError(ValueError):
     """The configuration cannot be used: which key, and what is wrong with it."""
 
 
-class Config(NamedTuple):
-    """Sizes in bytes, times in seconds. `raw_settings`: flattened, for what the module does not need."""
+class NodeConfig(NamedTuple):
+    """The configuration. Times are in seconds.
+
+    `cached_endpoints`: the endpoint list to start with, in discovery's form; `peer_broadcast`: one address that
+    reaches all peers; `ordinal`: this co-ordinator's number among them; `idle_timeout`: of a connection to a replica.
+    """
 
     name: str
     listen: Address
     discovery: Address
     seed: int
-    sockets: int
+    max_sockets: int
     peer_listen: Address | None
     peers: tuple[Address, ...]
-    peers_all: Address | None
-    known: Any
+    peer_broadcast: Address | None
+    cached_endpoints: Any
     settings: api.Settings
     zones: tuple[str, ...]
     class_names: tuple[str, ...]
     shards: int
-    me: int
-    streams: int
-    conn_idle: float
+    ordinal: int
+    streams_per_connection: int
+    idle_timeout: float
     connect_timeout: float
 
 
-def read(path: Path) -> Config:
-    """Raises ConfigError."""
+def read_config(path: Path) -> NodeConfig:
+    """Read a configuration file. Raises ConfigError."""
     try:
         data = orjson.loads(path.read_bytes())
     except OSError as error:
@@ -56,44 +62,52 @@
         raise ConfigError(f"{path}: settings: missing or no table")
     pairs = flatten(data["settings"])
     try:
-        settings = read_settings(pairs)._replace(max_send_delay=MAX_SEND_DELAY)
-        return Config(
-            name=str(data.get("name", "")),
-            listen=parse_address(data.get("listen"), "listen", least=0),  # 0: the kernel chooses
-            discovery=address(data, "discovery"),
-            seed=_number(str(data.get("seed", "0")), "seed", 16),
-            sockets=_number(str(data.get("limits", {}).get("sockets", 1024)), "limits.sockets"),
-            peer_listen=address(data, "peer_listen") if data.get("peer_listen") else None,
-            peers=tuple(parse_address(p, "peers") for p in data.get("peers", [])),
-            peers_all=address(data, "peers_all") if data.get("peers_all") else None,
-            known=data.get("known"),
-            settings=settings,
-            zones=_names(data["settings"].get("Zones") or [], "settings: Zones"),  # a name may hold a comma
-            class_names=tuple(_need(pairs, f"Classes.{i}.Name") for i in range(len(settings.query_classes))),
-            shards=_number(_need(pairs, "Extra.Shards"), "settings: Extra.Shards"),
-            me=_number(pairs.get("Ordinal", "0"), "settings: Ordinal"),
-            streams=_number(_need(pairs, "Limits.StreamsPerConn"), "settings: Limits.StreamsPerConn"),
-            conn_idle=_seconds(pairs, "Limits.ConnIdleS"),
-            connect_timeout=_seconds(pairs, "Limits.ConnectTimeoutS"),
-        )
+        return _read_document(data, pairs)
     except (SettingsError, ConfigError) as error:
         raise ConfigError(f"{path}: {error}") from None
     except (TypeError, AttributeError) as error:
         raise ConfigError(f"{path}: a key of the wrong form: {error}") from None
 
 
-def address(data: dict[str, Any], key: str) -> Address:
+def _read_document(data: dict[str, Any], pairs: dict[str, str]) -> NodeConfig:
+    """Read the keys of a document, whose settings are also given as flattened pairs."""
+    settings = read_settings(pairs)._replace(max_send_delay=MAX_SEND_DELAY)
+    return NodeConfig(
+        name=str(data.get("name", "")),
+        listen=parse_address(data.get("listen"), "listen", least=0),  # 0: the kernel chooses
+        discovery=read_address(data, "discovery"),
+        seed=_number(str(data.get("seed", "0")), "seed", 16),
+        max_sockets=_number(str(data.get("limits", {}).get("sockets", _DEFAULT_SOCKETS)), "limits.sockets"),
+        peer_listen=read_address(data, "peer_listen") if data.get("peer_listen") else None,
+        peers=tuple(parse_address(p, "peers") for p in data.get("peers", [])),
+        peer_broadcast=read_address(data, "peers_all") if data.get("peers_all") else None,
+        cached_endpoints=data.get("known"),
+        settings=settings,
+        zones=_names(data["settings"].get("Zones") or [], "settings: Zones"),  # a name may hold a comma
+        class_names=tuple(_need(pairs, f"Classes.{i}.Name") for i in range(len(settings.query_classes))),
+        shards=_number(_need(pairs, "Extra.Shards"), "settings: Extra.Shards"),
+        ordinal=_number(pairs.get("Ordinal", "0"), "settings: Ordinal"),
+        streams_per_connection=_number(
+            _need(pairs, "Limits.StreamsPerConn"), "settings: Limits.StreamsPerConn"
+        ),
+        idle_timeout=_seconds(pairs, "Limits.ConnIdleS"),
+        connect_timeout=_seconds(pairs, "Limits.ConnectTimeoutS"),
+    )
+
+
+def read_address(data: dict[str, Any], key: str) -> Address:
+    """Return the address at a key. Raises ConfigError."""
     return parse_address(data.get(key), key)
 
 
 def parse_address(text: object, key: str, least: int = 1) -> Address:
-    """`A.B.C.D:PORT`, as the platform writes them. Raises ConfigError.
+    """Parse `A.B.C.D:PORT`, as the platform writes addresses. Raises ConfigError.
 
     Guards against names: there is no DNS, and whoever connects to one waits for the resolver, or breaks on it.
     """
     found = _ADDRESS.match(str(text))
     try:
-        if found and least <= int(found[2]) < 65536:
+        if found and least <= int(found[2]) < _PORTS:
             return str(IPv4Address(found[1])), int(found[2])
     except ValueError:
         pass  # numbers that are no address
--- a/gingervane/node/peer_socket.py
+++ b/gingervane/node/peer_socket.py
@@ -1,6 +1,6 @@
-"""Messages between co-ordinators: small datagrams that may be lost. What is in them is the module's business.
+"""Gossip between co-ordinators: small datagrams that may be lost, whose content is the decision module's.
 
-Owners: one thread receives; `tell` is called by the decision thread and does not wait.
+One thread receives; `send` is called by the decision thread and does not wait.
 """
 
 from __future__ import annotations
@@ -12,40 +12,48 @@
 from gingervane.wire.local_failures import patiently, start_thread
 
 Address = tuple[str, int]
-MOST_BYTES = 256  # the protocol's bound
+MAX_DATAGRAM_BYTES = 256  # the protocol's limit
 
 
 class PeerSocket:
-    """The socket at `listen`. `peers`: addresses by number; `everyone`: one address that reaches all of them."""
+    """The socket at `listen`.
+
+    `peers`: addresses by ordinal, of which `ordinal` is this co-ordinator's own; `broadcast`: one address that
+    reaches all of them. `on_message` gets a peer's ordinal and its payload.
+    """
 
     def __init__(
         self,
         listen: Address,
         peers: tuple[Address, ...],
-        everyone: Address | None,
-        me: int,
-        heard: Callable[[int, bytes], None],
+        broadcast: Address | None,
+        ordinal: int,
+        on_message: Callable[[int, bytes], None],
     ) -> None:
         self._sock = patiently(lambda: socket.socket(socket.AF_INET, socket.SOCK_DGRAM))
         self._sock.bind(listen)
-        self._number = {where: number for number, where in enumerate(peers) if number != me}
-        self._targets = [everyone] if everyone else list(self._number)
-        self._heard = heard
+        self._ordinals = {address: number for number, address in enumerate(peers) if number != ordinal}
+        self._targets = [broadcast] if broadcast else list(self._ordinals)
+        self._on_message = on_message
 
     def start(self) -> None:
+        """Receive from now on."""
         start_thread(self._run, "peers")
 
-    def tell(self, payload: bytes) -> None:
-        for target in self._targets if len(payload) <= MOST_BYTES else ():
+    def send(self, payload: bytes) -> None:
+        """Send a payload to all peers; one that is too large is dropped."""
+        if len(payload) > MAX_DATAGRAM_BYTES:
+            return
+        for target in self._targets:
             with contextlib.suppress(OSError):  # as good as lost
                 self._sock.sendto(payload, socket.MSG_DONTWAIT, target)
 
     def _run(self) -> None:
         while True:
             try:
-                payload, sender = self._sock.recvfrom(MOST_BYTES + 1)
+                payload, sender = self._sock.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except OSError:
                 continue
-            number = self._number.get(sender)
-            if number is not None and len(payload) <= MOST_BYTES:
-                self._heard(number, payload)
+            ordinal = self._ordinals.get(sender)
+            if ordinal is not None and len(payload) <= MAX_DATAGRAM_BYTES:
+                self._on_message(ordinal, payload)
--- a/gingervane/node/service.py
+++ b/gingervane/node/service.py
@@ -24,7 +24,7 @@
 from gingervane.fronts.http_server import HttpServer, ServerLimits
 from gingervane.node import config as configuration
 from gingervane.node.client_front import ClientFront
-from gingervane.node.config import Config, ConfigError
+from gingervane.node.config import NodeConfig, ConfigError
 from gingervane.node.discovery import ListError, ListReader, Watch
 from gingervane.node.replica_connection_types import ReplicaConnectionClosed, ReplicaConnectionLimits
 from gingervane.node.replica_connections import ReplicaConnections, SPARE_DESCRIPTORS
@@ -124,7 +124,7 @@
 
 
 class Node:
-    def __init__(self, path: Path, config: Config, telemetry: Telemetry | None = None) -> None:
+    def __init__(self, path: Path, config: NodeConfig, telemetry: Telemetry | None = None) -> None:
         """`telemetry`: one of its own, already started, if none is given."""
         self._path, self._config = path, config
         if telemetry is None:
@@ -134,13 +134,13 @@
         self.telemetry = telemetry
         settings = config.settings
         # Half for replicas, half for clients, who need no more than a third for requests.
-        links = max(config.sockets // 2 - OWN_DESCRIPTORS - SPARE_DESCRIPTORS, 1)
+        links = max(config.max_sockets // 2 - OWN_DESCRIPTORS - SPARE_DESCRIPTORS, 1)
         limits = ReplicaConnectionLimits(
-            config.streams, links, 0.8 * config.conn_idle, config.connect_timeout
+            config.streams_per_connection, links, 0.8 * config.idle_timeout, config.connect_timeout
         )
         reader = ListReader(config.zones, ReplicaStartTimes(), telemetry.info)
         # Room for every part of as many queries as there can be connections: descriptors bound it, not this.
-        most = AdmissionLimits(config.sockets * (1 + config.shards), 64 << 20)
+        most = AdmissionLimits(config.max_sockets * (1 + config.shards), 64 << 20)
         self.core = QueryCoordinator(
             DecisionEngine(settings, config.seed),
             settings,
@@ -157,19 +157,23 @@
         self.watch = Watch(config.discovery, reader, self.core.endpoints_updated, telemetry.info, patience)
         self._peers = (
             PeerSocket(
-                config.peer_listen, config.peers, config.peers_all, config.me, self.core.peer_message_received
+                config.peer_listen,
+                config.peers,
+                config.peer_broadcast,
+                config.ordinal,
+                self.core.peer_message_received,
             )
             if config.peer_listen and settings.gossip_allowed
             else None
         )
         try:
-            known = reader.read(config.known, cached=True) if config.known else None
+            known = reader.read(config.cached_endpoints, cached=True) if config.cached_endpoints else None
         except ListError as error:
             telemetry.warning("known_list_unusable", error=str(error))
             known = None
         if known:
             self.core.endpoints_updated(known)
-        connections = max(config.sockets - links - SPARE_DESCRIPTORS - OWN_DESCRIPTORS - MAX_CLOSING, 1)
+        connections = max(config.max_sockets - links - SPARE_DESCRIPTORS - OWN_DESCRIPTORS - MAX_CLOSING, 1)
         self.server = HttpServer(
             *config.listen,
             self.front.handle,
@@ -180,7 +184,7 @@
                 write_timeout=5.0,
                 message_limits=Limits(16384, 65536),
                 first_byte_timeout=2.0,
-                crowd_threshold=config.sockets // 6,  # half of what clients may hold for requests
+                crowd_threshold=config.max_sockets // 6,  # half of what clients may hold for requests
             ),
         )
 
@@ -214,7 +218,7 @@
 
     def _tell_peers(self, payload: bytes) -> None:
         if self._peers:
-            self._peers.tell(payload)
+            self._peers.send(payload)
 
     def start(self) -> None:
         self.server.start()  # before the others: it sets the stack of new threads
@@ -229,7 +233,7 @@
     def reload(self) -> None:
         """SIGHUP: follow discovery to where the file now says it is."""
         try:
-            new = configuration.read(self._path)
+            new = configuration.read_config(self._path)
         except ConfigError as error:
             self.telemetry.warning("configuration_kept", error=str(error))
             return
@@ -267,7 +271,7 @@
     if trace := os.environ.get("GINGERVANE_TRACE"):
         SOCKET_RECORDER.open(Path(trace))
     try:
-        config = configuration.read(path)
+        config = configuration.read_config(path)
         telemetry.name(config.name)
         node = Node(path, config, telemetry)
     except (ConfigError, OSError) as error:
@@ -290,7 +294,7 @@
             return 0
 
 
-def _log_settings(telemetry: Telemetry, config: Config) -> None:
+def _log_settings(telemetry: Telemetry, config: NodeConfig) -> None:
     """What the platform asks of each class: without it no log of an answer can be judged."""
     settings = config.settings
     for name, kind in zip(config.class_names, settings.query_classes, strict=True):
@@ -309,12 +313,12 @@
         "settings",
         coordinators=settings.coordinator_count,
         shards=config.shards,
-        streams=config.streams,
+        streams=config.streams_per_connection,
         parts_per_call=settings.max_parts_per_request,
         most_attempts=settings.max_attempts,
         may_cancel=settings.cancellation_allowed,
         may_copy=settings.hedging_allowed,
         drain_grace=settings.drain_grace,
         must_ask_membership=settings.membership_polled,
-        sockets=config.sockets,
+        sockets=config.max_sockets,
     )
--- a/tests/platform_standins.py
+++ b/tests/platform_standins.py
@@ -335,7 +335,7 @@
         self.discovery = Discovery([host(r) for r in self.replicas])
         self.path, self.settings, self.sockets = folder / "config.json", settings, sockets
         self.configure(self.discovery if where is None else f"{where[0]}:{where[1]}")
-        self.node = Node(self.path, configuration.read(self.path))
+        self.node = Node(self.path, configuration.read_config(self.path))
         self.node.start()
         if where is None:
             self.discovery.watches.wait()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -321,7 +321,7 @@
     made = SETTINGS | {"Classes": classes, "Rules": SETTINGS["Rules"] | rules}
     platform = Platform(tmp_path, Replica(0), settings=made)
     platform.close()
-    return configuration.read(platform.path).settings
+    return configuration.read_config(platform.path).settings
 
 
 def a_query(number: int, now: float) -> t.QuerySubmitted:
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -22,7 +22,7 @@
 
 from gingervane import interface as api
 from gingervane.coordinator.types import BatchRequest, EndpointsUpdated
-from gingervane.node.config import ConfigError, read
+from gingervane.node.config import ConfigError, read_config
 from gingervane.node.discovery import ListReader, replica_id
 from gingervane.coordinator.replica_start_times import ReplicaStartTimes
 from gingervane.node.replica_connections import ReplicaConnections, SPARE_DESCRIPTORS
@@ -228,7 +228,7 @@
 def test_a_zone_may_have_any_name(tmp_path: Path) -> None:
     zones = ["a", "b, west", "c"]
     platform = Platform(tmp_path, Replica(0), settings=SETTINGS | {"Zones": zones})
-    assert read(platform.path).zones == tuple(zones)
+    assert read_config(platform.path).zones == tuple(zones)
     platform.close()
 
 
@@ -266,7 +266,7 @@
     data = json.loads(platform.path.read_text()) | change
     platform.path.write_text(json.dumps(data))
     with pytest.raises(ConfigError, match=what):
-        read(platform.path)
+        read_config(platform.path)
 
 
 def test_the_service_needs_what_the_project_pins() -> None:
--- a/tests/test_pinned_forms.py
+++ b/tests/test_pinned_forms.py
@@ -675,7 +675,7 @@
 def read_node(tmp_path: Path, table: dict[str, Any]) -> tuple[Any, ...]:
     path = tmp_path / "node.json"
     path.write_text(json.dumps(table))
-    return tuple(node_config.read(path))
+    return tuple(node_config.read_config(path))
 
 
 def test_every_key_of_a_node_s_configuration(tmp_path: Path) -> None:
