--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -8,9 +8,11 @@
 
 import pytest
 from _pytest.terminal import TerminalReporter
+from connection_tools import Held
 from hypothesis import settings
+from platform_fakes import Platform
 
-from platform_standins import Platform
+from gingervane.fronts.connections import ConnectionManager
 
 # The same verdict every time: fixed examples, no clock.
 settings.register_profile("fixed", derandomize=True, deadline=None, max_examples=60, database=None)
@@ -25,6 +27,14 @@
     made.close()
 
 
+@pytest.fixture
+def looking(monkeypatch: pytest.MonkeyPatch) -> Iterator[Held]:
+    """The thread that sees what happens on connections."""
+    held = Held(monkeypatch, ConnectionManager, "_handle_event")
+    yield held
+    held.let_go()
+
+
 KNOWN_RED = Path(__file__).parents[1] / "KNOWN-RED.txt"
 MOST_KNOWN = 3
 
--- /dev/null
+++ b/tests/connection_tools.py
@@ -0,0 +1,82 @@
+"""Hooks and helpers for tests in which two events on a client connection cross."""
+
+from __future__ import annotations
+
+import socket
+import threading
+from collections.abc import Callable
+from typing import Any
+
+import pytest
+from platform_fakes import (
+    PATIENCE,
+    Platform,
+    connections_of,
+    until,
+)
+
+from gingervane.fronts.client_connection import has_unread_data
+
+
+def free_port() -> int:
+    with socket.create_server(("127.0.0.1", 0)) as free:
+        port: int = free.getsockname()[1]
+        return port
+
+
+class Held:
+    """A function of the node that waits, once it is entered, until it is let go."""
+
+    def __init__(self, patch: pytest.MonkeyPatch, owner: type, name: str, after: bool = False) -> None:
+        self.entered, self.go = threading.Event(), threading.Event()
+        self.armed = False
+        function: Callable[..., Any] = getattr(owner, name)
+
+        def held(*args: Any, **kwargs: Any) -> Any:
+            found = function(*args, **kwargs) if after else None
+            if self.armed:
+                self.entered.set()
+                self.go.wait(PATIENCE)
+            return found if after else function(*args, **kwargs)
+
+        patch.setattr(owner, name, held)
+
+    def hold(self) -> None:
+        self.armed = True
+
+    def let_go(self) -> None:
+        self.armed = False
+        self.go.set()
+
+
+def lies_unread(platform: Platform) -> bool:
+    """Something lies unread on a connection at rest."""
+    connections = connections_of(platform)
+    with connections._lock:
+        return any(
+            has_unread_data(one.sock) for one in [*connections._idle, *connections._awaiting_first_byte]
+        )
+
+
+def rested(platform: Platform) -> socket.socket:
+    """A client whose connection rests after a request."""
+    sock = platform.client()
+    assert platform.ask("first", {0: 1.0}, sock=sock)[0] == 200
+    until(lambda: len(connections_of(platform)._idle) == 1, "its connection rests")
+    return sock
+
+
+def asked(platform: Platform) -> list[str]:
+    return [part.id for replica in platform.replicas for part in replica.parts.items]
+
+
+def ends_cleanly(sock: socket.socket) -> None:
+    """The end, and no reset, which could have taken an answer with it."""
+    sock.settimeout(PATIENCE)
+    assert sock.recv(1) == b""
+
+
+def in_background(work: Callable[[], object]) -> threading.Thread:
+    thread = threading.Thread(target=work)
+    thread.start()
+    return thread
--- a/tests/faults/rig.py
+++ b/tests/faults/rig.py
@@ -29,7 +29,7 @@
 from faults.plans import Plan, draw
 from faults.proxy import Proxy, receive, reset, stamp
 from faults.replicas import Alarm, Replica
-from platform_standins import Discovery
+from platform_fakes import Discovery
 
 ROOT = Path(__file__).parents[2]
 CLIENTS = 12  # of each node
--- /dev/null
+++ b/tests/test_connection_limits.py
@@ -0,0 +1,116 @@
+"""Descriptors and threads that client connections take, and their limits."""
+
+from __future__ import annotations
+
+import json
+import resource
+import socket
+import subprocess
+import sys
+import threading
+from pathlib import Path
+
+from connection_tools import free_port
+from platform_fakes import (
+    HEAD,
+    PATIENCE,
+    Calls,
+    Part,
+    Platform,
+    Replica,
+    Wire,
+    chunk,
+    connections_of,
+    host,
+    line,
+    query,
+    read_until,
+    reply,
+)
+
+from gingervane.fronts.connections import MAX_CLOSING
+
+ROOT = Path(__file__).parent.parent
+
+
+def test_idle_clients_take_every_descriptor_while_discovery_is_down_and_a_replica_drains(
+    tmp_path: Path,
+) -> None:
+    """A process of its own, whose limit the system holds; all clients have spoken and rest."""
+    platform, calls, limit = Platform(tmp_path), Calls(), 128
+    data = json.loads(platform.path.read_text()) | {
+        "discovery": "{}:{}".format(*calls.where),
+        "limits": {"sockets": limit},
+        "listen": f"127.0.0.1:{free_port()}",
+    }
+    path = tmp_path / "other.json"
+    path.write_text(json.dumps(data))
+    program = subprocess.Popen(
+        [sys.executable, "-m", "gingervane.node"],
+        env={"NODE_CONFIG": str(path)},
+        cwd=ROOT,
+        text=True,
+        stderr=subprocess.PIPE,
+        preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (limit, limit)),
+    )
+    assert program.stderr is not None
+    read_until(program.stderr, "listens")
+    where = "127.0.0.1", int(data["listen"].rpartition(":")[2])
+    drains, stays = platform.replicas
+    calls.sock(1).sendall(HEAD + chunk(line(1, host(drains), host(stays))))
+    calls.close()  # down
+    assert "closed" in read_until(program.stderr, "watch_state old=following new=idle")
+    idle, heard = [], []
+    for _ in range(2 * limit):
+        idle.append(sock := socket.create_connection(where, PATIENCE))
+        sock.sendall(b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n")
+        heard.append(reply(sock)[0])
+    assert heard.count(200) >= limit // 4 and set(heard) == {200, 503}
+    again = Calls(calls.where[1])
+    again.sock(1).sendall(HEAD + chunk(line(2, host(drains, health="DRAINING"), whole=False)))
+    again.sock(1).sendall(chunk(b"{no JSON}\n"))  # behind the drain, and told of in the log
+    read_until(program.stderr, "list_value_skipped")
+    sock, after = idle[heard.index(200)], len(drains.parts.items)
+    for number in range(20):
+        sock.sendall(query(f"q{number}", {0: 1.0}))
+        assert reply(sock)[0] == 200
+    assert len(drains.parts.items) == after and program.poll() is None
+    program.kill()
+    program.wait()
+    program.stderr.close()
+    for sock in idle:
+        sock.close()
+    again.close()
+    platform.close()
+
+
+def test_descriptors_add_up_to_the_limit(tmp_path: Path) -> None:
+    """Clients, those at their end, links, links at their end and the node's own are all that there can be."""
+    from gingervane.node.replica_connections import SPARE_DESCRIPTORS, ReplicaConnections
+    from gingervane.node.service import OWN_DESCRIPTORS
+
+    for sockets in (256, 1024, 4096):
+        platform = Platform(tmp_path, sockets=sockets)
+        links = platform.node.core._senders
+        assert isinstance(links, ReplicaConnections)
+        clients = connections_of(platform)._limits.max_connections + MAX_CLOSING
+        assert clients + links._limits.max_connections + SPARE_DESCRIPTORS + OWN_DESCRIPTORS == sockets
+        platform.close()
+
+
+def test_settled_queries_leave_no_thread_behind(tmp_path: Path) -> None:
+    """Threads are made by need: connections at rest hold none."""
+
+    def behave(wire: Wire, part: Part) -> None:
+        wire.answer(part.id)
+
+    platform = Platform(tmp_path, Replica(0, behave), sockets=512)
+    before = set(threading.enumerate())
+    socks = [platform.client() for _ in range(100)]
+    for number, sock in enumerate(socks):
+        assert platform.ask(f"q{number}", {0: 1.0}, sock=sock)[0] == 200
+    workers = [thread for thread in threading.enumerate() if thread.name == "client" and thread not in before]
+    assert 0 < len(workers) < 10
+    for sock in socks:
+        sock.close()
+    platform.close()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -27,7 +27,7 @@
 from gingervane.node.service import CoreLog
 from gingervane.decisions.engine import DecisionEngine
 from gingervane.wire.frames import Asked
-from platform_standins import (
+from platform_fakes import (
     PATIENCE,
     SETTINGS,
     Platform,
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -20,7 +20,7 @@
 from gingervane.node import discovery
 from gingervane.node.discovery import ListReader, Watch, WatchState
 from gingervane.coordinator.replica_start_times import ReplicaStartTimes
-from platform_standins import (
+from platform_fakes import (
     HEAD,
     NO_LENGTH,
     PATIENCE,
--- /dev/null
+++ b/tests/test_frames.py
@@ -0,0 +1,69 @@
+"""Frames between a co-ordinator and a replica, however they are cut or spoilt."""
+
+from __future__ import annotations
+
+import struct
+
+import pytest
+from hypothesis import given
+from hypothesis import strategies as st
+from platform_fakes import (
+    answer,
+)
+
+from gingervane.wire import frames
+
+
+@given(st.lists(st.tuples(st.integers(0, 9), st.sampled_from(frames.ENDS)), max_size=6), st.data())
+def test_frames_come_out_the_same_however_they_are_cut(
+    parts: list[tuple[int, str]],
+    data: st.DataObject,
+) -> None:
+    stream = b"".join(answer(f"a.{n}", end, n) for n, end in parts)
+    reader, out, at = frames.FrameReader(), [], 0
+    while at < len(stream):
+        step = data.draw(st.integers(1, len(stream) - at))
+        reader.feed(stream[at : at + step])
+        at += step
+        while (found := reader.next()) is not None:
+            out.append(frames.read_answer(found[1]))
+    assert [(a.id, a.end, a.score) for a in out] == [
+        (f"a.{n}", end, n if end == "served" else None) for n, end in parts
+    ]
+    assert not reader.waiting
+
+
+@given(st.binary(max_size=200))
+def test_any_bytes_are_frames_or_an_error_and_never_held_past_the_bound(noise: bytes) -> None:
+    reader = frames.FrameReader(most=64)
+    reader.feed(noise)
+    try:
+        while (found := reader.next()) is not None:
+            frames.read_answer(found[1])
+    except frames.FrameError:
+        return
+    assert reader.waiting <= 4 + 64
+
+
+@pytest.mark.parametrize(
+    "bad",
+    [
+        b"a.1 served 7\n",
+        b"a.1 served 7 -",
+        b"a.1 eaten 7 -\n",
+        b"a 1 served 7 -\n",
+        b"a.1 served x -\n",
+        b" served 7 -\n",
+        b"a.1 served 123456789012345678901 -\n",
+    ],
+)
+def test_a_bad_answer_line_is_an_error(bad: bytes) -> None:
+    with pytest.raises(frames.FrameError):
+        frames.read_answer(bad)
+
+
+def test_a_length_of_3_gb_costs_nothing() -> None:
+    reader = frames.FrameReader()
+    reader.feed(struct.pack("<I", 3 << 30) + b"a")
+    with pytest.raises(frames.FrameError, match="length"):
+        reader.next()
--- a/tests/test_incident_partial.py
+++ b/tests/test_incident_partial.py
@@ -25,7 +25,7 @@
 from gingervane.coordinator.driver import Driver
 from gingervane.decisions.engine import DecisionEngine
 from hosts import BASE, query_class, replica
-from platform_standins import (
+from platform_fakes import (
     PATIENCE,
     SETTINGS,
     Discovery,
--- a/tests/test_json_values.py
+++ b/tests/test_json_values.py
@@ -16,7 +16,7 @@
 from gingervane.node.discovery import ListReader, Watch
 from gingervane.coordinator.replica_start_times import ReplicaStartTimes
 from gingervane.wire.json_values import Found, JsonValues, TooLong
-from platform_standins import Discovery, Recorded, Waiter
+from platform_fakes import Discovery, Recorded, Waiter
 
 _SYN_SENT = b"\2"  # the first byte of Linux's struct tcp_info
 
--- a/tests/test_pinned_forms.py
+++ b/tests/test_pinned_forms.py
@@ -33,7 +33,7 @@
 from gingervane.node import config as node_config
 from gingervane.fake_servers.node import FakeGrid, Recorder
 from gingervane.wire.remote_read import Match, Matcher, Query
-from platform_standins import PATIENCE, ROOT
+from platform_fakes import PATIENCE, ROOT
 
 # ---- the daemon's settings
 
--- a/tests/test_pinned_wire.py
+++ b/tests/test_pinned_wire.py
@@ -44,7 +44,7 @@
 from gingervane.wire.pool import Pool
 from gingervane.wire.remote_read import Match, Matcher, Query
 from hosts import BASE, Host
-from platform_standins import PATIENCE, Platform, Replica, Waiter
+from platform_fakes import PATIENCE, Platform, Replica, Waiter
 from test_policy import part_of
 
 
--- a/tests/test_telemetry.py
+++ b/tests/test_telemetry.py
@@ -14,7 +14,7 @@
 from gingervane import interface as api
 from gingervane.telemetry import node_telemetry as module
 from gingervane.telemetry.node_telemetry import BURST, MOST_WAITING, Counters, Limiter, Telemetry
-from platform_standins import PATIENCE, Platform, Replica, read_until, start_node, until
+from platform_fakes import PATIENCE, Platform, Replica, read_until, start_node, until
 
 ROOT = Path(__file__).parents[1]
 LINE = re.compile(
@@ -185,7 +185,7 @@
         raise KeyError("a bug")
 
     platform = Platform(tmp_path)
-    monkeypatch.setattr(platform.node.front, "_read", breaks)
+    monkeypatch.setattr(platform.node.front, "_read_query", breaks)
     assert platform.ask("q1", {0: 1.0})[0] == 500
     platform.close()
     said = capfd.readouterr().err
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -1,7 +1,7 @@
 """The terms that hold since the incident, each forced: deadlines passed on, requests that were read, calls
 that fail, a wall clock that is stepped.
 
-What a client that leaves early must not cause is in `test_connections.py` (`LEAVING`), the failing folder in
+What a client that leaves early must not cause is in `test_client_disconnects.py` (`LEAVING`), the failing folder in
 `test_intents.py`, placed starts in `test_starts.py`.
 """
 
@@ -43,7 +43,7 @@
 from gingervane.wire.frames import Asked
 from gingervane.wire.http1 import Request
 from hosts import BASE, query_class, replica
-from platform_standins import PATIENCE, Platform, Replica, Waiter, connections_of, reply, request, until
+from platform_fakes import PATIENCE, Platform, Replica, Waiter, connections_of, reply, request, until
 
 LIMITS = ReplicaConnectionLimits(
     streams=8, max_connections=4, idle_timeout=PATIENCE, connect_timeout=PATIENCE
