--- a/gingervane/node/service.py
+++ b/gingervane/node/service.py
@@ -25,10 +25,9 @@
 from gingervane.fronts.http_server import HttpServer, ServerLimits
 from gingervane.node import config as configuration
 from gingervane.node.client_front import ClientFront
-from gingervane.node.config import Config, ConfigError
-from gingervane.node.discovery import EndpointListError, EndpointListReader, DiscoveryWatch
-from gingervane.node.replica_connection import LinkEnded, LinkLimits
-from gingervane.node.replica_connections import ReplicaConnections, SPARE
+from gingervane.node.config import NodeConfig, ConfigError
+from gingervane.node.replica_connection_types import ReplicaConnectionClosed, ReplicaConnectionLimits
+from gingervane.node.replica_connections import ReplicaConnections, SPARE_DESCRIPTORS
 from gingervane.node.peer_socket import PeerSocket
 from gingervane.coordinator.replica_start_times import ReplicaStartTimes
 from gingervane.telemetry.events import LogEvent
@@ -37,6 +36,9 @@
 from gingervane.decisions.engine import DecisionEngine
 from gingervane.wire.http1 import Limits
 from gingervane.wire.socket_recorder import SOCKET_RECORDER
+from gingervane.node.discovery import EndpointListReader
+from gingervane.node.discovery import EndpointListError
+from gingervane.node.discovery import DiscoveryWatch
 
 # SIGKILL comes no sooner than this after SIGTERM, plus the longest deadline, which counts as 3 s where it is longer.
 KILL_AFTER, LONGEST_COUNTED = 0.7, 3.0
@@ -132,7 +134,7 @@
 
 
 class Node:
-    def __init__(self, path: Path, config: Config, telemetry: Telemetry | None = None) -> None:
+    def __init__(self, path: Path, config: NodeConfig, telemetry: Telemetry | None = None) -> None:
         """`telemetry`: one of its own, already started, if none is given."""
         self._path, self._config = path, config
         if telemetry is None:
@@ -142,17 +144,19 @@
         self.telemetry = telemetry
         settings = config.settings
         # Half for replicas, half for clients, who need no more than a third for requests.
-        links = max(config.sockets // 2 - OWN_DESCRIPTORS - SPARE, 1)
-        limits = LinkLimits(config.streams, links, 0.8 * config.conn_idle, config.connect_timeout)
+        links = max(config.max_sockets // 2 - OWN_DESCRIPTORS - SPARE_DESCRIPTORS, 1)
+        limits = ReplicaConnectionLimits(
+            config.streams_per_connection, links, 0.8 * config.idle_timeout, config.connect_timeout
+        )
         reader = EndpointListReader(config.zones, ReplicaStartTimes(), telemetry.info)
         # Room for every part of as many queries as there can be connections: descriptors bound it, not this.
-        most = AdmissionLimits(config.sockets * (1 + config.shards), 64 << 20)
+        most = AdmissionLimits(config.max_sockets * (1 + config.shards), 64 << 20)
         self.core = QueryCoordinator(
             DecisionEngine(settings, config.seed),
             settings,
             most,
             CoreLog(telemetry, config.class_names, reader.host_name),
-            lambda report: ReplicaConnections(limits, report, on_end=self._link_ended),
+            lambda report: ReplicaConnections(limits, report, on_closed=self._link_ended),
             ClusterPorts(self._subscribe, self._tell_peers),
             batch_interval=settings.timer_granularity,
         )
@@ -165,55 +169,59 @@
         )
         self._peers = (
             PeerSocket(
-                config.peer_listen, config.peers, config.peers_all, config.me, self.core.peer_message_received
+                config.peer_listen,
+                config.peers,
+                config.peer_broadcast,
+                config.ordinal,
+                self.core.peer_message_received,
             )
             if config.peer_listen and settings.gossip_allowed
             else None
         )
         try:
-            known = reader.read(config.known, cached=True) if config.known else None
+            known = reader.read(config.cached_endpoints, cached=True) if config.cached_endpoints else None
         except EndpointListError as error:
             telemetry.warning(LogEvent.CACHED_ENDPOINTS_INVALID, error=str(error))
             known = None
         if known:
             self.core.endpoints_updated(known)
-        connections = max(config.sockets - links - SPARE - OWN_DESCRIPTORS - MAX_CLOSING, 1)
+        connections = max(config.max_sockets - links - SPARE_DESCRIPTORS - OWN_DESCRIPTORS - MAX_CLOSING, 1)
         self.server = HttpServer(
             *config.listen,
             self.front.handle,
             ServerLimits(
-                connections=connections,
-                head=1.5,
-                body=1.0,
-                write=5.0,
-                message=Limits(16384, 65536),
-                silent=2.0,
-                crowd=config.sockets // 6,  # half of what clients may hold for requests
+                max_connections=connections,
+                head_timeout=1.5,
+                body_timeout=1.0,
+                write_timeout=5.0,
+                message_limits=Limits(16384, 65536),
+                first_byte_timeout=2.0,
+                crowd_threshold=config.max_sockets // 6,  # half of what clients may hold for requests
             ),
         )
 
         counts = self.core.driver_counts
         telemetry.add_source("attempts", lambda: counts.outcomes)
         telemetry.add_source("driver", counts.totals)
-        telemetry.add_source("client_connections_ended", lambda: self.server.ends)
+        telemetry.add_source("client_connections_ended", lambda: self.server.close_reasons)
         telemetry.add_source("client_calls_failed", lambda: self.server.failures)
-        self.server.on_fault = self._request_broke
+        self.server.on_handler_failure = self._request_broke
 
     def _request_broke(self, error: BaseException) -> None:
         """From a client's thread: its request has been answered with 500."""
         self.telemetry.error(LogEvent.REQUEST_HANDLER_FAILED, **error_fields(error))
 
-    def _link_ended(self, ended: LinkEnded) -> None:
+    def _link_ended(self, ended: ReplicaConnectionClosed) -> None:
         """From the decision thread or the links' reader."""
         self.telemetry.counters.add("replica_connections_ended", ended.reason)
-        if ended.out or self.telemetry.debug_on:
+        if ended.parts_in_flight or self.telemetry.debug_on:
             self.telemetry.info(
                 LogEvent.REPLICA_CONNECTION_CLOSED,
                 address=f"{ended.address[0]}:{ended.address[1]}",
                 reason=ended.reason,
                 detail=ended.detail,
-                attempts_in_flight=ended.out,
-                attempts_unsent=ended.unsent,
+                attempts_in_flight=ended.parts_in_flight,
+                attempts_unsent=ended.parts_unsent,
             )
 
     def _subscribe(self) -> None:
@@ -221,7 +229,7 @@
 
     def _tell_peers(self, payload: bytes) -> None:
         if self._peers:
-            self._peers.tell(payload)
+            self._peers.send(payload)
 
     def start(self) -> None:
         self.server.start()  # before the others: it sets the stack of new threads
@@ -236,7 +244,7 @@
     def reload(self) -> None:
         """SIGHUP: follow discovery to where the file now says it is."""
         try:
-            new = configuration.read(self._path)
+            new = configuration.read_config(self._path)
         except ConfigError as error:
             self.telemetry.warning(LogEvent.CONFIGURATION_RELOAD_FAILED, error=str(error))
             return
@@ -274,7 +282,7 @@
     if trace := os.environ.get("GINGERVANE_TRACE"):
         SOCKET_RECORDER.open(Path(trace))
     try:
-        config = configuration.read(path)
+        config = configuration.read_config(path)
         telemetry.name(config.name)
         node = Node(path, config, telemetry)
     except (ConfigError, OSError) as error:
@@ -297,7 +305,7 @@
             return 0
 
 
-def _log_settings(telemetry: Telemetry, config: Config) -> None:
+def _log_settings(telemetry: Telemetry, config: NodeConfig) -> None:
     """What the platform asks of each class: without it no log of an answer can be judged."""
     settings = config.settings
     for name, kind in zip(config.class_names, settings.query_classes, strict=True):
@@ -316,12 +324,12 @@
         LogEvent.SETTINGS,
         coordinators=settings.coordinator_count,
         shards=config.shards,
-        streams=config.streams,
+        streams=config.streams_per_connection,
         max_parts_per_request=settings.max_parts_per_request,
         max_attempts=settings.max_attempts,
         cancellation_allowed=settings.cancellation_allowed,
         hedging_allowed=settings.hedging_allowed,
         drain_grace_seconds=settings.drain_grace,
         membership_polled=settings.membership_polled,
-        sockets=config.sockets,
+        sockets=config.max_sockets,
     )
--- a/tests/test_pinned_forms.py
+++ b/tests/test_pinned_forms.py
@@ -34,7 +34,7 @@
 from gingervane.fake_servers.node import FakeGrid
 from gingervane.fake_servers.recorder import Recorder
 from gingervane.wire.remote_read import Match, Matcher, Query
-from platform_standins import PATIENCE, ROOT
+from platform_fakes import PATIENCE, ROOT
 
 # ---- the daemon's settings
 
@@ -676,7 +676,7 @@
 def read_node(tmp_path: Path, table: dict[str, Any]) -> tuple[Any, ...]:
     path = tmp_path / "node.json"
     path.write_text(json.dumps(table))
-    return tuple(node_config.read(path))
+    return tuple(node_config.read_config(path))
 
 
 def test_every_key_of_a_node_s_configuration(tmp_path: Path) -> None:
--- a/tests/test_telemetry.py
+++ b/tests/test_telemetry.py
@@ -16,11 +16,13 @@
 
 from gingervane import interface as api
 from gingervane.telemetry import daemon_log, log_handler
+from gingervane.telemetry.node_telemetry import Telemetry
 from gingervane.telemetry.counters import Counters
+from platform_fakes import PATIENCE, Platform, Replica, read_until, start_node, until
+from gingervane.telemetry.log_handler import RATE_LIMIT_BURST
+from gingervane.telemetry.log_handler import MAX_QUEUED_LINES
 from gingervane.telemetry.events import LogEvent
-from gingervane.telemetry.log_handler import MAX_QUEUED_LINES, RATE_LIMIT_BURST, EventRateLimiter
-from gingervane.telemetry.node_telemetry import Telemetry
-from platform_standins import PATIENCE, Platform, Replica, read_until, start_node, until
+from gingervane.telemetry.log_handler import EventRateLimiter
 
 ROOT = Path(__file__).parents[1]
 LINE = re.compile(
@@ -191,7 +193,7 @@
         raise KeyError("a bug")
 
     platform = Platform(tmp_path)
-    monkeypatch.setattr(platform.node.front, "_read", breaks)
+    monkeypatch.setattr(platform.node.front, "_read_query", breaks)
     assert platform.ask("q1", {0: 1.0})[0] == 500
     platform.close()
     said = capfd.readouterr().err
