--- a/gingervane/daemon/app.py
+++ b/gingervane/daemon/app.py
@@ -1,8 +1,8 @@
-"""One co-ordinator process, put together: settings in, a serving daemon out.
+"""One co-ordinator process: settings in, a serving daemon out.
 
-Start: settings, list, decision thread, front, then the line that says where it listens. Stop (SIGTERM, SIGINT):
-readiness falls, no connection is accepted, what is held is answered within the grace or else refused or failed,
-replies are written, threads end.
+Start: settings, endpoint list, decision thread, front, then the line that says where it listens. Graceful shutdown
+(SIGTERM, SIGINT): readiness falls, no connection is accepted, open queries are answered within the grace or else
+rejected or failed, replies are written, threads end.
 """
 
 from __future__ import annotations
@@ -11,362 +11,198 @@
 import signal
 import threading
 import time
-from collections.abc import Callable
 
-from gingervane import interface as api
 from gingervane.coordinator import types as t
-from gingervane.coordinator.core import AdmissionLimits, QueryCoordinator, CoordinatorFactory
-from gingervane.coordinator.request_senders import SenderLimits
+from gingervane.coordinator.core import CoordinatorFactory, QueryCoordinator
+from gingervane.daemon import assembly
+from gingervane.daemon.child_coordinators import ChildCoordinators
+from gingervane.daemon.observers import CoordinatorObserver, VectorObserver
+from gingervane.daemon.status_pages import StatusPages
+from gingervane.fronts.http_server import Exchange, Reply
+from gingervane.fronts.routing import ClassOf, Front, Router
+from gingervane.membership.service import MembershipService, Rings
+from gingervane.settings.daemon_settings import Config
 from gingervane.telemetry import daemon_log
 from gingervane.telemetry.daemon_metrics import Metrics
 from gingervane.telemetry.events import LogEvent
-from gingervane.settings.daemon_settings import Config
-from gingervane.fronts import http_server, remote_read
-from gingervane.fronts.routing import ClassOf, Front, Route, Router
-from gingervane.fronts.http_server import HttpServer, Reply, ServerLimits, plain
-from gingervane.fronts.remote_read import FrontLimits, RemoteReadFront, TreeSetting
-from gingervane.fronts.shard_matching import ShardIndex
-from gingervane.membership.service import MembershipService, Rings
 from gingervane.tree import plan
-from gingervane.limits.concurrency_limit import Gate
-from gingervane.vectors import front as vectors
 from gingervane.vectors.service import VectorService
-from gingervane.wire.http1 import Limits, Request
-from gingervane.wire.pool import Pool
-
-_UNKNOWN = "no server list has come yet"
-
-
-class _Observer:
-    """Logs and metrics of what passes. Runs on the decision thread."""
-
-    def __init__(self, config: Config, metrics: Metrics) -> None:
-        self._log, self._metrics = daemon_log.get("coordinator"), metrics
-        self._classes = [c.name for c in config.classes for _ in range(3)]
-        self._debug = config.log.level == "debug"
-        self.answered: Callable[[int], None] = lambda replica: None  # told of each good answer
-
-    def query_completed(self, query: int, plan: t.QueryPlan, final: t.QueryResult, seconds: float) -> None:
-        verdict = final.status.value
-        self._metrics.query_seconds.add((self._classes[plan.query_class], verdict), seconds)
-        told = self._log.debug if final.status is t.QueryStatus.COMPLETE else self._log.info
-        if self._debug or final.status is not t.QueryStatus.COMPLETE:
-            told(
-                LogEvent.QUERY_COMPLETED,
-                query=query,
-                query_class=plan.tag,
-                status=verdict,
-                duration_seconds=round(seconds, 4),
-                parts_requested=len(plan.parts),
-                coverage=round(final.coverage, 4),
-                attempts=len(final.attempts),
-                reason=final.reason.value,
-                further_attempts=sum(step.attempt > 0 for step in final.attempts),
-                detail=final.detail,
-            )
-
-    def attempt_finished(self, outcome: api.AttemptOutcome, replica: int, seconds: float) -> None:
-        if outcome is api.AttemptOutcome.OK:
-            self.answered(replica)
-        self._metrics.attempt_seconds.add((outcome.value,), seconds)
-        if self._debug:
-            self._log.debug(
-                LogEvent.ATTEMPT_FINISHED,
-                outcome=outcome.value,
-                replica=replica,
-                duration_seconds=round(seconds, 4),
-            )
-
-    def log_message(self, text: str) -> None:
-        self._log.info(LogEvent.MESSAGE, detail=text)
-
-    def replica_health_changed(self, change: api.ReplicaHealthChange) -> None:
-        _log_health(self._log, change)
-
-    def internal_error(self, error: BaseException) -> None:
-        self._log.exception(LogEvent.INTERNAL_ERROR, error)
-
-
-def _log_health(log: daemon_log.DaemonLog, change: api.ReplicaHealthChange) -> None:
-    if isinstance(change, api.ReplicaEjected):
-        log.info(
-            LogEvent.REPLICA_EJECTED,
-            replica=change.replica,
-            ejection_seconds=change.seconds,
-            reason=change.reason.value,
-        )
-    else:
-        log.info(LogEvent.REPLICA_REINSTATED, replica=change.replica)
+from gingervane.wire.http1 import Request
 
-
-class _Branches:
-    """What passes between this co-ordinator and its children: remarks in the log, the rest in metrics."""
-
-    def __init__(self, metrics: Metrics) -> None:
-        self._log, self._metrics = daemon_log.get("tree"), metrics
-
-    def query_completed(self, query: int, plan: t.QueryPlan, final: t.QueryResult, seconds: float) -> None:
-        self._metrics.subtree_seconds.add((plan.tag, final.status.value), seconds)
-        if final.status not in (t.QueryStatus.COMPLETE, t.QueryStatus.CLIENT_DISCONNECTED):
-            steps = [f"{step.replica}:{step.outcome}" for step in final.attempts]
-            verdict = final.status.value
-            self._log.info(
-                LogEvent.SUBTREE_FAILED,
-                query_class=plan.tag,
-                status=verdict,
-                detail=final.detail,
-                attempts=" ".join(steps),
-            )
-
-    def attempt_finished(self, outcome: api.AttemptOutcome, replica: int, seconds: float) -> None:
-        self._metrics.child_seconds.add((outcome.value,), seconds)
-
-    def log_message(self, text: str) -> None:
-        self._log.info(LogEvent.MESSAGE, detail=text.replace("replica", "co-ordinator"))
-
-    def replica_health_changed(self, change: api.ReplicaHealthChange) -> None:
-        _log_health(self._log, change)
-
-    def internal_error(self, error: BaseException) -> None:
-        self._log.exception(LogEvent.INTERNAL_ERROR, error)
-
-
-class _Vectors:
-    """What passes at one core of the vector front."""
-
-    def __init__(self, metrics: Metrics, core: str) -> None:
-        self._log, self._metrics, self._core = daemon_log.get("vectors", core=core), metrics, core
-
-    def query_completed(self, query: int, plan: t.QueryPlan, final: t.QueryResult, seconds: float) -> None:
-        verdict = final.status.value
-        self._metrics.vector_seconds.add((self._core, plan.tag, verdict), seconds)
-        if final.status in (t.QueryStatus.REJECTED, t.QueryStatus.FAILED):
-            self._log.info(
-                LogEvent.QUERY_COMPLETED,
-                query_class=plan.tag,
-                status=verdict,
-                parts_requested=len(plan.parts),
-                detail=final.detail,
-            )
-
-    def attempt_finished(self, outcome: api.AttemptOutcome, replica: int, seconds: float) -> None:
-        self._metrics.vector_attempt_seconds.add((self._core, outcome.value), seconds)
-
-    def log_message(self, text: str) -> None:
-        self._log.info(LogEvent.MESSAGE, detail=text)
-
-    def replica_health_changed(self, change: api.ReplicaHealthChange) -> None:
-        _log_health(self._log, change)
-
-    def internal_error(self, error: BaseException) -> None:
-        self._log.exception(LogEvent.INTERNAL_ERROR, error)
+_NO_ENDPOINTS = "no server list has come yet"  # why queries are rejected until then
+_BROKEN_POLL = 0.2  # seconds between two looks for a core that broke
 
 
 class App:
     """A co-ordinator that serves. `start`, then `stop`; or `run` for a process of its own."""
 
     def __init__(self, config: Config, seed: int | None = None) -> None:
-        self.config, self.metrics, self._log = config, Metrics(), daemon_log.get("daemon")
-        self._began, self._ready = time.monotonic(), False
+        """Build all parts and bind the port; `seed` of the decision engines, None for random ones."""
+        self.config = config
+        self.metrics = Metrics()
+        self._log = daemon_log.get("daemon")
+        self._started_at = time.monotonic()
+        self._serving = False
         threading.stack_size(config.listen.stack_bytes)
-        settings, limits = config.module_settings(), config.limits
-        observer = _Observer(config, self.metrics)
-        pool = Pool(Limits(16384, limits.reply_bytes), limits.idle_connections, limits.idle_age)
-        bounds = SenderLimits(
-            limits.senders, limits.waiting_calls, limits.calls_per_replica, limits.connect_timeout
-        )
-        cores = CoordinatorFactory(pool, bounds, AdmissionLimits(limits.open, limits.result_bytes), seed)
-        self.core = cores.make(settings, observer)
-        self._pool = pool
-        classes = {
-            c.name: ClassOf(3 * i, 3 * i + 1, 3 * i + 2, i, c.deadline, c.semantics, c.least_share)
-            for i, c in enumerate(config.classes)
-        }
-        self.branch, tree = self._make_branch(config, cores)
-        listen = config.listen
-        shares = {remote_read.NAME: limits.front_shares[0], vectors.NAME: limits.front_shares[1]}
-        self.gate = Gate(shares, limits.front_slots, limits.front_waiting)
-        self._front = RemoteReadFront(
-            self.core,
-            ShardIndex(config.shards.label, config.shards.names),
-            classes,
-            config.default_class or config.classes[0].name,
-            FrontLimits(listen.max_message_bytes, listen.max_queries, listen.max_matchers),
-            limits.reply_bytes,
-            config.shards.keep_label,
-            self.gate,
-            tree,
-        )
-        fronts: list[Front] = [self._front]
-        self._server = HttpServer(
-            listen.host,
-            listen.port,
-            self._handle,
-            ServerLimits(
-                listen.max_connections,
-                listen.idle_timeout,
-                listen.head_timeout,
-                listen.body_timeout,
-                listen.write_timeout,
-                Limits(listen.max_head_bytes, listen.max_body_bytes),
-                listen.stack_bytes,
-            ),
+        observer = CoordinatorObserver(config, self.metrics)
+        self._pool = assembly.make_pool(config)
+        cores = assembly.make_core_factory(config, self._pool, seed)
+        self.core = cores.make(config.module_settings(), observer)
+        classes = assembly.make_query_classes(config)
+        self.children = ChildCoordinators(config, config.tree, cores, self.metrics) if config.tree else None
+        self.concurrency_limit = assembly.make_concurrency_limit(config)
+        tree = self.children.setting if self.children else None
+        self._front = assembly.make_remote_read_front(
+            config, self.core, classes, self.concurrency_limit, tree
         )
+        self._server = assembly.make_server(config, self._handle)
         self._server.on_fault = lambda error: self._log.exception(LogEvent.REQUEST_HANDLER_FAILED, error)
-        rings = Rings(config.shards.cells, config.tree.ring if config.tree else 1)
-        self.membership = MembershipService(
+        self.membership = self._make_membership()
+        observer.on_replica_answered = self.membership.nodes.answered
+        self.vectors = self._make_vectors(cores, classes) if config.vectors else None
+        self._router = self._make_router()
+        self.metrics.read = lambda: self.core.driver_counts
+        self.metrics.gauges = self._gauges
+
+    def _make_membership(self) -> MembershipService:
+        config = self.config
+        return MembershipService(
             config.membership,
             config.fleet,
             config.tree,
-            rings,
+            Rings(config.shards.cells, config.tree.ring if config.tree else 1),
             self.address,
-            self._listed,
-            self._peers_listed,
-            lambda what: self._log.error(LogEvent.MEMBERSHIP_FAULT, detail=what),
+            self._endpoints_updated,
+            self._coordinators_updated,
+            lambda fault: self._log.error(LogEvent.MEMBERSHIP_FAULT, detail=fault),
             random.Random(),
         )
-        observer.answered = self.membership.nodes.answered
-        self.vectors: VectorService | None = None
-        if config.vectors:
-            self.vectors = VectorService(
-                config,
-                classes,
-                cores,
-                lambda core: _Vectors(self.metrics, core),
-                self.address,
-                lambda what: self._log.error(LogEvent.VECTOR_FAULT, detail=what),
-                self.gate,
-            )
-            fronts.append(self.vectors.front)
-        self._router = Router([*self._own_pages(), *(route for front in fronts for route in front.routes())])
-        self.metrics.read = lambda: self.core.driver_counts
-        self.metrics.gauges = self._gauges
 
-    def _make_branch(
-        self, config: Config, cores: CoordinatorFactory
-    ) -> tuple[QueryCoordinator | None, TreeSetting | None]:
-        """The core that decides among child co-ordinators: the same module, with subtrees as parts."""
-        self._peers, tree = plan.Peers({}, frozenset()), config.tree
-        if tree is None:
-            return None, None
-        core = cores.make(config.branch_settings(), _Branches(self.metrics), 1)
-        levels = plan.Limits(tree.fan_out, tree.levels, tree.ring, tree.width, tree.leaf_attempts)
-        return core, TreeSetting(core, tree.name, levels, lambda: self._peers)
+    def _make_vectors(self, cores: CoordinatorFactory, classes: dict[str, ClassOf]) -> VectorService:
+        return VectorService(
+            self.config,
+            classes,
+            cores,
+            lambda core: VectorObserver(self.metrics, core),
+            self.address,
+            lambda fault: self._log.error(LogEvent.VECTOR_FAULT, detail=fault),
+            self.concurrency_limit,
+        )
+
+    def _make_router(self) -> Router:
+        fronts: list[Front] = [self._front]
+        if self.vectors:
+            fronts.append(self.vectors.front)
+        pages = StatusPages(self.metrics.text, self._is_ready)
+        return Router([*pages.routes(), *(route for front in fronts for route in front.routes())])
 
-    def _listed(self, listed: t.EndpointsUpdated) -> None:
-        """News of nodes; with the first, queries are taken."""
+    def _endpoints_updated(self, listed: t.EndpointsUpdated) -> None:
+        """Take a list of replicas; with the first, queries are admitted."""
         self.core.endpoints_updated(listed)
-        self.core.admission.reopen(_UNKNOWN)
+        self.core.admission.reopen(_NO_ENDPOINTS)
 
-    def _peers_listed(self, listed: t.EndpointsUpdated) -> None:
-        """News of co-ordinators: all but this one may take its subtrees."""
-        if self.branch is None or self.config.tree is None:
-            return
-        own, members = self.config.tree.name, self.membership.peers.members
-        rows = tuple(
-            row._replace(state=api.ReplicaState.GONE)
-            if row.id in members and members[row.id].name == own
-            else row
-            for row in listed.membership.replicas
-        )
-        ready = frozenset(
-            m.name for m in members.values() if m.state is api.ReplicaState.READY and m.name != own
-        )
-        self._peers = plan.Peers({member.name: member.cell for member in members.values()}, ready)
-        self.branch.endpoints_updated(listed._replace(membership=listed.membership._replace(replicas=rows)))
+    def _coordinators_updated(self, listed: t.EndpointsUpdated) -> None:
+        """Take a list of co-ordinators."""
+        if self.children:
+            self.children.endpoints_updated(listed, self.membership.peers.members)
 
     @property
     def address(self) -> tuple[str, int]:
+        """Where the server listens."""
         return self._server.address
 
+    @property
+    def peers(self) -> plan.Peers:
+        """Co-ordinators that may take subtrees, as they were last listed; none without a tree."""
+        return self.children.peers if self.children else plan.Peers({}, frozenset())
+
     def start(self) -> None:
-        """Serve. Raises ListError if the server list cannot be read and nothing stands in for it."""
-        self.core.admission.close(_UNKNOWN)
+        """Serve. Raises ListError if the endpoint list cannot be read and nothing stands in for it."""
+        self.core.admission.close(_NO_ENDPOINTS)
         self.core.start()
-        if self.branch:
-            self.branch.start()
+        if self.children:
+            self.children.core.start()
         self.membership.start()
         if self.vectors:
             self.vectors.start()
         self._server.start()
-        self._ready = True
+        self._serving = True
 
     def stop(self) -> None:
-        """Answer or refuse what is held, then end."""
-        self._ready = False
+        """Answer or reject what is open, then end."""
+        self._serving = False
         self.membership.leave()
         self.membership.stop()
         if self.vectors:
             self.vectors.stop()
-        stopped = [
-            threading.Thread(target=core.stop, args=(self.config.shutdown.grace,)) for core in self._cores()
-        ]
-        for thread in stopped:
-            thread.start()
-        for thread in stopped:
-            thread.join()
+        self._stop_cores()
         self._server.stop(self.config.listen.write_timeout)
         self.membership.gone()
         if self.vectors:
             self.vectors.close()
         self._pool.close()
 
+    def _stop_cores(self) -> None:
+        """Stop all cores at once, each within the grace."""
+        grace = self.config.shutdown.grace
+        stopping = [threading.Thread(target=core.stop, args=(grace,)) for core in self.cores]
+        for thread in stopping:
+            thread.start()
+        for thread in stopping:
+            thread.join()
+
     def run(self) -> int:
-        """Serve until a signal; the exit status."""
+        """Serve until a signal; return the exit status."""
         stop = threading.Event()
         for number in (signal.SIGTERM, signal.SIGINT):
             signal.signal(number, lambda *_: stop.set())
         self.start()
         print(f"listening on {self.address[0]}:{self.address[1]}", flush=True)
-        while not stop.wait(0.2) and not any(c.broken.is_set() for c in self._cores()):
+        while not stop.wait(_BROKEN_POLL) and not self._is_broken():
             pass
         self._log.info(LogEvent.SHUTDOWN_STARTED, open_queries=self.core.admission.open)
         self.stop()
-        return 1 if any(c.broken.is_set() for c in self._cores()) else 0
+        return 1 if self._is_broken() else 0
+
+    @property
+    def cores(self) -> list[QueryCoordinator]:
+        """All cores of the process: of the children, of the replicas, of the vector front."""
+        children = [self.children.core] if self.children else []
+        vectors = self.vectors.cores if self.vectors else []
+        return [*children, self.core, *vectors]
 
-    def _cores(self) -> list[QueryCoordinator]:
-        return [
-            core for core in (self.branch, self.core, *(self.vectors.cores if self.vectors else ())) if core
-        ]
+    def _is_broken(self) -> bool:
+        return any(core.broken.is_set() for core in self.cores)
+
+    def _is_ready(self) -> bool:
+        return self._serving and self.membership.known and not self.core.broken.is_set()
 
     def _gauges(self) -> dict[str, float]:
+        """Read all gauges, by their names in the metrics."""
+        limit = self.concurrency_limit
         return {
             "open": self.core.admission.open,
             "result_bytes": self.core.admission.reserved_bytes,
             "calls_out": self.core.requests_in_flight,
             "client_connections": self._server.connections,
-            "turns_refused": self.gate.refused,
-            "turns_waiting": sum(map(self.gate.waiting, self.gate.names)),
+            "turns_refused": limit.refused,
+            "turns_waiting": sum(map(limit.waiting, limit.names)),
             "connections_refused": self._server.refused,
             "standstills": self._server.standstills,
             "threads": threading.active_count(),
             "queries_cut": self._front.cuts,
-            "children_listed": len(self._peers.ready),
-            "subtrees_open": self.branch.admission.open if self.branch else 0,
-            "uptime_seconds": time.monotonic() - self._began,
+            "children_listed": len(self.peers.ready),
+            "subtrees_open": self.children.core.admission.open if self.children else 0,
+            "uptime_seconds": time.monotonic() - self._started_at,
             "server_list_age_seconds": self.membership.nodes.age(time.monotonic()),
             **(self.vectors.figures() if self.vectors else {}),
             "consul_calls": self.membership.calls,
             "consul_registered": self.membership.registered,
         }
 
-    def _handle(self, request: Request, body: bytes, arrived: float, client: http_server.Exchange) -> Reply:
+    def _handle(self, request: Request, body: bytes, arrived: float, client: Exchange) -> Reply:
         found = self._router.find(request.method, request.target.partition("?")[0])
         if isinstance(found, Reply):
             return found
         route, words = found
         return route.handle(request, body, arrived, client, words)
-
-    def _own_pages(self) -> list[Route]:
-        return [
-            Route("GET", "/metrics", lambda *_: self._metrics_page()),
-            Route("GET", "/-/healthy", lambda *_: plain(200, "healthy")),
-            Route("GET", "/-/ready", lambda *_: self._ready_page()),
-        ]
-
-    def _metrics_page(self) -> Reply:
-        return Reply(200, [("Content-Type", "text/plain; version=0.0.4; charset=utf-8")], self.metrics.text())
-
-    def _ready_page(self) -> Reply:
-        ready = self._ready and self.membership.known and not self.core.broken.is_set()
-        return plain(200, "ready") if ready else plain(503, "not ready", fields=(("Retry-After", "1"),))
--- /dev/null
+++ b/gingervane/daemon/assembly.py
@@ -0,0 +1,86 @@
+"""Builds the parts of the daemon from its settings. Nothing here starts a thread; the server binds its port."""
+
+from __future__ import annotations
+
+from gingervane.coordinator.core import AdmissionLimits, CoordinatorFactory, QueryCoordinator
+from gingervane.coordinator.request_senders import SenderLimits
+from gingervane.fronts import remote_read
+from gingervane.fronts.http_server import Handler, HttpServer, ServerLimits
+from gingervane.fronts.remote_read import FrontLimits, RemoteReadFront, TreeSetting
+from gingervane.fronts.routing import ClassOf
+from gingervane.fronts.shard_matching import ShardIndex
+from gingervane.limits.concurrency_limit import Gate
+from gingervane.settings.daemon_settings import Config
+from gingervane.vectors import front as vectors
+from gingervane.wire.http1 import Limits
+from gingervane.wire.pool import Pool
+
+_MAX_REPLY_HEAD_BYTES = 16384  # of a replica's reply
+
+
+def make_pool(config: Config) -> Pool:
+    """Make the pool of connections to replicas that all cores share."""
+    limits = config.limits
+    message = Limits(_MAX_REPLY_HEAD_BYTES, limits.reply_bytes)
+    return Pool(message, limits.idle_connections, limits.idle_age)
+
+
+def make_core_factory(config: Config, pool: Pool, seed: int | None) -> CoordinatorFactory:
+    """Make what makes the cores; `seed` of their decision engines, None for random ones."""
+    limits = config.limits
+    senders = SenderLimits(
+        limits.senders, limits.waiting_calls, limits.calls_per_replica, limits.connect_timeout
+    )
+    return CoordinatorFactory(pool, senders, AdmissionLimits(limits.open, limits.result_bytes), seed)
+
+
+def make_query_classes(config: Config) -> dict[str, ClassOf]:
+    """Number the query classes as `Config.module_settings` and `Config.branch_settings` do."""
+    return {
+        c.name: ClassOf(3 * i, 3 * i + 1, 3 * i + 2, i, c.deadline, c.semantics, c.least_share)
+        for i, c in enumerate(config.classes)
+    }
+
+
+def make_concurrency_limit(config: Config) -> Gate:
+    """Make the limit on requests that are read, merged and written at once, shared by the fronts."""
+    limits = config.limits
+    weights = {remote_read.NAME: limits.front_shares[0], vectors.NAME: limits.front_shares[1]}
+    return Gate(weights, limits.front_slots, limits.front_waiting)
+
+
+def make_remote_read_front(
+    config: Config,
+    core: QueryCoordinator,
+    classes: dict[str, ClassOf],
+    concurrency_limit: Gate,
+    tree: TreeSetting | None,
+) -> RemoteReadFront:
+    """Make the front of the remote read protocol; `tree`: with what it cuts wide queries, if it may."""
+    listen = config.listen
+    return RemoteReadFront(
+        core,
+        ShardIndex(config.shards.label, config.shards.names),
+        classes,
+        config.default_class or config.classes[0].name,
+        FrontLimits(listen.max_message_bytes, listen.max_queries, listen.max_matchers),
+        config.limits.reply_bytes,
+        config.shards.keep_label,
+        concurrency_limit,
+        tree,
+    )
+
+
+def make_server(config: Config, handler: Handler) -> HttpServer:
+    """Bind the server of all fronts and status pages."""
+    listen = config.listen
+    limits = ServerLimits(
+        connections=listen.max_connections,
+        idle=listen.idle_timeout,
+        head=listen.head_timeout,
+        body=listen.body_timeout,
+        write=listen.write_timeout,
+        message=Limits(listen.max_head_bytes, listen.max_body_bytes),
+        stack=listen.stack_bytes,
+    )
+    return HttpServer(listen.host, listen.port, handler, limits)
--- /dev/null
+++ b/gingervane/daemon/child_coordinators.py
@@ -0,0 +1,48 @@
+"""The other co-ordinators that may take subtrees of this one's wide queries, and the core that asks them."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+
+from gingervane import interface as api
+from gingervane.coordinator import types as t
+from gingervane.coordinator.core import CoordinatorFactory, QueryCoordinator
+from gingervane.daemon.observers import SubtreeObserver
+from gingervane.fronts.remote_read import TreeSetting
+from gingervane.membership.view import Member
+from gingervane.settings.daemon_settings import Config, Tree
+from gingervane.telemetry.daemon_metrics import Metrics
+from gingervane.tree import plan
+
+_SEED_OFFSET = 1  # tells the seed of this core's decision engine from that of the first core
+
+
+class ChildCoordinators:
+    """A core of its own, with subtrees as parts and co-ordinators as replicas."""
+
+    def __init__(self, config: Config, tree: Tree, cores: CoordinatorFactory, metrics: Metrics) -> None:
+        self._own_name = tree.name
+        self.peers = plan.Peers({}, frozenset())  # replaced as a whole with each list
+        self.core: QueryCoordinator = cores.make(
+            config.branch_settings(), SubtreeObserver(metrics), _SEED_OFFSET
+        )
+        limits = plan.Limits(tree.fan_out, tree.levels, tree.ring, tree.width, tree.leaf_attempts)
+        self.setting = TreeSetting(self.core, tree.name, limits, lambda: self.peers)
+
+    def endpoints_updated(self, listed: t.EndpointsUpdated, members: Mapping[int, Member]) -> None:
+        """Take a list of co-ordinators: all but this one may take its subtrees."""
+        replicas = tuple(
+            row._replace(state=api.ReplicaState.GONE) if self._is_own(members.get(row.id)) else row
+            for row in listed.membership.replicas
+        )
+        ready = frozenset(
+            member.name
+            for member in members.values()
+            if member.state is api.ReplicaState.READY and not self._is_own(member)
+        )
+        self.peers = plan.Peers({member.name: member.cell for member in members.values()}, ready)
+        membership = listed.membership._replace(replicas=replicas)
+        self.core.endpoints_updated(listed._replace(membership=membership))
+
+    def _is_own(self, member: Member | None) -> bool:
+        return member is not None and member.name == self._own_name
--- /dev/null
+++ b/gingervane/daemon/observers.py
@@ -0,0 +1,147 @@
+"""What the daemon logs and measures of its cores. Every method runs on the decision thread of the core."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from gingervane import interface as api
+from gingervane.coordinator import types as t
+from gingervane.settings.daemon_settings import Config
+from gingervane.telemetry import daemon_log
+from gingervane.telemetry.daemon_metrics import Metrics
+from gingervane.telemetry.events import LogEvent
+
+_DURATION_DIGITS = 4  # digits of seconds, and of coverage, behind the point
+_CORE_CLASSES_PER_CLASS = (
+    3  # classes of a core for each class of the settings: strict, lenient and collecting
+)
+_FAILED_SUBTREE_IGNORED = frozenset({t.QueryStatus.COMPLETE, t.QueryStatus.CLIENT_DISCONNECTED})
+_LOGGED_OF_VECTORS = frozenset({t.QueryStatus.REJECTED, t.QueryStatus.FAILED})
+
+
+class CoreObserver:
+    """Logs what is the same at every core: messages, health of replicas and internal errors."""
+
+    def __init__(self, log: daemon_log.DaemonLog, metrics: Metrics) -> None:
+        self._log = log
+        self._metrics = metrics
+
+    def log_message(self, text: str) -> None:
+        """Log text of the decision engine."""
+        self._log.info(LogEvent.MESSAGE, detail=text)
+
+    def replica_health_changed(self, change: api.ReplicaHealthChange) -> None:
+        """Log that a replica was ejected or reinstated."""
+        if isinstance(change, api.ReplicaEjected):
+            self._log.info(
+                LogEvent.REPLICA_EJECTED,
+                replica=change.replica,
+                ejection_seconds=change.seconds,
+                reason=change.reason.value,
+            )
+        else:
+            self._log.info(LogEvent.REPLICA_REINSTATED, replica=change.replica)
+
+    def internal_error(self, error: BaseException) -> None:
+        """Log the exception that ended the decision thread."""
+        self._log.exception(LogEvent.INTERNAL_ERROR, error)
+
+
+class CoordinatorObserver(CoreObserver):
+    """Observes the core that asks this co-ordinator's own replicas."""
+
+    def __init__(self, config: Config, metrics: Metrics) -> None:
+        super().__init__(daemon_log.get("coordinator"), metrics)
+        self._class_names = [c.name for c in config.classes for _ in range(_CORE_CLASSES_PER_CLASS)]
+        self._debug = config.log.level == "debug"
+        self.on_replica_answered: Callable[[int], None] | None = (
+            None  # called with each replica that answered well
+        )
+
+    def query_completed(self, query: int, plan: t.QueryPlan, final: t.QueryResult, seconds: float) -> None:
+        """Measure a query; log it unless it was complete, or at debug level."""
+        status = final.status
+        self._metrics.query_seconds.add((self._class_names[plan.query_class], status.value), seconds)
+        complete = status is t.QueryStatus.COMPLETE
+        if complete and not self._debug:
+            return
+        write = self._log.debug if complete else self._log.info
+        write(
+            LogEvent.QUERY_COMPLETED,
+            query=query,
+            query_class=plan.tag,
+            status=status.value,
+            duration_seconds=round(seconds, _DURATION_DIGITS),
+            parts_requested=len(plan.parts),
+            coverage=round(final.coverage, _DURATION_DIGITS),
+            attempts=len(final.attempts),
+            reason=final.reason.value,
+            further_attempts=sum(record.attempt > 0 for record in final.attempts),
+            detail=final.detail,
+        )
+
+    def attempt_finished(self, outcome: api.AttemptOutcome, replica: int, seconds: float) -> None:
+        """Measure an attempt, and pass on which replica answered."""
+        if outcome is api.AttemptOutcome.OK and self.on_replica_answered is not None:
+            self.on_replica_answered(replica)
+        self._metrics.attempt_seconds.add((outcome.value,), seconds)
+        if self._debug:
+            self._log.debug(
+                LogEvent.ATTEMPT_FINISHED,
+                outcome=outcome.value,
+                replica=replica,
+                duration_seconds=round(seconds, _DURATION_DIGITS),
+            )
+
+
+class SubtreeObserver(CoreObserver):
+    """Observes the core that asks child co-ordinators for subtrees."""
+
+    def __init__(self, metrics: Metrics) -> None:
+        super().__init__(daemon_log.get("tree"), metrics)
+
+    def query_completed(self, query: int, plan: t.QueryPlan, final: t.QueryResult, seconds: float) -> None:
+        """Measure a subtree; log it where it failed."""
+        status = final.status
+        self._metrics.subtree_seconds.add((plan.tag, status.value), seconds)
+        if status not in _FAILED_SUBTREE_IGNORED:
+            self._log.info(
+                LogEvent.SUBTREE_FAILED,
+                query_class=plan.tag,
+                status=status.value,
+                detail=final.detail,
+                attempts=" ".join(f"{record.replica}:{record.outcome}" for record in final.attempts),
+            )
+
+    def attempt_finished(self, outcome: api.AttemptOutcome, replica: int, seconds: float) -> None:
+        """Measure an attempt at a child."""
+        self._metrics.child_seconds.add((outcome.value,), seconds)
+
+    def log_message(self, text: str) -> None:
+        """Log text of the decision engine, to which children are replicas."""
+        super().log_message(text.replace("replica", "co-ordinator"))
+
+
+class VectorObserver(CoreObserver):
+    """Observes one core of the vector front, which is named by `core`."""
+
+    def __init__(self, metrics: Metrics, core: str) -> None:
+        super().__init__(daemon_log.get("vectors", core=core), metrics)
+        self._core = core
+
+    def query_completed(self, query: int, plan: t.QueryPlan, final: t.QueryResult, seconds: float) -> None:
+        """Measure a query; log it where it was rejected or failed."""
+        status = final.status
+        self._metrics.vector_seconds.add((self._core, plan.tag, status.value), seconds)
+        if status in _LOGGED_OF_VECTORS:
+            self._log.info(
+                LogEvent.QUERY_COMPLETED,
+                query_class=plan.tag,
+                status=status.value,
+                parts_requested=len(plan.parts),
+                detail=final.detail,
+            )
+
+    def attempt_finished(self, outcome: api.AttemptOutcome, replica: int, seconds: float) -> None:
+        """Measure an attempt."""
+        self._metrics.vector_attempt_seconds.add((self._core, outcome.value), seconds)
--- a/gingervane/telemetry/events.py
+++ b/gingervane/telemetry/events.py
@@ -75,5 +75,5 @@
     SHUTDOWN_COMPLETED = "shutdown_completed", "Every query has been answered; the process is about to exit."
     COUNTERS = "counters", "Totals by name and reason since the start."
     MESSAGE = "message", "Text of the decision engine, of replicated writes or of their repair."
-    VECTOR_FAULT = "vector_fault", "The vector service's intent log failed or was damaged."
+    VECTOR_FAULT = "vector_fault", "The vector service's endpoint sources or its write-ahead log failed."
     INTERNAL_ERROR = "internal_error", "The decision thread raised and has ended: a fault of this program."
--- a/gingervane/telemetry/node_telemetry.py
+++ b/gingervane/telemetry/node_telemetry.py
@@ -26,7 +26,8 @@
 class Log(Protocol):
     """Takes one event with its fields; never waits. `event`: the value of a `LogEvent`."""
 
-    def __call__(self, event: str, **fields: FieldValue) -> None: ...
+    def __call__(self, event: str, **fields: FieldValue) -> None:
+        """Take the event."""
 
 
 class Telemetry:
--- a/tests/test_consul.py
+++ b/tests/test_consul.py
@@ -362,15 +362,15 @@
         list_coordinators=False,
     )
     try:
-        eventually(lambda: all(len(app._peers.ready) == 3 for app in fleet.apps))
+        eventually(lambda: all(len(app.peers.ready) == 3 for app in fleet.apps))
         assert ask(fleet).status == 200 and fleet.app._front.cuts == 1
         with catalogue.changed:
             assert {e["Service"]["ID"] for e in catalogue.entries("vane")} == {f"c{n}" for n in range(4)}
         catalogue.deregister("c2")  # an agent that has forgotten: it comes back by itself
-        eventually(lambda: "c2" not in fleet.app._peers.ready)
-        eventually(lambda: "c2" in fleet.app._peers.ready)
+        eventually(lambda: "c2" not in fleet.app.peers.ready)
+        eventually(lambda: "c2" in fleet.app.peers.ready)
         fleet.stop(3)
-        eventually(lambda: "c3" not in fleet.app._peers.places)
+        eventually(lambda: "c3" not in fleet.app.peers.places)
         with catalogue.changed:
             assert "c3" not in {e["Service"]["ID"] for e in catalogue.entries("vane")}
     finally:
--- a/tests/test_intents.py
+++ b/tests/test_intents.py
@@ -430,7 +430,7 @@
     from gingervane.coordinator import types as t
     from gingervane.coordinator.core import AdmissionLimits, QueryCoordinator
     from gingervane.coordinator.request_senders import SenderLimits, RequestSenders
-    from gingervane.daemon.app import _Branches
+    from gingervane.daemon.observers import SubtreeObserver
     from gingervane.telemetry.daemon_metrics import Metrics
     from gingervane.coordinator.dispatch import QueryDispatcher, QueryRequest
     from gingervane.fronts.routing import Route, Router
@@ -493,7 +493,7 @@
         DecisionEngine(settings, 1),
         settings,
         AdmissionLimits(100, 1 << 20),
-        _Branches(Metrics()),
+        SubtreeObserver(Metrics()),
         lambda report: RequestSenders(pool, SenderLimits(4, 4, 4, 1.0), report),
     )
     core.start()
--- a/tests/test_tree_sockets.py
+++ b/tests/test_tree_sockets.py
@@ -142,7 +142,7 @@
     ]
     fleet.write_list(coordinators={1: "gone"}, extra="\n".join(rows))
     names = {f"x{i}" for i in range(len(addresses))}
-    eventually(lambda: fleet.app._peers.ready == names)
+    eventually(lambda: fleet.app.peers.ready == names)
 
 
 def runs(tmp_path: Path) -> Counter[tuple[int, str]]:
@@ -251,7 +251,7 @@
     row = list_row(10, f"{host}:{port}", ZONES[0], 4, "ready", 1.0, "coordinator", "x")
     try:
         fleet.write_list(coordinators={0: "gone", 1: "gone", 2: "gone"}, extra=row)
-        eventually(lambda: all(fleet.apps[n]._peers.ready == {"x"} for n in (0, 2)))
+        eventually(lambda: all(fleet.apps[n].peers.ready == {"x"} for n in (0, 2)))
         for root in (0, 2, 0, 2):
             client = Client(fleet.apps[root].address)
             answer = client.read([ALL], {"class": "area-report", "timeout": "4s"}, PATIENCE)
@@ -277,7 +277,7 @@
         thread.start()
         eventually(lambda: made[0].asked > 0)
         fleet.write_list(coordinators={1: "gone"})
-        eventually(lambda: not fleet.app._peers.ready)
+        eventually(lambda: not fleet.app.peers.ready)
         asked = made[0].asked
         hold.set()
         thread.join(PATIENCE)
@@ -334,7 +334,7 @@
         overrides={"class": [{"name": "point-lookup", "aim": 500.0, "deadline": 600.0}]},
     )
     try:
-        eventually(lambda: all(len(app._peers.ready) == 4 for app in fleet.apps))
+        eventually(lambda: all(len(app.peers.ready) == 4 for app in fleet.apps))
         with socket.create_connection(fleet.address) as sock:
             sock.sendall(Client(fleet.address).request([ALL], {}))
             eventually(lambda: sum(app.core.requests_in_flight for app in fleet.apps) >= 6)
@@ -343,7 +343,7 @@
             lambda: all(
                 core.admission.open == 0 and core.requests_in_flight == 0
                 for app in fleet.apps
-                for core in app._cores()
+                for core in app.cores
             )
         )
     finally:
