--- /dev/null
+++ b/gingervane/node/query_log.py
@@ -0,0 +1,106 @@
+"""What the node logs and counts of its core: ended queries, ejected replicas and faults of this program."""
+
+from __future__ import annotations
+
+from collections import Counter
+from collections.abc import Callable
+
+from gingervane import interface as api
+from gingervane.coordinator import types as t
+from gingervane.telemetry.events import LogEvent
+from gingervane.telemetry.log_format import error_fields
+from gingervane.telemetry.node_telemetry import Log, Telemetry
+from gingervane.wire.socket_recorder import SOCKET_RECORDER
+
+# Statuses that get a line each; load shedding is only counted.
+_LOGGED_STATUSES = frozenset({t.QueryStatus.PARTIAL, t.QueryStatus.FAILED, t.QueryStatus.REJECTED})
+# Reasons that show a fault of this program.
+_INTERNAL_FAULTS = frozenset(
+    {api.QueryEndReason.COVERAGE_CHECK_FAILED, api.QueryEndReason.INTERNAL, api.QueryEndReason.UNSTATED}
+)
+_ANY_REASON = "any"  # of a counter that has no reasons
+
+
+class QueryLog:
+    """Observes the core: counters for everything, lines for what went wrong and for what changed.
+
+    `host` names a replica. Called on the decision thread.
+    """
+
+    def __init__(
+        self, telemetry: Telemetry, class_names: tuple[str, ...], host: Callable[[int], str]
+    ) -> None:
+        self._telemetry = telemetry
+        self._class_names = class_names
+        self._host = host
+
+    def query_completed(self, query: int, plan: t.QueryPlan, final: t.QueryResult, seconds: float) -> None:
+        """Count a query by its status and reason; log it where its end is worth a line."""
+        self._telemetry.counters.add(f"queries_{final.status.value}", final.reason)
+        if SOCKET_RECORDER.on:
+            SOCKET_RECORDER.put(
+                "settled", 0, 0, query=plan.tag, verdict=final.status.value, seconds=seconds, why=final.detail
+            )
+        write = self._log_of(final)
+        if write is None:
+            return
+        outcomes = Counter(record.outcome for record in final.attempts)
+        write(
+            LogEvent.QUERY_COMPLETED,
+            request=plan.tag,
+            query=query,
+            query_class=self._class_names[plan.query_class],
+            status=final.status,
+            reason=final.reason,
+            step=final.step,
+            parts_requested=final.parts_requested,
+            parts_received=final.parts_received,
+            coverage=final.coverage,
+            marked_complete=final.marked_complete,
+            duration_seconds=seconds,
+            attempts=" ".join(f"{count}x{outcome}" for outcome, count in outcomes.items()),
+            detail=final.detail,
+        )
+
+    def _log_of(self, final: t.QueryResult) -> Log | None:
+        """Return what logs a result at its level; None if it is not logged."""
+        if final.reason in _INTERNAL_FAULTS:
+            return self._telemetry.error
+        if final.status in _LOGGED_STATUSES and final.reason is not api.QueryEndReason.OVERLOAD:
+            return self._telemetry.info
+        return self._telemetry.debug if self._telemetry.debug_on else None
+
+    def attempt_finished(self, outcome: api.AttemptOutcome, replica: int, seconds: float) -> None:
+        """Log an attempt at debug level."""
+        if SOCKET_RECORDER.on:
+            SOCKET_RECORDER.put("told", 0, 0, outcome=outcome.value, replica=replica, seconds=seconds)
+        if self._telemetry.debug_on:
+            self._telemetry.debug(
+                LogEvent.ATTEMPT_FINISHED,
+                replica=self._host(replica),
+                outcome=outcome,
+                duration_seconds=seconds,
+            )
+
+    def log_message(self, text: str) -> None:
+        """Log text of the decision engine."""
+        self._telemetry.info(LogEvent.MESSAGE, detail=text)
+
+    def replica_health_changed(self, change: api.ReplicaHealthChange) -> None:
+        """Count and log that a replica was ejected or reinstated."""
+        replica = self._host(change.replica)
+        if isinstance(change, api.ReplicaEjected):
+            self._telemetry.counters.add("replicas_ejected", change.reason)
+            self._telemetry.info(
+                LogEvent.REPLICA_EJECTED,
+                replica=replica,
+                ejection_seconds=change.seconds,
+                reason=change.reason,
+            )
+        else:
+            self._telemetry.counters.add("replicas_reinstated", _ANY_REASON)
+            self._telemetry.info(LogEvent.REPLICA_REINSTATED, replica=replica)
+
+    def internal_error(self, error: BaseException) -> None:
+        """Log the exception that ended the decision thread."""
+        self._telemetry.error(LogEvent.INTERNAL_ERROR, **error_fields(error))
--- a/gingervane/node/service.py
+++ b/gingervane/node/service.py
@@ -1,4 +1,4 @@
-"""The node: the program's one co-ordinator on the platform's protocol, put together and taken apart.
+"""The node: the program's one co-ordinator on the platform's protocol, its start and its graceful shutdown.
 
 Owners: the main thread makes it, waits for signals and ends it; everything else is owned as its modules say.
 """
@@ -11,196 +11,147 @@
 import sys
 import threading
 import time
-from collections import Counter
-from collections.abc import Callable
 from math import inf
 from pathlib import Path
 
-from gingervane import interface as api
 from gingervane.coordinator import types as t
-from gingervane.coordinator.core import AdmissionLimits, QueryCoordinator, ClusterPorts
-from gingervane.fronts.connections import MOST_ENDING
+from gingervane.coordinator.core import AdmissionLimits, ClusterPorts, QueryCoordinator
+from gingervane.coordinator.replica_start_times import ReplicaStartTimes
+from gingervane.decisions.engine import DecisionEngine
 from gingervane.fronts.http_server import HttpServer, ServerLimits
 from gingervane.node import config as configuration
 from gingervane.node.client_front import ClientFront
 from gingervane.node.config import Config, ConfigError
+from gingervane.node.descriptor_budget import DescriptorBudget, divide_descriptors
 from gingervane.node.discovery import ListError, ListReader, Watch
-from gingervane.node.replica_connection import LinkEnded, LinkLimits
-from gingervane.node.replica_connections import ReplicaConnections, SPARE
 from gingervane.node.peer_socket import PeerSocket
-from gingervane.coordinator.replica_start_times import ReplicaStartTimes
+from gingervane.node.query_log import QueryLog
+from gingervane.node.replica_connection import LinkEnded, LinkLimits
+from gingervane.node.replica_connections import ReplicaConnections
+from gingervane.node.settings_log import log_settings
 from gingervane.telemetry.events import LogEvent
 from gingervane.telemetry.log_format import error_fields
 from gingervane.telemetry.node_telemetry import Telemetry
-from gingervane.decisions.engine import DecisionEngine
 from gingervane.wire.http1 import Limits
 from gingervane.wire.socket_recorder import SOCKET_RECORDER
 
-# SIGKILL comes no sooner than this after SIGTERM, plus the longest deadline, which counts as 3 s where it is longer.
-KILL_AFTER, LONGEST_COUNTED = 0.7, 3.0
-LAST_ANSWERS = 0.3  # seconds before SIGKILL may come, by when all that is still open has been answered
-OWN_DESCRIPTORS = 24  # the listener, discovery, datagrams, epoll, standard streams, and some to spare
-LAST_WRITES = (
-    0.25  # of them, to write the replies and to have them read, before the process takes them with it
+# SIGKILL comes no sooner than `KILL_DELAY` after SIGTERM, plus the longest deadline of a query class, of which no
+# more than `MAX_COUNTED_DEADLINE` counts.
+KILL_DELAY = 0.7  # seconds
+MAX_COUNTED_DEADLINE = 3.0  # seconds
+SHUTDOWN_RESERVE = 0.3  # seconds before SIGKILL may come, by when all that is still open has been answered
+REPLY_WRITE_TIMEOUT = 0.25  # seconds of them, to write the replies and to have them read
+
+_MAX_RESULT_BYTES = 64 << 20  # of all open queries
+_MAX_HEAD_BYTES = 16384  # of a client's request
+_MAX_BODY_BYTES = 65536  # of a client's request
+_HEAD_TIMEOUT = 1.5  # seconds to read a client's head
+_BODY_TIMEOUT = 1.0  # seconds to read a client's body
+_WRITE_TIMEOUT = 5.0  # seconds to write a reply
+_FIRST_BYTE_TIMEOUT = 2.0  # seconds that a new connection may be silent
+_IDLE_SHARE = (
+    0.8  # of the time after which replicas close a quiet connection: not written to any more from then on
 )
-_SIGNALS = {signal.SIGTERM, signal.SIGINT, signal.SIGHUP, signal.SIGUSR1}  # SIGUSR1: write the counters
-
-
-class CoreLog:
-    """What the core tells of: counters for all of it, lines for what went wrong and for what changed.
-
-    `host` names a replica. Called on the decision thread.
-    """
-
-    def __init__(
-        self, telemetry: Telemetry, class_names: tuple[str, ...], host: Callable[[int], str]
-    ) -> None:
-        self._telemetry, self._classes, self._host = telemetry, class_names, host
-
-    def query_completed(self, query: int, plan: t.QueryPlan, final: t.QueryResult, seconds: float) -> None:
-        verdict = final.status
-        self._telemetry.counters.add(f"queries_{verdict.value}", final.reason)
-        if SOCKET_RECORDER.on:
-            SOCKET_RECORDER.put(
-                "settled", 0, 0, query=plan.tag, verdict=verdict.value, seconds=seconds, why=final.detail
-            )
-        if final.reason in _MUST_NOT_HAPPEN:
-            write = self._telemetry.error
-        elif verdict in _WORTH_A_LINE and final.reason is not api.QueryEndReason.OVERLOAD:
-            write = self._telemetry.info
-        elif self._telemetry.debug_on:
-            write = self._telemetry.debug
-        else:
-            return
-        ends = Counter(step.outcome for step in final.attempts)
-        write(
-            LogEvent.QUERY_COMPLETED,
-            request=plan.tag,
-            query=query,
-            query_class=self._classes[plan.query_class],
-            status=verdict,
-            reason=final.reason,
-            step=final.step,
-            parts_requested=final.parts_requested,
-            parts_received=final.parts_received,
-            coverage=final.coverage,
-            marked_complete=final.marked_complete,
-            duration_seconds=seconds,
-            attempts=" ".join(f"{count}x{outcome}" for outcome, count in ends.items()),
-            detail=final.detail,
-        )
-
-    def attempt_finished(self, outcome: api.AttemptOutcome, replica: int, seconds: float) -> None:
-        if SOCKET_RECORDER.on:
-            SOCKET_RECORDER.put("told", 0, 0, outcome=outcome.value, replica=replica, seconds=seconds)
-        if self._telemetry.debug_on:
-            self._telemetry.debug(
-                LogEvent.ATTEMPT_FINISHED,
-                replica=self._host(replica),
-                outcome=outcome,
-                duration_seconds=seconds,
-            )
-
-    def log_message(self, text: str) -> None:
-        self._telemetry.info(LogEvent.MESSAGE, detail=text)
-
-    def replica_health_changed(self, change: api.ReplicaHealthChange) -> None:
-        replica = self._host(change.replica)
-        if isinstance(change, api.ReplicaEjected):
-            self._telemetry.counters.add("replicas_ejected", change.reason)
-            self._telemetry.info(
-                LogEvent.REPLICA_EJECTED,
-                replica=replica,
-                ejection_seconds=change.seconds,
-                reason=change.reason,
-            )
-        else:
-            self._telemetry.counters.add("replicas_reinstated", "any")
-            self._telemetry.info(LogEvent.REPLICA_REINSTATED, replica=replica)
-
-    def internal_error(self, error: BaseException) -> None:
-        self._telemetry.error(LogEvent.INTERNAL_ERROR, **error_fields(error))
-
 
-# Verdicts that get a line each (load shedding is only counted), and ends that show a fault of this program.
-_WORTH_A_LINE = frozenset({t.QueryStatus.PARTIAL, t.QueryStatus.FAILED, t.QueryStatus.REJECTED})
-_MUST_NOT_HAPPEN = frozenset(
-    {api.QueryEndReason.COVERAGE_CHECK_FAILED, api.QueryEndReason.INTERNAL, api.QueryEndReason.UNSTATED}
-)
+_EXIT_INVALID_CONFIGURATION = 2
+_SIGNALS = {signal.SIGTERM, signal.SIGINT, signal.SIGHUP, signal.SIGUSR1}  # SIGUSR1: write the counters
 
 
 class Node:
+    """One co-ordinator with its client server, replica connections, discovery watch and peer socket."""
+
     def __init__(self, path: Path, config: Config, telemetry: Telemetry | None = None) -> None:
-        """`telemetry`: one of its own, already started, if none is given."""
-        self._path, self._config = path, config
-        if telemetry is None:
-            telemetry = Telemetry()
-            telemetry.name(config.name)
-            telemetry.start()
-        self.telemetry = telemetry
+        """Build all parts and bind the port. `telemetry`: one of its own, already started, if none is given."""
+        self._path = path
+        self._config = config
+        self.telemetry = telemetry or _started_telemetry(config)
+        budget = divide_descriptors(config.sockets)
+        reader = ListReader(config.zones, ReplicaStartTimes(), self.telemetry.info)
+        self.core = self._make_core(reader, budget)
+        self.front = ClientFront(self.core, config.class_names, config.shards)
+        self.watch = self._make_watch(reader)
+        self._peers = self._make_peer_socket()
+        cached = self._read_cached_endpoints(reader)
+        if cached:
+            self.core.endpoints_updated(cached)
+        self.server = self._make_server(budget)
+        self.server.on_fault = self._request_handler_failed
+        self._add_counters()
+
+    def _make_core(self, reader: ListReader, budget: DescriptorBudget) -> QueryCoordinator:
+        config = self._config
         settings = config.settings
-        # Half for replicas, half for clients, who need no more than a third for requests.
-        links = max(config.sockets // 2 - OWN_DESCRIPTORS - SPARE, 1)
-        limits = LinkLimits(config.streams, links, 0.8 * config.conn_idle, config.connect_timeout)
-        reader = ListReader(config.zones, ReplicaStartTimes(), telemetry.info)
+        limits = LinkLimits(
+            config.streams,
+            budget.replica_connections,
+            _IDLE_SHARE * config.conn_idle,
+            config.connect_timeout,
+        )
         # Room for every part of as many queries as there can be connections: descriptors bound it, not this.
-        most = AdmissionLimits(config.sockets * (1 + config.shards), 64 << 20)
-        self.core = QueryCoordinator(
+        admission = AdmissionLimits(config.sockets * (1 + config.shards), _MAX_RESULT_BYTES)
+        return QueryCoordinator(
             DecisionEngine(settings, config.seed),
             settings,
-            most,
-            CoreLog(telemetry, config.class_names, reader.host),
-            lambda report: ReplicaConnections(limits, report, on_end=self._link_ended),
-            ClusterPorts(self._subscribe, self._tell_peers),
+            admission,
+            QueryLog(self.telemetry, config.class_names, reader.host),
+            lambda report: ReplicaConnections(limits, report, on_end=self._replica_connection_closed),
+            ClusterPorts(self._watch_membership, self._send_to_peers),
             gather=settings.timer_granularity,
         )
-        self.front = ClientFront(self.core, config.class_names, config.shards)
+
+    def _make_watch(self, reader: ListReader) -> Watch:
+        settings = self._config.settings
         # Where lists are pushed, all counts as told as soon as discovery is back: a call that hangs since before
         # must not outlast the grace.
-        patience = inf if settings.membership_polled else settings.drain_grace or inf
-        self.watch = Watch(config.discovery, reader, self.core.endpoints_updated, telemetry.info, patience)
-        self._peers = (
-            PeerSocket(
-                config.peer_listen, config.peers, config.peers_all, config.me, self.core.peer_message_received
-            )
-            if config.peer_listen and settings.gossip_allowed
-            else None
+        answered_within = inf if settings.membership_polled else settings.drain_grace or inf
+        return Watch(
+            self._config.discovery, reader, self.core.endpoints_updated, self.telemetry.info, answered_within
         )
+
+    def _make_peer_socket(self) -> PeerSocket | None:
+        config = self._config
+        if not config.peer_listen or not config.settings.gossip_allowed:
+            return None
+        return PeerSocket(
+            config.peer_listen, config.peers, config.peers_all, config.me, self.core.peer_message_received
+        )
+
+    def _read_cached_endpoints(self, reader: ListReader) -> t.EndpointsUpdated | None:
+        """Read the endpoint list in the configuration, if it has one that makes sense."""
+        if not self._config.known:
+            return None
         try:
-            known = reader.read(config.known, cached=True) if config.known else None
+            return reader.read(self._config.known, cached=True)
         except ListError as error:
-            telemetry.warning(LogEvent.CACHED_ENDPOINTS_INVALID, error=str(error))
-            known = None
-        if known:
-            self.core.endpoints_updated(known)
-        connections = max(config.sockets - links - SPARE - OWN_DESCRIPTORS - MOST_ENDING, 1)
-        self.server = HttpServer(
-            *config.listen,
-            self.front.handle,
-            ServerLimits(
-                connections=connections,
-                head=1.5,
-                body=1.0,
-                write=5.0,
-                message=Limits(16384, 65536),
-                silent=2.0,
-                crowd=config.sockets // 6,  # half of what clients may hold for requests
-            ),
+            self.telemetry.warning(LogEvent.CACHED_ENDPOINTS_INVALID, error=str(error))
+            return None
+
+    def _make_server(self, budget: DescriptorBudget) -> HttpServer:
+        limits = ServerLimits(
+            connections=budget.client_connections,
+            head=_HEAD_TIMEOUT,
+            body=_BODY_TIMEOUT,
+            write=_WRITE_TIMEOUT,
+            message=Limits(_MAX_HEAD_BYTES, _MAX_BODY_BYTES),
+            silent=_FIRST_BYTE_TIMEOUT,
+            crowd=budget.client_soft_limit,
         )
+        return HttpServer(*self._config.listen, self.front.handle, limits)
 
+    def _add_counters(self) -> None:
+        """Have the counters dumped that the core and the server keep."""
         counts = self.core.driver_counts
-        telemetry.add_source("attempts", lambda: counts.outcomes)
-        telemetry.add_source("driver", counts.totals)
-        telemetry.add_source("client_connections_ended", lambda: self.server.ends)
-        telemetry.add_source("client_calls_failed", lambda: self.server.failures)
-        self.server.on_fault = self._request_broke
-
-    def _request_broke(self, error: BaseException) -> None:
-        """From a client's thread: its request has been answered with 500."""
+        self.telemetry.add_source("attempts", lambda: counts.outcomes)
+        self.telemetry.add_source("driver", counts.totals)
+        self.telemetry.add_source("client_connections_ended", lambda: self.server.ends)
+        self.telemetry.add_source("client_calls_failed", lambda: self.server.failures)
+
+    def _request_handler_failed(self, error: BaseException) -> None:
+        """Log it, from a client's thread: its request has been answered with 500."""
         self.telemetry.error(LogEvent.REQUEST_HANDLER_FAILED, **error_fields(error))
 
-    def _link_ended(self, ended: LinkEnded) -> None:
-        """From the decision thread or the links' reader."""
+    def _replica_connection_closed(self, ended: LinkEnded) -> None:
+        """Count and log it, from the decision thread or the thread that reads from replicas."""
         self.telemetry.counters.add("replica_connections_ended", ended.reason)
         if ended.out or self.telemetry.debug_on:
             self.telemetry.info(
@@ -212,14 +163,15 @@
                 attempts_unsent=ended.unsent,
             )
 
-    def _subscribe(self) -> None:
+    def _watch_membership(self) -> None:
         self.watch.follow()
 
-    def _tell_peers(self, payload: bytes) -> None:
+    def _send_to_peers(self, payload: bytes) -> None:
         if self._peers:
             self._peers.tell(payload)
 
     def start(self) -> None:
+        """Serve."""
         self.server.start()  # before the others: it sets the stack of new threads
         self.watch.start()
         if self._peers:
@@ -230,40 +182,45 @@
         self.front.ready = True
 
     def reload(self) -> None:
-        """SIGHUP: follow discovery to where the file now says it is."""
+        """Follow discovery to where the configuration file now says it is."""
         try:
             new = configuration.read(self._path)
         except ConfigError as error:
             self.telemetry.warning(LogEvent.CONFIGURATION_RELOAD_FAILED, error=str(error))
             return
-        where = f"{new.discovery[0]}:{new.discovery[1]}"
-        self.telemetry.info(LogEvent.CONFIGURATION_RELOADED, discovery=where)
+        address = f"{new.discovery[0]}:{new.discovery[1]}"
+        self.telemetry.info(LogEvent.CONFIGURATION_RELOADED, discovery=address)
         self.watch.move(new.discovery)
 
     def stop(self) -> None:
-        """SIGTERM: serve on the connections there are for as long as the platform surely lets us, then end.
+        """Shut down gracefully: serve on open connections as long as the platform surely lets us, then end.
 
         Clients keep using those they have, and a co-ordinator that ends early leaves them to the others, of which
-        one may be on its way back itself. What is still open at the end is refused, or failed where that could do
+        one may be on its way back itself. What is still open at the end is rejected, or failed where that could do
         harm, in time to be heard.
         """
         self.front.ready = False
-        longest = max(kind.deadline for kind in self._config.settings.query_classes)
-        time.sleep(min(longest, LONGEST_COUNTED) + KILL_AFTER - LAST_ANSWERS)
+        time.sleep(self._draining_seconds())
         self.end()
         self.telemetry.info(LogEvent.SHUTDOWN_COMPLETED)
         self.telemetry.stop()
 
+    def _draining_seconds(self) -> float:
+        """Seconds for which to go on serving before the rest is answered."""
+        longest = max(kind.deadline for kind in self._config.settings.query_classes)
+        return min(longest, MAX_COUNTED_DEADLINE) + KILL_DELAY - SHUTDOWN_RESERVE
+
     def end(self) -> None:
-        """Answer all that is held, now, and be gone."""
-        self.core.close()  # first: a request that is read while connections are ended is refused, not sent on
+        """Answer all that is open, now, and end the threads."""
+        self.core.close()  # first: a request read while connections are ended is rejected, not forwarded
         self.server.stop_accepting()
         self.core.stop(0.0)
-        self.server.stop(LAST_WRITES)
+        self.server.stop(REPLY_WRITE_TIMEOUT)
         self.watch.stop()
 
 
 def run(path: Path) -> int:
+    """Serve in the foreground until SIGTERM or SIGINT, as the file at `path` says; return the exit status."""
     # Blocked before any thread starts, so that all inherit it and none of these is lost or ends the program.
     signal.pthread_sigmask(signal.SIG_BLOCK, _SIGNALS)
     telemetry = Telemetry(level=logging.DEBUG if os.environ.get("GINGERVANE_DEBUG") else logging.INFO)
@@ -275,49 +232,32 @@
         node = Node(path, config, telemetry)
     except (ConfigError, OSError) as error:
         sys.stderr.write(f"gingervane: {error}\n")
-        return 2
+        return _EXIT_INVALID_CONFIGURATION
     telemetry.start()
-    _log_settings(telemetry, config)
+    log_settings(telemetry, config)
     node.start()
-    where = f"{node.server.address[0]}:{node.server.address[1]}"
-    telemetry.info(LogEvent.LISTENING, address=where, threads=threading.active_count())
+    address = f"{node.server.address[0]}:{node.server.address[1]}"
+    telemetry.info(LogEvent.LISTENING, address=address, threads=threading.active_count())
+    _serve_until_stopped(node)
+    return 0
+
+
+def _serve_until_stopped(node: Node) -> None:
+    """Act on signals, until one has ended the node."""
     while True:
         number = signal.sigwait(_SIGNALS)
         if number == signal.SIGHUP:
             node.reload()
         elif number == signal.SIGUSR1:
-            telemetry.dump()
+            node.telemetry.dump()
         else:
-            telemetry.info(LogEvent.SHUTDOWN_STARTED, signal=signal.Signals(number).name)
+            node.telemetry.info(LogEvent.SHUTDOWN_STARTED, signal=signal.Signals(number).name)
             node.stop()
-            return 0
-
-
-def _log_settings(telemetry: Telemetry, config: Config) -> None:
-    """What the platform asks of each class: without it no log of an answer can be judged."""
-    settings = config.settings
-    for name, kind in zip(config.class_names, settings.query_classes, strict=True):
-        telemetry.info(
-            LogEvent.CLASS_SETTINGS,
-            query_class=name,
-            retry_safety=kind.retry_safety,
-            latency_objective_seconds=kind.latency_objective,
-            deadline_seconds=kind.deadline,
-            idempotency_window_seconds=kind.idempotency_window or 0.0,
-            second_step_parts=kind.second_step_parts,
-            required_coverage=kind.required_coverage,
-            complete_coverage=kind.complete_coverage,
-        )
-    telemetry.info(
-        LogEvent.SETTINGS,
-        coordinators=settings.coordinator_count,
-        shards=config.shards,
-        streams=config.streams,
-        max_parts_per_request=settings.max_parts_per_request,
-        max_attempts=settings.max_attempts,
-        cancellation_allowed=settings.cancellation_allowed,
-        hedging_allowed=settings.hedging_allowed,
-        drain_grace_seconds=settings.drain_grace,
-        membership_polled=settings.membership_polled,
-        sockets=config.sockets,
-    )
+            return
+
+
+def _started_telemetry(config: Config) -> Telemetry:
+    telemetry = Telemetry()
+    telemetry.name(config.name)
+    telemetry.start()
+    return telemetry
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -22,7 +22,7 @@
 from gingervane.node import config as configuration
 from gingervane.node.replica_connection import FrameTravel, ReplicaConnection, LinkLimits
 from gingervane.node.replica_connections import ReplicaConnections
-from gingervane.node.service import CoreLog
+from gingervane.node.query_log import QueryLog
 from gingervane.decisions.engine import DecisionEngine
 from gingervane.wire.frames import Asked
 from platform_standins import (
@@ -46,13 +46,13 @@
 @pytest.fixture
 def settled(monkeypatch: pytest.MonkeyPatch) -> Waiter:
     """Ids and verdicts of queries as the decision thread settles them."""
-    seen, settle = Waiter(), CoreLog.query_completed
+    seen, settle = Waiter(), QueryLog.query_completed
 
-    def note(self: CoreLog, number: int, plan: t.QueryPlan, final: t.QueryResult, seconds: float) -> None:
+    def note(self: QueryLog, number: int, plan: t.QueryPlan, final: t.QueryResult, seconds: float) -> None:
         settle(self, number, plan, final, seconds)
         seen.put((plan.tag, final.status))
 
-    monkeypatch.setattr(CoreLog, "query_completed", note)
+    monkeypatch.setattr(QueryLog, "query_completed", note)
     return seen
 
 
