--- a/gingervane/daemon/app.py
+++ b/gingervane/daemon/app.py
@@ -185,7 +185,7 @@
             "result_bytes": self.core.admission.reserved_bytes,
             "calls_out": self.core.requests_in_flight,
             "client_connections": self._server.connections,
-            "turns_refused": limit.refused,
+            "turns_refused": limit.rejected,
             "turns_waiting": sum(map(limit.waiting, limit.names)),
             "connections_refused": self._server.refused,
             "standstills": self._server.standstills,
--- a/gingervane/daemon/assembly.py
+++ b/gingervane/daemon/assembly.py
@@ -9,7 +9,7 @@
 from gingervane.fronts.remote_read import FrontLimits, RemoteReadFront, TreeSetting
 from gingervane.fronts.routing import ClassOf
 from gingervane.fronts.shard_matching import ShardIndex
-from gingervane.limits.concurrency_limit import Gate
+from gingervane.limits.concurrency_limit import ConcurrencyLimit
 from gingervane.settings.daemon_settings import Config
 from gingervane.vectors import front as vectors
 from gingervane.wire.http1 import Limits
@@ -42,18 +42,18 @@
     }
 
 
-def make_concurrency_limit(config: Config) -> Gate:
+def make_concurrency_limit(config: Config) -> ConcurrencyLimit:
     """Make the limit on requests that are read, merged and written at once, shared by the fronts."""
     limits = config.limits
     weights = {remote_read.NAME: limits.front_shares[0], vectors.NAME: limits.front_shares[1]}
-    return Gate(weights, limits.front_slots, limits.front_waiting)
+    return ConcurrencyLimit(weights, limits.front_slots, limits.front_waiting)
 
 
 def make_remote_read_front(
     config: Config,
     core: QueryCoordinator,
     classes: dict[str, ClassOf],
-    concurrency_limit: Gate,
+    concurrency_limit: ConcurrencyLimit,
     tree: TreeSetting | None,
 ) -> RemoteReadFront:
     """Make the front of the remote read protocol; `tree`: with what it cuts wide queries, if it may."""
--- a/gingervane/fronts/remote_read.py
+++ b/gingervane/fronts/remote_read.py
@@ -44,7 +44,7 @@
 from gingervane.fronts.shard_matching import PatternError, ShardIndex
 from gingervane.interface import RetrySafety
 from gingervane.limits.fair_queue import QueueFull
-from gingervane.limits.concurrency_limit import Gate
+from gingervane.limits.concurrency_limit import ConcurrencyLimit
 from gingervane.merge import series as merging
 from gingervane.tree import coverage, plan
 from gingervane.tree.cost import Costs
@@ -123,7 +123,7 @@
         limits: FrontLimits,
         reply_bytes: int,
         keep_label: bool,
-        gate: Gate,
+        gate: ConcurrencyLimit,
         tree: TreeSetting | None = None,
     ) -> None:
         self._gate, self._longest = gate, max(kind.deadline for kind in classes.values())
@@ -150,7 +150,7 @@
         """One request from its bytes to its reply."""
         latest = arrived + self._longest
         try:
-            with self._gate.work(NAME, latest):
+            with self._gate.slot(NAME, latest):
                 work = self._read_work(request, body, arrived)
         except QueueFull as error:
             return refusal(error.retry_after, str(error), latest, proof=True)
@@ -183,7 +183,7 @@
         except Rejected as error:
             return refusal(error.retry_after, str(error), work.until, proof=True)
         try:
-            with self._gate.work(NAME, work.until, must=True):
+            with self._gate.slot(NAME, work.until, admit_always=True):
                 return self._reply(work, result)
         except BaseException:
             result.done()
--- a/gingervane/limits/__init__.py
+++ b/gingervane/limits/__init__.py
@@ -1,1 +1,1 @@
-"""What keeps one kind of work from taking another's share of the process."""
+"""Limits that keep one kind of work from taking another's share of the process."""
--- a/gingervane/limits/fair_queue.py
+++ b/gingervane/limits/fair_queue.py
@@ -1,90 +1,108 @@
-"""Whose turn it is at a few slots that several kinds of work share. Free of I/O.
+"""Start-time fair queueing of a few slots that several traffic classes share. Free of I/O.
 
-Start-time fair queueing: each kind has a virtual time, which runs on by what its work took, over its weight. A free
-slot goes to the waiting kind whose virtual time is least. A kind that was idle begins at the least of those that are
-not, so that idleness is not saved up; one that keeps coming gets its share however many of the others wait.
+Each class has a virtual time, which runs on by what its work took, over its weight. A free slot goes to the waiting
+class whose virtual time is least. A class that was idle begins at the least of those that are not, so that idleness
+is not saved up; one that keeps coming gets its share however many of the others wait.
 """
 
 from __future__ import annotations
 
 from collections import deque
 from collections.abc import Mapping
-from typing import Any
+from typing import Generic, TypeVar
+
+Waiter = TypeVar("Waiter")
+
+_INITIAL_SERVICE_TIME = 0.001  # seconds
+_SERVICE_TIME_SMOOTHING = 0.1  # weight of the newest piece of work
+_MIN_SERVICE_TIME = 1e-6  # seconds
 
 
 class QueueFull(Exception):
-    """So many of this kind wait that another would only wait for nothing. Nothing was begun."""
+    """So many of this class wait that another would only wait for nothing. Nothing was begun."""
 
     def __init__(self, name: str, waiting: int, retry_after: float) -> None:
         super().__init__(f"{waiting} requests wait for their turn to be read ({name})")
         self.retry_after = retry_after
 
 
-class _Kind:
+class _TrafficClass(Generic[Waiter]):
+    """State of one traffic class."""
+
     def __init__(self, weight: float) -> None:
-        self.weight, self.virtual, self.running = weight, 0.0, 0
-        self.waiting: deque[Any] = deque()
-        self.took = 0.001  # seconds of one piece of work, smoothed
+        self.weight = weight
+        self.virtual_time = 0.0
+        self.running = 0
+        self.waiting: deque[Waiter] = deque()
+        self.service_time = _INITIAL_SERVICE_TIME  # seconds of one piece of work, smoothed
 
     @property
     def active(self) -> bool:
         return bool(self.running or self.waiting)
 
 
-class Fair:
-    """Kinds by name with their weights; the caller sees to locking. A token stands for whoever waits."""
+class FairQueue(Generic[Waiter]):
+    """Grants slots to classes by weight; the caller sees to locking. A `Waiter` stands for whoever waits."""
 
-    def __init__(self, weights: Mapping[str, float], slots: int, most_waiting: int) -> None:
-        """`most_waiting`: of each kind."""
-        self._kinds = {name: _Kind(weight) for name, weight in weights.items()}
-        self._free, self._slots, self._most = slots, slots, most_waiting
+    def __init__(self, weights: Mapping[str, float], slots: int, max_waiting: int) -> None:
+        """`weights`: of the classes, by name; `max_waiting`: of each class."""
+        self._classes = {name: _TrafficClass[Waiter](weight) for name, weight in weights.items()}
+        self._free_slots = slots
+        self._slots = slots
+        self._max_waiting = max_waiting
 
     def waiting(self, name: str) -> int:
-        return len(self._kinds[name].waiting)
-
-    def enter(self, name: str, token: Any, must: bool = False) -> bool:
-        """Whether it may work at once; else the token waits. Raises Full, but not for what `must` be done."""
-        kind = self._kinds[name]
-        if not kind.active:
-            others = [k.virtual for k in self._kinds.values() if k.active]
-            kind.virtual = max(kind.virtual, min(others, default=kind.virtual))
-        if self._free and not any(k.waiting for k in self._kinds.values()):
-            self._free -= 1
-            kind.running += 1
+        """Count who waits in a class."""
+        return len(self._classes[name].waiting)
+
+    def acquire(self, name: str, waiter: Waiter, admit_always: bool = False) -> bool:
+        """Whether a slot was granted at once; else the waiter is queued.
+
+        Raises QueueFull if too many wait; `admit_always`: not so.
+        """
+        traffic = self._classes[name]
+        if not traffic.active:
+            others = [other.virtual_time for other in self._classes.values() if other.active]
+            traffic.virtual_time = max(traffic.virtual_time, min(others, default=traffic.virtual_time))
+        if self._free_slots and not any(other.waiting for other in self._classes.values()):
+            self._free_slots -= 1
+            traffic.running += 1
             return True
-        if len(kind.waiting) >= self._most and not must:
-            raise QueueFull(name, len(kind.waiting), self._until_room(kind))
-        kind.waiting.append(token)
+        if len(traffic.waiting) >= self._max_waiting and not admit_always:
+            raise QueueFull(name, len(traffic.waiting), self._retry_after(traffic))
+        traffic.waiting.append(waiter)
         return False
 
-    def leave(self, name: str, seconds: float) -> Any | None:
-        """A piece of work is over, having taken `seconds`; the token whose turn it is now, if one waits."""
-        kind = self._kinds[name]
-        kind.running -= 1
-        kind.virtual += max(seconds, 1e-6) / kind.weight
-        kind.took += 0.1 * (seconds - kind.took)
-        self._free += 1
-        return self._next()
-
-    def give_up(self, name: str, token: Any) -> bool:
-        """Whoever waits has no more time; whether it was still waiting (else its turn has come meanwhile)."""
+    def release(self, name: str, seconds: float) -> Waiter | None:
+        """Give back a slot after work that took `seconds`; return the waiter that is granted one, if any."""
+        traffic = self._classes[name]
+        traffic.running -= 1
+        traffic.virtual_time += max(seconds, _MIN_SERVICE_TIME) / traffic.weight
+        traffic.service_time += _SERVICE_TIME_SMOOTHING * (seconds - traffic.service_time)
+        self._free_slots += 1
+        return self._grant_next()
+
+    def cancel(self, name: str, waiter: Waiter) -> bool:
+        """Take a waiter from the queue; False if it has been granted a slot meanwhile."""
         try:
-            self._kinds[name].waiting.remove(token)
+            self._classes[name].waiting.remove(waiter)
         except ValueError:
             return False
         return True
 
-    def _next(self) -> Any | None:
-        waiting = [kind for kind in self._kinds.values() if kind.waiting]
-        if not waiting or not self._free:
+    def _grant_next(self) -> Waiter | None:
+        """Grant a free slot to the class with the least virtual time."""
+        candidates = [traffic for traffic in self._classes.values() if traffic.waiting]
+        if not candidates or not self._free_slots:
             return None
-        kind = min(waiting, key=lambda k: k.virtual)
-        self._free -= 1
-        kind.running += 1
-        return kind.waiting.popleft()
-
-    def _until_room(self, kind: _Kind) -> float:
-        """Seconds in which half of what waits of a kind will have had its turn, at its share of the slots."""
-        active = sum(k.weight for k in self._kinds.values() if k.active)
-        rate = self._slots * kind.weight / max(active, kind.weight) / max(kind.took, 1e-6)
-        return len(kind.waiting) / 2 / rate
+        traffic = min(candidates, key=lambda candidate: candidate.virtual_time)
+        self._free_slots -= 1
+        traffic.running += 1
+        return traffic.waiting.popleft()
+
+    def _retry_after(self, traffic: _TrafficClass[Waiter]) -> float:
+        """Seconds in which half of what waits in a class will have been granted a slot, at its share of them."""
+        active_weight = sum(other.weight for other in self._classes.values() if other.active)
+        share = self._slots * traffic.weight / max(active_weight, traffic.weight)
+        rate = share / max(traffic.service_time, _MIN_SERVICE_TIME)
+        return len(traffic.waiting) / 2 / rate
--- a/gingervane/vectors/front.py
+++ b/gingervane/vectors/front.py
@@ -31,7 +31,7 @@
 from gingervane.fronts.routing import ClassOf, Route, coverage_fields, duration, flag, refusal_fields
 from gingervane.fronts.http_server import Exchange, Reply
 from gingervane.limits.fair_queue import QueueFull
-from gingervane.limits.concurrency_limit import Gate
+from gingervane.limits.concurrency_limit import ConcurrencyLimit
 from gingervane.vectors import points as reading
 from gingervane.vectors.points import Bounds, Collection, RequestError, Search, Write
 from gingervane.vectors.topk import merge
@@ -77,7 +77,7 @@
         writes: QuorumWrites,
         setting: VectorSetting,
         classes: dict[str, ClassOf],
-        gate: Gate,
+        gate: ConcurrencyLimit,
     ) -> None:
         self._gate, self._longest = gate, max(kind.deadline for kind in classes.values())
         self._desk, self._writes, self._set, self._classes = search, writes, setting, classes
@@ -118,7 +118,7 @@
                 return _error(404, f"Not found: Collection `{words['name']}` doesn't exist!")
             latest = arrived + self._longest
             try:
-                with self._gate.work(NAME, latest):
+                with self._gate.slot(NAME, latest):
                     then = read(collection, reading.decode(body), request, arrived)
                 return then(client)
             except QueueFull as error:
@@ -242,7 +242,7 @@
                 settled = self._desk.dispatch(question, client)
             except Rejected as error:
                 return _refused(str(error), error.retry_after, ask.until)
-            with self._gate.work(NAME, ask.until, must=True):
+            with self._gate.slot(NAME, ask.until, admit_always=True):
                 return self._found(collection, asked, ask, settled, arrived, shape)
 
         return then
--- a/gingervane/vectors/service.py
+++ b/gingervane/vectors/service.py
@@ -11,7 +11,7 @@
 from gingervane.writes.replicated_shards import Keys, Replicated, Ring
 from gingervane.settings.daemon_settings import Config
 from gingervane.fronts.routing import ClassOf
-from gingervane.limits.concurrency_limit import Gate
+from gingervane.limits.concurrency_limit import ConcurrencyLimit
 from gingervane.membership.service import MembershipService, Rings
 from gingervane.vectors.front import VectorFront, VectorSetting
 from gingervane.vectors.points import Bounds as PointBounds
@@ -30,7 +30,7 @@
         observer: Callable[[str], QueryObserver],
         address: tuple[str, int],
         complain: Callable[[str], None],
-        gate: Gate,
+        gate: ConcurrencyLimit,
     ) -> None:
         """`observer` of a core by its name. Raises OSError if the intent log cannot be used."""
         table = config.vectors
