--- a/gingervane/vectors/front.py
+++ b/gingervane/vectors/front.py
@@ -15,7 +15,7 @@
 from gingervane.fronts.http_server import Exchange, Reply
 from gingervane.fronts.routing import Route
 from gingervane.fronts.routing import FrontQueryClass
-from gingervane.limits.concurrency_limit import Gate
+from gingervane.limits.concurrency_limit import ConcurrencyLimit
 from gingervane.limits.fair_queue import QueueFull
 from gingervane.vectors.points import Collection, RequestError
 from gingervane.vectors.replies import collection_not_found, error_reply, rejection_reply, result_reply
@@ -38,7 +38,7 @@
         writes: QuorumWrites,
         settings: VectorFrontSettings,
         classes: dict[str, FrontQueryClass],
-        gate: Gate,
+        gate: ConcurrencyLimit,
     ) -> None:
         """`dispatcher` is of the coordinator that decides searches."""
         self._writes = writes
@@ -85,7 +85,7 @@
                 return collection_not_found(words["name"])
             latest_deadline = arrived + self._max_deadline
             try:
-                with self._gate.work(NAME, latest_deadline):
+                with self._gate.slot(NAME, latest_deadline):
                     execute = read(VectorRequest(collection, decode(body), request, arrived))
                 return execute(client)
             except QueueFull as error:
--- a/gingervane/vectors/search_handler.py
+++ b/gingervane/vectors/search_handler.py
@@ -14,7 +14,7 @@
 from gingervane.fronts.http_server import Exchange, Reply
 from gingervane.fronts.routing import coverage_fields
 from gingervane.fronts.routing import FrontQueryClass
-from gingervane.limits.concurrency_limit import Gate
+from gingervane.limits.concurrency_limit import ConcurrencyLimit
 from gingervane.vectors.codec import SearchCodec, ShardHits, ShardSearch
 from gingervane.vectors.points import Collection
 from gingervane.vectors.replies import rejection_reply, result_reply, unanswered_reply
@@ -59,7 +59,7 @@
         writes: QuorumWrites,
         settings: VectorFrontSettings,
         classes: dict[str, FrontQueryClass],
-        gate: Gate,
+        gate: ConcurrencyLimit,
     ) -> None:
         """`writes` tell how fresh an answer must be."""
         self._dispatcher = dispatcher
@@ -91,7 +91,7 @@
                 dispatched = self._dispatcher.dispatch(query, client)
             except Rejected as error:
                 return rejection_reply(str(error), error.retry_after, parameters.deadline)
-            with self._gate.work(NAME, parameters.deadline, must=True):
+            with self._gate.slot(NAME, parameters.deadline, admit_always=True):
                 return self._reply(execution, dispatched)
 
         return execute
--- a/gingervane/vectors/service.py
+++ b/gingervane/vectors/service.py
@@ -10,7 +10,7 @@
 from gingervane.coordinator.core import CoordinatorFactory, QueryCoordinator
 from gingervane.coordinator.ports import QueryObserver
 from gingervane.fronts.routing import FrontQueryClass
-from gingervane.limits.concurrency_limit import Gate
+from gingervane.limits.concurrency_limit import ConcurrencyLimit
 from gingervane.membership.service import MembershipService
 from gingervane.settings.daemon_settings import Config, Vectors
 from gingervane.vectors.front import VectorFront
@@ -36,7 +36,7 @@
         observer: Callable[[str], QueryObserver],
         address: tuple[str, int],
         report_fault: Callable[[str], None],
-        gate: Gate,
+        gate: ConcurrencyLimit,
     ) -> None:
         """`observer` makes the observer of a coordinator by its name; `address` is of this process.
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -24,7 +24,7 @@
 from gingervane.node.replica_connection_types import FrameCodec, ReplicaConnectionLimits
 from gingervane.node.replica_connections import ReplicaConnections
 from gingervane.node.reply_reader import ReplyReader
-from gingervane.node.service import CoreLog
+from gingervane.node.query_log import QueryLog
 from gingervane.decisions.engine import DecisionEngine
 from gingervane.wire.frames import Asked
 from platform_fakes import (
@@ -48,13 +48,13 @@
 @pytest.fixture
 def settled(monkeypatch: pytest.MonkeyPatch) -> Waiter:
     """Ids and verdicts of queries as the decision thread settles them."""
-    seen, settle = Waiter(), CoreLog.query_completed
+    seen, settle = Waiter(), QueryLog.query_completed
 
-    def note(self: CoreLog, number: int, plan: t.QueryPlan, final: t.QueryResult, seconds: float) -> None:
+    def note(self: QueryLog, number: int, plan: t.QueryPlan, final: t.QueryResult, seconds: float) -> None:
         settle(self, number, plan, final, seconds)
         seen.put((plan.tag, final.status))
 
-    monkeypatch.setattr(CoreLog, "query_completed", note)
+    monkeypatch.setattr(QueryLog, "query_completed", note)
     return seen
 
 
--- a/tests/test_toy_front.py
+++ b/tests/test_toy_front.py
@@ -14,7 +14,7 @@
 from gingervane.coordinator.admission import AdmissionLimits
 from gingervane.coordinator.dispatch import QueryDispatcher, QueryRequest
 from gingervane.coordinator.request_senders import RequestSenders, SenderLimits
-from gingervane.daemon.app import _Branches
+from gingervane.daemon.observers import SubtreeObserver
 from gingervane.decisions.engine import DecisionEngine
 from gingervane.fronts.http_server import Handler, HttpServer, Reply, ServerLimits, plain
 from gingervane.fronts.routing import Route, Router
@@ -90,7 +90,7 @@
         DecisionEngine(SETTINGS, 1),
         SETTINGS,
         AdmissionLimits(100, 1 << 20),
-        _Branches(Metrics()),
+        SubtreeObserver(Metrics()),
         lambda report: RequestSenders(pool, SenderLimits(4, 4, 4, 1.0), report),
     )
     core.start()
