--- a/gingervane/membership/endpoint_file.py
+++ b/gingervane/membership/endpoint_file.py
@@ -17,7 +17,6 @@
 
 from __future__ import annotations
 
-import os
 import threading
 import tomllib
 from collections.abc import Callable
@@ -28,6 +27,7 @@
 from gingervane.membership.view import Member
 
 _KEYS = {"id", "name", "address", "zone", "cell", "state", "started"}
+_TABLES = ("node", "coordinator")
 
 
 class EndpointFileError(ValueError):
@@ -35,22 +35,23 @@
 
 
 class EndpointLists(NamedTuple):
-    """What one file names. Co-ordinators have the same keys as nodes; their `cell` is a place on their own ring."""
+    """What one file lists. Co-ordinators have the same keys as nodes; their `cell` is a place on their own ring."""
 
     nodes: tuple[Member, ...]
     coordinators: tuple[Member, ...]
 
 
 def parse(text: str, zones: tuple[str, ...], cells: int, offset: float, ring: int = 1) -> EndpointLists:
-    """Read a list file. `offset` turns Unix time into the caller's clock, `ring` is the co-ordinators' number of
-    places. Raises ListError with every fault."""
+    """Read a list file. Raises EndpointFileError with every fault.
+
+    `offset` turns Unix time into the caller's clock, `ring` is the number of places of the co-ordinators.
+    """
     try:
         table = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
         raise EndpointFileError(str(error)) from None
-    known = ("node", "coordinator")
     faults = [
-        f"{key}: not a known table ([[node]] and [[coordinator]] are)" for key in table if key not in known
+        f"{key}: not a known table ([[node]] and [[coordinator]] are)" for key in table if key not in _TABLES
     ]
     nodes = _parse_members(table.get("node", []), "node", zones, cells, offset, faults)
     coordinators = _parse_members(table.get("coordinator", []), "coordinator", zones, ring, offset, faults)
@@ -82,13 +83,20 @@
         if isinstance(found, Member):
             members.append(found)
             places.append(index)
+    faults += _duplicates(members, places, table)
+    return tuple(members)
+
+
+def _duplicates(members: list[Member], places: list[int], table: str) -> list[str]:
+    """Return a line for each ID or name that stands twice."""
+    faults: list[str] = []
     for field in ("id", "name"):
         seen: dict[Any, int] = {}
         for index, member in zip(places, members, strict=True):
             value = getattr(member, field)
             if seen.setdefault(value, index) != index:
                 faults.append(f"{table}[{index}].{field}: {value!r} stands twice")
-    return tuple(members)
+    return faults
 
 
 def _parse_member(
@@ -100,17 +108,21 @@
         if not ok:
             faults.append(f"{where}.{key}: {what}")
 
-    number, cell, started = row.get("id"), row.get("cell"), row.get("started")
+    number = row.get("id")
+    cell = row.get("cell")
+    started = row.get("started")
+    name = row.get("name", str(number))
+    zone = row.get("zone")
+    state = row.get("state", "ready")
     check("id", type(number) is int and 0 <= number < 1 << 63, "must be a whole number from 0")
     check("cell", type(cell) is int and 0 <= cell < cells, f"must be a whole number from 0 to {cells - 1}")
-    name, zone, state = row.get("name", str(number)), row.get("zone"), row.get("state", "ready")
     check("name", isinstance(name, str) and bool(name), "must be a string")
     check("zone", zone in zones, f"must be one of {', '.join(zones)}")
     check("state", state in ("ready", "draining", "gone"), "must be ready, draining or gone")
     check("started", started is None or isinstance(started, int | float), "must be a Unix time")
     host, _, port = str(row.get("address", "")).rpartition(":")
-    good = bool(host) and port.isdigit() and 0 < int(port) < 65536
-    check("address", good, "must be HOST:PORT")
+    has_port = bool(host) and port.isdigit() and 0 < int(port) < 65536
+    check("address", has_port, "must be HOST:PORT")
     if faults:
         return faults
     return Member(
@@ -136,23 +148,32 @@
         interval: float,
         offset: float,
         report: Callable[[EndpointLists], None],
-        complain: Callable[[str], None],
+        log_warning: Callable[[str], None],
     ) -> None:
-        """`report` takes each good list, on the watcher's thread but for the first."""
-        self._path, self._zones, self._cells, self._ring = path, zones, cells, ring
-        self._interval, self._offset, self._report, self._log_warning = interval, offset, report, complain
+        """`report` takes each valid list, on the watcher's thread but for the first."""
+        self._path = path
+        self._zones = zones
+        self._cells = cells
+        self._ring = ring
+        self._interval = interval
+        self._offset = offset
+        self._report = report
+        self._log_warning = log_warning
         self._last_stat = (0, 0, 0)
         self._stop = threading.Event()
         self._thread = threading.Thread(target=self._run, name="membership", daemon=True)
         self.error = ""
 
     def start(self) -> None:
-        """Read the list and report it before returning; with a fault in `error` if there is one, and then again
-        whenever the file changes."""
+        """Read the list and report it before returning, and then again whenever the file changes.
+
+        `error` has what is wrong with the file, if anything is.
+        """
         self._poll()
         self._thread.start()
 
     def stop(self) -> None:
+        """Watch no more."""
         self._stop.set()
 
     def _run(self) -> None:
@@ -161,9 +182,9 @@
 
     def _poll(self) -> None:
         try:
-            stat = os.stat(self._path)
-            mark = stat.st_mtime_ns, stat.st_size, stat.st_ino
-            if mark == self._last_stat:
+            stat = self._path.stat()
+            fingerprint = (stat.st_mtime_ns, stat.st_size, stat.st_ino)
+            if fingerprint == self._last_stat:
                 return
             lists = parse(self._path.read_text(), self._zones, self._cells, self._offset, self._ring)
         except (EndpointFileError, OSError, UnicodeDecodeError) as error:
@@ -172,5 +193,6 @@
                 self.error = what
                 self._log_warning(f"{self._path}: {what}; the last good list stays")
             return
-        self._last_stat, self.error = mark, ""
+        self._last_stat = fingerprint
+        self.error = ""
         self._report(lists)
--- a/gingervane/membership/service.py
+++ b/gingervane/membership/service.py
@@ -1,7 +1,7 @@
-"""All that tells one co-ordinator of servers and of its peers, put together from its settings.
+"""All that reports servers and peers to one co-ordinator, put together from its settings.
 
 Sources of nodes: the list file, and each datacenter of Consul. Sources of co-ordinators: the list file, and their own
-service in Consul, where this one registers itself. Each kind has one owner thread (`sources.Sources`).
+service in Consul, where this one registers itself. Each kind has one owner thread (`EndpointSources`).
 """
 
 from __future__ import annotations
@@ -10,106 +10,119 @@
 import threading
 import time
 from collections.abc import Callable
+from pathlib import Path
 from typing import NamedTuple
 
 from gingervane.coordinator.types import EndpointsUpdated
-from gingervane.settings.daemon_settings import ConsulTable, Fleet, Membership, Tree
-from gingervane.membership.consul_polling import Backoff
-from gingervane.membership.snapshot import Snapshot
-from gingervane.membership.endpoint_file import FileWatcher, EndpointFileError, EndpointLists
-from gingervane.membership.mass_removal_guard import MassRemovalGuard
-from gingervane.membership.registration import ServiceEntry, Registrar
-from gingervane.membership.source_owner import EndpointSources
 from gingervane.membership.atomic_file import StoreError
+from gingervane.membership.consul_polling import Backoff
 from gingervane.membership.consul_watcher import (
     ConsulService,
     ConsulWatcher,
-    unknown_datacenters,
     create_watchers,
+    unknown_datacenters,
 )
+from gingervane.membership.endpoint_file import EndpointFileError, EndpointLists, FileWatcher
+from gingervane.membership.mass_removal_guard import MassRemovalGuard
+from gingervane.membership.registration import Registrar, ServiceEntry
+from gingervane.membership.snapshot import Snapshot
+from gingervane.membership.source_owner import EndpointSources
+from gingervane.settings.daemon_settings import ConsulTable, Fleet, Membership, Tree
 
-_FILE_LIST_TIMEOUT = 5.0  # a list that has been read is told within this
-# Of a list that somebody writes: what it says counts as it stands, and at once.
+_FILE_LIST_TIMEOUT = 5.0  # seconds within which a list that has been read is published
+_INDEX_RESET_MARGIN = 1.0  # seconds over the longest silence of a healthy agent
+_NO_DATACENTER = ("",)  # that of the agents
+# For a list that somebody writes: it counts as it stands, and at once.
 _FILE_ONLY_GUARD = MassRemovalGuard(readmission_delay=0.0, max_readmission_delay=0.0)
 
 
 class RingSizes(NamedTuple):
-    """Places on the ring of shards and on that of co-ordinators."""
+    """Number of places on the ring of shards and on that of co-ordinators."""
 
     cells: int
     peers: int = 1
 
 
 class MembershipService:
-    """`start`, `stop`; between them `tell` is told of nodes and `tell_peers` of co-ordinators, each on one thread."""
+    """Follows all sources from `start` to `stop`.
+
+    Between them `on_nodes` is called with updates of nodes and `on_peers` with those of co-ordinators, each on one
+    thread.
+    """
 
     def __init__(
         self,
         table: Membership,
         fleet: Fleet,
         tree: Tree | None,
-        rings: RingSizes,
+        ring_sizes: RingSizes,
         address: tuple[str, int],
-        tell: Callable[[EndpointsUpdated], None],
-        tell_peers: Callable[[EndpointsUpdated], None],
-        complain: Callable[[str], None],
+        on_nodes: Callable[[EndpointsUpdated], None],
+        on_peers: Callable[[EndpointsUpdated], None],
+        log_warning: Callable[[str], None],
         rng: random.Random,
     ) -> None:
         """`address`: where this co-ordinator is reached."""
-        self._table, self._zones, self._ring_sizes = table, fleet.zones, rings
-        self._log_warning, self._rng = complain, rng
+        self._table = table
+        self._zones = fleet.zones
+        self._ring_sizes = ring_sizes
+        self._log_warning = log_warning
+        self._rng = rng
         self._offset = time.monotonic() - time.time()  # fixed: a start must not seem to move between readings
         self._watchers: list[ConsulWatcher] = []
+        self._registrar: Registrar | None = None
+        self._peers_in_file = False
         consul = table.consul
-        fence = _FILE_ONLY_GUARD if consul is None else mass_removal_guard(consul)
+        guard = _FILE_ONLY_GUARD if consul is None else mass_removal_guard(consul)
         names = self._node_source_names(consul)
         self.nodes = EndpointSources(
-            names, fence, tell, complain, self._open_snapshot(), self._offset, ("file",)
+            names, guard, on_nodes, log_warning, self._open_snapshot(), self._offset, ("file",)
         )
         self.peers = EndpointSources(
-            ("file", "consul"), fence, tell_peers, complain, None, self._offset, ("file",)
-        )
-        self._file = (
-            FileWatcher(
-                table.file,
-                fleet.zones,
-                rings.cells,
-                rings.peers,
-                table.interval,
-                self._offset,
-                self._apply_file,
-                complain,
-            )
-            if table.file
-            else None
+            ("file", "consul"), guard, on_peers, log_warning, None, self._offset, ("file",)
         )
-        self._peers_in_file = False
-        self._registrar: Registrar | None = None
+        self._file = self._file_watcher(table.file, table.interval) if table.file else None
         if consul is None:
             return
-        for name, datacenter in zip(names[bool(table.file) :], consul.datacenters or ("",), strict=True):
-            self._watchers += self._watch(consul, consul.service, datacenter, rings.cells, self.nodes, name)
+        datacenters = consul.datacenters or _NO_DATACENTER
+        for name, datacenter in zip(names[bool(table.file) :], datacenters, strict=True):
+            self._watch(consul, consul.service, datacenter, ring_sizes.cells, self.nodes, name)
         if consul.coordinators and tree is not None:
-            self._watchers += self._watch(consul, consul.coordinators, "", rings.peers, self.peers, "consul")
+            self._watch(consul, consul.coordinators, "", ring_sizes.peers, self.peers, "consul")
             entry = ServiceEntry(
                 tree.name, consul.coordinators, address, fleet.zone, tree.place, consul.ttl, time.time()
             )
-            self._registrar = Registrar(
-                entry,
-                consul.addresses,
-                consul.token_file,
-                Backoff(blocking_wait=consul.wait),
-                complain,
-                rng,
-                lambda: self.known,
-            )
+            self._registrar = self._create_registrar(consul, entry)
+
+    def _file_watcher(self, path: Path, interval: float) -> FileWatcher:
+        return FileWatcher(
+            path,
+            self._zones,
+            self._ring_sizes.cells,
+            self._ring_sizes.peers,
+            interval,
+            self._offset,
+            self._apply_file,
+            self._log_warning,
+        )
+
+    def _create_registrar(self, consul: ConsulTable, entry: ServiceEntry) -> Registrar:
+        return Registrar(
+            entry,
+            consul.addresses,
+            consul.token_file,
+            Backoff(blocking_wait=consul.wait),
+            self._log_warning,
+            self._rng,
+            lambda: self.known,
+        )
 
     def _node_source_names(self, consul: ConsulTable | None) -> tuple[str, ...]:
-        """Of the sources of nodes."""
-        out = ("file",) if self._table.file else ()
+        file = ("file",) if self._table.file else ()
         if consul is None:
-            return out
-        return (*out, *(f"consul/{name}" if name else "consul" for name in consul.datacenters or ("",)))
+            return file
+        datacenters = consul.datacenters or _NO_DATACENTER
+        return (*file, *(f"consul/{name}" if name else "consul" for name in datacenters))
 
     def _open_snapshot(self) -> Snapshot | None:
         if self._table.kept is None:
@@ -128,8 +141,9 @@
         cells: int,
         sources: EndpointSources,
         name: str,
-    ) -> list[ConsulWatcher]:
-        place = ConsulService(
+    ) -> None:
+        """Add watchers of one service, which report to `sources` under `name`."""
+        watched = ConsulService(
             consul.addresses,
             service,
             datacenter,
@@ -138,12 +152,12 @@
             consul.filter,
             backoff=Backoff(blocking_wait=consul.wait),
         )
-        return create_watchers(
-            place,
+        self._watchers += create_watchers(
+            watched,
             self._zones,
             cells,
             self._offset,
-            lambda members, age, index, sure: sources.report(name, members, age, index, sure),
+            lambda members, age, index, consistent: sources.report(name, members, age, index, consistent),
             self._log_warning,
             self._rng,
         )
@@ -155,33 +169,31 @@
 
     @property
     def known(self) -> bool:
-        """Whether any server list has come, or was kept."""
+        """Whether any server list has come, or was in the snapshot."""
         return self.nodes.known
 
     @property
     def registered(self) -> bool:
-        """Whether this co-ordinator's own entry stands, as far as it knows."""
+        """Whether the co-ordinator's own entry stands, as far as it knows."""
         return self._registrar is not None and self._registrar.registered
 
     @property
     def consul_calls(self) -> int:
-        """Calls to Consul so far, of watchers."""
+        """Requests of watchers to Consul so far."""
         return sum(watcher.calls for watcher in self._watchers)
 
     def start(self) -> None:
         """Start to watch, and wait a little for a list.
 
-        Raises ListError if the list file is the only source and can neither be read nor stood in for. A catalogue
-        that does not answer is waited for while the co-ordinator is up and not ready.
+        Raises EndpointFileError if the list file is the only source and can neither be read nor stood in for. A
+        catalogue that does not answer is waited for while the co-ordinator is up and not ready.
         """
         for watcher in self._watchers:
             watcher.start()
         if self._file:
             self._file.start()
         consul = self._table.consul
-        read = self._file is not None and not self._file.error
-        patience = _FILE_LIST_TIMEOUT if read else consul.start_patience if consul else 0.0
-        if not self.nodes.start(patience) and consul is None:
+        if not self.nodes.start(self._start_timeout()) and consul is None:
             self.stop()
             raise EndpointFileError(self._file.error if self._file else "no source")
         self.peers.start(_FILE_LIST_TIMEOUT if self._peers_in_file else 0.0)
@@ -190,6 +202,12 @@
         if consul and consul.datacenters:
             threading.Thread(target=self._check_datacenters, args=(consul,), daemon=True).start()
 
+    def _start_timeout(self) -> float:
+        """Return the seconds for which a start waits for a list of nodes."""
+        if self._file is not None and not self._file.error:
+            return _FILE_LIST_TIMEOUT
+        return self._table.consul.start_patience if self._table.consul else 0.0
+
     def _check_datacenters(self, consul: ConsulTable) -> None:
         for name in unknown_datacenters(
             consul.addresses, consul.datacenters, consul.token_file, consul.start_patience
@@ -197,7 +215,7 @@
             self._log_warning(f"membership.consul.datacenters: the catalogue knows no {name!r}")
 
     def drain(self) -> None:
-        """This co-ordinator is about to stop: its peers are told to send it nothing new."""
+        """Notify peers to send nothing new here, as this co-ordinator is about to stop."""
         if self._registrar:
             self._registrar.drain()
 
@@ -211,11 +229,12 @@
         self.peers.stop()
 
     def deregister(self) -> None:
-        """What this co-ordinator held has ended; its entry is taken out."""
+        """Take out this co-ordinator's entry, once all that it had in flight has ended."""
         if self._registrar:
             self._registrar.deregister()
 
 
 def mass_removal_guard(consul: ConsulTable) -> MassRemovalGuard:
-    """How long an index that has gone back is doubted follows from how long a quiet agent may say nothing."""
-    return MassRemovalGuard(index_reset_delay=Backoff(blocking_wait=consul.wait).max_silence + 1.0)
+    """Return the limits for Consul: an index reset is doubted for longer than a healthy agent is silent."""
+    max_silence = Backoff(blocking_wait=consul.wait).max_silence
+    return MassRemovalGuard(index_reset_delay=max_silence + _INDEX_RESET_MARGIN)
--- a/gingervane/membership/snapshot.py
+++ b/gingervane/membership/snapshot.py
@@ -1,7 +1,7 @@
-"""What a co-ordinator knows of its servers, kept across its restarts: the believed list, the merge's state with the
-indexes of its sources, and what slow start needs.
+"""What a co-ordinator knows of its servers, saved across its restarts.
 
-Version 3 is a store's file (`store.py`) of JSON. Versions 1 and 2, a JSON object with a CRC over its rows, are read
+That is the reconciled list, the state of the reconciliation with the indexes of its sources, and what slow start
+needs. Version 3 is JSON in an `AtomicFile`. Versions 1 and 2, a JSON object with a CRC over its rows, are read
 and replaced by the next writing.
 """
 
@@ -15,31 +15,34 @@
 
 from gingervane import interface as api
 from gingervane.coordinator import boot_clock
-from gingervane.membership.atomic_file import MAGIC, Disk, NewerVersionError, AtomicFile, StoreError
+from gingervane.membership.atomic_file import MAGIC, AtomicFile, Disk, NewerVersionError, StoreError
 from gingervane.membership.view import Member
 
 VERSION = 3
 
 
 class StoredState(NamedTuple):
-    """What was read back: the list, its age in seconds, and the states of merge and view if they were kept."""
+    """What was read back: the list, its age in seconds, and the states of reconciliation and view if present."""
 
     members: tuple[Member, ...]
     age: float
-    offset: float  # turns the kept Unix times into the members' clock
+    offset: float  # turns the stored Unix times into the members' clock
     reconciliation: dict[str, Any] | None = None
     view: dict[str, Any] | None = None
 
 
 class Snapshot:
-    """The kept file of one co-ordinator. `offset` turns Unix time into the members' clock."""
+    """The snapshot file of one co-ordinator. `offset` turns Unix time into the members' clock."""
 
     def __init__(self, path: Path, offset: float, zones: int, cells: int, disk: Disk | None = None) -> None:
-        """Raises StoreError if another process keeps it, OSError if its folder cannot be used."""
+        """Raises StoreError if another process has it open, OSError if its folder cannot be used."""
         self._file = AtomicFile(path, VERSION, disk)
-        self._offset, self._zones, self._cells = offset, zones, cells
+        self._offset = offset
+        self._zones = zones
+        self._cells = cells
 
     def close(self) -> None:
+        """Release the file's lock."""
         self._file.close()
 
     def save(
@@ -48,7 +51,7 @@
         reconciliation: dict[str, Any] | None = None,
         view: dict[str, Any] | None = None,
     ) -> None:
-        """Raises StoreError, or OSError; what was kept before then stands."""
+        """Write a snapshot. Raises StoreError, or OSError; the one before then stands."""
         body = {
             "at": time.time(),
             "boot": list(boot_clock.moment()),
@@ -60,7 +63,7 @@
         self._file.save(json.dumps(body, separators=(",", ":")).encode())
 
     def load(self) -> StoredState | None:
-        """What was kept; None if nothing ever was. Raises StoreError, or OSError."""
+        """Read the snapshot; None if none was ever written. Raises StoreError, or OSError."""
         path = self._file.path
         try:
             found = self._file.load()
@@ -103,7 +106,7 @@
         return kept
 
     def _age(self, body: Any) -> tuple[float, float]:
-        """How old a kept list is, and the offset of its times.
+        """Return the age of a stored list, and the offset of its times.
 
         Of the same boot both are exact, whatever the wall clock did since. Else the wall clock is all there is.
         Raises ValueError, TypeError or KeyError for a body that makes no sense.
@@ -134,7 +137,7 @@
 
 
 def _load_legacy(path: Path) -> dict[str, Any] | None:
-    """The content of a file of version 1 or 2; None if it is neither. Raises StoreError if it is one and broken."""
+    """Read a file of version 1 or 2; None if it is neither. Raises StoreError if it is one and broken."""
     data = path.read_bytes()
     if data.startswith(MAGIC):
         return None
--- a/gingervane/membership/snapshot_writer.py
+++ b/gingervane/membership/snapshot_writer.py
@@ -1,7 +1,7 @@
-"""Writes snapshots behind the back of who makes them: a disk that takes its time must not hold up news of a drain.
+"""Writes snapshots on a thread of its own: a slow disk must not hold up the news of a drain.
 
-Owners: the thread that asks `wants` and calls `put` makes the content; the keeper's own thread writes it, one at a
-time. The lock is over the pace and the one waiting content, never over the writing.
+Owners: the thread that asks `is_write_due` and calls `submit` makes the content; the writer's own thread writes it,
+one at a time. The lock is over the schedule and the one submitted content, never over the writing.
 """
 
 from __future__ import annotations
@@ -9,44 +9,56 @@
 import threading
 import time
 from collections.abc import Callable
-from typing import Any
+from math import inf
+from typing import Any, NamedTuple
 
+from gingervane.membership.atomic_file import StoreError, WriteSchedule
 from gingervane.membership.snapshot import Snapshot
-from gingervane.membership.atomic_file import WriteSchedule, StoreError
 from gingervane.membership.view import Member
 
-SnapshotContent = tuple[tuple[Member, ...], dict[str, Any], dict[str, Any]]  # list, states of merge and view
+
+class SnapshotContent(NamedTuple):
+    """What a snapshot holds: the list, and the states of reconciliation and view as JSON can hold them."""
+
+    members: tuple[Member, ...]
+    reconciliation: dict[str, Any]
+    view: dict[str, Any]
 
 
 class SnapshotWriter:
-    """Keeps a snapshot up to date at its pace."""
+    """Keeps a snapshot up to date at the pace of its schedule."""
 
     def __init__(
-        self, snapshot: Snapshot, complain: Callable[[str], None], pace: WriteSchedule | None = None
+        self, snapshot: Snapshot, log_warning: Callable[[str], None], schedule: WriteSchedule | None = None
     ) -> None:
-        self.snapshot, self._log_warning, self._schedule = snapshot, complain, pace or WriteSchedule()
+        """`log_warning` is called on the writer's thread."""
+        self.snapshot = snapshot
+        self._log_warning = log_warning
+        self._schedule = schedule or WriteSchedule()
         self._submitted: SnapshotContent | None = None
-        self._writing = self._stopping = False
+        self._writing = False
+        self._stopping = False
         self._condition = threading.Condition()
         self._thread = threading.Thread(target=self._run, name="keeper", daemon=True)
 
     def start(self) -> None:
+        """Start the thread that writes."""
         self._thread.start()
 
     def mark_changed(self) -> None:
-        """What there is to keep has changed."""
+        """Note that the content has changed."""
         with self._condition:
             self._schedule.mark_changed()
 
     def is_write_due(self, now: float) -> bool:
-        """Whether content that is made now would be written now."""
+        """Tell whether content that is submitted now would be written now."""
         with self._condition:
             return not self._writing and self._schedule.is_due(now)
 
     def next_write_at(self) -> float:
-        """When `wants` turns true without more news, if no writing is under way."""
+        """Return when `is_write_due` turns true without further changes; infinite while a write is under way."""
         with self._condition:
-            return float("inf") if self._writing else self._schedule.next_attempt_at()
+            return inf if self._writing else self._schedule.next_attempt_at()
 
     @property
     def has_unsaved_changes(self) -> bool:
@@ -55,18 +67,21 @@
             return self._schedule.has_unsaved_changes
 
     def submit(self, content: SnapshotContent) -> None:
-        """Have it written."""
+        """Have the content written."""
         with self._condition:
-            self._submitted, self._writing, self._schedule.has_unsaved_changes = content, True, False
+            self._submitted = content
+            self._writing = True
+            self._schedule.has_unsaved_changes = False
             self._condition.notify_all()
 
-    def stop(self, last: SnapshotContent | None, patience: float) -> None:
+    def stop(self, last: SnapshotContent | None, timeout: float) -> None:
         """Write `last` if there is one, and end; a disk that does not come back in time is left alone."""
         with self._condition:
-            self._submitted, self._stopping = last or self._submitted, True
+            self._submitted = last or self._submitted
+            self._stopping = True
             self._condition.notify_all()
         if self._thread.ident:
-            self._thread.join(patience)
+            self._thread.join(timeout)
         self.snapshot.close()
 
     def _run(self) -> None:
@@ -74,16 +89,20 @@
             with self._condition:
                 while self._submitted is None and not self._stopping:
                     self._condition.wait()
-                content, self._submitted = self._submitted, None
+                content = self._submitted
+                self._submitted = None
             if content is None:
                 return
-            fault = ""
-            try:
-                self.snapshot.save(*content)
-            except (OSError, StoreError) as error:
-                fault = str(error)
-            with self._condition:
-                self._writing = False
-                self._schedule.record_result(time.monotonic(), not fault, self._schedule.has_unsaved_changes)
-            if fault:
-                self._log_warning(f"the server list could not be kept: {fault}")
+            self._write(content)
+
+    def _write(self, content: SnapshotContent) -> None:
+        fault = ""
+        try:
+            self.snapshot.save(*content)
+        except (OSError, StoreError) as error:
+            fault = str(error)
+        with self._condition:
+            self._writing = False
+            self._schedule.record_result(time.monotonic(), not fault, self._schedule.has_unsaved_changes)
+        if fault:
+            self._log_warning(f"the server list could not be kept: {fault}")
--- a/gingervane/membership/view.py
+++ b/gingervane/membership/view.py
@@ -1,11 +1,10 @@
-"""What successive lists say of each replica, and what of it the decision module is told. Free of I/O.
+"""Turns successive server lists into membership updates for the decision module. Free of I/O.
 
 A list may leave out when a replica started. One that was gone and is listed again without that may just have
-started: it is told to the module as cold from the moment it came back. One that the first list names without a
+started: its slow start begins at the moment it came back. One that the first list names without a
 start is taken to have run for long.
 
-Rows for the module are made once and kept: a list in which three of a thousand replicas changed is told as a delta
-of three rows.
+A list in which three of a thousand replicas changed becomes a delta of three rows.
 """
 
 from __future__ import annotations
@@ -19,7 +18,7 @@
 
 
 class Member(NamedTuple):
-    """One line of a server list. `started_at`: on the caller's monotonic clock, None if the list does not say.
+    """One entry of a server list. `started_at`: on the caller's monotonic clock, None if the list does not say.
 
     `created`: what changes when the entry is made anew (Consul's CreateIndex), 0 if the source has no such thing.
     """
@@ -42,16 +41,17 @@
         self._start_times: dict[int, float] = {}
         self._removed: set[int] = set()
         self._awaiting_first_list = True
-        self._last_update_at: float | None = None  # when the last list came that was not a kept one
+        self._last_update_at: float | None = None  # when the last list came that was not a cached one
 
     @property
     def members(self) -> dict[int, Member]:
+        """The current list, by id."""
         return self._members
 
     def apply_full_list(
         self, members: tuple[Member, ...], now: float, cached: bool = False
     ) -> EndpointsUpdated | None:
-        """A whole list as it stands at `now`; None if it says nothing new."""
+        """Take a complete list as it stands at `now`; return the update, None if nothing is new."""
         named = {member.id: member for member in members}
         if named == self._members and (not self._awaiting_first_list or not named):
             return None
@@ -66,7 +66,7 @@
         return self._as_update(kind, members)
 
     def apply_delta(self, changes: Mapping[int, Member | None], now: float) -> EndpointsUpdated | None:
-        """Only what changed, None for what is named no more; the first time this is a whole list."""
+        """Take changed members, None for those that are removed; the first time this is a complete list."""
         if self._awaiting_first_list:
             return self.apply_full_list(tuple(m for _, m in sorted(changes.items()) if m is not None), now)
         rows: list[Member] = []
@@ -88,16 +88,16 @@
         return self._as_update(api.MembershipUpdateKind.DELTA, tuple(rows)) if rows else None
 
     def full_update(self, kind: api.MembershipUpdateKind = api.MembershipUpdateKind.FULL) -> EndpointsUpdated:
-        """All that is held, as one list."""
+        """Return the current list as one update."""
         return self._as_update(kind, tuple(self._members.values()))
 
     def dump(self, offset: float) -> dict[str, Any]:
-        """What slow start needs, as JSON can have it. `offset` turns Unix time into the members' clock."""
+        """Return what slow start needs, as JSON can hold it. `offset` turns Unix time into the members' clock."""
         started = {str(n): at - offset for n, at in self._start_times.items() if at > 0.0}
         return {"started": started, "gone": sorted(self._removed)}
 
     def restore(self, kept: dict[str, Any], members: tuple[Member, ...], offset: float) -> None:
-        """Take up `dump` and the list of its moment, before any list. Raises ValueError if it is none."""
+        """Take up `dump` and the list of its moment, before any list. Raises ValueError if malformed."""
         try:
             started = {int(n): float(at) + offset for n, at in kept["started"].items()}
             gone = {int(n) for n in kept["gone"]}
@@ -110,7 +110,7 @@
                 self._start_times[member.id] = member.started_at
 
     def _record_start(self, member: Member, now: float) -> None:
-        """When a replica counts as started, by what of it has changed."""
+        """Note when a replica counts as started, by what of it has changed."""
         was = self._members.get(member.id)
         back = member.id in self._removed and member.state is not api.ReplicaState.GONE
         moved = was is not None and was.address != member.address
@@ -123,8 +123,9 @@
             self._start_times[member.id] = now
 
     def _bounded_start(self, started: float, now: float, restarted: bool) -> float:
-        """A start as far as it can be: not after it was told of, and that of a member that has restarted not long
-        before the list behind which it came. So a wall clock that is off makes no cold replica pass for a warm one.
+        """Return a start within bounds: not in the future, and of a restarted member not long before the last list.
+
+        So a wall clock that is off makes no cold replica pass for a warm one.
 
         A member that is listed for the first time may have run for long: lists are written by people too.
         """
--- a/tests/test_durable.py
+++ b/tests/test_snapshot.py
@@ -320,7 +320,7 @@
         pace.mark_changed()
         if pace.is_due(now):
             writes.append(now)
-            pace.record_result(now, good=now < 10.0)
+            pace.record_result(now, succeeded=now < 10.0)
         now += 0.125
     assert writes == [*range(11), 12, 16, 24, 32], "once a second; failures ever more seldom, and still due"
 
