--- a/gingervane/experiments/experiment.py
+++ b/gingervane/experiments/experiment.py
@@ -28,7 +28,8 @@
 
 from pydantic import Field
 
-from gingervane.settings.daemon_settings import SettingsError, Table, validate
+from gingervane.settings.daemon_settings import SettingsError, validate
+from gingervane.settings.tables import Table
 from gingervane.experiments import scenario as scenarios
 from gingervane.experiments.scenario import Scenario
 from gingervane.experiments.store import Run, RunStore, code_version
--- a/gingervane/experiments/scenario.py
+++ b/gingervane/experiments/scenario.py
@@ -17,7 +17,8 @@
 
 from pydantic import Field, model_validator
 
-from gingervane.settings.daemon_settings import Class, Count, Seconds, SettingsError, Share, Table, validate
+from gingervane.settings.daemon_settings import SettingsError, validate
+from gingervane.settings.tables import Class, Count, Seconds, Share, Table
 from gingervane.experiments.tables import Ground, coordinator_table
 from gingervane.fake_servers.capacity import Model
 from gingervane.fake_servers.consul import FAULTS
--- a/gingervane/membership/service.py
+++ b/gingervane/membership/service.py
@@ -27,7 +27,7 @@
 from gingervane.membership.registration import Registrar, ServiceEntry
 from gingervane.membership.snapshot import Snapshot
 from gingervane.membership.source_owner import EndpointSources
-from gingervane.settings.daemon_settings import ConsulTable, Fleet, Membership, Tree
+from gingervane.settings.tables import ConsulTable, Fleet, Membership, Tree
 
 _FILE_LIST_TIMEOUT = 5.0  # seconds within which a list that has been read is published
 _INDEX_RESET_MARGIN = 1.0  # seconds over the longest silence of a healthy agent
--- /dev/null
+++ b/gingervane/settings/validation.py
@@ -0,0 +1,56 @@
+"""Reads a table as a pydantic model and reports every fault of it at once, each with its place."""
+
+from __future__ import annotations
+
+import difflib
+from pathlib import Path
+from typing import Any, TypeVar, get_args
+
+from pydantic import BaseModel, ValidationError
+
+M = TypeVar("M", bound=BaseModel)
+
+
+class SettingsError(Exception):
+    """A file that cannot be used; the message has a line for each fault."""
+
+
+def validate(model: type[M], table: dict[str, Any], path: Path) -> M:
+    """Read a table as a model. Raises SettingsError with a line for each fault: `path: table.key: what`."""
+    try:
+        return model.model_validate(table)
+    except ValidationError as error:
+        found = error.errors()
+        # Faulty items are left out before an array is counted: what then seems too short is no fault of its own.
+        real = [
+            e
+            for e in found
+            if e["type"] != "too_short"
+            or not any(other is not e and other["loc"][: len(e["loc"])] == e["loc"] for other in found)
+        ]
+        raise SettingsError("\n".join(f"{path}: {_fault_line(model, e)}" for e in real)) from None
+
+
+def _fault_line(model: type[BaseModel], error: Any) -> str:
+    where = "".join(f"[{p}]" if isinstance(p, int) else f".{p}" for p in error["loc"]).lstrip(".")
+    if error["type"] == "extra_forbidden":
+        near = difflib.get_close_matches(str(error["loc"][-1]), _known_keys(model, error["loc"][:-1]), 1)
+        return f"{where}: not a known key" + (f"; is {near[0]} meant?" if near else "")
+    if error["type"] == "missing":
+        return f"{where}: missing"
+    what = str(error["msg"]).removeprefix("Value error, ")
+    if error["type"] == "value_error" and ": " in what:  # a check over a whole table names its own key
+        key, _, what = what.partition(": ")
+        return f"{where}.{key}: {what}".lstrip(".")
+    return f"{where}: {what[:1].lower()}{what[1:]}, not {error['input']!r}"
+
+
+def _known_keys(model: type[BaseModel], loc: tuple[str | int, ...]) -> list[str]:
+    """Return the keys of the table at a place in a model."""
+    for step in loc:
+        if isinstance(step, int):
+            continue
+        field = next(f for name, f in model.model_fields.items() if step in (name, f.alias))
+        kinds = [field.annotation, *get_args(field.annotation)]
+        model = next(k for k in kinds if isinstance(k, type) and issubclass(k, BaseModel))
+    return [field.alias or name for name, field in model.model_fields.items()]
