--- a/gingervane/node/service.py
+++ b/gingervane/node/service.py
@@ -25,7 +25,8 @@
 from gingervane.node import config as configuration
 from gingervane.node.client_front import ClientFront
 from gingervane.node.config import Config, ConfigError
-from gingervane.node.discovery import EndpointListError, EndpointListReader, DiscoveryWatch
+from gingervane.node.discovery import DiscoveryWatch
+from gingervane.node.endpoint_list import EndpointListError, EndpointListReader
 from gingervane.node.replica_connection import LinkEnded, LinkLimits
 from gingervane.node.replica_connections import ReplicaConnections, SPARE
 from gingervane.node.peer_socket import PeerSocket
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -18,7 +18,8 @@
 from gingervane import interface as api
 from gingervane.coordinator import types as t
 from gingervane.node import discovery
-from gingervane.node.discovery import EndpointListReader, DiscoveryWatch, WatchState
+from gingervane.node.discovery import DiscoveryWatch, WatchState
+from gingervane.node.endpoint_list import EndpointListReader
 from gingervane.coordinator.replica_start_times import ReplicaStartTimes
 from platform_standins import (
     HEAD,
@@ -283,15 +284,15 @@
 def test_a_move_in_the_moment_of_connecting_does_not_wait_for_the_old_address(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    awaited, waits, go = DiscoveryWatch._await_connection, threading.Event(), threading.Event()
+    awaited, waits, go = discovery._await_connection, threading.Event(), threading.Event()
 
-    def held(self: DiscoveryWatch, *args: Any) -> None:
+    def held(*args: Any) -> None:
         if not waits.is_set():
             waits.set()
             go.wait(PATIENCE)
-        awaited(self, *args)
+        awaited(*args)
 
-    monkeypatch.setattr(DiscoveryWatch, "_await_connection", held)
+    monkeypatch.setattr(discovery, "_await_connection", held)
     watched = Watched()
     assert waits.wait(PATIENCE)
     watched.watch.change_address(watched.there.where)
--- a/tests/test_json_values.py
+++ b/tests/test_json_values.py
@@ -13,7 +13,8 @@
 from gingervane.coordinator import types as t
 from gingervane.node import discovery
 from gingervane.node.config import parse_address
-from gingervane.node.discovery import EndpointListReader, DiscoveryWatch
+from gingervane.node.discovery import DiscoveryWatch
+from gingervane.node.endpoint_list import EndpointListReader
 from gingervane.coordinator.replica_start_times import ReplicaStartTimes
 from gingervane.wire.json_values import Found, JsonValues, TooLong
 from platform_standins import Discovery, Recorded, Waiter
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -23,7 +23,7 @@
 from gingervane import interface as api
 from gingervane.coordinator.types import BatchRequest, EndpointsUpdated
 from gingervane.node.config import ConfigError, read
-from gingervane.node.discovery import EndpointListReader, replica_id
+from gingervane.node.endpoint_list import EndpointListReader, replica_id
 from gingervane.coordinator.replica_start_times import ReplicaStartTimes
 from gingervane.node.replica_connections import ReplicaConnections, SPARE
 from gingervane.wire import frames
--- a/tests/test_pinned_wire.py
+++ b/tests/test_pinned_wire.py
@@ -33,7 +33,7 @@
 from gingervane.membership.consul_polling import Backoff
 from gingervane.membership.registration import ServiceEntry, Registrar
 from gingervane.membership.consul_http import get
-from gingervane.node.discovery import replica_id
+from gingervane.node.endpoint_list import replica_id
 from gingervane.fake_servers.vectors import VectorGrid
 from gingervane.tree import coverage
 from gingervane.tree.subquery_context import Ask, SubqueryContext
