--- a/gingervane/daemon/child_coordinators.py
+++ b/gingervane/daemon/child_coordinators.py
@@ -10,7 +10,8 @@
 from gingervane.daemon.observers import SubtreeObserver
 from gingervane.fronts.remote_read import TreeConfig
 from gingervane.membership.view import Member
-from gingervane.settings.daemon_settings import Config, Tree
+from gingervane.settings.daemon_settings import Config
+from gingervane.settings.tables import Tree
 from gingervane.telemetry.daemon_metrics import Metrics
 from gingervane.tree import plan
 
--- a/gingervane/node/service.py
+++ b/gingervane/node/service.py
@@ -37,8 +37,8 @@
 from gingervane.node.replica_connection_types import ReplicaConnectionLimits
 from gingervane.node.replica_connection_types import ReplicaConnectionClosed
 from gingervane.node.config import NodeConfig
-from gingervane.node.discovery import EndpointListReader
-from gingervane.node.discovery import EndpointListError
+from gingervane.node.endpoint_list import EndpointListReader
+from gingervane.node.endpoint_list import EndpointListError
 from gingervane.node.discovery import DiscoveryWatch
 
 # SIGKILL comes no sooner than `KILL_DELAY` after SIGTERM, plus the longest deadline of a query class, of which no
--- a/gingervane/scenarios/scenario.py
+++ b/gingervane/scenarios/scenario.py
@@ -17,7 +17,12 @@
 
 from pydantic import Field, model_validator
 
-from gingervane.settings.daemon_settings import Class, Count, Seconds, SettingsError, Share, Table, validate
+from gingervane.settings.daemon_settings import SettingsError, validate
+from gingervane.settings.tables import Class
+from gingervane.settings.tables import Count
+from gingervane.settings.tables import Seconds
+from gingervane.settings.tables import Share
+from gingervane.settings.tables import Table
 from gingervane.scenarios.coordinator_settings import ReplicaRing, coordinator_table
 from gingervane.fake_servers.capacity import Model
 from gingervane.fake_servers.consul import FAULTS
--- a/gingervane/vectors/service.py
+++ b/gingervane/vectors/service.py
@@ -12,7 +12,8 @@
 from gingervane.fronts.routing import FrontQueryClass
 from gingervane.limits.concurrency_limit import ConcurrencyLimit
 from gingervane.membership.service import MembershipService
-from gingervane.settings.daemon_settings import Config, Vectors
+from gingervane.settings.daemon_settings import Config
+from gingervane.settings.tables import Vectors
 from gingervane.vectors.front import VectorFront
 from gingervane.vectors.points import Collection
 from gingervane.vectors.replica_client import VectorReplicaClient
