--- a/gingervane/fronts/remote_read.py
+++ b/gingervane/fronts/remote_read.py
@@ -49,7 +49,7 @@
 from gingervane.tree.cost import CostModels
 from gingervane.tree.subquery_context import LeafSubquery, SubqueryContext
 from gingervane.tree.wide_query import CompletionRules as WideRules
-from gingervane.tree.wide_query import WideQuery, WideQueryStatus
+from gingervane.tree.wide_query import WideQuery
 from gingervane.tree.wide_query_runner import RunnerConfig, WideQueryRunner, leaf_results
 from gingervane.wire import remote_read, snappy
 from gingervane.wire.http1 import HttpError, Request
@@ -59,13 +59,6 @@
 NAME = "remote_read"
 _NO_TREE = plan.TreeLimits(1 << 30, 16, 1, 1, 16)
 _NO_PEERS = plan.PeerCoordinators({}, frozenset())
-_VERDICTS = {
-    WideQueryStatus.COMPLETE: t.QueryStatus.COMPLETE,
-    WideQueryStatus.PARTIAL: t.QueryStatus.PARTIAL,
-    WideQueryStatus.REJECTED: t.QueryStatus.REJECTED,
-    WideQueryStatus.FAILED: t.QueryStatus.FAILED,
-    WideQueryStatus.CLIENT_DISCONNECTED: t.QueryStatus.CLIENT_DISCONNECTED,
-}
 
 
 class TreeConfig(NamedTuple):
@@ -275,9 +268,8 @@
         client.watch(run.client_disconnected)
         outcome = run.run()
         settled, finish = time.monotonic(), outcome.result
-        verdict = _VERDICTS[finish.status]
         return _Result(
-            verdict,
+            finish.status,
             outcome.results_by_leaf,
             finish.share,
             finish.retry_after,
--- a/gingervane/tree/wide_query.py
+++ b/gingervane/tree/wide_query.py
@@ -1,121 +1,112 @@
-"""One wide query's life at one co-ordinator, from its cutting to its one final answer. Free of I/O.
+"""State machine of one wide query at one co-ordinator, from its plan to its one result. Free of I/O.
 
-The query is cut into subtrees (`plan.cut`), each of which is a *way* to its leaves. What a way brings is summed by
-leaf (`coverage.Sum`); what it does not bring is asked again around it, from the leaves directly, in the time that
-was kept back, if attempts are left (`grants.Grants`) and the class allows it. Answers that are in stay in.
+The query is split into subtrees (`plan.plan_query`), each of which is one *subquery*. What a subquery returns is
+summed by leaf (`coverage.LeafCoverage`); leaves that it does not return are asked directly, in the time that was kept
+back, if attempts are left (`attempt_quota.AttemptQuota`) and the class allows it. Received leaves are kept.
 
-Per leaf there are at most two ways, one through a child and one around it, so that every life ends. What goes to
-which child, when a copy is sent and what is ejected is decided below this, by the decision module.
+Each leaf has at most two subqueries, one through a child and one direct, so that every query ends. Which child takes
+a subtree, when a request is hedged and which child is ejected is decided below this, by the decision engine.
 
-Owner: whoever calls it, one thread for one query.
+Threads: owned by its caller, one thread for one query.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
-from enum import Enum
 from math import inf
 from typing import NamedTuple
 
+from gingervane.coordinator.types import QueryStatus
 from gingervane.interface import RetrySafety
 from gingervane.tree.attempt_quota import AttemptQuota
 from gingervane.tree.cost import CostModels
 from gingervane.tree.coverage import LeafCoverage
 from gingervane.tree.plan import QueryTask, Subtree, SubtreePlan, TreeLimits, split_time
 
-SHARE_ROUNDING = 1e-6
+SHARE_ROUNDING = 1e-6  # error of a sum of leaf weights
 
 
 class QuerySubtree(NamedTuple):
-    """Have a child answer for a subtree within `seconds`. `runs`: attempts a leaf for the first way that runs, and
-    for each further one."""
+    """Ask a child for a subtree."""
 
     subquery_id: int
     subtree: Subtree
-    seconds: float
-    attempts_by_execution: tuple[int, ...]
+    seconds: float  # time limit
+    attempts_by_execution: tuple[
+        int, ...
+    ]  # attempts for each leaf: for the first execution and each further one
 
 
 class QueryLeaves(NamedTuple):
-    """Ask the leaves directly, within `seconds`, with so many attempts that may run for each."""
+    """Ask leaves directly."""
 
     subquery_id: int
     leaves: tuple[str, ...]
-    seconds: float
-    attempts: int
+    seconds: float  # time limit
+    attempts: int  # that may run for each leaf
 
 
 class CancelSubquery(NamedTuple):
-    """Nobody waits for a way any more: cancel it, down to its leaves."""
+    """Cancel a subquery whose outcome is no longer needed, down to its leaves."""
 
     subquery_id: int
 
 
-class WideQueryStatus(Enum):
-    COMPLETE = "whole"
-    PARTIAL = "short"
-    REJECTED = "refused"
-    FAILED = "failed"
-    CLIENT_DISCONNECTED = "left"
-
-
 class WideQueryResult(NamedTuple):
-    """The one final answer. `used`: the most attempts that may have run for any leaf."""
+    """The one result of a wide query."""
 
-    status: WideQueryStatus
+    status: QueryStatus
     share: float
     missing: tuple[str, ...]
-    retry_after: float
-    attempts_used: int
+    retry_after: float  # seconds, the longest that a subquery was told
+    attempts_used: int  # the most attempts that may have run for any leaf
 
 
 Action = QuerySubtree | QueryLeaves | CancelSubquery | WideQueryResult
 
 
 class SubqueryOutcome(NamedTuple):
-    """How a way ended. `held`: leaves whose series it brought. `used`: attempts that may have run for any one leaf,
-    None if nobody can say. `idle`: proof that nothing of it ran. `wait`: a refusal's advice, None if it was none."""
+    """How a subquery ended."""
 
     received_leaves: frozenset[str] = frozenset()
-    attempts_used: int | None = None
-    never_executed: bool = False
-    retry_after: float | None = None
+    attempts_used: int | None = None  # the most that may have run for any leaf; None if unknown
+    never_executed: bool = False  # proof that nothing of it ran
+    retry_after: float | None = None  # of a rejection; None if it was none
 
 
 @dataclass
 class _Subquery:
     leaves: tuple[str, ...]
-    direct: bool  # asks the leaves themselves
+    direct: bool  # asks the leaves themselves, not a child
     started_at: float = 0.0
 
 
 @dataclass
 class CompletionRules:
-    """What the class and the client allow. `least`: the least share of an answer; `collect`: any share will do, as
-    the parent sums."""
+    """What the query class and the client allow."""
 
     retry_safety: RetrySafety
     required_share: float
-    accepts_any_share: bool = False
+    accepts_any_share: bool = False  # because the parent sums
 
 
 @dataclass
 class WideQuery:
-    """Feed it `start`, `ended`, `expire` and `leave`; carry out the actions; the last one is a Finish."""
+    """One wide query. Each event returns actions to carry out; the last one is a WideQueryResult."""
 
     task: QueryTask
     rules: CompletionRules
     limits: TreeLimits
     costs: CostModels
-    plan: SubtreePlan  # of `plan.cut`, for this task
+    plan: SubtreePlan  # of `plan.plan_query`, for this task
     result: WideQueryResult | None = None
-    _subqueries: dict[int, _Subquery] = field(default_factory=dict)
+    _subqueries: dict[int, _Subquery] = field(default_factory=dict)  # in flight, by id
     _next_id: int = 1
     _deadline: float = inf
-    _may_have_executed: bool = False  # something of it may have run
+    _may_have_executed: bool = False
     _retry_after: float = 0.0
-    _unreachable: set[str] = field(default_factory=set)  # leaves that no way is left to
+    _unreachable: set[str] = field(default_factory=set)  # leaves that no subquery is left for
 
     def __post_init__(self) -> None:
         weight = 1.0 / max(len(self.task.leaves), 1)
@@ -128,125 +119,148 @@
         return self._deadline
 
     def start(self, now: float) -> list[Action]:
-        """Ask as planned."""
+        """Send the subqueries of the plan."""
         self._deadline = now + self.task.seconds_left
         if not self.plan.subtrees:
             return self._query_leaves(now, self.task.leaves) or self._finish_if_decided()
         largest = max(len(subtree.leaves) for subtree in self.plan.subtrees)
-        share = split_time(self.task.seconds_left, largest, self.costs)
-        out: list[Action] = []
-        for subtree in self.plan.subtrees:
-            first = self.quota.offer(subtree.leaves, last=False)
-            runs = (first,) if first == self.quota.max_attempts else (first, self.quota.max_attempts - first)
-            way = self._register(now, subtree.leaves, sum(runs), around=False)
-            out.append(QuerySubtree(way, subtree, share.subtree_seconds, runs))
-        return out
-
-    def subquery_finished(self, now: float, way: int, brought: SubqueryOutcome) -> list[Action]:
-        """A way has ended; what it did not bring is asked around it."""
-        found = self._subqueries.pop(way, None)
-        if found is None or self.result:
+        seconds = split_time(self.task.seconds_left, largest, self.costs).subtree_seconds
+        return [self._query_subtree(now, subtree, seconds) for subtree in self.plan.subtrees]
+
+    def subquery_finished(self, now: float, subquery_id: int, outcome: SubqueryOutcome) -> list[Action]:
+        """Record how a subquery ended, and ask directly for the leaves that a child did not return."""
+        subquery = self._subqueries.pop(subquery_id, None)
+        if subquery is None or self.result:
             return []
-        self.quota.release(way, 0 if brought.never_executed else brought.attempts_used)
-        self._may_have_executed = self._may_have_executed or not brought.never_executed
-        if brought.retry_after is not None:
-            self._retry_after = max(self._retry_after, brought.retry_after)
-        self.coverage.add(way, brought.received_leaves & set(found.leaves))
-        model = self.costs.flat if found.direct else self.costs.subtree
-        if len(brought.received_leaves) == len(found.leaves):
-            model.record(len(found.leaves), now - found.started_at)
-        missing = tuple(leaf for leaf in found.leaves if self.coverage.source(leaf) is None)
-        out: list[Action] = []
-        if (
-            missing
-            and not found.direct
-            and (self.rules.retry_safety is RetrySafety.IDEMPOTENT or brought.never_executed)
-        ):
-            out += self._query_leaves(now, missing)
-        asked = {leaf for one in self._subqueries.values() for leaf in one.leaves}
-        self._unreachable |= set(missing) - asked
-        return out + self._finish_if_decided()
+        self._record_outcome(now, subquery_id, subquery, outcome)
+        missing = tuple(leaf for leaf in subquery.leaves if self.coverage.source(leaf) is None)
+        retry_allowed = self.rules.retry_safety is RetrySafety.IDEMPOTENT or outcome.never_executed
+        actions: list[Action] = []
+        if missing and not subquery.direct and retry_allowed:
+            actions += self._query_leaves(now, missing)
+        in_flight = {leaf for other in self._subqueries.values() for leaf in other.leaves}
+        self._unreachable |= set(missing) - in_flight
+        return actions + self._finish_if_decided()
 
     def expire(self, now: float) -> list[Action]:
-        """The time is up: what is in goes out, if it may."""
+        """At the deadline, finish with what has been received."""
         return [] if self.result or now < self._deadline else self._finish_with_received(final=True)
 
     def client_disconnected(self) -> list[Action]:
-        """The client has gone."""
-        return [] if self.result else self._finish(WideQueryStatus.CLIENT_DISCONNECTED)
-
-    # ---- inside
-
-    def _register(self, now: float, leaves: tuple[str, ...], attempts: int, around: bool) -> int:
-        way, self._next_id = self._next_id, self._next_id + 1
-        self.quota.reserve(way, leaves, attempts)
-        self._subqueries[way] = _Subquery(leaves, around, now)
-        return way
+        """Finish without an answer, as there is no client any more."""
+        return [] if self.result else self._finish(QueryStatus.CLIENT_DISCONNECTED)
+
+    def _record_outcome(
+        self, now: float, subquery_id: int, subquery: _Subquery, outcome: SubqueryOutcome
+    ) -> None:
+        """Update quota, coverage and cost models by one outcome."""
+        self.quota.release(subquery_id, 0 if outcome.never_executed else outcome.attempts_used)
+        self._may_have_executed = self._may_have_executed or not outcome.never_executed
+        if outcome.retry_after is not None:
+            self._retry_after = max(self._retry_after, outcome.retry_after)
+        self.coverage.add(subquery_id, outcome.received_leaves & set(subquery.leaves))
+        model = self.costs.flat if subquery.direct else self.costs.subtree
+        if len(outcome.received_leaves) == len(subquery.leaves):
+            model.record(len(subquery.leaves), now - subquery.started_at)
+
+    def _register(self, now: float, leaves: tuple[str, ...], attempts: int, direct: bool) -> int:
+        subquery_id = self._next_id
+        self._next_id += 1
+        self.quota.reserve(subquery_id, leaves, attempts)
+        self._subqueries[subquery_id] = _Subquery(leaves, direct, now)
+        return subquery_id
+
+    def _query_subtree(self, now: float, subtree: Subtree, seconds: float) -> QuerySubtree:
+        """Send a subtree to a child, with one attempt for each leaf held back for a further execution."""
+        first = self.quota.offer(subtree.leaves, last=False)
+        held_back = self.quota.max_attempts - first
+        attempts_by_execution = (first, held_back) if held_back else (first,)
+        subquery_id = self._register(now, subtree.leaves, sum(attempts_by_execution), direct=False)
+        return QuerySubtree(subquery_id, subtree, seconds, attempts_by_execution)
 
     def _query_leaves(self, now: float, leaves: tuple[str, ...]) -> list[Action]:
-        """Ask leaves directly: those with an attempt left, by how many they have left.
+        """Ask leaves directly, grouped by the number of attempts that they have left.
 
-        In groups within the fan-out bound, each a way of its own: what the leaves' module refuses or loses of one
-        group takes nothing from the others, and their answers are counted as they come.
+        The groups stay within the fan-out bound and each is a subquery of its own: what is rejected or lost of one
+        group takes nothing from the others, and their answers count as they come.
         """
-        left = self._deadline - now
+        seconds_left = self._deadline - now
+        if seconds_left <= 0:
+            return []
         by_attempts: dict[int, list[str]] = {}
         for leaf in leaves:
             if (attempts := self.quota.remaining(leaf)) > 0:
                 by_attempts.setdefault(attempts, []).append(leaf)
-        out: list[Action] = []
-        bound = max(self.limits.fan_out, 1)
-        for attempts, group in sorted(by_attempts.items()) if left > 0 else ():
-            for start in range(0, len(group), bound):
-                some = tuple(group[start : start + bound])
-                way = self._register(now, some, attempts, around=True)
-                out.append(QueryLeaves(way, some, left, attempts))
-        return out
+        actions: list[Action] = []
+        group_size = max(self.limits.fan_out, 1)
+        for attempts, candidates in sorted(by_attempts.items()):
+            for start in range(0, len(candidates), group_size):
+                group = tuple(candidates[start : start + group_size])
+                subquery_id = self._register(now, group, attempts, direct=True)
+                actions.append(QueryLeaves(subquery_id, group, seconds_left, attempts))
+        return actions
 
     def _finish_if_decided(self) -> list[Action]:
-        """End at once what is whole, cannot become enough, or has no way out any more."""
+        """Finish at once a query that is complete, cannot cover enough, or has nothing in flight."""
         if self.coverage.complete:
-            return self._finish(WideQueryStatus.COMPLETE)
+            return self._finish(QueryStatus.COMPLETE)
         weight = 1.0 / max(len(self.task.leaves), 1)
-        hopeless = 1.0 - weight * len(self._unreachable) < self.rules.required_share - SHARE_ROUNDING
+        possible_share = 1.0 - weight * len(self._unreachable)
+        hopeless = possible_share < self.rules.required_share - SHARE_ROUNDING
         if (hopeless and not self.rules.accepts_any_share) or not self._subqueries:
             return self._finish_with_received(final=not self._subqueries)
         return []
 
     def _finish_with_received(self, final: bool) -> list[Action]:
-        enough = self.coverage.share >= self.rules.required_share - SHARE_ROUNDING or (
-            self.rules.accepts_any_share and self.coverage.share > 0
-        )
+        """Finish by what has been received. `final`: no more can be received, so that a part may be enough."""
         if self.coverage.complete:
-            return self._finish(WideQueryStatus.COMPLETE)
-        if final and enough:
-            return self._finish(WideQueryStatus.PARTIAL)
-        # What is out may run still: only a class that is safe to repeat may be refused then.
-        harmless = self.rules.retry_safety is RetrySafety.IDEMPOTENT or not (
-            self._may_have_executed or self._subqueries
-        )
-        return self._finish(WideQueryStatus.REJECTED if harmless else WideQueryStatus.FAILED)
-
-    def _finish(self, end: WideQueryStatus) -> list[Action]:
-        drops: list[Action] = [CancelSubquery(way) for way in self._subqueries]
+            return self._finish(QueryStatus.COMPLETE)
+        if final and self._is_share_enough():
+            return self._finish(QueryStatus.PARTIAL)
+        # What is in flight may still execute: only an idempotent query may be rejected then.
+        may_execute = self._may_have_executed or bool(self._subqueries)
+        harmless = self.rules.retry_safety is RetrySafety.IDEMPOTENT or not may_execute
+        return self._finish(QueryStatus.REJECTED if harmless else QueryStatus.FAILED)
+
+    def _is_share_enough(self) -> bool:
+        share = self.coverage.share
+        if share >= self.rules.required_share - SHARE_ROUNDING:
+            return True
+        return self.rules.accepts_any_share and share > 0
+
+    def _finish(self, status: QueryStatus) -> list[Action]:
+        cancels: list[Action] = [CancelSubquery(subquery_id) for subquery_id in self._subqueries]
         self._subqueries.clear()
         missing = tuple(self.coverage.missing_leaves())
         self.result = WideQueryResult(
-            end, self.coverage.share, missing, self._retry_after, self.quota.max_used
+            status, self.coverage.share, missing, self._retry_after, self.quota.max_used
         )
-        return [*drops, self.result]
+        return [*cancels, self.result]
+
+
+class ExecutionUse(NamedTuple):
+    """The attempts for each leaf that one execution of a subtree was granted, and what is known of their use."""
 
+    granted: int
+    never_executed: bool  # proof that it did not run
+    reported: int | None  # what the child says it used, if it answered
+
+
+class TotalUse(NamedTuple):
+    """The attempts that a subtree's executions used at most for any leaf, and whether none of them ran."""
+
+    attempts: int
+    never_executed: bool
 
-def total_attempts_used(runs: Iterable[tuple[int, bool, int | None]]) -> tuple[int | None, bool]:
-    """What a subtree's attempts used at most a leaf, and whether all are proved idle.
 
-    `runs`: for each attempt the attempts a leaf that it was handed, whether it is proved never to have run, and what
-    it said that it used, if it answered.
-    """
-    total, idle = 0, True
-    for handed, never_ran, said in runs:
-        if never_ran:
+def total_attempts_used(executions: Iterable[ExecutionUse]) -> TotalUse:
+    """Sum the attempts that the executions of one subtree used."""
+    total = 0
+    never_executed = True
+    for execution in executions:
+        if execution.never_executed:
             continue
-        idle = False
-        total += handed if said is None else min(said, handed)
-    return total, idle
+        never_executed = False
+        reported = execution.reported
+        total += execution.granted if reported is None else min(reported, execution.granted)
+    return TotalUse(total, never_executed)
--- a/gingervane/tree/wide_query_runner.py
+++ b/gingervane/tree/wide_query_runner.py
@@ -19,6 +19,7 @@
 from gingervane.tree.wide_query import (
     Action,
     CancelSubquery,
+    ExecutionUse,
     QueryLeaves,
     QuerySubtree,
     SubqueryOutcome,
@@ -161,11 +162,10 @@
         wait = final.retry_after if final.status is t.QueryStatus.REJECTED else None
         if isinstance(action, QuerySubtree):
             got: SubtreeResult | None = final.results.get(0) if answered else None
+            last = len(action.attempts_by_execution) - 1
             runs = [
-                (
-                    action.attempts_by_execution[
-                        min(note.earlier_executions, len(action.attempts_by_execution) - 1)
-                    ],
+                ExecutionUse(
+                    action.attempts_by_execution[min(note.earlier_executions, last)],
                     note.never_ran,
                     got.attempts_used if got and note.outcome == "ok" else None,
                 )
--- a/tests/test_tree.py
+++ b/tests/test_tree.py
@@ -11,6 +11,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from gingervane.coordinator.types import QueryStatus
 from gingervane.interface import RetrySafety
 from gingervane.tree import coverage
 from gingervane.tree.attempt_quota import AttemptQuota
@@ -31,12 +32,12 @@
 from gingervane.tree.wide_query import (
     CancelSubquery,
     CompletionRules,
+    ExecutionUse,
     QueryLeaves,
     QuerySubtree,
     SubqueryOutcome,
     WideQuery,
     WideQueryResult,
-    WideQueryStatus,
     total_attempts_used,
 )
 
@@ -225,12 +226,11 @@
 
 
 def test_used_of_attempts() -> None:
-    assert total_attempts_used([(2, True, None), (1, True, None)]) == (0, True)
-    assert total_attempts_used([(2, False, None), (1, False, 1)]) == (3, False)
-    assert total_attempts_used([(2, False, 1)]) == (1, False) and total_attempts_used([(2, False, 9)]) == (
-        2,
-        False,
-    )
+    idle = (ExecutionUse(2, True, None), ExecutionUse(1, True, None))
+    assert total_attempts_used(idle) == (0, True)
+    assert total_attempts_used([ExecutionUse(2, False, None), ExecutionUse(1, False, 1)]) == (3, False)
+    assert total_attempts_used([ExecutionUse(2, False, 1)]) == (1, False)
+    assert total_attempts_used([ExecutionUse(2, False, 9)]) == (2, False)
 
 
 # ---- one query's life, in all orders
@@ -309,13 +309,13 @@
         for final in self.finals:
             share = len(self.gave) / len(LEAVES)
             assert final.share <= share + 1e-9, "a share over what leaves gave"
-            assert final.status is not WideQueryStatus.COMPLETE or self.gave == set(LEAVES)
+            assert final.status is not QueryStatus.COMPLETE or self.gave == set(LEAVES)
             enough = final.share >= self.rules.required_share - 1e-9 or self.rules.accepts_any_share
-            assert final.status is not WideQueryStatus.PARTIAL or enough
+            assert final.status is not QueryStatus.PARTIAL or enough
             assert set(final.missing) >= set(LEAVES) - self.gave
             ran = any(self.ran.values())
             assert (
-                final.status is not WideQueryStatus.REJECTED
+                final.status is not QueryStatus.REJECTED
                 or self.rules.retry_safety is RetrySafety.IDEMPOTENT
                 or not ran
             )
@@ -328,7 +328,7 @@
 @pytest.mark.parametrize("attempts", [1, 2, 3])
 def test_every_order_of_one_life(semantics: RetrySafety, least: float, collect: bool, attempts: int) -> None:
     start = Life(CompletionRules(semantics, least, collect), attempts)
-    todo, explored, ends = [start], 0, set[WideQueryStatus]()
+    todo, explored, ends = [start], 0, set[QueryStatus]()
     while todo:
         life = todo.pop()
         life.check(attempts)
@@ -340,9 +340,9 @@
             following = copy.deepcopy(life)
             following.move(kind, way, tuple(part))
             todo.append(following)
-    assert explored > 100 and {WideQueryStatus.COMPLETE, WideQueryStatus.CLIENT_DISCONNECTED} <= ends
-    assert (WideQueryStatus.PARTIAL in ends) == (least < 1.0 or collect)
-    assert (WideQueryStatus.FAILED in ends) == (semantics is RetrySafety.NOT_IDEMPOTENT)
+    assert explored > 100 and {QueryStatus.COMPLETE, QueryStatus.CLIENT_DISCONNECTED} <= ends
+    assert (QueryStatus.PARTIAL in ends) == (least < 1.0 or collect)
+    assert (QueryStatus.FAILED in ends) == (semantics is RetrySafety.NOT_IDEMPOTENT)
 
 
 def test_what_is_asked_around_goes_in_groups() -> None:
