--- a/gingervane/fronts/remote_read.py
+++ b/gingervane/fronts/remote_read.py
@@ -163,7 +163,7 @@
                 peers = self._tree.peers() if self._tree else _NO_PEERS
                 free = plan.available_positions(peers, task.trail, limits)
                 cut = plan.plan_query(task, free, next(self._spin), limits, costs)
-        except plan.Rejection as error:
+        except plan.TaskRejectedError as error:
             if error.is_loop:
                 return plain(508, str(error), fields=((BEGAN_HEADER, "no"),))
             return rejection(0.0, str(error), work.until, proof=True)
--- a/gingervane/tree/plan.py
+++ b/gingervane/tree/plan.py
@@ -60,7 +60,7 @@
     reason: str
 
 
-class Rejection(Exception):
+class TaskRejectedError(Exception):
     """A task that must not be taken: `is_loop` for a cycle or runaway depth, else for lack of time."""
 
     def __init__(self, detail: str, is_loop: bool) -> None:
@@ -69,15 +69,15 @@
 
 
 def admit(task: QueryTask, name: str, limits: TreeLimits, costs: CostModels) -> None:
-    """Reject at once what cannot or must not be done by the co-ordinator `name`. Raises Rejection."""
+    """Reject at once what cannot or must not be done by the co-ordinator `name`. Raises TaskRejectedError."""
     if name in task.trail:
-        raise Rejection(f"a cycle: {name!r} is above itself in {'/'.join(task.trail)}", True)
+        raise TaskRejectedError(f"a cycle: {name!r} is above itself in {'/'.join(task.trail)}", True)
     if len(task.trail) > MAX_TRAIL_LENGTH or task.levels > limits.levels:
-        raise Rejection(f"{task.levels} levels below here, {limits.levels} at most", True)
+        raise TaskRejectedError(f"{task.levels} levels below here, {limits.levels} at most", True)
     # Half of the usual latency of the cheapest plan: under it even a lucky answer comes too late.
     required = min(costs.flat_seconds(len(task.leaves)), costs.flat_seconds(limits.fan_out)) / 2
     if task.trail and costs.flat.is_reliable and task.seconds_left < required:
-        raise Rejection(f"{task.seconds_left:.3f} s left, about {2 * required:.3f} s needed", False)
+        raise TaskRejectedError(f"{task.seconds_left:.3f} s left, about {2 * required:.3f} s needed", False)
 
 
 class PeerCoordinators(NamedTuple):
--- a/gingervane/tree/wide_query_runner.py
+++ b/gingervane/tree/wide_query_runner.py
@@ -1,8 +1,8 @@
-"""Carries out one wide query, of any protocol: ways to tickets, final answers back to `tree.wide.WideQuery`.
+"""Runs one wide query of any protocol: submits its subqueries and reports their results to `WideQuery`.
 
-Owner: the client's connection thread, from the first way to the last. It waits in one place, for final answers of
-all its tickets and for word that the client has gone; the decisions are WideQuery's. It returns only when every
-ticket is settled, so that nothing of the query is on its way from here when its reply is written.
+Threads: owned by the client's connection thread from the first subquery to the last. It waits in one place, for the
+results of all its pending queries and for the client to disconnect; the decisions are WideQuery's. It returns only
+when every pending query is complete, so that nothing of the query is sent from here after its reply is written.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
     total_attempts_used,
 )
 
-_GONE = object()
+_CLIENT_DISCONNECTED = object()
 
 
 class RunnerConfig(NamedTuple):
@@ -40,165 +40,219 @@
     subtree_codec: t.HttpCodec
     coordinator_name: str
     query_class: str
-    leaf_class: int  # the module's number of the class that collects
-    subtree_class: int
+    leaf_class: int  # index of the class that collects, for the decision engine of leaves
+    subtree_class: int  # index of the class, for the decision engine of children
 
 
 class WideQueryOutcome(NamedTuple):
+    """What a wide query came to."""
+
     result: WideQueryResult
-    results_by_leaf: dict[str, dict[int, Any]]  # by leaf and number of the query
+    results_by_leaf: dict[str, dict[int, Any]]  # by leaf, then by index of the client's query
     attempts: list[t.AttemptRecord]
     detail: str
 
 
+class _InFlight(NamedTuple):
+    """A subquery that has been submitted."""
+
+    pending: PendingQuery
+    action: QuerySubtree | QueryLeaves
+
+
+class _SubqueryResult(NamedTuple):
+    """What one subquery returned."""
+
+    results_by_leaf: dict[str, dict[int, Any]]
+    attempts_used: int
+    never_executed: bool
+
+
 class WideQueryRunner:
-    """One query's run. `queries`: each with the leaves that it touches; `leaf_part` makes the part of a leaf, and
-    `leaf_content` reads one."""
+    """Runs one wide query.
+
+    `queries`: the client's queries, each with the leaves that it touches. `leaf_part` makes the part of a leaf, and
+    `leaf_subquery` describes a part's content.
+    """
 
     def __init__(
         self,
-        wide: WideQuery,
-        setting: RunnerConfig,
+        wide_query: WideQuery,
+        config: RunnerConfig,
         queries: Sequence[tuple[Any, frozenset[str]]],
         leaf_part: Callable[[str], t.PartPlan],
-        leaf_content: Callable[[Any], LeafSubquery],
+        leaf_subquery: Callable[[Any], LeafSubquery],
     ) -> None:
-        self._wide, self._set, self._queries = wide, setting, queries
-        self._leaf_part, self._leaf_content = leaf_part, leaf_content
-        self._answers = ResultQueue()
-        self._ways: dict[int, tuple[PendingQuery, Action]] = {}  # by way
-        self._way_of: dict[PendingQuery, int] = {}
-        self._held: dict[str, dict[int, Any]] = {}
-        self._from: dict[str, int] = {}
-        self._path: list[t.AttemptRecord] = []
-        self._why = ""
+        self._wide_query = wide_query
+        self._config = config
+        self._queries = queries
+        self._leaf_part = leaf_part
+        self._leaf_subquery = leaf_subquery
+        self._events = ResultQueue()
+        self._in_flight: dict[int, _InFlight] = {}  # by id of the subquery
+        self._subquery_ids: dict[PendingQuery, int] = {}
+        self._results: dict[str, dict[int, Any]] = {}
+        self._attempts: list[t.AttemptRecord] = []
+        self._detail = ""
 
     def client_disconnected(self) -> None:
-        """The client has left; from any thread."""
-        self._answers.put(_GONE)
+        """Stop the query, as its client has disconnected; safe from any thread."""
+        self._events.put(_CLIENT_DISCONNECTED)
 
     def run(self) -> WideQueryOutcome:
-        """Until the final answer is known and every ticket is settled."""
-        finish = self._do(self._wide.start(time.monotonic()))
-        while finish is None or self._way_of:
-            token = self._next(finish is None)
-            if token is None:
-                finish = self._do(self._wide.expire(time.monotonic())) or finish
-            elif token is _GONE:
-                finish = self._do(self._wide.client_disconnected()) or finish
+        """Block until the result is known and every pending query is complete."""
+        result = self._carry_out(self._wide_query.start(time.monotonic()))
+        while result is None or self._subquery_ids:
+            event = self._next_event(timed=result is None)
+            if event is None:
+                result = self._carry_out(self._wide_query.expire(time.monotonic())) or result
+            elif event is _CLIENT_DISCONNECTED:
+                result = self._carry_out(self._wide_query.client_disconnected()) or result
             else:
-                finish = self._take(*token) or finish
-        return WideQueryOutcome(finish, self._held, self._path, self._why)
+                result = self._take_result(*event) or result
+        return WideQueryOutcome(result, self._results, self._attempts, self._detail)
 
-    def _next(self, timed: bool) -> Any:
-        left = self._wide.deadline - time.monotonic()
+    def _next_event(self, timed: bool) -> Any:
+        """Return the next event; None once the deadline is reached, if `timed`."""
+        seconds_left = self._wide_query.deadline - time.monotonic()
         if not timed:
-            return self._answers.get()
+            return self._events.get()
         try:
-            return self._answers.get(timeout=left) if left > 0 else self._answers.get_nowait()
+            if seconds_left > 0:
+                return self._events.get(timeout=seconds_left)
+            return self._events.get_nowait()
         except Empty:
             return None
 
-    def _do(self, actions: Sequence[Action]) -> WideQueryResult | None:
-        finish: WideQueryResult | None = None
-        todo = list(actions)
-        while todo:
-            action = todo.pop(0)
+    def _carry_out(self, actions: Sequence[Action]) -> WideQueryResult | None:
+        """Carry out actions, and those that follow from them; return the result if it is among them."""
+        result: WideQueryResult | None = None
+        remaining = list(actions)
+        while remaining:
+            action = remaining.pop(0)
             match action:
-                case QuerySubtree(way) | QueryLeaves(way):
-                    try:
-                        ticket = self._submit(action)
-                    except Rejected as error:
-                        self._why = str(error)
-                        brought = SubqueryOutcome(never_executed=True, retry_after=error.retry_after)
-                        todo += self._wide.subquery_finished(time.monotonic(), way, brought)
-                    else:
-                        self._ways[way] = ticket, action
-                        self._way_of[ticket] = way
-                case CancelSubquery(way):
-                    if way in self._ways:
-                        self._ways[way][0].abandon()
+                case QuerySubtree() | QueryLeaves():
+                    remaining += self._send(action)
+                case CancelSubquery(subquery_id):
+                    if subquery_id in self._in_flight:
+                        self._in_flight[subquery_id].pending.abandon()
                 case WideQueryResult():
-                    finish = action
-        return finish
-
-    def _submit(self, action: QuerySubtree | QueryLeaves) -> PendingQuery:
-        until = time.monotonic() + action.seconds
-        if isinstance(action, QueryLeaves):
-            weight = 1.0 / len(action.leaves)
-            parts = tuple(
-                self._leaf_part(name)._replace(weight=weight, max_executions=action.attempts)
-                for name in action.leaves
-            )
-            plan = t.QueryPlan(
-                self._set.leaf_class, until, parts, self._set.leaf_codec, self._set.query_class
+                    result = action
+        return result
+
+    def _send(self, action: QuerySubtree | QueryLeaves) -> list[Action]:
+        """Submit a subquery; return what follows if it is rejected at once."""
+        try:
+            pending = (
+                self._submit_leaves(action)
+                if isinstance(action, QueryLeaves)
+                else self._submit_subtree(action)
             )
-            return self._set.leaf_coordinator.submit(plan, self._answers)
-        asks = tuple(self._ask(action, attempts) for attempts in action.attempts_by_execution)
-        part = t.PartPlan(action.subtree.ring_position, 1.0, asks[-1], len(asks), asks)
-        plan = t.QueryPlan(
-            self._set.subtree_class, until, (part,), self._set.subtree_codec, self._set.query_class
+        except Rejected as error:
+            self._detail = str(error)
+            outcome = SubqueryOutcome(never_executed=True, retry_after=error.retry_after)
+            return self._wide_query.subquery_finished(time.monotonic(), action.subquery_id, outcome)
+        self._in_flight[action.subquery_id] = _InFlight(pending, action)
+        self._subquery_ids[pending] = action.subquery_id
+        return []
+
+    def _submit_leaves(self, action: QueryLeaves) -> PendingQuery:
+        deadline = time.monotonic() + action.seconds
+        weight = 1.0 / len(action.leaves)
+        parts = tuple(
+            self._leaf_part(name)._replace(weight=weight, max_executions=action.attempts)
+            for name in action.leaves
         )
-        return self._set.subtree_coordinator.submit(plan, self._answers)
+        config = self._config
+        plan = t.QueryPlan(config.leaf_class, deadline, parts, config.leaf_codec, config.query_class)
+        return config.leaf_coordinator.submit(plan, self._events)
+
+    def _submit_subtree(self, action: QuerySubtree) -> PendingQuery:
+        deadline = time.monotonic() + action.seconds
+        contents = tuple(self._subtree_query(action, attempts) for attempts in action.attempts_by_execution)
+        part = t.PartPlan(action.subtree.ring_position, 1.0, contents[-1], len(contents), contents)
+        config = self._config
+        plan = t.QueryPlan(config.subtree_class, deadline, (part,), config.subtree_codec, config.query_class)
+        return config.subtree_coordinator.submit(plan, self._events)
 
-    def _ask(self, action: QuerySubtree, attempts: int) -> SubtreeQuery:
+    def _subtree_query(self, action: QuerySubtree, attempts: int) -> SubtreeQuery:
+        """Return the content of one execution of a subtree, with so many attempts for each leaf."""
         leaves = tuple(sorted(action.subtree.leaves))
         inside = frozenset(leaves)
         queries = tuple(
-            (number, query, tuple(sorted(touched & inside)))
-            for number, (query, touched) in enumerate(self._queries)
+            (index, query, tuple(sorted(touched & inside)))
+            for index, (query, touched) in enumerate(self._queries)
             if touched & inside
         )
-        task = self._wide.task
-        orders = SubqueryContext(task.levels - 1, attempts, (*task.trail, self._set.coordinator_name))
-        return SubtreeQuery(queries, leaves, self._set.query_class, orders)
-
-    def _take(self, ticket: PendingQuery, final: t.QueryResult) -> WideQueryResult | None:
-        way = self._way_of.pop(ticket)
-        _, action = self._ways.pop(way)
-        self._path += final.attempts
-        self._why = final.detail or self._why
-        answered = final.status in (t.QueryStatus.COMPLETE, t.QueryStatus.PARTIAL)
-        wait = final.retry_after if final.status is t.QueryStatus.REJECTED else None
+        task = self._wide_query.task
+        trail = (*task.trail, self._config.coordinator_name)
+        context = SubqueryContext(task.levels - 1, attempts, trail)
+        return SubtreeQuery(queries, leaves, self._config.query_class, context)
+
+    def _take_result(self, pending: PendingQuery, result: t.QueryResult) -> WideQueryResult | None:
+        """Report the result of a subquery, and keep the series of the leaves that count from it."""
+        subquery_id = self._subquery_ids.pop(pending)
+        action = self._in_flight.pop(subquery_id).action
+        self._attempts += result.attempts
+        self._detail = result.detail or self._detail
+        retry_after = result.retry_after if result.status is t.QueryStatus.REJECTED else None
         if isinstance(action, QuerySubtree):
-            got: SubtreeResult | None = final.results.get(0) if answered else None
-            last = len(action.attempts_by_execution) - 1
-            runs = [
-                ExecutionUse(
-                    action.attempts_by_execution[min(note.earlier_executions, last)],
-                    note.never_ran,
-                    got.attempts_used if got and note.outcome == "ok" else None,
-                )
-                for note in final.attempts
-            ]
-            used, idle = total_attempts_used(runs)
-            held = got.results_by_leaf if got else {}
+            received = self._subtree_result(action, result)
         else:
-            held, used = leaf_results(ticket.plan.parts, final, self._leaf_content)
-            idle = not used
-        before = {name: self._wide.coverage.source(name) for name in held}
-        actions = self._wide.subquery_finished(
-            time.monotonic(), way, SubqueryOutcome(frozenset(held), used, idle, wait)
+            received = self._leaves_result(pending, result)
+        coverage = self._wide_query.coverage
+        sources_before = {name: coverage.source(name) for name in received.results_by_leaf}
+        outcome = SubqueryOutcome(
+            frozenset(received.results_by_leaf),
+            received.attempts_used,
+            received.never_executed,
+            retry_after,
         )
-        for (
-            name,
-            by_query,
-        ) in held.items():  # the series of a leaf are those of the way that it was counted from
-            if before[name] is None and self._wide.coverage.source(name) == way:
-                self._held[name] = by_query
-        ticket.release()
-        return self._do(actions)
+        actions = self._wide_query.subquery_finished(time.monotonic(), subquery_id, outcome)
+        for name, by_query in received.results_by_leaf.items():
+            if sources_before[name] is None and coverage.source(name) == subquery_id:
+                self._results[name] = by_query
+        pending.release()
+        return self._carry_out(actions)
+
+    def _subtree_result(self, action: QuerySubtree, result: t.QueryResult) -> _SubqueryResult:
+        answered = result.status in (t.QueryStatus.COMPLETE, t.QueryStatus.PARTIAL)
+        answer: SubtreeResult | None = result.results.get(0) if answered else None
+        last = len(action.attempts_by_execution) - 1
+        executions = [
+            ExecutionUse(
+                action.attempts_by_execution[min(attempt.earlier_executions, last)],
+                attempt.never_ran,
+                answer.attempts_used if answer and attempt.outcome == "ok" else None,
+            )
+            for attempt in result.attempts
+        ]
+        used = total_attempts_used(executions)
+        results_by_leaf = answer.results_by_leaf if answer else {}
+        return _SubqueryResult(results_by_leaf, used.attempts, used.never_executed)
+
+    def _leaves_result(self, pending: PendingQuery, result: t.QueryResult) -> _SubqueryResult:
+        received = leaf_results(pending.plan.parts, result, self._leaf_subquery)
+        never_executed = not received.attempts_used
+        return _SubqueryResult(received.results_by_leaf, received.attempts_used, never_executed)
+
+
+class LeafResults(NamedTuple):
+    """What leaves that were asked directly returned."""
+
+    results_by_leaf: dict[str, dict[int, Any]]  # by leaf, then by index of the client's query
+    attempts_used: int  # the most that ran for any leaf
 
 
 def leaf_results(
     parts: Sequence[t.PartPlan],
-    final: t.QueryResult,
-    leaf_content: Callable[[Any], LeafSubquery],
-) -> tuple[dict[str, dict[int, Any]], int]:
-    """What leaves that were asked directly gave, by name and number of the query; most attempts that ran for one."""
-    ran = Counter(note.shard for note in final.attempts if not note.never_ran)
-    held: dict[str, dict[int, Any]] = {}
-    for index, found in final.results.items():
-        content = leaf_content(parts[index].content)
-        held[content.leaf] = dict(zip(content.query_indexes, found, strict=True))
-    return held, max(ran.values(), default=0)
+    result: t.QueryResult,
+    leaf_subquery: Callable[[Any], LeafSubquery],
+) -> LeafResults:
+    """Group the results of parts by leaf, and count the attempts that ran."""
+    executed = Counter(attempt.shard for attempt in result.attempts if not attempt.never_ran)
+    results_by_leaf: dict[str, dict[int, Any]] = {}
+    for index, found in result.results.items():
+        content = leaf_subquery(parts[index].content)
+        results_by_leaf[content.leaf] = dict(zip(content.query_indexes, found, strict=True))
+    return LeafResults(results_by_leaf, max(executed.values(), default=0))
--- a/tests/test_tree.py
+++ b/tests/test_tree.py
@@ -20,9 +20,9 @@
 from gingervane.tree.plan import (
     PeerCoordinators,
     QueryTask,
-    Rejection,
     Subtree,
     SubtreePlan,
+    TaskRejectedError,
     TreeLimits,
     admit,
     available_positions,
@@ -176,7 +176,7 @@
         (task._replace(seconds_left=0.02), "x", False),
         (task._replace(trail=tuple("abcdefghijklmnopq")), "x", True),
     ):
-        with pytest.raises(Rejection) as caught:
+        with pytest.raises(TaskRejectedError) as caught:
             admit(bad, name, LIMITS, learned)
         assert caught.value.is_loop == loop
 
