--- a/gingervane/daemon/app.py
+++ b/gingervane/daemon/app.py
@@ -24,7 +24,8 @@
 from gingervane.fronts import http_server, remote_read
 from gingervane.fronts.routing import FrontQueryClass, Front, Route, Router
 from gingervane.fronts.http_server import HttpServer, Reply, ServerLimits, plain
-from gingervane.fronts.remote_read import FrontLimits, RemoteReadFront, TreeConfig
+from gingervane.fronts.read_request import FrontLimits
+from gingervane.fronts.remote_read import RemoteReadFront, TreeConfig
 from gingervane.fronts.shard_matching import ShardIndex
 from gingervane.membership.service import MembershipService, Rings
 from gingervane.tree import plan
--- a/gingervane/experiments/fault_mutants.py
+++ b/gingervane/experiments/fault_mutants.py
@@ -15,7 +15,7 @@
 from gingervane.coordinator import driver as driving
 from gingervane.coordinator import types as t
 from gingervane.settings.daemon_settings import Config
-from gingervane.fronts.remote_read import RemoteReadFront
+from gingervane.fronts.read_reply import ReadReplyEncoder
 from gingervane.membership.endpoint_file import FileWatcher
 from gingervane.membership.source_owner import EndpointSources
 
@@ -82,9 +82,9 @@
 
 def honest() -> None:
     """Short answers are marked whole."""
-    answer = RemoteReadFront._answer
+    answer = ReadReplyEncoder.answer
 
-    def lie(self: RemoteReadFront, *args: Any) -> Any:
+    def lie(self: ReadReplyEncoder, *args: Any) -> Any:
         reply = answer(self, *args)
         fields = [
             (k, "1" if k == "Gingervane-Coverage" else v)
@@ -93,7 +93,7 @@
         ]
         return reply._replace(fields=fields)
 
-    RemoteReadFront._answer = lie  # type: ignore[method-assign, assignment]
+    ReadReplyEncoder.answer = lie  # type: ignore[method-assign, assignment]
 
 
 def budget() -> None:
