--- a/gingervane/fronts/client.py
+++ b/gingervane/fronts/client.py
@@ -1,4 +1,4 @@
-"""A remote read client: for the command line, the load tool and tests."""
+"""Remote read client for the command line, the load tool and tests."""
 
 from __future__ import annotations
 
@@ -12,11 +12,14 @@
 from gingervane.wire.pool import Pool, exchange
 from gingervane.wire.remote_read import Query, Series
 
-LIMITS = Limits(16384, 256 << 20)
+LIMITS = Limits(head=16384, body=256 << 20)  # bytes of a reply
+_MAX_IDLE_CONNECTIONS = 64
+_MAX_IDLE_AGE = 30.0  # seconds
+_MAX_RESULTS = 4096  # of one reply
 
 
 class Answer(NamedTuple):
-    """`results` is None unless the status is 200."""
+    """A reply. `results` is None unless the status is 200."""
 
     status: int
     headers: Headers
@@ -25,14 +28,14 @@
 
 
 class Client:
-    """Keeps connections open; safe for use from many threads."""
+    """A client that keeps its connections open; safe for use from many threads."""
 
     def __init__(self, address: tuple[str, int]) -> None:
         self.address = address
-        self._pool = Pool(LIMITS, 64, 30.0)
+        self._pool = Pool(LIMITS, _MAX_IDLE_CONNECTIONS, _MAX_IDLE_AGE)
 
     def request(self, queries: list[Query], params: dict[str, str]) -> bytes:
-        """The bytes of a request."""
+        """Return the bytes of a request."""
         body = snappy.compress(remote_read.write_request([remote_read.write_query(q) for q in queries]))
         target = PATH + ("?" + urlencode(params) if params else "")
         fields = [
@@ -45,7 +48,7 @@
         return http1.head(f"POST {target} HTTP/1.1", fields) + body
 
     def read(self, queries: list[Query], params: dict[str, str], timeout: float) -> Answer:
-        """Ask and wait for the answer. Raises OSError, Closed or HttpError."""
+        """Send queries and wait for the answer. Raises OSError, Closed or HttpError."""
         return self.send(self.request(queries, params), timeout)
 
     def send(self, data: bytes, timeout: float) -> Answer:
@@ -53,12 +56,13 @@
         status, headers, body = self.exchange(data, timeout)
         results = None
         if status == 200:
-            results = remote_read.read_response(snappy.decompress(body, LIMITS.body), 4096)
+            results = remote_read.read_response(snappy.decompress(body, LIMITS.body), _MAX_RESULTS)
         return Answer(status, headers, body, results)
 
     def exchange(self, data: bytes, timeout: float) -> tuple[int, Headers, bytes]:
-        """The same, undecoded."""
+        """Send the bytes of a request and return its reply undecoded: status, headers and body."""
         return exchange(self._pool, self.address, data, time.monotonic() + timeout)
 
     def close(self) -> None:
+        """Close all idle connections."""
         self._pool.close()
--- a/gingervane/merge/series.py
+++ b/gingervane/merge/series.py
@@ -1,4 +1,4 @@
-"""Merging series that several parts of an answer hold.
+"""Merging of series that several parts of an answer hold.
 
 The rule for two samples of one series at one timestamp does not depend on the order in which parts came: a number
 wins over a NaN, the greater number wins over the lesser, and of two NaNs the one whose bits are greater. Of two
@@ -15,35 +15,42 @@
 
 
 def merge(parts: Iterable[Iterable[Series]]) -> list[Series]:
-    """One list of series, sorted by labels, each with its samples sorted by time and none of them twice."""
-    met: dict[Labels, list[Series]] = {}
+    """Return one list of series sorted by labels, each with its samples sorted by time and without duplicates."""
+    by_labels: dict[Labels, list[Series]] = {}
     for part in parts:
         for series in part:
-            met.setdefault(series.labels, []).append(series)
-    return [_join(met[labels]) for labels in sorted(met)]
+            by_labels.setdefault(series.labels, []).append(series)
+    return [_merge_group(by_labels[labels]) for labels in sorted(by_labels)]
 
 
-def _join(group: list[Series]) -> Series:
+def _merge_group(group: list[Series]) -> Series:
+    """Merge series of the same labels."""
     first = group[0]
     if len(group) == 1 and (first.raw is not None or ordered(first)):
         return first
-    times = np.concatenate([s.timestamps for s in group])
-    values = np.concatenate([s.values for s in group])
-    # Sorted by time, then by rank: of those with one timestamp the last one stays.
+    times = np.concatenate([series.timestamps for series in group])
+    values = np.concatenate([series.values for series in group])
+    # Sorted by time, then by rank: of the samples at one timestamp the last one stays.
     order = np.lexsort(
         (values.view(np.uint64), np.where(np.isnan(values), -np.inf, values), ~np.isnan(values), times)
     )
-    times, values = times[order], values[order]
+    times = times[order]
+    values = values[order]
     keep = np.append(times[1:] != times[:-1], True) if len(times) else np.empty(0, bool)
+    return Series(first.labels, times[keep], values[keep], _merge_histograms(group))
+
+
+def _merge_histograms(group: list[Series]) -> tuple[tuple[int, bytes], ...]:
+    """Return one histogram for each timestamp, in order of time."""
     histograms: dict[int, bytes] = {}
     for series in group:
-        for time, raw in series.histograms:
-            histograms[time] = max(raw, histograms.get(time, b""))
-    return Series(first.labels, times[keep], values[keep], tuple(sorted(histograms.items())))
+        for time_ms, message in series.histograms:
+            histograms[time_ms] = max(message, histograms.get(time_ms, b""))
+    return tuple(sorted(histograms.items()))
 
 
 def ordered(series: Series) -> bool:
-    """Whether its samples and histograms are in strict order of time."""
+    """Return whether its samples and histograms are in strict order of time."""
     times, histograms = series.timestamps, series.histograms
     return bool((times[1:] > times[:-1]).all()) and all(
         a[0] < b[0] for a, b in zip(histograms, histograms[1:], strict=False)
@@ -51,5 +58,5 @@
 
 
 def without_label(series: Series, name: str) -> Series:
-    """The same series without one label."""
+    """Return the same series without one label."""
     return series._replace(labels=tuple(pair for pair in series.labels if pair[0] != name), raw=None)
