--- a/gingervane/daemon/app.py
+++ b/gingervane/daemon/app.py
@@ -26,10 +26,10 @@
 from gingervane.settings.daemon_settings import Config
 from gingervane.telemetry import daemon_log
 from gingervane.telemetry.daemon_metrics import Metrics
-from gingervane.telemetry.events import LogEvent
 from gingervane.tree import plan
 from gingervane.vectors.service import VectorService
 from gingervane.wire.http1 import Request
+from gingervane.telemetry.events import LogEvent
 
 _NO_ENDPOINTS = "no server list has come yet"  # why queries are rejected until then
 _BROKEN_POLL = 0.2  # seconds between two looks for a core that broke
