--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -33,7 +33,7 @@
 from gingervane.membership.view import Member, View
 from gingervane.membership.consul_watcher import ConsulPlace, watch
 from gingervane.decisions.engine import DecisionEngine
-from gingervane.fake_servers.consul import Catalogue
+from gingervane.fake_servers.consul_catalogue import Catalogue
 from gingervane.wire.remote_read import Match, Matcher, Query
 
 NODES, WORKERS = 150, 6
--- a/gingervane/fake_servers/__init__.py
+++ b/gingervane/fake_servers/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-in servers with injected faults, for tests, demos and rehearsals."""
+"""Fake servers with injected faults, for tests, demonstrations and rehearsals."""
--- a/gingervane/fake_servers/faults.py
+++ b/gingervane/fake_servers/faults.py
@@ -1,4 +1,4 @@
-"""Faults of a stand-in: what each does, and when. Free of I/O; the node asks at each step of a request.
+"""Faults of a fake server: what each does, and when. Free of I/O; the server asks at each step of a request.
 
 Times are seconds on the monotonic clock. A fault acts from `start` for `seconds`.
 """
@@ -9,7 +9,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-# kind -> what `size` means
+# What `size` means, by the kind of fault.
 KINDS = {
     "slow": "times slower",
     "ageing": "times slower at the end",
@@ -34,15 +34,18 @@
     "zone_loss": "unused: crash of a whole zone; the scenario names the nodes",
 }
 DOWN = {"crash", "vanish", "zone_loss"}
-FLAP_DOWN = 0.4
+FLAP_DOWN = 0.4  # share of a turn
+AGEING_CRASH = 2.0  # seconds down at the end
 
 
 class FaultError(ValueError):
-    """A fault that is not known or makes no sense."""
+    """A fault of an unknown kind or with an invalid figure."""
 
 
 @dataclass(frozen=True)
 class Fault:
+    """One fault. It acts from `start`, on the monotonic clock, for so many seconds."""
+
     kind: str
     start: float
     seconds: float
@@ -57,13 +60,15 @@
 
     @property
     def end(self) -> float:
+        """When it stops to act."""
         return self.start + self.seconds
 
     def active(self, now: float) -> bool:
+        """Whether it acts now."""
         return self.start <= now < self.end
 
     def down_spans(self) -> list[tuple[float, float, str]]:
-        """When the node is down, and how."""
+        """Give when the server is down, and how."""
         if self.kind in DOWN:
             return [(self.start, self.end, "vanish" if self.kind == "vanish" else "crash")]
         if self.kind == "flapping" and self.how != "hang":
@@ -73,21 +78,23 @@
                 at += self.size
             return spans
         if self.kind == "ageing":
-            return [(self.end, self.end + 2.0, "crash")]
+            return [(self.end, self.end + AGEING_CRASH, "crash")]
         return []
 
 
 class Schedule:
-    """All faults of one node, in a list that only grows."""
+    """All faults of one server, in a list that only grows."""
 
     def __init__(self, faults: Iterable[Fault], seed: int) -> None:
         self.faults = list(faults)
         self._random = random.Random(seed)
 
     def add(self, fault: Fault) -> None:
+        """Add a fault."""
         self.faults.append(fault)
 
     def find(self, kind: str, now: float) -> Fault | None:
+        """Find the first fault of a kind that acts now."""
         return next((f for f in self.faults if f.kind == kind and f.active(now)), None)
 
     def strikes(self, kind: str, now: float) -> bool:
@@ -106,7 +113,7 @@
         return factor
 
     def down(self, now: float) -> tuple[float, str] | None:
-        """Until when and how the node is down, if it is."""
+        """Until when and how the server is down, if it is."""
         for fault in list(self.faults):
             for start, end, how in fault.down_spans():
                 if start <= now < end:
@@ -114,13 +121,14 @@
         return None
 
     def hangs(self, now: float) -> bool:
+        """Whether a request that comes now is taken and never answered."""
         for fault in self.faults:
             if fault.kind == "flapping" and fault.how == "hang" and fault.active(now):
                 return (now - fault.start) % fault.size < fault.size * FLAP_DOWN
         return self.strikes("hang", now)
 
     def still_until(self, now: float) -> float:
-        """The end of the standstill that holds the node now; the past if none does."""
+        """Give the end of the pause that holds the server now, or now if none does."""
         fault = self.find("stand_still", now)
         if fault is None:
             return now
--- a/gingervane/fake_servers/vectors.py
+++ b/gingervane/fake_servers/vectors.py
@@ -26,7 +26,6 @@
 from gingervane.wire import http1
 from gingervane.wire.http1 import Request
 
-
 Operation = dict[str, Any]  # one operation of a request: its shard, kind and body
 
 
--- a/tests/test_consul.py
+++ b/tests/test_consul.py
@@ -20,7 +20,8 @@
 from gingervane.membership.source_owner import EndpointSources
 from gingervane.membership.consul_watcher import ConsulPlace, ConsulWatcher
 from gingervane.membership.consul_watcher import watch as watchers_of
-from gingervane.fake_servers.consul import Agent, Catalogue
+from gingervane.fake_servers.consul import Agent
+from gingervane.fake_servers.consul_catalogue import Catalogue
 from test_hard_cases import ask, told_away
 
 READY, DRAINING, GONE = api.ReplicaState.READY, api.ReplicaState.DRAINING, api.ReplicaState.GONE
