--- /dev/null
+++ b/gingervane/experiments/child_process.py
@@ -0,0 +1,77 @@
+"""Child processes of a rehearsal, whose output lines are read as they come."""
+
+from __future__ import annotations
+
+import contextlib
+import queue
+import signal
+import subprocess
+import threading
+import time
+from pathlib import Path
+from typing import IO
+
+_LINE_TIMEOUT = 30.0  # seconds
+_END_TIMEOUT = 20.0  # seconds
+
+
+class RehearsalError(Exception):
+    """The day could not be played; its records say nothing of the rules."""
+
+
+class ChildProcess:
+    """A process with a log file for its standard error."""
+
+    def __init__(self, command: list[str], log: Path, keep_stdin: bool = False) -> None:
+        self._log = log.open("ab")
+        self._name = " ".join(command)
+        self.child = subprocess.Popen(
+            command,
+            stdout=subprocess.PIPE,
+            stderr=self._log,
+            stdin=subprocess.PIPE if keep_stdin else None,
+        )
+        self._lines: queue.SimpleQueue[str] = queue.SimpleQueue()
+        assert self.child.stdout is not None
+        threading.Thread(target=self._read, args=(self.child.stdout,), daemon=True).start()
+
+    def _read(self, out: IO[bytes]) -> None:
+        for line in out:
+            self._lines.put(line.decode())
+        self._lines.put("")
+
+    def line(self, prefix: str, timeout: float = _LINE_TIMEOUT) -> str:
+        """Wait for the first line with a prefix and return the rest of it. Raises RehearsalError."""
+        until = time.monotonic() + timeout
+        while True:
+            try:
+                line = self._lines.get(timeout=max(until - time.monotonic(), 0.01))
+            except queue.Empty:
+                raise RehearsalError(f"{self._name}: no line {prefix!r} in {timeout:g} s") from None
+            if line.startswith(prefix):
+                return line.removeprefix(prefix).strip()
+            if not line:
+                raise RehearsalError(f"{self._name}: ended; see {self._log.name}")
+
+    def close_stdin(self) -> None:
+        """Close its standard input, at whose end fake servers write what they have recorded and end."""
+        if self.child.stdin:
+            self.child.stdin.close()
+
+    def finish(self, timeout: float = _END_TIMEOUT) -> None:
+        """Wait until it ends by itself, and end it if it does not."""
+        with contextlib.suppress(subprocess.TimeoutExpired):
+            self.child.wait(timeout)
+        self.end()
+
+    def end(self, hard: bool = False, timeout: float = _END_TIMEOUT) -> int:
+        """End it by SIGTERM, or by SIGKILL if `hard`; return its exit status."""
+        if self.child.poll() is None:
+            self.child.send_signal(signal.SIGKILL if hard else signal.SIGTERM)
+        try:
+            return self.child.wait(timeout)
+        except subprocess.TimeoutExpired:
+            self.child.kill()
+            return self.child.wait()
+        finally:
+            self._log.close()
--- /dev/null
+++ b/gingervane/experiments/coordinator_processes.py
@@ -0,0 +1,110 @@
+"""The co-ordinators of a rehearsal: processes that are started, stopped, resumed and killed."""
+
+from __future__ import annotations
+
+import os
+import signal
+import threading
+import time
+from pathlib import Path
+from typing import Any
+
+from gingervane.experiments.child_process import ChildProcess
+from gingervane.experiments.toml_text import toml
+from gingervane.fake_servers.recorder import Recorder
+
+Address = tuple[str, int]
+
+
+class CoordinatorProcesses:
+    """The processes that run, by the co-ordinator's number. Its lock is never held while a process starts or ends."""
+
+    def __init__(self, out: Path, command: list[str], roots: int, notice: float, director: Recorder) -> None:
+        """`command` starts a co-ordinator; `notice` is the time in seconds until clients avoid a killed one."""
+        self._out = out
+        self._command = command
+        self._roots = roots
+        self._notice = notice
+        self._director = director
+        self._lock = threading.Lock()
+        self._processes: dict[int, ChildProcess] = {}
+        self._addresses: dict[int, Address] = {}
+        self._taken_for_running: dict[int, float] = {}  # killed: until when clients still go there
+        self._launches = 0
+
+    def launch(self, number: int, settings: dict[str, Any]) -> Address:
+        """Start a co-ordinator and return its address once it listens."""
+        path = self._out / f"coordinator-{number}.toml"
+        path.write_text(toml(settings))
+        self._launches += 1
+        tap = self._out / f"tap-{number}-{self._launches}.jsonl"
+        command = [*self._command, "--config", str(path), "--tap", str(tap)]
+        process = ChildProcess(command, self._out / f"coordinator-{number}.log")
+        host, _, port = process.line("listening on ").rpartition(":")
+        address = host, int(port)
+        with self._lock:
+            self._processes[number] = process
+            self._addresses[number] = address
+        self._director.put("launched", coordinator=number, tap=tap.name, port=int(port))
+        return address
+
+    def targets(self) -> list[tuple[int, Address]]:
+        """Co-ordinators that clients take for running, and their addresses."""
+        now = time.monotonic()
+        with self._lock:
+            return [
+                (number, address)
+                for number, address in self._addresses.items()
+                if (not self._roots or number < self._roots)
+                and (number in self._processes or now < self._taken_for_running.get(number, 0.0))
+            ]
+
+    def kill(self, number: int) -> None:
+        """End a co-ordinator by SIGKILL."""
+        with self._lock:
+            process = self._processes.pop(number, None)
+            self._taken_for_running[number] = time.monotonic() + self._notice
+        if process:
+            self._director.put("killed", coordinator=number)
+            process.end(hard=True)
+
+    def send_signal(self, number: int, what: signal.Signals) -> None:
+        """Send a signal to a co-ordinator that runs."""
+        if self._send_signal(number, what):
+            self._director.put("signal", coordinator=number, signal=what.name)
+
+    def resume_all(self) -> None:
+        """Let all go on that may be stopped; not recorded."""
+        for number in list(self._processes):
+            self._send_signal(number, signal.SIGCONT)
+
+    def _send_signal(self, number: int, what: signal.Signals) -> bool:
+        with self._lock:
+            process = self._processes.get(number)
+        if process is None or process.child.poll() is not None:
+            return False
+        os.kill(process.child.pid, what)
+        return True
+
+    def usage(self) -> dict[int, dict[str, float]]:
+        """CPU seconds and resident MiB of each co-ordinator that runs."""
+        out = {}
+        with self._lock:
+            pids = {number: process.child.pid for number, process in self._processes.items()}
+        for number, pid in pids.items():
+            try:
+                fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
+            except FileNotFoundError:  # killed by the day's script, and not started again yet
+                continue
+            ticks = os.sysconf("SC_CLK_TCK")
+            out[number] = {
+                "cpu_s": (int(fields[11]) + int(fields[12])) / ticks,
+                "rss_mib": int(fields[21]) * os.sysconf("SC_PAGE_SIZE") / (1 << 20),
+            }
+        return out
+
+    def end_all(self) -> dict[int, int]:
+        """End all co-ordinators by SIGTERM and return their exit statuses."""
+        with self._lock:
+            processes, self._processes = self._processes, {}
+        return {number: process.end() for number, process in processes.items()}
--- a/gingervane/experiments/demonstration.py
+++ b/gingervane/experiments/demonstration.py
@@ -10,10 +10,10 @@
 from rich.console import Console
 from rich.table import Table
 
+from gingervane.experiments.embedded import Embedded
 from gingervane.fronts.client import Answer, Client
-from gingervane.fronts.routing import COVERAGE_HEADER, MISSING_HEADER
 from gingervane.fronts.leaf_codec import PATH_HEADER
-from gingervane.experiments.embedded import Embedded
+from gingervane.fronts.routing import COVERAGE_HEADER, MISSING_HEADER
 from gingervane.wire.http1 import Closed, HttpError
 from gingervane.wire.remote_read import Match, Matcher, Query
 
@@ -44,6 +44,7 @@
 
 @contextmanager
 def fleet() -> Iterator[Embedded]:
+    """Run an embedded fleet for as long as the context lasts."""
     embedded = Embedded()
     try:
         yield embedded
--- a/gingervane/experiments/figures.py
+++ b/gingervane/experiments/figures.py
@@ -54,6 +54,7 @@
 
 
 def by_cell(runs: Sequence[Run]) -> dict[str, list[Run]]:
+    """Group the runs that were played without an error by their cell, in order of the cells' values."""
     out: dict[str, list[Run]] = defaultdict(list)
     for run in runs:
         if not run.error:
--- a/gingervane/scenarios/coordinator_settings.py
+++ b/gingervane/scenarios/coordinator_settings.py
@@ -49,3 +49,8 @@
         "budget": dict(zip(("free", "share", "span"), budget, strict=True)),
         "log": log,
     }
+
+
+def tree_table(tree: dict[str, Any], coordinators: int, number: int) -> dict[str, Any]:
+    """Complete the settings of the tree for one of several co-ordinators; `tree` may set a place of its own."""
+    return {"ring": coordinators, "place": number, **tree, "name": f"c{number}"}
--- a/gingervane/scenarios/scenario.py
+++ b/gingervane/scenarios/scenario.py
@@ -17,11 +17,11 @@
 
 from pydantic import Field, model_validator
 
-from gingervane.settings.daemon_settings import Class, Count, Seconds, SettingsError, Share, Table, validate
-from gingervane.scenarios.coordinator_settings import ReplicaRing, coordinator_table
 from gingervane.fake_servers.capacity import Model
 from gingervane.fake_servers.consul import FAULTS
 from gingervane.fake_servers.faults import KINDS, Fault
+from gingervane.scenarios.coordinator_settings import ReplicaRing, coordinator_table
+from gingervane.settings.daemon_settings import Class, Count, Seconds, SettingsError, Share, Table, validate
 
 OWN_KINDS = {"burst", "drain", "coordinator_kill", "coordinator_stall", "coordinator_drain", "agent_fault"}
 Moment = Annotated[float, Field(ge=0, le=3600)]
