--- a/gingervane/experiments/experiment.py
+++ b/gingervane/experiments/experiment.py
@@ -37,7 +37,7 @@
 
 
 class Experiment(Table):
-    """One file."""
+    """One experiment file."""
 
     name: Annotated[str, Field(pattern=r"^[A-Za-z0-9_-]{1,80}$")]
     scenario: str
@@ -46,7 +46,7 @@
     vary: dict[str, Annotated[list[Any], Field(min_length=1)]] = {}
 
     def cells(self) -> list[dict[str, Any]]:
-        """Every combination of what is varied."""
+        """Give every combination of what is varied."""
         keys = list(self.vary)
         return [dict(zip(keys, values, strict=True)) for values in itertools.product(*self.vary.values())]
 
@@ -56,7 +56,7 @@
 
 
 class Job(NamedTuple):
-    """One run to be played, as it travels to a worker."""
+    """One run to be played, as it is sent to a worker."""
 
     experiment: str
     scenario: dict[str, Any]
@@ -68,7 +68,7 @@
 
 
 def load(name: str) -> tuple[Experiment, dict[str, Any], Path]:
-    """An experiment that ships, or a file: itself, its scenario's table, and where it is. Raises SettingsError."""
+    """Load an experiment that ships, or a file: itself, its scenario's table, and its path. Raises SettingsError."""
     shipped = resources.files("gingervane.experiments") / "experiments" / f"{name}.toml"
     path = Path(str(shipped)) if shipped.is_file() else Path(name)
     table = _toml(path)
@@ -78,7 +78,7 @@
     else:
         where = path.parent / found.scenario
     scenario = _toml(where)
-    for cell in found.cells():  # all faults before anything is played
+    for cell in found.cells():  # all mistakes are found before anything is played
         apply(scenario, cell, path)
     return found, scenario, path
 
@@ -93,7 +93,7 @@
 
 
 def apply(table: dict[str, Any], cell: dict[str, Any], path: Path) -> tuple[Scenario, dict[str, Any]]:
-    """A scenario with a cell's values in place, and what of them is assumed of the world. Raises SettingsError."""
+    """Put a cell's values into a scenario; return it and the emulator's assumptions. Raises SettingsError."""
     made = json.loads(json.dumps(table))
     assumed: dict[str, Any] = {}
     for key, value in cell.items():
@@ -118,7 +118,7 @@
 
 
 def _scale(table: dict[str, Any], factor: float) -> None:
-    """Nodes, tiles, co-ordinators and rate together; troubles by share hit as many more."""
+    """Scale nodes, tiles, co-ordinators and rate together; faults by share hit as many more."""
     for section, key in (
         ("nodes", "count"),
         ("nodes", "tiles"),
@@ -131,7 +131,7 @@
 
 
 def jobs(found: Experiment, scenario: dict[str, Any], world: World, version: str, out: Path) -> Iterator[Job]:
-    """All runs of a matrix. Cells of one seed see the same demands and troubles, so that they can be paired."""
+    """Yield all runs of a matrix. Cells of one seed see the same demands and faults, so that they can be paired."""
     for seed in found.all_seeds():
         for cell in found.cells():
             yield Job(found.name, scenario, json.dumps(cell, sort_keys=True), seed, world, version, str(out))
@@ -195,16 +195,21 @@
     out: Path,
     world: World,
     workers: int,
-    told: Callable[[int, int, Run | None], None],
+    on_progress: Callable[[int, int, Run | None], None],
 ) -> int:
-    """Play what is not in the store yet; how many runs failed. `told`: done, of how many, and the run that ended."""
+    """Play what is not in the store yet and return how many runs failed.
+
+    `on_progress` is given how many runs are done, of how many, and the run that has ended.
+    """
     version = code_version()
     store = RunStore(out / "runs.duckdb")
     try:
         done = store.done(found.name, world, version)
         todo = [j for j in jobs(found, scenario, world, version, out) if (j.cell, j.seed) not in done]
-        total, count, failed = len(todo) + len(done), len(done), 0
-        told(count, total, None)
+        total = len(todo) + len(done)
+        count = len(done)
+        failed = 0
+        on_progress(count, total, None)
         # On sockets one run has the machine for itself.
         context = multiprocessing.get_context("spawn")
         with ProcessPoolExecutor(1 if world == "sockets" else workers, mp_context=context) as pool:
@@ -213,7 +218,7 @@
                 store.put(result)
                 count += 1
                 failed += bool(result.error)
-                told(count, total, result)
+                on_progress(count, total, result)
         return failed
     finally:
         store.close()
--- a/gingervane/experiments/scenario_runner.py
+++ b/gingervane/experiments/scenario_runner.py
@@ -27,7 +27,7 @@
 from gingervane.fake_servers.recorder import Recorder
 from gingervane.scenarios.coordinator_settings import tree_table
 from gingervane.scenarios.demands import demands
-from gingervane.scenarios.scenario import Scenario, Trouble
+from gingervane.scenarios.scenario import Scenario, ScheduledFault
 
 __all__ = ["Rehearsal", "RehearsalError"]
 
@@ -235,25 +235,25 @@
         return sorted(moments, key=lambda moment: moment[0])
 
     def _coordinator_moments(
-        self, trouble: Trouble, number: int, coordinators: CoordinatorProcesses, published: PublishedList
+        self, fault: ScheduledFault, number: int, coordinators: CoordinatorProcesses, published: PublishedList
     ) -> list[Moment]:
         """Give what a fault does to one co-ordinator."""
-        end = trouble.at + trouble.seconds
-        if trouble.kind == "coordinator_kill":
-            notice = trouble.at + self.scenario.listing.notice
+        end = fault.at + fault.seconds
+        if fault.kind == "coordinator_kill":
+            notice = fault.at + self.scenario.listing.notice
             return [
-                (trouble.at, partial(coordinators.kill, number)),
+                (fault.at, partial(coordinators.kill, number)),
                 (notice, partial(published.set_coordinator, number, "gone")),
                 (end, partial(self._launch, number, coordinators, published)),
             ]
-        if trouble.kind == "coordinator_drain":
+        if fault.kind == "coordinator_drain":
             return [
-                (trouble.at, partial(published.set_coordinator, number, "draining")),
+                (fault.at, partial(published.set_coordinator, number, "draining")),
                 (end, partial(published.set_coordinator, number, "ready")),
             ]
         moments: list[Moment] = []
-        if trouble.kind == "coordinator_stall":
-            for at, seconds in trouble.stalls():
+        if fault.kind == "coordinator_stall":
+            for at, seconds in fault.stalls():
                 moments.append((at, partial(coordinators.send_signal, number, signal.SIGSTOP)))
                 moments.append((at + seconds, partial(coordinators.send_signal, number, signal.SIGCONT)))
         return moments
--- a/gingervane/scenarios/scenario.py
+++ b/gingervane/scenarios/scenario.py
@@ -1,9 +1,10 @@
-"""Scenarios of a rehearsal: a fleet, its load and its troubles at stated times, as TOML with checks. Free of I/O
-but for reading the file.
+"""Scenarios of a rehearsal: a fleet, its load and its faults at stated times, as TOML with checks.
 
-Times are seconds from the start of the rehearsal. A trouble names the nodes it hits (`nodes`, `zone` or `share`).
-What the server list says of it follows from `list`: a crash is listed `notice` seconds later, a silent loss after
-`silent_notice`, a return `add` seconds after it; troubles with `listed = false` never are.
+Free of I/O but for reading the file. The fields of the models are keys of scenario files.
+
+Times are seconds from the start of the rehearsal. A fault (`[[trouble]]`) names the nodes it hits (`nodes`, `zone` or
+`share`). How the server list follows is in `list`: a crash is listed `notice` seconds later, a silent loss after
+`silent_notice`, a return `add` seconds after it; faults with `listed = false` never are.
 """
 
 from __future__ import annotations
@@ -24,12 +25,16 @@
 from gingervane.settings.daemon_settings import Class, Count, Seconds, SettingsError, Share, Table, validate
 
 OWN_KINDS = {"burst", "drain", "coordinator_kill", "coordinator_stall", "coordinator_drain", "agent_fault"}
+MAX_PAUSE = 2.0  # seconds of one pause of a co-ordinator
+BETWEEN_PAUSES = 3.0  # seconds
 Moment = Annotated[float, Field(ge=0, le=3600)]
 
 
 class Nodes(Table):
+    """The grid's nodes and the capacity of each."""
+
     count: Annotated[int, Field(gt=0, le=400)] = 12
-    processes: Annotated[int, Field(gt=0, le=16)] = 1  # that the stand-ins run in
+    processes: Annotated[int, Field(gt=0, le=16)] = 1  # that the fake servers run in
     tiles: Annotated[int, Field(gt=0, le=2000)] = 24
     width: Annotated[int, Field(gt=0, le=10)] = 3
     zones: Annotated[tuple[str, ...], Field(min_length=1)] = ("hall-a", "hall-b", "hall-c")
@@ -43,6 +48,7 @@
     fall_time: Seconds = 1.5
 
     def model(self) -> Model:
+        """Give the capacity of a node."""
         return Model(
             self.cores,
             self.work,
@@ -56,7 +62,7 @@
 
 
 class Listing(Table):
-    """How the server list follows what happens; `grace`: within which a drain must be kept."""
+    """How the server list follows what happens; `grace` is the time within which a drain must be kept."""
 
     notice: Moment = 0.5
     silent_notice: Moment = 2.0
@@ -66,8 +72,10 @@
 
 
 class Coordinators(Table):
+    """The co-ordinators, and what of their settings a scenario sets."""
+
     count: Annotated[int, Field(gt=0, le=64)] = 3
-    roots: Annotated[int, Field(ge=0, le=64)] = 0  # co-ordinators that clients ask; 0: all
+    roots: Annotated[int, Field(ge=0, le=64)] = 0  # co-ordinators that clients send to; 0: all
     notice: Moment = 0.5  # after which clients no longer go to one that was killed
     limits: dict[str, Any] = {}
     tree: dict[str, Any] = {}  # settings of the tree; empty: none. `ring` is the number of co-ordinators
@@ -112,6 +120,8 @@
 
 
 class Clients(Table):
+    """How clients send queries and retry."""
+
     rate: Annotated[float, Field(gt=0, le=5000)] = 40.0
     retries: Annotated[int, Field(ge=0, le=5)] = 1
     backoff: Moment = 0.1
@@ -121,7 +131,9 @@
     range_ms: Annotated[int, Field(gt=0)] = 300_000
 
 
-class Trouble(Table):
+class ScheduledFault(Table):
+    """A fault at a stated time: of nodes, co-ordinators, agents or the load."""
+
     kind: str
     at: Moment
     seconds: Seconds
@@ -137,20 +149,22 @@
     listed: bool = True
 
     @model_validator(mode="after")
-    def _known(self) -> Trouble:
+    def _known(self) -> ScheduledFault:
         if self.kind not in KINDS and self.kind not in OWN_KINDS:
             raise ValueError(f"kind: {self.kind!r} is not one of {', '.join(sorted([*KINDS, *OWN_KINDS]))}")
         return self
 
     def stalls(self) -> Iterator[tuple[float, float]]:
-        """Of a co-ordinator that is stopped again and again: from when, and for how long."""
-        at, size = self.at, min(self.size, 2.0)
+        """Give the pauses of a co-ordinator that is stopped again and again: from when, and for how long."""
+        at, size = self.at, min(self.size, MAX_PAUSE)
         while at < self.at + self.seconds:
             yield at, size
-            at += size + 3.0
+            at += size + BETWEEN_PAUSES
 
 
 class Scenario(Table):
+    """One scenario file."""
+
     name: str
     seed: int = 1
     seconds: Seconds = 30.0
@@ -159,10 +173,10 @@
     coordinators: Coordinators = Coordinators()
     clients: Clients = Clients()
     classes: Annotated[tuple[LoadClass, ...], Field(alias="class", min_length=1)]
-    troubles: Annotated[tuple[Trouble, ...], Field(alias="trouble")] = ()
+    troubles: Annotated[tuple[ScheduledFault, ...], Field(alias="trouble")] = ()
     consul: Consul | None = None
     vectors: VectorDay | None = None
-    unmapped: tuple[str, ...] = ()  # kinds of trouble of a bench day that have no twin here
+    unmapped: tuple[str, ...] = ()  # kinds of fault of a bench day that have no equivalent here
 
     @model_validator(mode="after")
     def _fits(self) -> Scenario:
@@ -184,7 +198,7 @@
         return self
 
     def hit(self, index: int) -> tuple[int, ...]:
-        """The nodes that a trouble hits."""
+        """Give the nodes that a fault hits."""
         trouble, count = self.troubles[index], self.nodes.count
         if trouble.nodes or trouble.vector_nodes:
             return trouble.nodes
@@ -204,7 +218,7 @@
         membership: dict[str, Any],
         log: dict[str, Any],
     ) -> dict[str, Any]:
-        """One co-ordinator's settings, but for a tree or vectors."""
+        """Build the settings of one co-ordinator, but for a tree or vectors."""
         nodes, own = self.nodes, self.coordinators
         tiles = [f"t{i:03d}" for i in range(nodes.tiles)]
         ring = ReplicaRing(
@@ -228,7 +242,7 @@
         return table | {"limits": own.limits}
 
     def _class_tables(self) -> list[dict[str, Any]]:
-        """The classes as a co-ordinator's settings have them."""
+        """Give the classes as a co-ordinator's settings have them."""
         return [
             {
                 key: value
@@ -239,11 +253,11 @@
         ]
 
     def faults(self, began: float) -> dict[int, list[Fault]]:
-        """Each node's faults, on the clock on which the rehearsal began at `began`."""
+        """Give each node's faults, on the clock on which the rehearsal began at `began`."""
         return self._faults(began, self.hit)
 
     def vector_faults(self, began: float) -> dict[int, list[Fault]]:
-        """The same of the vector nodes."""
+        """Give each vector node's faults."""
         return self._faults(began, lambda index: self.troubles[index].vector_nodes)
 
     def _faults(self, began: float, hit: Callable[[int], tuple[int, ...]]) -> dict[int, list[Fault]]:
@@ -256,7 +270,10 @@
         return out
 
     def listings(self) -> list[tuple[float, dict[int, str], dict[int, float]]]:
-        """What the server list says from when on: states that are not ready, and starts (seconds into the day)."""
+        """Give the versions of the server list: from when, states that are not ready, and starts.
+
+        Times are seconds into the day.
+        """
         spans: list[tuple[float, float, int, str]] = []  # from, to, node, state
         starts: list[tuple[float, int, float]] = []  # listed at, node, started at
         for index, trouble in enumerate(self.troubles):
@@ -281,7 +298,7 @@
         return out
 
     def down(self, node: int) -> list[tuple[float, float]]:
-        """When a node can answer nobody, for the bound on what could have been served."""
+        """Give when a node can answer nobody, for the bound on what could have been served."""
         out: list[tuple[float, float]] = []
         for index, trouble in enumerate(self.troubles):
             if trouble.kind in KINDS and node in self.hit(index):
@@ -292,7 +309,7 @@
         return out
 
     def facts(self) -> dict[str, Any]:
-        """What an audit must know beforehand."""
+        """Give what an audit must know beforehand; the keys are stored in `facts.json`."""
         nodes, own = self.nodes, self.coordinators
         return {
             "name": self.name,
@@ -311,7 +328,7 @@
 
 
 def names() -> list[str]:
-    """Scenarios that ship with the package."""
+    """Name the scenarios that ship with the package."""
     folder = resources.files("gingervane.scenarios")
     return sorted(
         entry.name.removesuffix(".toml") for entry in folder.iterdir() if entry.name.endswith(".toml")
@@ -319,7 +336,7 @@
 
 
 def load(name: str) -> Scenario:
-    """A scenario by the name of one that ships, or by its file. Raises SettingsError."""
+    """Load a scenario by the name of one that ships, or by its file. Raises SettingsError."""
     path = Path(name)
     if name in names():
         text = (resources.files("gingervane.scenarios") / f"{name}.toml").read_text()
