--- a/gingervane/experiments/experiment.py
+++ b/gingervane/experiments/experiment.py
@@ -34,6 +34,7 @@
 from gingervane.settings.daemon_settings import SettingsError, Table, validate
 
 World = Literal["emulator", "sockets"]
+_MAX_ERROR = 2000  # characters of an error that are kept
 
 
 class Experiment(Table):
@@ -147,26 +148,27 @@
             _emulated(scenario, assumed) if job.world == "emulator" else _rehearsed(scenario, job)
         )
     except Exception as error:  # noqa: BLE001 - kept with the run, and the others go on
-        took = time.monotonic() - began
-        what = f"{type(error).__name__}: {error}"[:2000]
-        return Run(
-            job.experiment, job.cell, job.seed, job.world, job.version, what, False, 0, 0, 0, took, {}, {}
-        )
-    weight = report["worth"]
+        return _run_of(job, began, f"{type(error).__name__}: {error}"[:_MAX_ERROR], {}, {})
+    return _run_of(job, began, "", report, histograms)
+
+
+def _run_of(job: Job, began: float, error: str, report: dict[str, Any], histograms: dict[str, str]) -> Run:
+    """Put a run together; one that failed has no report."""
+    weight = report["worth"] if report else {"asked": 0, "served": 0, "bound": 0}
     return Run(
-        job.experiment,
-        job.cell,
-        job.seed,
-        job.world,
-        job.version,
-        "",
-        report["kept"],
-        weight["asked"],
-        weight["served"],
-        weight["bound"],
-        time.monotonic() - began,
-        report,
-        histograms,
+        experiment=job.experiment,
+        cell=job.cell,
+        seed=job.seed,
+        world=job.world,
+        version=job.version,
+        error=error,
+        kept=report["kept"] if report else False,
+        asked=weight["asked"],
+        served=weight["served"],
+        bound=weight["bound"],
+        seconds=time.monotonic() - began,
+        report=report,
+        histograms=histograms,
     )
 
 
--- a/gingervane/experiments/figures.py
+++ b/gingervane/experiments/figures.py
@@ -1,4 +1,4 @@
-"""What runs come to: tables, charts, and paired differences with confidence intervals."""
+"""Figures of runs: tables, charts, and paired differences with confidence intervals."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 from gingervane.experiments.store import Run
 
-_DRAWS = 4000
+_DRAWS = 4000  # of the bootstrap
 
 
 class Interval(NamedTuple):
-    """A mean and where it lies, at 95%, by the bootstrap over seeds."""
+    """A mean and its 95% confidence interval, by the bootstrap over seeds."""
 
     mean: float
     low: float
@@ -27,7 +27,7 @@
 
 
 def interval(values: Sequence[float]) -> Interval:
-    """Of a mean. The draws are the same each time."""
+    """Estimate the interval of a mean. The draws are the same each time."""
     found = np.asarray(values, dtype=float)
     if len(found) < 2:
         return Interval(*(float(found.mean()) if len(found) else float("nan"),) * 3)
@@ -67,7 +67,7 @@
 
 
 def table(runs: Sequence[Run]) -> str:
-    """Markdown: a row a cell."""
+    """Write a table in Markdown, with a row for each cell."""
     keys = sorted({key for run in runs for key in json.loads(run.cell)})
     heads = [*keys, "runs", "rules kept", *MEASURES]
     rows = [f"| {' | '.join(heads)} |", f"|{' --- |' * len(heads)}"]
