--- a/benchmarks/tree.py
+++ b/benchmarks/tree.py
@@ -12,7 +12,7 @@
 from common import machine
 
 from gingervane.settings.daemon_settings import validate
-from gingervane.experiments.scenario_runner import Rehearsal
+from gingervane.experiments.scenario_runner import ScenarioRun
 from gingervane.scenarios.scenario import Scenario
 
 SECONDS, RATE = 10.0, 3.0
@@ -50,7 +50,7 @@
     for nodes in (12, 60, 150):
         for levels in (1, 2, 3):
             scenario = validate(Scenario, day(nodes, levels), Path("benchmark"))
-            report = Rehearsal(scenario, out / f"{nodes}-{levels}").run()
+            report = ScenarioRun(scenario, out / f"{nodes}-{levels}").run()
             row, count = (
                 report["latency_ms"].get("wide", {"count": 0, "p50": 0, "p99": 0}),
                 max(report["tries"], 1),
--- a/gingervane/cli/main.py
+++ b/gingervane/cli/main.py
@@ -122,7 +122,7 @@
     from gingervane.experiments import bench_day_import
     from gingervane.experiments import report
     from gingervane.scenarios import scenario as scenarios
-    from gingervane.experiments.scenario_runner import Rehearsal, RehearsalError
+    from gingervane.experiments.scenario_runner import ScenarioRun, ScenarioRunError
 
     if (scenario is None) == (from_day is None):
         raise click.UsageError("give a SCENARIO or --from-day, one of the two")
@@ -130,8 +130,8 @@
         raise click.BadParameter(f"{out} holds something other than a rehearsal", param_hint="--out")
     try:
         day = bench_day_import.convert(from_day) if from_day else scenarios.load(str(scenario))
-        found = Rehearsal(day, out).run()
-    except (daemon_settings.SettingsError, RehearsalError) as error:
+        found = ScenarioRun(day, out).run()
+    except (daemon_settings.SettingsError, ScenarioRunError) as error:
         click.echo(str(error), err=True)
         sys.exit(2)
     report.show(found)
--- a/gingervane/emulator/coordinator.py
+++ b/gingervane/emulator/coordinator.py
@@ -75,7 +75,7 @@
         costs: ProcessingCosts,
         record_send: Callable[[SimCoordinator, int, list[Any]], Callable[[dict[str, Any]], None]],
     ) -> None:
-        """Start it; `record_send` is told of each request that leaves and gives what takes the node's record."""
+        """Start it; `record_send` is given each request that leaves and gives what takes the node's record."""
         self.number = number
         self._clock = clock
         self._costs = costs
--- a/gingervane/emulator/senders.py
+++ b/gingervane/emulator/senders.py
@@ -19,7 +19,7 @@
 from gingervane.emulator.processor import Processor
 from gingervane.interface import AttemptOutcome
 
-# Is told of each request that leaves: the node and the contents. Returns what takes the node's record of it.
+# Is given each request that leaves: the node and the contents. Returns what takes the node's record of it.
 RecordSend = Callable[[int, list[Any]], Callable[[dict[str, Any]], None]]
 
 
--- a/gingervane/experiments/__init__.py
+++ b/gingervane/experiments/__init__.py
@@ -1,1 +1,1 @@
-"""Load, rehearsals and experiments."""
+"""Scenarios played on sockets, experiments, and the figures of them."""
--- a/gingervane/experiments/child_process.py
+++ b/gingervane/experiments/child_process.py
@@ -15,7 +15,7 @@
 _END_TIMEOUT = 20.0  # seconds
 
 
-class RehearsalError(Exception):
+class ScenarioRunError(Exception):
     """The day could not be played; its records say nothing of the rules."""
 
 
@@ -41,17 +41,17 @@
         self._lines.put("")
 
     def line(self, prefix: str, timeout: float = _LINE_TIMEOUT) -> str:
-        """Wait for the first line with a prefix and return the rest of it. Raises RehearsalError."""
+        """Wait for the first line with a prefix and return the rest of it. Raises ScenarioRunError."""
         until = time.monotonic() + timeout
         while True:
             try:
                 line = self._lines.get(timeout=max(until - time.monotonic(), 0.01))
             except queue.Empty:
-                raise RehearsalError(f"{self._name}: no line {prefix!r} in {timeout:g} s") from None
+                raise ScenarioRunError(f"{self._name}: no line {prefix!r} in {timeout:g} s") from None
             if line.startswith(prefix):
                 return line.removeprefix(prefix).strip()
             if not line:
-                raise RehearsalError(f"{self._name}: ended; see {self._log.name}")
+                raise ScenarioRunError(f"{self._name}: ended; see {self._log.name}")
 
     def close_stdin(self) -> None:
         """Close its standard input, at whose end fake servers write what they have recorded and end."""
--- a/gingervane/experiments/experiment.py
+++ b/gingervane/experiments/experiment.py
@@ -145,7 +145,7 @@
         scenario, assumed = apply(job.scenario, json.loads(job.cell), Path(job.experiment))
         scenario = scenario.model_copy(update={"seed": job.seed})
         report, histograms = (
-            _emulated(scenario, assumed) if job.world == "emulator" else _rehearsed(scenario, job)
+            _run_in_emulator(scenario, assumed) if job.world == "emulator" else _run_on_sockets(scenario, job)
         )
     except Exception as error:  # noqa: BLE001 - kept with the run, and the others go on
         return _run_of(job, began, f"{type(error).__name__}: {error}"[:_MAX_ERROR], {}, {})
@@ -172,7 +172,7 @@
     )
 
 
-def _emulated(scenario: Scenario, assumed: dict[str, Any]) -> tuple[dict[str, Any], dict[str, str]]:
+def _run_in_emulator(scenario: Scenario, assumed: dict[str, Any]) -> tuple[dict[str, Any], dict[str, str]]:
     from gingervane.audit import figures
     from gingervane.emulator.assumptions import Assumptions
     from gingervane.emulator.world import World
@@ -182,12 +182,12 @@
     return world.judge(day), {n: h.encode().decode() for n, h in figures.histograms(day).items()}
 
 
-def _rehearsed(scenario: Scenario, job: Job) -> tuple[dict[str, Any], dict[str, str]]:
+def _run_on_sockets(scenario: Scenario, job: Job) -> tuple[dict[str, Any], dict[str, str]]:
     from gingervane.audit import day_reader, figures
-    from gingervane.experiments.scenario_runner import Rehearsal
+    from gingervane.experiments.scenario_runner import ScenarioRun
 
     folder = Path(job.out) / "sockets"
-    report = Rehearsal(scenario, folder).run()
+    report = ScenarioRun(scenario, folder).run()
     return report, {n: h.encode().decode() for n, h in figures.histograms(day_reader.load(folder)).items()}
 
 
--- a/gingervane/experiments/scenario_runner.py
+++ b/gingervane/experiments/scenario_runner.py
@@ -18,7 +18,7 @@
 from typing import Any
 
 from gingervane.audit import effects, rules
-from gingervane.experiments.child_process import ChildProcess, RehearsalError
+from gingervane.experiments.child_process import ChildProcess, ScenarioRunError
 from gingervane.experiments.clients import Load
 from gingervane.experiments.coordinator_processes import CoordinatorProcesses
 from gingervane.experiments.listing import ConsulListing, FileListing, Listing
@@ -29,7 +29,7 @@
 from gingervane.scenarios.demands import demands
 from gingervane.scenarios.scenario import Scenario, ScheduledFault
 
-__all__ = ["Rehearsal", "RehearsalError"]
+__all__ = ["ScenarioRun", "ScenarioRunError"]
 
 _SERVICE = "grid"  # the nodes' in Consul
 _START = (
@@ -43,7 +43,7 @@
 Moment = tuple[float, Callable[[], None]]
 
 
-class Rehearsal:
+class ScenarioRun:
     """One day. `command` starts a co-ordinator; tests put one that breaks a rule in its place."""
 
     def __init__(self, scenario: Scenario, out: Path, command: list[str] | None = None) -> None:
@@ -97,7 +97,7 @@
         for number in range(count):
             self._launch(number, coordinators, published)
         if time.monotonic() > began:
-            raise RehearsalError("the machine took too long to start all; the day would be late")
+            raise ScenarioRunError("the machine took too long to start all; the day would be late")
         moments = self._moments(coordinators, published, director)
         script = threading.Thread(target=self._run_script, args=(began, moments, coordinators), daemon=True)
         script.start()
--- a/gingervane/experiments/store.py
+++ b/gingervane/experiments/store.py
@@ -45,7 +45,7 @@
 
     @property
     def share(self) -> float:
-        """Of the worth that was possible."""
+        """Share of the priority weight that was possible."""
         return self.served / self.bound if self.bound else 1.0
 
 
--- a/gingervane/experiments/vector_day.py
+++ b/gingervane/experiments/vector_day.py
@@ -108,7 +108,7 @@
         write_list(self._out / "vectors.toml", "\n".join(rows))
 
     def load(self) -> None:
-        """Put the fixed points at their holders, past any co-ordinator, before the day."""
+        """Put the fixed points at their replicas, past any co-ordinator, before the day."""
         day, by_shard = self.day, dict[int, list[Any]]()
         for point in fixed_points(day):
             row = {**point, "version": 1, "ops": 0, "deleted": False}
@@ -119,7 +119,7 @@
                 self._node((shard + back) % day.nodes, "POST", target, {"points": rows})
 
     def marks(self) -> dict[int, dict[int, dict[str, Any]]]:
-        """What each holder has of each shard of the moving collection, by node and shard."""
+        """Read what each replica has of each shard of the moving collection, by node and shard."""
         day, out = self.day, dict[int, dict[int, dict[str, Any]]]()
         for node in range(day.nodes):
             for back in range(day.width):
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -12,7 +12,7 @@
 
 from gingervane.settings import daemon_settings
 from gingervane.experiments import bench_day_import
-from gingervane.experiments.scenario_runner import Rehearsal
+from gingervane.experiments.scenario_runner import ScenarioRun
 from gingervane.scenarios.scenario import Scenario, load, names
 
 DAY: dict[str, Any] = {
@@ -57,8 +57,8 @@
 
 def play(breaks: str, out: Path, day: dict[str, Any] = DAY) -> dict[str, Any]:
     scenario = daemon_settings.validate(Scenario, day, Path("small"))
-    saboteur = [sys.executable, "-m", "gingervane.cli.serve_mutant", breaks]
-    return Rehearsal(scenario, out, saboteur if breaks else None).run()
+    mutant = [sys.executable, "-m", "gingervane.cli.serve_mutant", breaks]
+    return ScenarioRun(scenario, out, mutant if breaks else None).run()
 
 
 # By Consul: drains with both agents well, and with one that hangs or lags; then neither answers.
