--- a/benchmarks/common.py
+++ b/benchmarks/common.py
@@ -21,7 +21,7 @@
 from gingervane.fake_servers.capacity import Model
 from gingervane.fake_servers.server_list import list_row, write_list
 
-PROCESSES = 4  # of stand-ins, so that they are not what is measured
+PROCESSES = 4  # of fake servers, so that they are not what is measured
 ZONES = ["hall-a", "hall-b", "hall-c"]
 
 
@@ -34,7 +34,7 @@
 
 
 class Fleet:
-    """Stand-in nodes in processes of their own (a few nodes each) and one co-ordinator in another."""
+    """Fake nodes in processes of their own (a few nodes each) and one co-ordinator in another."""
 
     def __init__(
         self,
@@ -45,24 +45,39 @@
         table: dict[str, Any] | None = None,
         prefix: list[str] | None = None,
     ) -> None:
+        """Start them. `table` has settings of the co-ordinator, `prefix` the command that runs its module."""
         self.model = model or Model()
         self.folder = Path(tempfile.mkdtemp(prefix="gingervane-bench-"))
-        self.tiles, self.nodes = [f"t{i:03d}" for i in range(tiles)], nodes
+        self.tiles = [f"t{i:03d}" for i in range(tiles)]
+        self.nodes = nodes
+        self.fake_servers: list[subprocess.Popen[str]] = []
+        self.ports = [0] * nodes
+        self._start_nodes(faults or {})
+        rows = [
+            list_row(n, f"127.0.0.1:{port}", ZONES[n % 3], n, "ready", None)
+            for n, port in enumerate(self.ports)
+        ]
+        write_list(self.folder / "servers.toml", "\n".join(rows))
+        self.coordinator = self._start_coordinator(table or {}, prefix or [sys.executable])
+        assert self.coordinator.stdout
+        line = self.coordinator.stdout.readline().removeprefix("listening on ").strip()
+        host, _, port = line.rpartition(":")
+        self.address = host, int(port)
+
+    def _start_nodes(self, faults: dict[int, list[Any]]) -> None:
         orders = {
             "records": str(self.folder / "nodes.jsonl"),
-            "nodes": nodes,
-            "tiles": tiles,
+            "nodes": self.nodes,
+            "tiles": len(self.tiles),
             "zones": ZONES,
             "width": 3,
             "model": list(self.model),
-            "faults": faults or {},
+            "faults": faults,
             "silent": True,
         }
-        self.standins: list[subprocess.Popen[str]] = []
-        self.ports = [0] * nodes
         for first in range(PROCESSES):
             path = self.folder / f"orders-{first}.json"
-            only = list(range(first, nodes, PROCESSES))
+            only = list(range(first, self.nodes, PROCESSES))
             path.write_text(json.dumps(orders | {"only": only}))
             child = subprocess.Popen(
                 [sys.executable, "-m", "gingervane.fake_servers.fleet", str(path)],
@@ -71,39 +86,23 @@
                 text=True,
             )
             assert child.stdout
-            for node, port in zip(
-                only, json.loads(child.stdout.readline().removeprefix("ready")), strict=True
-            ):
+            ports = json.loads(child.stdout.readline().removeprefix("ready"))
+            for node, port in zip(only, ports, strict=True):
                 self.ports[node] = port
-            self.standins.append(child)
-        rows = [
-            list_row(n, f"127.0.0.1:{port}", ZONES[n % 3], n, "ready", None)
-            for n, port in enumerate(self.ports)
-        ]
-        write_list(self.folder / "servers.toml", "\n".join(rows))
+            self.fake_servers.append(child)
+
+    def _start_coordinator(self, table: dict[str, Any], prefix: list[str]) -> subprocess.Popen[str]:
         settings: dict[str, Any] = {
-            "shards": {"names": self.tiles, "cells": nodes, "width": 3},
+            "shards": {"names": self.tiles, "cells": self.nodes, "width": 3},
             "fleet": {"zones": ZONES, "zone": "hall-a"},
             "membership": {"file": "servers.toml"},
             "log": {"level": "warning"},
             "class": [{"name": "look", "aim": 2.0, "deadline": 10.0}],
         }
         config = self.folder / "c.toml"
-        config.write_text(toml(settings | (table or {})))
-        command = [
-            *(prefix or [sys.executable]),
-            "-m",
-            "gingervane.cli.main",
-            "serve",
-            "--config",
-            str(config),
-        ]
-        self.coordinator = subprocess.Popen(command, stdout=subprocess.PIPE, text=True)
-        assert self.coordinator.stdout
-        host, _, port = (
-            self.coordinator.stdout.readline().removeprefix("listening on ").strip().rpartition(":")
-        )
-        self.address = host, int(port)
+        config.write_text(toml(settings | table))
+        command = [*prefix, "-m", "gingervane.cli.main", "serve", "--config", str(config)]
+        return subprocess.Popen(command, stdout=subprocess.PIPE, text=True)
 
     def __enter__(self) -> Fleet:
         return self
@@ -111,7 +110,7 @@
     def __exit__(self, kind: type[BaseException] | None, error: object, trace: TracebackType | None) -> None:
         self.coordinator.terminate()
         self.coordinator.wait(20)
-        for child in self.standins:
+        for child in self.fake_servers:
             assert child.stdin
             child.stdin.close()
             child.wait(20)
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -46,7 +46,7 @@
     )
 
 
-class StandIn:
+class FakeConsul:
     """Consul's, in a process of its own, with an agent more than are watched: the operator's."""
 
     def __init__(self, agents: int = 2) -> None:
@@ -121,9 +121,9 @@
 
 
 def news(count: int) -> None:
-    stand_in = StandIn()
+    fake_consul = FakeConsul()
     nodes = [row(n) for n in range(NODES)]
-    stand_in.listing.write(nodes, [])
+    fake_consul.listing.write(nodes, [])
     children, told = [], list[tuple[float, int, int]]()
 
     def read(child: subprocess.Popen[str], base: int) -> None:
@@ -136,7 +136,7 @@
     for index in range(WORKERS):
         own = count // WORKERS + (index < count % WORKERS)
         child = subprocess.Popen(
-            [sys.executable, __file__, "worker", json.dumps(stand_in.agents), str(own)],
+            [sys.executable, __file__, "worker", json.dumps(fake_consul.agents), str(own)],
             stdin=subprocess.PIPE,
             stdout=subprocess.PIPE,
             text=True,
@@ -154,27 +154,27 @@
         time.sleep(0.3 + rng.random() * 0.4)
         changed[node] = time.monotonic()
         nodes[node] = row(node, "draining")
-        stand_in.listing.write(nodes, [])
+        fake_consul.listing.write(nodes, [])
     time.sleep(2.0)
     churn = time.monotonic()
     for node in range(40, 140):  # ten a second
         changed[node] = time.monotonic()
         nodes[node] = row(node, "draining")
-        stand_in.listing.write(nodes, [])
+        fake_consul.listing.write(nodes, [])
         time.sleep(max(churn + (node - 39) * 0.1 - time.monotonic(), 0.0))
     time.sleep(2.0)
     outage = time.monotonic()
-    stand_in.fault("500")
+    fake_consul.fault("500")
     time.sleep(20.0)
     back = time.monotonic()
-    stand_in.fault("")
+    fake_consul.fault("")
     time.sleep(20.0)
     end = time.monotonic()
     for child in children:
         assert child.stdin
         child.stdin.close()
         child.wait(20)
-    calls = stand_in.end()
+    calls = fake_consul.end()
     print(f"{count} co-ordinators, 2 watchers each, {NODES} nodes")
     for what, first, last in (("changes one at a time", 0, 40), ("ten changes a second", 40, 140)):
         took = [(at - changed[node]) * 1000 for at, _, node in told if first <= node < last]
@@ -195,9 +195,9 @@
     """From the process's start to its first good answer, and without a catalogue to the first answer at all."""
     folder = Path(tempfile.mkdtemp(prefix="gingervane-bench-"))
     with Fleet(nodes=12, tiles=24) as fleet:
-        stand_in = StandIn()
-        stand_in.listing.write([row(n, port=port) for n, port in enumerate(fleet.ports)], [])
-        agents = [f"{host}:{port}" for host, port in stand_in.agents]
+        fake_consul = FakeConsul()
+        fake_consul.listing.write([row(n, port=port) for n, port in enumerate(fleet.ports)], [])
+        agents = [f"{host}:{port}" for host, port in fake_consul.agents]
 
         def start(kept: bool) -> str:
             membership = {"consul": {"agents": agents, "service": "grid"}} | (
@@ -240,11 +240,11 @@
         print("catalogue there, first start with a kept list:", start(True))
         print("catalogue there, list kept:", start(True))
         for fault in ("500", "hang"):
-            stand_in.fault(fault)
+            fake_consul.fault(fault)
             print(f"catalogue away ({fault}), list kept:", start(True))
         print("catalogue away (hang), nothing kept:", start(False))
-        stand_in.fault("")
-        stand_in.end()
+        fake_consul.fault("")
+        fake_consul.end()
 
 
 def cost(count: int = 1000) -> None:
