--- a/gingervane/experiments/experiment.py
+++ b/gingervane/experiments/experiment.py
@@ -28,17 +28,18 @@
 
 from pydantic import Field
 
-from gingervane.settings.daemon_settings import SettingsError, validate
-from gingervane.settings.tables import Table
+from gingervane.experiments.store import Run, RunStore, code_version
 from gingervane.scenarios import scenario as scenarios
 from gingervane.scenarios.scenario import Scenario
-from gingervane.experiments.store import Run, RunStore, code_version
+from gingervane.settings.daemon_settings import SettingsError, validate
+from gingervane.settings.tables import Table
 
 World = Literal["emulator", "sockets"]
+_MAX_ERROR = 2000  # characters of an error that are kept
 
 
 class Experiment(Table):
-    """One file."""
+    """One experiment file."""
 
     name: Annotated[str, Field(pattern=r"^[A-Za-z0-9_-]{1,80}$")]
     scenario: str
@@ -47,16 +48,17 @@
     vary: dict[str, Annotated[list[Any], Field(min_length=1)]] = {}
 
     def cells(self) -> list[dict[str, Any]]:
-        """Every combination of what is varied."""
+        """Give every combination of what is varied."""
         keys = list(self.vary)
         return [dict(zip(keys, values, strict=True)) for values in itertools.product(*self.vary.values())]
 
     def all_seeds(self) -> tuple[int, ...]:
+        """Give the seeds, or those from 1 on if their number is stated."""
         return tuple(range(1, self.seeds + 1)) if isinstance(self.seeds, int) else self.seeds
 
 
 class Job(NamedTuple):
-    """One run to be played, as it travels to a worker."""
+    """One run to be played, as it is sent to a worker."""
 
     experiment: str
     scenario: dict[str, Any]
@@ -68,7 +70,7 @@
 
 
 def load(name: str) -> tuple[Experiment, dict[str, Any], Path]:
-    """An experiment that ships, or a file: itself, its scenario's table, and where it is. Raises SettingsError."""
+    """Load an experiment that ships, or a file: itself, its scenario's table, and its path. Raises SettingsError."""
     shipped = resources.files("gingervane.experiments") / "experiments" / f"{name}.toml"
     path = Path(str(shipped)) if shipped.is_file() else Path(name)
     table = _toml(path)
@@ -78,7 +80,7 @@
     else:
         where = path.parent / found.scenario
     scenario = _toml(where)
-    for cell in found.cells():  # all faults before anything is played
+    for cell in found.cells():  # all mistakes are found before anything is played
         apply(scenario, cell, path)
     return found, scenario, path
 
@@ -93,7 +95,7 @@
 
 
 def apply(table: dict[str, Any], cell: dict[str, Any], path: Path) -> tuple[Scenario, dict[str, Any]]:
-    """A scenario with a cell's values in place, and what of them is assumed of the world. Raises SettingsError."""
+    """Put a cell's values into a scenario; return it and the emulator's assumptions. Raises SettingsError."""
     made = json.loads(json.dumps(table))
     assumed: dict[str, Any] = {}
     for key, value in cell.items():
@@ -118,7 +120,7 @@
 
 
 def _scale(table: dict[str, Any], factor: float) -> None:
-    """Nodes, tiles, co-ordinators and rate together; troubles by share hit as many more."""
+    """Scale nodes, tiles, co-ordinators and rate together; faults by share hit as many more."""
     for section, key in (
         ("nodes", "count"),
         ("nodes", "tiles"),
@@ -131,46 +133,47 @@
 
 
 def jobs(found: Experiment, scenario: dict[str, Any], world: World, version: str, out: Path) -> Iterator[Job]:
-    """All runs of a matrix. Cells of one seed see the same demands and troubles, so that they can be paired."""
+    """Yield all runs of a matrix. Cells of one seed see the same demands and faults, so that they can be paired."""
     for seed in found.all_seeds():
         for cell in found.cells():
             yield Job(found.name, scenario, json.dumps(cell, sort_keys=True), seed, world, version, str(out))
 
 
 def play(job: Job) -> Run:
-    """One run, in a worker. Whatever goes wrong is in the run."""
+    """Play one run, in a worker. Whatever goes wrong is in the run."""
     began = time.monotonic()
     try:
         scenario, assumed = apply(job.scenario, json.loads(job.cell), Path(job.experiment))
         scenario = scenario.model_copy(update={"seed": job.seed})
         report, histograms = (
-            _emulated(scenario, assumed) if job.world == "emulator" else _rehearsed(scenario, job)
-        )
-    except Exception as error:
-        took = time.monotonic() - began
-        what = f"{type(error).__name__}: {error}"[:2000]
-        return Run(
-            job.experiment, job.cell, job.seed, job.world, job.version, what, False, 0, 0, 0, took, {}, {}
+            _run_in_emulator(scenario, assumed) if job.world == "emulator" else _run_on_sockets(scenario, job)
         )
-    worth = report["worth"]
+    except Exception as error:  # noqa: BLE001 - kept with the run, and the others go on
+        return _run_of(job, began, f"{type(error).__name__}: {error}"[:_MAX_ERROR], {}, {})
+    return _run_of(job, began, "", report, histograms)
+
+
+def _run_of(job: Job, began: float, error: str, report: dict[str, Any], histograms: dict[str, str]) -> Run:
+    """Put a run together; one that failed has no report."""
+    weight = report["worth"] if report else {"asked": 0, "served": 0, "bound": 0}
     return Run(
-        job.experiment,
-        job.cell,
-        job.seed,
-        job.world,
-        job.version,
-        "",
-        report["kept"],
-        worth["asked"],
-        worth["served"],
-        worth["bound"],
-        time.monotonic() - began,
-        report,
-        histograms,
+        experiment=job.experiment,
+        cell=job.cell,
+        seed=job.seed,
+        world=job.world,
+        version=job.version,
+        error=error,
+        kept=report["kept"] if report else False,
+        asked=weight["asked"],
+        served=weight["served"],
+        bound=weight["bound"],
+        seconds=time.monotonic() - began,
+        report=report,
+        histograms=histograms,
     )
 
 
-def _emulated(scenario: Scenario, assumed: dict[str, Any]) -> tuple[dict[str, Any], dict[str, str]]:
+def _run_in_emulator(scenario: Scenario, assumed: dict[str, Any]) -> tuple[dict[str, Any], dict[str, str]]:
     from gingervane.audit import figures
     from gingervane.emulator.assumptions import Assumptions
     from gingervane.emulator.world import World
@@ -180,12 +183,12 @@
     return world.judge(day), {n: h.encode().decode() for n, h in figures.histograms(day).items()}
 
 
-def _rehearsed(scenario: Scenario, job: Job) -> tuple[dict[str, Any], dict[str, str]]:
+def _run_on_sockets(scenario: Scenario, job: Job) -> tuple[dict[str, Any], dict[str, str]]:
     from gingervane.audit import day_reader, figures
-    from gingervane.experiments.scenario_runner import Rehearsal
+    from gingervane.experiments.scenario_runner import ScenarioRun
 
     folder = Path(job.out) / "sockets"
-    report = Rehearsal(scenario, folder).run()
+    report = ScenarioRun(scenario, folder).run()
     return report, {n: h.encode().decode() for n, h in figures.histograms(day_reader.load(folder)).items()}
 
 
@@ -195,16 +198,21 @@
     out: Path,
     world: World,
     workers: int,
-    told: Callable[[int, int, Run | None], None],
+    on_progress: Callable[[int, int, Run | None], None],
 ) -> int:
-    """Play what is not in the store yet; how many runs failed. `told`: done, of how many, and the run that ended."""
+    """Play what is not in the store yet and return how many runs failed.
+
+    `on_progress` is given how many runs are done, of how many, and the run that has ended.
+    """
     version = code_version()
     store = RunStore(out / "runs.duckdb")
     try:
         done = store.done(found.name, world, version)
         todo = [j for j in jobs(found, scenario, world, version, out) if (j.cell, j.seed) not in done]
-        total, count, failed = len(todo) + len(done), len(done), 0
-        told(count, total, None)
+        total = len(todo) + len(done)
+        count = len(done)
+        failed = 0
+        on_progress(count, total, None)
         # On sockets one run has the machine for itself.
         context = multiprocessing.get_context("spawn")
         with ProcessPoolExecutor(1 if world == "sockets" else workers, mp_context=context) as pool:
@@ -213,7 +221,7 @@
                 store.put(result)
                 count += 1
                 failed += bool(result.error)
-                told(count, total, result)
+                on_progress(count, total, result)
         return failed
     finally:
         store.close()
--- a/gingervane/fake_servers/vectors.py
+++ b/gingervane/fake_servers/vectors.py
@@ -29,7 +29,6 @@
 from gingervane.fake_servers.fake_server import FakeServer
 from gingervane.fake_servers.fake_server import DEFAULT_MODEL
 
-
 Operation = dict[str, Any]  # one operation of a request: its shard, kind and body
 
 
