--- a/gingervane/cli/main.py
+++ b/gingervane/cli/main.py
@@ -6,34 +6,55 @@
 import sys
 import threading
 import time
+from collections.abc import Iterator
+from contextlib import contextmanager
 from pathlib import Path
+from typing import NoReturn
 
 import click
 
-from gingervane.telemetry import daemon_log
 from gingervane.settings import daemon_settings
+from gingervane.telemetry import daemon_log
 from gingervane.wire.socket_recorder import SOCKET_RECORDER
 
+EXIT_INVALID_INPUT = 2
+_DEFAULT_RANGE = 3600  # seconds of a query that states no start
+_SETTINGS_FILE = click.Path(path_type=Path, dir_okay=False)
+_RUNS_OPTION = click.option(
+    "--out", type=click.Path(path_type=Path, file_okay=False), required=True, help="Where runs are kept."
+)
+
 
 @click.group()
 def main() -> None:
-    """An aggregator of queries over replicated shards."""
+    """Aggregate queries over replicated shards."""
 
 
-def _load(path: Path) -> daemon_settings.Config:
+def _fail(message: str) -> NoReturn:
+    """End the process, as it was given something that makes no sense."""
+    click.echo(message, err=True)
+    sys.exit(EXIT_INVALID_INPUT)
+
+
+@contextmanager
+def _failing_on(*errors: type[Exception]) -> Iterator[None]:
+    """Let these errors end the process with their text."""
     try:
-        return daemon_settings.load(path)
-    except daemon_settings.SettingsError as error:
-        click.echo(str(error), err=True)
-        sys.exit(2)
+        yield
+    except errors as error:
+        _fail(str(error))
 
 
-_CONFIG = click.Path(path_type=Path, dir_okay=False)
+def _load(path: Path) -> daemon_settings.Config:
+    with _failing_on(daemon_settings.SettingsError):
+        return daemon_settings.load(path)
 
 
 @main.command()
-@click.option("--config", "path", type=_CONFIG, required=True, help="Settings, TOML.")
-@click.option("--tap", type=_CONFIG, help="Append what passes at this process's socket ends to a file.")
+@click.option("--config", "path", type=_SETTINGS_FILE, required=True, help="Settings, TOML.")
+@click.option(
+    "--tap", type=_SETTINGS_FILE, help="Append what passes at this process's socket ends to a file."
+)
 def serve(path: Path, tap: Path | None) -> None:
     """Run a co-ordinator until SIGTERM or SIGINT."""
     from gingervane.daemon.app import App
@@ -47,12 +68,11 @@
         sys.exit(App(config).run())
     except (ListError, OSError) as error:
         where = config.membership.file or path if isinstance(error, ListError) else path
-        click.echo("\n".join(f"{where}: {line}" for line in str(error).splitlines()), err=True)
-        sys.exit(2)
+        _fail("\n".join(f"{where}: {line}" for line in str(error).splitlines()))
 
 
 @main.command("check-config")
-@click.argument("path", type=_CONFIG)
+@click.argument("path", type=_SETTINGS_FILE)
 def check_config(path: Path) -> None:
     """Check a settings file; say all that is wrong with it."""
     config = _load(path)
@@ -105,22 +125,25 @@
     except ValueError as error:
         raise click.BadParameter(str(error), param_hint="SELECTOR") from None
     until = time.time() if end is None else end
-    span = int((until - 3600 if start is None else start) * 1000), int(until * 1000)
-    params = {"timeout": f"{timeout:g}"} | ({"class": query_class} if query_class else {})
-    params |= {"partial_response": "true"} if partial else {}
-    sys.exit(demonstration.ask((host, int(port)), matchers, span, params, timeout))
+    since = until - _DEFAULT_RANGE if start is None else start
+    milliseconds = int(since * 1000), int(until * 1000)
+    params = {"timeout": f"{timeout:g}"}
+    if query_class:
+        params["class"] = query_class
+    if partial:
+        params["partial_response"] = "true"
+    sys.exit(demonstration.ask((host, int(port)), matchers, milliseconds, params, timeout))
 
 
 @main.command()
 @click.argument("scenario", required=False)
-@click.option("--from-day", type=_CONFIG, help="A bench day file to play instead.")
+@click.option("--from-day", type=_SETTINGS_FILE, help="A bench day file to play instead.")
 @click.option(
     "--out", type=click.Path(path_type=Path), required=True, help="A folder for records; it is emptied."
 )
 def rehearse(scenario: str | None, from_day: Path | None, out: Path) -> None:
     """Play SCENARIO (a file, or one that ships, such as bad-day) and judge the six rules; 0 only if all hold."""
-    from gingervane.experiments import bench_day_import
-    from gingervane.experiments import report
+    from gingervane.experiments import bench_day_import, report
     from gingervane.experiments import scenario as scenarios
     from gingervane.experiments.scenario_runner import Rehearsal, RehearsalError
 
@@ -128,14 +151,11 @@
         raise click.UsageError("give a SCENARIO or --from-day, one of the two")
     if out.exists() and any(out.iterdir()) and not (out / "facts.json").exists():
         raise click.BadParameter(f"{out} holds something other than a rehearsal", param_hint="--out")
-    try:
+    with _failing_on(daemon_settings.SettingsError, RehearsalError):
         day = bench_day_import.convert(from_day) if from_day else scenarios.load(str(scenario))
-        found = Rehearsal(day, out).run()
-    except (daemon_settings.SettingsError, RehearsalError) as error:
-        click.echo(str(error), err=True)
-        sys.exit(2)
-    report.show(found)
-    sys.exit(0 if found["kept"] else 1)
+        verdict = Rehearsal(day, out).run()
+    report.show(verdict)
+    sys.exit(0 if verdict["kept"] else 1)
 
 
 @main.group()
@@ -145,9 +165,7 @@
 
 @lab.command("run")
 @click.argument("experiment")
-@click.option(
-    "--out", type=click.Path(path_type=Path, file_okay=False), required=True, help="Where runs are kept."
-)
+@_RUNS_OPTION
 @click.option("--sockets", is_flag=True, help="On sockets and processes, not in simulated time.")
 @click.option("--workers", type=click.IntRange(1, 256), default=4, show_default=True)
 def lab_run(experiment: str, out: Path, sockets: bool, workers: int) -> None:
@@ -157,46 +175,37 @@
     from gingervane.experiments import experiment as experiments
     from gingervane.experiments.store import Run, StoreBusy
 
-    try:
+    world: experiments.World = "sockets" if sockets else "emulator"
+    with _failing_on(daemon_settings.SettingsError, StoreBusy):
         found, scenario, _ = experiments.load(experiment)
         with Progress() as progress:
             task = progress.add_task(found.name, total=None)
 
-            def told(done: int, total: int, run: Run | None) -> None:
+            def show_progress(done: int, total: int, run: Run | None) -> None:
                 progress.update(task, completed=done, total=total)
                 if run and run.error:
                     progress.console.print(f"failed: {run.cell}, seed {run.seed}: {run.error}", markup=False)
 
-            world: experiments.World = "sockets" if sockets else "emulator"
-            failed = experiments.run(found, scenario, out, world, workers, told)
-    except (daemon_settings.SettingsError, StoreBusy) as error:
-        click.echo(str(error), err=True)
-        sys.exit(2)
+            failed = experiments.run(found, scenario, out, world, workers, show_progress)
     sys.exit(1 if failed else 0)
 
 
 @lab.command("report")
 @click.argument("experiment")
-@click.option(
-    "--out", type=click.Path(path_type=Path, file_okay=False), required=True, help="Where runs are kept."
-)
+@_RUNS_OPTION
 def lab_report(experiment: str, out: Path) -> None:
     """Write tables and charts of EXPERIMENT's runs, of the version of the code that was played last."""
     from gingervane.experiments import experiment as experiments
     from gingervane.experiments import figures
     from gingervane.experiments.store import RunStore, StoreBusy
 
-    try:
+    with _failing_on(daemon_settings.SettingsError, StoreBusy):
         found, _, _ = experiments.load(experiment)
         store = RunStore(out / "runs.duckdb")
-    except (daemon_settings.SettingsError, StoreBusy) as error:
-        click.echo(str(error), err=True)
-        sys.exit(2)
     runs = store.runs(found.name)
     store.close()
     if not runs:
-        click.echo(f"{out}: no run of {found.name}", err=True)
-        sys.exit(2)
+        _fail(f"{out}: no run of {found.name}")
     click.echo(figures.table(runs))
     click.echo(str(figures.page(found.name, found.expect, runs, out / found.name)))
 
@@ -204,9 +213,7 @@
 @lab.command("compare")
 @click.argument("a")
 @click.argument("b")
-@click.option(
-    "--out", type=click.Path(path_type=Path, file_okay=False), required=True, help="Where runs are kept."
-)
+@_RUNS_OPTION
 def lab_compare(a: str, b: str, out: Path) -> None:
     """B less A, paired by cell and seed. Each is EXPERIMENT, or EXPERIMENT@WORLD, or EXPERIMENT@WORLD@VERSION."""
     from rich.console import Console
@@ -215,14 +222,11 @@
     from gingervane.experiments import figures
     from gingervane.experiments.store import RunStore, StoreBusy
 
-    try:
+    with _failing_on(StoreBusy, ValueError):
         store = RunStore(out / "runs.duckdb")
         sides = [store.runs(*name.split("@")[:3]) for name in (a, b)]
         store.close()
         rows = figures.compare(*sides)
-    except (StoreBusy, ValueError) as error:
-        click.echo(str(error), err=True)
-        sys.exit(2)
     table = Table("measure", "pairs", a, b, "difference, 95%")
     for row in rows:
         table.add_row(row.measure, str(row.pairs), f"{row.a:.4g}", f"{row.b:.4g}", str(row.difference))
