--- a/tests/test_telemetry.py
+++ b/tests/test_telemetry.py
@@ -278,3 +278,8 @@
     assert set(entry) == {"part", "error", "trace", "event", "level", "timestamp"}
     assert (entry["part"], entry["event"], entry["level"]) == ("daemon", "request_handler_failed", "error")
     assert entry["error"] == "KeyError: 'a bug'" and "Traceback" in entry["trace"]
+
+
+def test_the_page_for_those_on_call_has_each_event_with_its_meaning() -> None:
+    page = (ROOT / "docs" / "on-call.md").read_text()
+    assert not [event for event in LogEvent if f"| `{event}` | {event.meaning} |" not in page]
