--- a/gingervane/telemetry/daemon_metrics.py
+++ b/gingervane/telemetry/daemon_metrics.py
@@ -24,6 +24,7 @@
         self._all: dict[tuple[str, ...], tuple[HdrHistogram, list[float]]] = {}
 
     def add(self, key: tuple[str, ...], seconds: float) -> None:
+        """Record one duration under a key."""
         if key not in self._all:
             self._all[key] = HdrHistogram(1, _MOST_US, 2), [0.0]
         histogram, total = self._all[key]
@@ -31,6 +32,7 @@
         total[0] += seconds
 
     def family(self, name: str, help_text: str, labels: list[str]) -> SummaryMetricFamily:
+        """Read all histograms out as one metric; `labels` name the words of the keys."""
         family = SummaryMetricFamily(name, help_text, labels=labels)
         for key, (histogram, total) in list(self._all.items()):
             family.add_metric(list(key), histogram.get_total_count(), total[0])
@@ -53,12 +55,15 @@
         self._registry.register(self)
 
     def text(self) -> bytes:
+        """Return all metrics in the Prometheus text format."""
         return generate_latest(self._registry)
 
     def describe(self) -> Iterator[Any]:
+        """Describe nothing: metrics are known once they are collected."""
         return iter(())
 
     def collect(self) -> Iterator[Any]:
+        """Yield all metrics as they are now."""
         counts = self.read()
         if counts is not None:
             for name in (
--- a/tests/test_first.py
+++ b/tests/test_first.py
@@ -7,9 +7,9 @@
 import numpy as np
 import pytest
 
-from gingervane.fronts.client import Client
 from gingervane.experiments.embedded import Embedded
 from gingervane.fake_servers import data
+from gingervane.fronts.client import Client
 from gingervane.wire.remote_read import Match, Matcher, Query
 
 
--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -17,12 +17,12 @@
 
 from gingervane import interface as api
 from gingervane.decisions import engine
-from gingervane.fronts.client import Answer, Client
 from gingervane.experiments.embedded import Embedded, config_table
 from gingervane.experiments.tables import toml
 from gingervane.fake_servers import data
 from gingervane.fake_servers.capacity import Model
 from gingervane.fake_servers.node import Recorder
+from gingervane.fronts.client import Answer, Client
 from gingervane.wire import http1, remote_read, snappy
 from gingervane.wire.remote_read import Match, Matcher, Query
 
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import pytest
-
 from conftest import MOST_KNOWN, Known, known, read_known
 
 
--- a/tests/test_telemetry.py
+++ b/tests/test_telemetry.py
@@ -13,6 +13,7 @@
 from pathlib import Path
 
 import pytest
+from platform_standins import PATIENCE, Platform, Replica, read_until, start_node, until
 
 from gingervane import interface as api
 from gingervane.telemetry import daemon_log, log_handler
@@ -20,7 +21,6 @@
 from gingervane.telemetry.events import LogEvent
 from gingervane.telemetry.log_handler import MAX_QUEUED_LINES, RATE_LIMIT_BURST, EventRateLimiter
 from gingervane.telemetry.node_telemetry import Telemetry
-from platform_standins import PATIENCE, Platform, Replica, read_until, start_node, until
 
 ROOT = Path(__file__).parents[1]
 LINE = re.compile(
