--- a/tests/test_telemetry.py
+++ b/tests/test_telemetry.py
@@ -13,16 +13,16 @@
 from pathlib import Path
 
 import pytest
+from platform_fakes import PATIENCE, Platform, Replica, read_until, start_node, until
 
 from gingervane import interface as api
 from gingervane.telemetry import daemon_log, log_handler
 from gingervane.telemetry.node_telemetry import Telemetry
-from gingervane.telemetry.counters import Counters
-from platform_fakes import PATIENCE, Platform, Replica, read_until, start_node, until
 from gingervane.telemetry.log_handler import RATE_LIMIT_BURST
 from gingervane.telemetry.log_handler import MAX_QUEUED_LINES
 from gingervane.telemetry.events import LogEvent
 from gingervane.telemetry.log_handler import EventRateLimiter
+from gingervane.telemetry.counters import Counters
 
 ROOT = Path(__file__).parents[1]
 LINE = re.compile(
@@ -280,3 +280,8 @@
     assert set(entry) == {"part", "error", "trace", "event", "level", "timestamp"}
     assert (entry["part"], entry["event"], entry["level"]) == ("daemon", "request_handler_failed", "error")
     assert entry["error"] == "KeyError: 'a bug'" and "Traceback" in entry["trace"]
+
+
+def test_the_page_for_those_on_call_has_each_event_with_its_meaning() -> None:
+    page = (ROOT / "docs" / "on-call.md").read_text()
+    assert not [event for event in LogEvent if f"| `{event}` | {event.meaning} |" not in page]
