--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -14,19 +14,6 @@
 from typing import Any
 
 import pytest
-
-from gingervane import interface as api
-from gingervane.coordinator import types as t
-from gingervane.coordinator.driver import Driver
-from gingervane.interface import AttemptOutcome, RetrySafety
-from gingervane.node import config as configuration
-from gingervane.node.replica_connection import ReplicaConnection
-from gingervane.node.replica_connection_types import FrameCodec, ReplicaConnectionLimits
-from gingervane.node.replica_connections import ReplicaConnections
-from gingervane.node.reply_reader import ReplyReader
-from gingervane.node.service import CoreLog
-from gingervane.decisions.engine import DecisionEngine
-from gingervane.wire.frames import Asked
 from platform_fakes import (
     PATIENCE,
     SETTINGS,
@@ -40,6 +27,19 @@
     until,
 )
 
+from gingervane import interface as api
+from gingervane.coordinator import types as t
+from gingervane.coordinator.driver import Driver
+from gingervane.decisions.engine import DecisionEngine
+from gingervane.interface import AttemptOutcome, RetrySafety
+from gingervane.node import config as configuration
+from gingervane.node.replica_connection import ReplicaConnection
+from gingervane.node.replica_connection_types import FrameCodec, ReplicaConnectionLimits
+from gingervane.node.replica_connections import ReplicaConnections
+from gingervane.node.reply_reader import ReplyReader
+from gingervane.node.service import CoreLog
+from gingervane.wire.frames import Asked
+
 
 def with_limits(**changes: object) -> dict[str, Any]:
     return SETTINGS | {"Limits": SETTINGS["Limits"] | changes}
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -18,14 +18,16 @@
 from typing import Any
 
 import pytest
-
 from faults.plans import draw
 from faults.rig import play, shim
+from hosts import BASE, query_class, replica
+from platform_fakes import PATIENCE, Platform, Replica, Waiter, connections_of, reply, request, until
+
 from gingervane import interface as api
 from gingervane.coordinator import boot_clock
 from gingervane.coordinator import types as t
 from gingervane.coordinator.driver import Driver
-from gingervane.writes.idempotency import Do, IdempotencyRecords, Limits, State
+from gingervane.decisions.engine import DecisionEngine
 from gingervane.fronts import client_connection
 from gingervane.fronts.http_server import Exchange, Handler, HttpServer, Reply, ServerLimits, plain
 from gingervane.fronts.leaf_codec import RemoteReadExchange
@@ -38,12 +40,10 @@
     ReplicaConnectionLimits,
 )
 from gingervane.node.replica_connections import ReplicaConnections
-from gingervane.decisions.engine import DecisionEngine
 from gingervane.wire import local_failures
 from gingervane.wire.frames import Asked
 from gingervane.wire.http1 import Request
-from hosts import BASE, query_class, replica
-from platform_fakes import PATIENCE, Platform, Replica, Waiter, connections_of, reply, request, until
+from gingervane.writes.idempotency import Do, IdempotencyRecords, Limits, State
 
 LIMITS = ReplicaConnectionLimits(
     streams=8, max_connections=4, idle_timeout=PATIENCE, connect_timeout=PATIENCE
