--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -278,7 +278,7 @@
 
 
 def test_an_attempt_that_was_never_sent_is_proof() -> None:
-    """A query that is not idempotent may be rejected if no sender had claimed its attempt, but not if one had."""
+    """A query that is not idempotent may be rejected if no sender had claimed its attempt, else not."""
     for is_sent, status in ((False, t.QueryStatus.REJECTED), (True, t.QueryStatus.FAILED)):
         harness = DriverHarness(query_class(aim=1.0, deadline=3.0, semantics=api.RetrySafety.NOT_IDEMPOTENT))
         (batch,) = harness.ask(0.5)
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -16,6 +16,7 @@
     "interface",
     "decisions",
     "startup",
+    "benchlink_records",
     "benchlink",
     "wire",
     "telemetry",
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Slots for a few requests at once: shared by weight, whoever comes how often; bounded; nobody is forgotten."""
+"""Slots for a few requests at once: shared by weight, whoever comes how often, and bounded."""
 
 from __future__ import annotations
 
--- a/tests/test_vectors.py
+++ b/tests/test_vectors.py
@@ -28,7 +28,7 @@
 
 
 class Fleet(Embedded):
-    """Both fronts in one daemon, six vector nodes, three replicas of each shard, and a write quorum of two."""
+    """Both fronts in one daemon, six vector nodes, three replicas a shard, and a write quorum of two."""
 
     def __init__(self, folder: Path | None = None, window: float = 2.0, **table: Any) -> None:
         grid = VectorGrid(NODES, COLLECTIONS, window=window)
