--- a/tests/test_answers_property.py
+++ b/tests/test_answers_property.py
@@ -19,8 +19,8 @@
 from gingervane.decisions.engine import DecisionEngine
 from hosts import BASE, query_class, replica
 
-# Time passes between two turns, as for a decision thread: where latencies are zero, hedge timers are due at once,
-# and with a clock that stands still they would be due for ever.
+# Time passes between two turns, as for a decision thread: where latencies are zero, hedge timers are due at
+# once, and with a clock that stands still they would be due for ever.
 TURN = 0.001  # seconds
 OBJECTIVE = 0.5  # seconds, the latency objective
 DEADLINE = 2.0  # seconds
--- a/tests/test_reconciliation_model.py
+++ b/tests/test_reconciliation_model.py
@@ -2,8 +2,8 @@
 
 The states are those of the real `Reconciliation`, explored breadth first, by any reports and waits, with
 its times and indexes cut down to a few values; what must hold of them is CTL, checked by pyModelChecking on
-the graph. Servers 0 and 1, one source whose answers carry index 1 or 2 (an agent that lags, a catalogue that was
-restored), each naming any of the servers in any state.
+the graph. Servers 0 and 1, one source whose answers carry index 1 or 2 (an agent that lags, a catalogue
+that was restored), each naming any of the servers in any state.
 """
 
 from __future__ import annotations
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -1,8 +1,8 @@
 """The terms that hold since the incident, each forced: deadlines passed on, requests that were read, calls
 that fail, a wall clock that is stepped.
 
-What a client that leaves early must not cause is in `test_client_disconnects.py` (`LEAVING`), the failing folder
-in `test_intents.py`, placed starts in `test_starts.py`.
+What a client that leaves early must not cause is in `test_client_disconnects.py` (`LEAVING`), the failing
+folder in `test_intents.py`, placed starts in `test_starts.py`.
 """
 
 from __future__ import annotations
