--- a/Makefile
+++ b/Makefile
@@ -20,4 +20,4 @@
 	$(BIN)/mypy
 
 bad-day: $(VENV)/installed
-	$(BIN)/gingervane rehearse bad-day --out $(VENV)/bad-day
+	$(BIN)/gingervane run-scenario bad-day --out $(VENV)/bad-day
--- a/gingervane/cli/main.py
+++ b/gingervane/cli/main.py
@@ -135,14 +135,35 @@
     sys.exit(demonstration.ask((host, int(port)), matchers, milliseconds, params, timeout))
 
 
-@main.command()
-@click.argument("scenario", required=False)
-@click.option("--from-day", type=_SETTINGS_FILE, help="A bench day file to play instead.")
-@click.option(
+_SCENARIO_ARGUMENT = click.argument("scenario", required=False)
+_FROM_DAY_OPTION = click.option("--from-day", type=_SETTINGS_FILE, help="A bench day file to play instead.")
+_RECORDS_OPTION = click.option(
     "--out", type=click.Path(path_type=Path), required=True, help="A folder for records; it is emptied."
 )
-def rehearse(scenario: str | None, from_day: Path | None, out: Path) -> None:
+
+
+@main.command("run-scenario")
+@_SCENARIO_ARGUMENT
+@_FROM_DAY_OPTION
+@_RECORDS_OPTION
+def run_scenario(scenario: str | None, from_day: Path | None, out: Path) -> None:
     """Play SCENARIO (a file, or one that ships, such as bad-day) and judge the six rules; 0 only if all hold."""
+    _run_scenario(scenario, from_day, out)
+
+
+@main.command()
+@_SCENARIO_ARGUMENT
+@_FROM_DAY_OPTION
+@_RECORDS_OPTION
+def rehearse(scenario: str | None, from_day: Path | None, out: Path) -> None:
+    """Do what run-scenario does, which replaced this command."""
+    _run_scenario(scenario, from_day, out, "rehearse has been replaced by run-scenario")
+
+
+def _run_scenario(
+    scenario: str | None, from_day: Path | None, out: Path, notice: str | None = None
+) -> NoReturn:
+    """Play a scenario; `notice` is written once the scenario has been read: bad input gets its error alone."""
     from gingervane.experiments import bench_day_import, report
     from gingervane.scenarios import scenario as scenarios
     from gingervane.experiments.scenario_runner import ScenarioRun, ScenarioRunError
@@ -153,6 +174,8 @@
         raise click.BadParameter(f"{out} holds something other than a rehearsal", param_hint="--out")
     with _failing_on(daemon_settings.SettingsError, ScenarioRunError):
         day = bench_day_import.convert(from_day) if from_day else scenarios.load(str(scenario))
+        if notice:
+            click.echo(notice, err=True)
         verdict = ScenarioRun(day, out).run()
     report.show(verdict)
     sys.exit(0 if verdict["kept"] else 1)
--- a/gingervane/coordinator/request_senders.py
+++ b/gingervane/coordinator/request_senders.py
@@ -249,7 +249,7 @@
 
 
 def _invalid_reply_failure(attempt: t.AttemptRequest, error: t.InvalidReply, detail: str) -> _Failure:
-    outcome = outcome_of_invalid_reply(attempt.semantics, error.proves_not_executed, error.overloaded)
+    outcome = outcome_of_invalid_reply(attempt.retry_safety, error.proves_not_executed, error.overloaded)
     return _Failure(outcome, detail)
 
 
--- a/gingervane/coordinator/types.py
+++ b/gingervane/coordinator/types.py
@@ -198,18 +198,18 @@
     end that the driver makes can prove that nothing was sent.
     """
 
-    __slots__ = ("part", "attempt", "content", "semantics", "expires_at", "_unclaimed")
+    __slots__ = ("part", "attempt", "content", "retry_safety", "expires_at", "_unclaimed")
 
     def __init__(
         self,
         part: int,
         attempt: int,
         content: Any,
-        semantics: api.RetrySafety,
+        retry_safety: api.RetrySafety,
         expires_at: float = inf,
     ) -> None:
         """`expires_at`: when the time of its own client is up; the batch expires with the last of its attempts."""
-        self.part, self.attempt, self.content, self.semantics = part, attempt, content, semantics
+        self.part, self.attempt, self.content, self.retry_safety = part, attempt, content, retry_safety
         self.expires_at = expires_at
         self._unclaimed = deque((True,))
 
@@ -245,16 +245,16 @@
         retry or hedged request that waited longer than `MAX_SEND_DELAY` was allowed for another moment, and ends as
         never sent.
         """
-        claimed = [errand for errand in self.attempts if errand.claim()]
+        claimed = [request for request in self.attempts if request.claim()]
         late = self.is_send_overdue(now)
         return (
-            [errand for errand in claimed if not (late and errand.attempt)],
-            [errand for errand in claimed if late and errand.attempt],
+            [request for request in claimed if not (late and request.attempt)],
+            [request for request in claimed if late and request.attempt],
         )
 
     def seconds_left(self, attempts: list[AttemptRequest], now: float) -> list[float]:
         """Return the time left of each attempt, which may be of different queries, for its replica to know."""
-        return [min(errand.expires_at, self.expires_at) - now for errand in attempts]
+        return [min(request.expires_at, self.expires_at) - now for request in attempts]
 
     def is_send_overdue(self, now: float) -> bool:
         """Whether no byte of a retry or hedged request may be sent any more."""
--- a/gingervane/emulator/senders.py
+++ b/gingervane/emulator/senders.py
@@ -163,7 +163,7 @@
             self._finish(request, attempts, outcome)
             return
         self._idle_connections[request.replica] += 1
-        semantics = attempts[0].semantics
+        semantics = attempts[0].retry_safety
         outcome = {
             Reply.GOOD: AttemptOutcome.OK,
             Reply.BAD: attempt_outcome.outcome_of_invalid_reply(semantics, False, False),
--- a/tests/recordings/driver_codec.py
+++ b/tests/recordings/driver_codec.py
@@ -384,7 +384,7 @@
         errands = []
         for errand in call.attempts:
             self.errands.append(errand)
-            encoded = [encode(errand.content), encode(errand.semantics), errand.expires_at]
+            encoded = [encode(errand.content), encode(errand.retry_safety), errand.expires_at]
             errands.append([type_index(t.AttemptRequest), errand.part, errand.attempt, *encoded])
         assert isinstance(call.codec, RecordedExchange)
         parts = [call.id, call.replica, encode(call.address), call.codec.number]
--- a/tests/test_pinned_forms.py
+++ b/tests/test_pinned_forms.py
@@ -464,7 +464,7 @@
 # ---- the command line
 
 COMMANDS = {
-    "": ["check-config", "demo", "lab", "query", "rehearse", "serve"],
+    "": ["check-config", "demo", "lab", "query", "rehearse", "run-scenario", "serve"],
     "check-config": ["PATH"],
     "demo": ["--serve: BOOL"],
     "lab": ["compare", "report", "run"],
@@ -481,6 +481,7 @@
         "--partial: BOOL",
     ],
     "rehearse": ["[SCENARIO]", "--from-day: FILE", "--out: PATH, required"],
+    "run-scenario": ["[SCENARIO]", "--from-day: FILE", "--out: PATH, required"],
     "serve": ["--config: FILE, required", "--tap: FILE"],
 }
 
