--- a/gingervane/coordinator/types.py
+++ b/gingervane/coordinator/types.py
@@ -198,7 +198,7 @@
     end that the driver makes can prove that nothing was sent.
     """
 
-    __slots__ = ("part", "attempt", "content", "retry_safety", "expires_at", "_unclaimed")
+    __slots__ = ("_unclaimed", "attempt", "content", "expires_at", "part", "retry_safety")
 
     def __init__(
         self,
--- a/gingervane/daemon/observers.py
+++ b/gingervane/daemon/observers.py
@@ -100,7 +100,13 @@
     def __init__(self, metrics: Metrics) -> None:
         super().__init__(daemon_log.get("tree"), metrics)
 
-    def query_completed(self, query: int, plan: t.QueryPlan, final: t.QueryResult, seconds: float) -> None:
+    def query_completed(
+        self,
+        query: int,  # noqa: ARG002 - of the observer protocol
+        plan: t.QueryPlan,
+        final: t.QueryResult,
+        seconds: float,
+    ) -> None:
         """Measure a subtree; log it where it failed."""
         status = final.status
         self._metrics.subtree_seconds.add((plan.tag, status.value), seconds)
@@ -113,7 +119,12 @@
                 attempts=" ".join(f"{record.replica}:{record.outcome}" for record in final.attempts),
             )
 
-    def attempt_finished(self, outcome: api.AttemptOutcome, replica: int, seconds: float) -> None:
+    def attempt_finished(
+        self,
+        outcome: api.AttemptOutcome,
+        replica: int,  # noqa: ARG002 - of the observer protocol
+        seconds: float,
+    ) -> None:
         """Measure an attempt at a child."""
         self._metrics.child_seconds.add((outcome.value,), seconds)
 
@@ -129,7 +140,13 @@
         super().__init__(daemon_log.get("vectors", core=core), metrics)
         self._core = core
 
-    def query_completed(self, query: int, plan: t.QueryPlan, final: t.QueryResult, seconds: float) -> None:
+    def query_completed(
+        self,
+        query: int,  # noqa: ARG002 - of the observer protocol
+        plan: t.QueryPlan,
+        final: t.QueryResult,
+        seconds: float,
+    ) -> None:
         """Measure a query; log it where it was rejected or failed."""
         status = final.status
         self._metrics.vector_seconds.add((self._core, plan.tag, status.value), seconds)
@@ -142,6 +159,11 @@
                 detail=final.detail,
             )
 
-    def attempt_finished(self, outcome: api.AttemptOutcome, replica: int, seconds: float) -> None:
+    def attempt_finished(
+        self,
+        outcome: api.AttemptOutcome,
+        replica: int,  # noqa: ARG002 - of the observer protocol
+        seconds: float,
+    ) -> None:
         """Measure an attempt."""
         self._metrics.vector_attempt_seconds.add((self._core, outcome.value), seconds)
--- a/gingervane/experiments/store.py
+++ b/gingervane/experiments/store.py
@@ -49,7 +49,7 @@
         return self.served / self.bound if self.bound else 1.0
 
 
-class StoreBusy(Exception):  # noqa: N818 - its name is the condition
+class StoreBusy(Exception):
     """Another process has the file."""
 
 
--- a/gingervane/fronts/remote_read.py
+++ b/gingervane/fronts/remote_read.py
@@ -90,7 +90,7 @@
         body: bytes,
         arrived: float,
         client: http_server.Exchange,
-        words: dict[str, str],
+        words: dict[str, str],  # noqa: ARG002 - of a route's handler
     ) -> Reply:
         """Handle one request, from its bytes to its reply."""
         latest = arrived + self._max_deadline
--- a/gingervane/fronts/routing.py
+++ b/gingervane/fronts/routing.py
@@ -136,9 +136,9 @@
     fitting: list[str] = []
     remaining = _MAX_HEADER_LENGTH
     for index, word in enumerate(words):
-        word = re.sub(r"[^!-+\--~ ]", "_", word)
-        remaining -= len(word) + 1
+        printable = re.sub(r"[^!-+\--~ ]", "_", word)
+        remaining -= len(printable) + 1
         if remaining < 0:
             return ",".join([*fitting, f"+{len(words) - index}"])
-        fitting.append(word)
+        fitting.append(printable)
     return ",".join(fitting)
--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -9,7 +9,7 @@
 
 sys.path.insert(0, str(Path(__file__).parent.parent / "benchmarks"))
 
-import cold_sum  # noqa: E402
+import cold_sum
 
 AGAIN = "all start, clients come again"
 
--- a/tests/test_pinned_forms.py
+++ b/tests/test_pinned_forms.py
@@ -790,6 +790,7 @@
         [sys.executable, "-m", *command],
         input=struct.pack("<dIIIB", 1.0, 21, 1, 9, 99),
         capture_output=True,
+        check=False,
         cwd=tmp_path,
         env={"PYTHONPATH": str(ROOT)},
     )
@@ -802,6 +803,7 @@
     done = subprocess.run(
         [sys.executable, "-m", "gingervane.node"],
         capture_output=True,
+        check=False,
         cwd=tmp_path,
         env={"PYTHONPATH": str(ROOT), "NODE_CONFIG": "none.json", "GINGERVANE_TRACE": "trace.jsonl"},
     )
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -89,7 +89,7 @@
     for text, status, out in cases:
         path.write_text(text)
         command = [sys.executable, "-m", "gingervane.cli.main", "check-config", str(path)]
-        ran = subprocess.run(command, capture_output=True, text=True)
+        ran = subprocess.run(command, capture_output=True, check=False, text=True)
         assert ran.returncode == status and out in ran.stdout + ran.stderr
 
 
