--- a/tests/test_connection_limits.py
+++ b/tests/test_connection_limits.py
@@ -51,7 +51,7 @@
         cwd=ROOT,
         text=True,
         stderr=subprocess.PIPE,
-        preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (limit, limit)),  # noqa: PLW1509 - it only lowers a limit
+        preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (limit, limit)),  # noqa: PLW1509
     )
     assert program.stderr is not None
     read_until(program.stderr, "listening")
--- a/tests/test_tree_sockets.py
+++ b/tests/test_tree_sockets.py
@@ -293,8 +293,8 @@
 
 
 def test_time_too_short_for_a_leaf_is_refused_below() -> None:
-    """All leaves take well over 140 ms, and half of that is required: 40 are too short, and long enough for the
-    refusal to be written. Once the client's time is up its connection ends without one."""
+    """All leaves take well over 140 ms, and half of that is required: 40 are too short, and long enough for
+    the refusal to be written. Once the client's time is up its connection ends without one."""
     tree = {"ring": 4, "width": 4, "fan_out": 4, "levels": 1}
     fleet = Embedded(nodes=6, tiles=12, coordinators=2, tree=tree, model=Model(work=0.06))
     assert ask(fleet, ALL, "area-report").status == 200
