--- /dev/null
+++ b/gingervane/wire/remote_read_encoder.py
@@ -0,0 +1,73 @@
+"""Encoder of remote read messages: queries, requests and responses."""
+
+from __future__ import annotations
+
+import struct
+from collections.abc import Iterable, Sequence
+
+import numpy as np
+
+from gingervane.wire import protobuf as pb
+from gingervane.wire.remote_read_types import Query, Series, Times, Values
+
+_DOUBLE = struct.Struct("<d")
+_LOOP_MAX_SAMPLES = 8  # up to which a plain loop is faster than arrays
+
+
+def write_query(query: Query) -> bytes:
+    """Encode the body of a Query message."""
+    out = [pb.number(1, query.start_ms), pb.number(2, query.end_ms)]
+    out += [
+        pb.block(3, pb.number(1, m.kind) + pb.block(2, m.name.encode()) + pb.block(3, m.value.encode()))
+        for m in query.matchers
+    ]
+    if query.hints is not None:
+        out.append(pb.block(4, query.hints))
+    return b"".join(out)
+
+
+def write_request(queries: Iterable[bytes], accepts: Sequence[int] = ()) -> bytes:
+    """Encode a ReadRequest of queries that are already encoded."""
+    packed = b"".join(pb.varint(a) for a in accepts)
+    return b"".join(pb.block(1, q) for q in queries) + (pb.block(2, packed) if packed else b"")
+
+
+def write_response(results: Iterable[Iterable[Series]]) -> bytes:
+    """Encode a ReadResponse; the labels of each series are written in the order in which it has them."""
+    out = bytearray()
+    for result in results:
+        body = b"".join(pb.block(1, _write_series(series)) for series in result)
+        out += pb.block(1, body)
+    return bytes(out)
+
+
+def _write_series(series: Series) -> bytes:
+    """Encode the body of a TimeSeries message."""
+    if series.raw is not None:
+        return series.raw
+    out = [pb.block(1, pb.block(1, n.encode()) + pb.block(2, v.encode())) for n, v in series.labels]
+    out.append(_write_samples(series.timestamps, series.values))
+    out += [pb.block(4, raw) for _, raw in series.histograms]
+    return b"".join(out)
+
+
+def _write_samples(times: Times, values: Values) -> bytes:
+    """Encode samples as TimeSeries fields: as a table if all have one size, else one by one."""
+    if len(times) > _LOOP_MAX_SAMPLES and times[0] > 0:
+        low, high = int(times.min()), int(times.max())
+        length = len(pb.varint(high))
+        # Plain encoders leave out a value whose bits are all zero; so does the loop below.
+        if len(pb.varint(low)) == length and values.view(np.int64).all():
+            rows = np.empty((len(times), 14 + length - 2), np.uint8)
+            rows[:, (0, 1, 2, 11)] = (0x12, 10 + length, 0x09, 0x10)
+            rows[:, 3:11] = values.astype("<f8").view(np.uint8).reshape(-1, 8)
+            for place in range(length):
+                more = 0x80 if place < length - 1 else 0
+                rows[:, 12 + place] = (times >> (7 * place)) & 0x7F | more
+            return rows.tobytes()
+    out = bytearray()
+    for time, value in zip(times.tolist(), values.tolist(), strict=True):
+        packed = _DOUBLE.pack(value)
+        body = (b"\x09" + packed if packed != bytes(8) else b"") + pb.number(2, time)
+        out += b"\x12" + bytes([len(body)]) + body
+    return bytes(out)
--- /dev/null
+++ b/gingervane/wire/response_decoder.py
@@ -0,0 +1,141 @@
+"""Decoder of the remote read ReadResponse: labels and histograms here, samples in one pass by `sample_decoder`."""
+
+from __future__ import annotations
+
+from typing import NamedTuple
+
+import numpy as np
+
+from gingervane.wire import protobuf as pb
+from gingervane.wire.protobuf import ProtobufError
+from gingervane.wire.remote_read_types import Series, Times, Values
+from gingervane.wire.sample_decoder import EncodedSamples, decode_samples, end_of_uniform_run
+
+_LABELS_TAG = 0x0A  # of TimeSeries.labels, and of Label.name
+_SAMPLES_TAG = 0x12  # of TimeSeries.samples, and of Label.value
+
+
+def read_response(data: bytes, max_results: int) -> list[list[Series]]:
+    """Decode the results of a ReadResponse, in order. Raises ProtobufError.
+
+    The samples of all series are decoded in one pass over arrays, since most responses hold many short series.
+    """
+    results: list[list[_EncodedSeries]] = []
+    for field in pb.read_fields(data, 0, len(data), "ReadResponse"):
+        if field.number != 1:
+            continue
+        pb.expect(field, pb.BYTES, "ReadResponse.results")
+        if len(results) == max_results:
+            raise ProtobufError(f"ReadResponse: more than {max_results} results", field.start)
+        name = f"results[{len(results)}]"
+        found: list[_EncodedSeries] = []
+        for inner in pb.read_fields(data, field.start, field.end, name):
+            if inner.number == 1:
+                pb.expect(inner, pb.BYTES, name + ".timeseries")
+                found.append(_read_series(data, inner, f"{name}.timeseries[{len(found)}]"))
+        results.append(found)
+    flat = [one for found in results for one in found]
+    samples = decode_samples(data, [one.samples for one in flat])
+    ascending = iter(_are_ascending([times for times, _ in samples]))
+    each = iter(samples)
+    return [[_decoded_series(data, one, *next(each), next(ascending)) for one in found] for found in results]
+
+
+def _are_ascending(all_times: list[Times]) -> list[bool]:
+    """Return for each array whether it is strictly ascending, in one pass over all of them."""
+    if not all_times:
+        return []
+    joined = np.concatenate(all_times)
+    falls = np.flatnonzero(joined[1:] <= joined[:-1]) + 1  # places whose time is not after the one before
+    ends = np.cumsum([len(times) for times in all_times])
+    inner = ~np.isin(falls, ends)
+    faulty = set(np.searchsorted(ends, falls[inner], side="right").tolist())
+    return [index not in faulty for index in range(len(all_times))]
+
+
+class _EncodedSeries(NamedTuple):
+    """A series whose samples are not decoded yet."""
+
+    start: int
+    end: int
+    labels: list[tuple[str, str]]
+    samples: EncodedSamples
+    histograms: list[tuple[int, bytes]]
+    canonical: bool  # nothing but labels and then samples: its bytes can be written again as they are
+
+
+def _read_series(data: bytes, message: pb.Field, name: str) -> _EncodedSeries:
+    """Decode labels and histograms of a TimeSeries and locate its samples."""
+    labels: list[tuple[str, str]] = []
+    runs: list[tuple[int, int]] = []
+    histograms: list[tuple[int, bytes]] = []
+    at, end, canonical = message.start, message.end, True
+    while at < end:
+        if data[at] == _LABELS_TAG and (fast := _read_short_label(data, at, end)):
+            labels.append(fast[0])
+            at = fast[1]
+            canonical = canonical and not runs
+            continue
+        if data[at] == _SAMPLES_TAG and (run_end := end_of_uniform_run(data, at, end)) > at:
+            runs.append((at, run_end))
+            at = run_end
+            continue
+        field = next(pb.read_fields(data, at, end, name))
+        if field.number == 1:
+            pb.expect(field, pb.BYTES, name + ".labels")
+            labels.append(_read_label(data, field, name))
+            canonical = canonical and not runs
+        elif field.number == 2:
+            pb.expect(field, pb.BYTES, name + ".samples")
+            runs.append((at, field.end))
+        else:
+            canonical = False
+            if field.number == 4:
+                pb.expect(field, pb.BYTES, name + ".histograms")
+                histograms.append((_histogram_time(data, field, name), data[field.start : field.end]))
+        at = field.end
+    if len({label for label, _ in labels}) != len(labels):
+        raise ProtobufError(f"{name}: a label name stands twice", message.start)
+    return _EncodedSeries(message.start, end, labels, EncodedSamples(name, runs), histograms, canonical)
+
+
+def _read_short_label(data: bytes, at: int, end: int) -> tuple[tuple[str, str], int] | None:
+    """Decode a label in the usual form, name then value, each under 128 bytes; return it and its end, or None."""
+    last = at + 2 + data[at + 1] if at + 4 < end else end + 1
+    if last > end or data[at + 1] > 0x7F or data[at + 2] != _LABELS_TAG or data[at + 3] > 0x7F:
+        return None
+    middle = at + 4 + data[at + 3]
+    if middle + 2 > last or data[middle] != _SAMPLES_TAG or middle + 2 + data[middle + 1] != last:
+        return None
+    try:
+        return (data[at + 4 : middle].decode(), data[middle + 2 : last].decode()), last
+    except UnicodeDecodeError:
+        return None
+
+
+def _decoded_series(
+    data: bytes, one: _EncodedSeries, times: Times, values: Values, ascending: bool
+) -> Series:
+    """Return the series with its labels sorted; `raw` is set if its message is canonical."""
+    labels = tuple(sorted(one.labels))
+    canonical = one.canonical and ascending and list(labels) == one.labels
+    raw = data[one.start : one.end] if canonical else None
+    return Series(labels, times, values, tuple(one.histograms), raw)
+
+
+def _read_label(data: bytes, message: pb.Field, name: str) -> tuple[str, str]:
+    label = value = ""
+    for field in pb.read_fields(data, message.start, message.end, name):
+        if field.number == 1:
+            label = pb.text(data, field, name + ".labels.name")
+        elif field.number == 2:
+            value = pb.text(data, field, name + ".labels.value")
+    return label, value
+
+
+def _histogram_time(data: bytes, message: pb.Field, name: str) -> int:
+    for field in pb.read_fields(data, message.start, message.end, name + ".histograms"):
+        if field.number == 15:
+            pb.expect(field, pb.VARINT, name + ".histograms.timestamp")
+            return pb.signed(field.value)
+    return 0
--- /dev/null
+++ b/gingervane/wire/sample_decoder.py
@@ -0,0 +1,105 @@
+"""Decoder of samples of remote read: a fast one over arrays, and a general one for whatever that does not take.
+
+Nearly all encoders write every sample of a series in the same number of bytes: 0x12, the length, 0x09, eight bytes
+of value, 0x10 and the varint of the timestamp. Such samples of all series are decoded together as tables.
+"""
+
+from __future__ import annotations
+
+import struct
+from typing import NamedTuple
+
+import numpy as np
+
+from gingervane.wire import protobuf as pb
+from gingervane.wire.protobuf import ProtobufError
+from gingervane.wire.remote_read_types import Times, Values
+
+_DOUBLE = struct.Struct("<d")
+# Bounds, both exclusive, on the bytes of a sample in the usual form, tag and length included: 12 and 2 to 9 of time.
+_SAMPLE_BYTES_ABOVE = 13
+_SAMPLE_BYTES_BELOW = 22
+
+
+class EncodedSamples(NamedTuple):
+    """Where the samples of one series are. `runs`: start and end of each run of consecutive samples."""
+
+    name: str  # of the series, in errors
+    runs: list[tuple[int, int]]
+
+
+def end_of_uniform_run(data: bytes, at: int, end: int) -> int:
+    """Return `end` if samples of one size fill the range from `at` to `end`, else `at`."""
+    size = data[at + 1] + 2 if at + 1 < end else 0
+    if not _SAMPLE_BYTES_ABOVE < size < _SAMPLE_BYTES_BELOW or (end - at) % size:
+        return at
+    count = (end - at) // size
+    uniform = data[at:end:size] == b"\x12" * count and data[at + 1 : end : size] == bytes((size - 2,)) * count
+    return end if uniform else at
+
+
+def decode_samples(data: bytes, found: list[EncodedSamples]) -> list[tuple[Times, Values]]:
+    """Decode the samples of each series: runs of one size together as a table, all others one by one."""
+    sizes = [data[one.runs[0][0] + 1] + 2 if len(one.runs) == 1 else 0 for one in found]
+    out: list[tuple[Times, Values] | None] = [None] * len(found)
+    for size in set(sizes) - {0}:
+        rows = [(i, *found[i].runs[0]) for i in range(len(found)) if sizes[i] == size]
+        rows = [row for row in rows if not (row[2] - row[1]) % size]
+        table = (
+            _decode_table(b"".join(data[a:b] for _, a, b in rows), size)
+            if _SAMPLE_BYTES_ABOVE < size < _SAMPLE_BYTES_BELOW
+            else None
+        )
+        if table is None:
+            continue
+        at = 0
+        for index, start, end in rows:
+            count = (end - start) // size
+            out[index] = table[0][at : at + count], table[1][at : at + count]
+            at += count
+    return [out[i] or _decode_one_by_one(data, one) for i, one in enumerate(found)]
+
+
+def _decode_table(data: bytes, size: int) -> tuple[Times, Values] | None:
+    """Decode samples of one size as a table; None if one of them is not in the usual form.
+
+    A row is 0x12, its length, 0x09, eight bytes of value, 0x10, and the timestamp's varint.
+    """
+    rows = np.frombuffer(data, np.uint8).reshape(-1, size)
+    digits = rows[:, 12:]
+    usual = (rows[:, (0, 1, 2, 11)] == (0x12, size - 2, 0x09, 0x10)).all()
+    if not usual or (digits[:, :-1] < 0x80).any() or (digits[:, -1] > 0x7F).any():
+        return None
+    # An int64 of up to nine digits of seven bits: shifted into place, then added up.
+    shifts = np.arange(digits.shape[1], dtype=np.int64) * 7
+    times = ((digits & 0x7F).astype(np.int64) << shifts).sum(axis=1)
+    values = np.ascontiguousarray(rows[:, 3:11]).view("<f8").reshape(-1).astype(np.float64)
+    return times, values
+
+
+def _decode_one_by_one(data: bytes, one: EncodedSamples) -> tuple[Times, Values]:
+    """Decode samples in any valid form."""
+    times: list[int] = []
+    values: list[float] = []
+    for start, end in one.runs:
+        for field in pb.read_fields(data, start, end, one.name):
+            if field.number != 2:
+                raise ProtobufError(f"{one.name}: field {field.number} amid samples", field.start)
+            pb.expect(field, pb.BYTES, one.name + ".samples")
+            time, value = _read_sample(data, field, one.name)
+            times.append(time)
+            values.append(value)
+    return np.array(times, np.int64), np.array(values, np.float64)
+
+
+def _read_sample(data: bytes, message: pb.Field, name: str) -> tuple[int, float]:
+    """Decode one Sample message: its timestamp and its value."""
+    time, value = 0, 0.0
+    for field in pb.read_fields(data, message.start, message.end, name):
+        if field.number == 1:
+            pb.expect(field, pb.FIXED64, name + ".samples.value")
+            (value,) = _DOUBLE.unpack_from(data, field.start)
+        elif field.number == 2:
+            pb.expect(field, pb.VARINT, name + ".samples.timestamp")
+            time = pb.signed(field.value)
+    return time, value
