--- a/gingervane/fake_servers/node.py
+++ b/gingervane/fake_servers/node.py
@@ -20,7 +20,7 @@
 from gingervane.fronts.shard_matching import matches
 from gingervane.wire import http1, remote_read, snappy
 from gingervane.wire.http1 import Request
-from gingervane.wire.protobuf import ProtobufError, varint
+from gingervane.wire.protobuf import ProtobufError, encode_varint
 from gingervane.wire.remote_read import Query
 
 _MAX_QUERIES = 4096  # in a request
@@ -123,7 +123,7 @@
             results = results[:-1]
         body = snappy.compress(remote_read.write_response(results))
         if strikes("snappy_lies", now):
-            body = varint(_FALSE_SIZE) + body[3:]
+            body = encode_varint(_FALSE_SIZE) + body[3:]
         return body
 
     def _reply(self, sock: socket.socket, body: bytes, now: float) -> bool:
--- a/gingervane/node/reply_reader.py
+++ b/gingervane/node/reply_reader.py
@@ -13,7 +13,7 @@
 from gingervane.node.parts_in_flight import PartInFlight, PartsInFlight
 from gingervane.node.replica_connection_types import DecodeCell, PartResult
 from gingervane.wire import frames
-from gingervane.wire.frames import SubqueryReply, FrameError, FrameReader
+from gingervane.wire.frames import FrameError, FrameReader, SubqueryReply
 from gingervane.wire.socket_recorder import SOCKET_RECORDER
 
 _SERVED = "served"
--- a/gingervane/wire/protobuf.py
+++ b/gingervane/wire/protobuf.py
@@ -1,7 +1,7 @@
-"""Reading and writing protobuf's wire format (https://protobuf.dev/programming-guides/encoding/), bounded.
+"""Bounded decoder and encoder of protobuf's wire format (https://protobuf.dev/programming-guides/encoding/).
 
-Readers take a buffer and a range and never look outside it. Every complaint names the byte at which the message
-stops making sense and, in words, what was being read.
+Decoders take a buffer and a range and never read outside it. Every error names the byte at which the message is
+malformed and what was being decoded.
 """
 
 from __future__ import annotations
@@ -9,31 +9,37 @@
 from collections.abc import Iterator
 from typing import NamedTuple
 
-VARINT, FIXED64, BYTES, FIXED32 = 0, 1, 2, 5
-_SIZES = {FIXED64: 8, FIXED32: 4}
-_MOST_FIELD = (1 << 29) - 1
+# Wire types.
+VARINT = 0
+FIXED64 = 1
+BYTES = 2
+FIXED32 = 5
+
+_FIXED_SIZES = {FIXED64: 8, FIXED32: 4}  # bytes, by wire type
+_MAX_FIELD_NUMBER = (1 << 29) - 1
 
 
 class ProtobufError(ValueError):
-    """A message that is not well formed: `what`, at byte `at` of the message handed in."""
+    """A malformed message: `detail` says what is wrong at byte `at` of the buffer."""
 
-    def __init__(self, what: str, at: int) -> None:
-        super().__init__(f"byte {at}: {what}")
-        self.what, self.at = what, at
+    def __init__(self, detail: str, at: int) -> None:
+        super().__init__(f"byte {at}: {detail}")
+        self.detail = detail
+        self.at = at
 
 
 class Field(NamedTuple):
-    """One field: its `value` if a varint, else the bytes from `start` to `end`."""
+    """One field: its `value` if a varint, else the position of its bytes, from `start` to `end`."""
 
     number: int
-    kind: int
+    wire_type: int
     value: int
     start: int
     end: int
 
 
 def read_varint(data: bytes, at: int, end: int, what: str) -> tuple[int, int]:
-    """The unsigned value at `at` and the place after it."""
+    """Return the unsigned value at `at` and the position after it."""
     value = shift = 0
     start = at
     while at < end:
@@ -50,55 +56,55 @@
     raise ProtobufError(f"{what}: ends inside a varint", start)
 
 
-def signed(value: int) -> int:
-    """The int64 that an unsigned varint stands for."""
+def decode_int64(value: int) -> int:
+    """Return the int64 that an unsigned varint encodes."""
     return value - (1 << 64) if value >> 63 else value
 
 
 def read_fields(data: bytes, start: int, end: int, what: str) -> Iterator[Field]:
-    """The fields of the message in `data[start:end]`, in order."""
+    """Yield the fields of the message in `data[start:end]`, in order."""
     at = start
     while at < end:
         begin = at
         key, at = read_varint(data, at, end, what)
-        number, kind = key >> 3, key & 7
-        if not 0 < number <= _MOST_FIELD:
+        number, wire_type = key >> 3, key & 7
+        if not 0 < number <= _MAX_FIELD_NUMBER:
             raise ProtobufError(f"{what}: field number {number}", begin)
-        if kind == VARINT:
+        if wire_type == VARINT:
             value, at = read_varint(data, at, end, what)
-            yield Field(number, kind, value, at, at)
+            yield Field(number, wire_type, value, at, at)
             continue
-        if kind == BYTES:
+        if wire_type == BYTES:
             length, at = read_varint(data, at, end, what)
-        elif kind in _SIZES:
-            length = _SIZES[kind]
+        elif wire_type in _FIXED_SIZES:
+            length = _FIXED_SIZES[wire_type]
         else:
-            raise ProtobufError(f"{what}: wire type {kind}", begin)
+            raise ProtobufError(f"{what}: wire type {wire_type}", begin)
         if length > end - at:
             raise ProtobufError(f"{what}: field {number} of {length} bytes runs past the end", begin)
-        yield Field(number, kind, 0, at, at + length)
+        yield Field(number, wire_type, 0, at, at + length)
         at += length
 
 
-def expect(field: Field, kind: int, what: str) -> None:
-    """Complain unless a known field has the wire type that its message gives it."""
-    if field.kind != kind:
+def expect_wire_type(field: Field, wire_type: int, what: str) -> None:
+    """Raise ProtobufError unless a known field has the wire type that its message type defines."""
+    if field.wire_type != wire_type:
         raise ProtobufError(
-            f"{what}: field {field.number} has wire type {field.kind}, not {kind}", field.start
+            f"{what}: field {field.number} has wire type {field.wire_type}, not {wire_type}", field.start
         )
 
 
-def text(data: bytes, field: Field, what: str) -> str:
-    """A string field."""
-    expect(field, BYTES, what)
+def decode_text(data: bytes, field: Field, what: str) -> str:
+    """Return the value of a string field."""
+    expect_wire_type(field, BYTES, what)
     try:
         return data[field.start : field.end].decode()
     except UnicodeDecodeError:
         raise ProtobufError(f"{what}: field {field.number} is not UTF-8", field.start) from None
 
 
-def varint(value: int) -> bytes:
-    """`value` as a varint; a negative one as its int64."""
+def encode_varint(value: int) -> bytes:
+    """Encode `value` as a varint, a negative one as its int64."""
     value &= (1 << 64) - 1
     out = bytearray()
     while value > 0x7F:
@@ -108,11 +114,11 @@
     return bytes(out)
 
 
-def block(number: int, body: bytes) -> bytes:
-    """A length-delimited field."""
-    return varint(number << 3 | BYTES) + varint(len(body)) + body
+def encode_bytes_field(number: int, body: bytes) -> bytes:
+    """Encode a length-delimited field."""
+    return encode_varint(number << 3 | BYTES) + encode_varint(len(body)) + body
 
 
-def number(field: int, value: int) -> bytes:
-    """A varint field, left out where it has the default value."""
-    return varint(field << 3) + varint(value) if value else b""
+def encode_varint_field(number: int, value: int) -> bytes:
+    """Encode a varint field, which is omitted if it has the default value 0."""
+    return encode_varint(number << 3) + encode_varint(value) if value else b""
--- a/gingervane/wire/remote_read_encoder.py
+++ b/gingervane/wire/remote_read_encoder.py
@@ -16,28 +16,35 @@
 
 def write_query(query: Query) -> bytes:
     """Encode the body of a Query message."""
-    out = [pb.number(1, query.start_ms), pb.number(2, query.end_ms)]
+    out = [pb.encode_varint_field(1, query.start_ms), pb.encode_varint_field(2, query.end_ms)]
     out += [
-        pb.block(3, pb.number(1, m.kind) + pb.block(2, m.name.encode()) + pb.block(3, m.value.encode()))
+        pb.encode_bytes_field(
+            3,
+            pb.encode_varint_field(1, m.kind)
+            + pb.encode_bytes_field(2, m.name.encode())
+            + pb.encode_bytes_field(3, m.value.encode()),
+        )
         for m in query.matchers
     ]
     if query.hints is not None:
-        out.append(pb.block(4, query.hints))
+        out.append(pb.encode_bytes_field(4, query.hints))
     return b"".join(out)
 
 
 def write_request(queries: Iterable[bytes], accepts: Sequence[int] = ()) -> bytes:
     """Encode a ReadRequest of queries that are already encoded."""
-    packed = b"".join(pb.varint(a) for a in accepts)
-    return b"".join(pb.block(1, q) for q in queries) + (pb.block(2, packed) if packed else b"")
+    packed = b"".join(pb.encode_varint(a) for a in accepts)
+    return b"".join(pb.encode_bytes_field(1, q) for q in queries) + (
+        pb.encode_bytes_field(2, packed) if packed else b""
+    )
 
 
 def write_response(results: Iterable[Iterable[Series]]) -> bytes:
     """Encode a ReadResponse; the labels of each series are written in the order in which it has them."""
     out = bytearray()
     for result in results:
-        body = b"".join(pb.block(1, _write_series(series)) for series in result)
-        out += pb.block(1, body)
+        body = b"".join(pb.encode_bytes_field(1, _write_series(series)) for series in result)
+        out += pb.encode_bytes_field(1, body)
     return bytes(out)
 
 
@@ -45,9 +52,12 @@
     """Encode the body of a TimeSeries message."""
     if series.raw is not None:
         return series.raw
-    out = [pb.block(1, pb.block(1, n.encode()) + pb.block(2, v.encode())) for n, v in series.labels]
+    out = [
+        pb.encode_bytes_field(1, pb.encode_bytes_field(1, n.encode()) + pb.encode_bytes_field(2, v.encode()))
+        for n, v in series.labels
+    ]
     out.append(_write_samples(series.timestamps, series.values))
-    out += [pb.block(4, raw) for _, raw in series.histograms]
+    out += [pb.encode_bytes_field(4, raw) for _, raw in series.histograms]
     return b"".join(out)
 
 
@@ -55,9 +65,9 @@
     """Encode samples as TimeSeries fields: as a table if all have one size, else one by one."""
     if len(times) > _LOOP_MAX_SAMPLES and times[0] > 0:
         low, high = int(times.min()), int(times.max())
-        length = len(pb.varint(high))
+        length = len(pb.encode_varint(high))
         # Plain encoders leave out a value whose bits are all zero; so does the loop below.
-        if len(pb.varint(low)) == length and values.view(np.int64).all():
+        if len(pb.encode_varint(low)) == length and values.view(np.int64).all():
             rows = np.empty((len(times), 14 + length - 2), np.uint8)
             rows[:, (0, 1, 2, 11)] = (0x12, 10 + length, 0x09, 0x10)
             rows[:, 3:11] = values.astype("<f8").view(np.uint8).reshape(-1, 8)
@@ -68,6 +78,6 @@
     out = bytearray()
     for time, value in zip(times.tolist(), values.tolist(), strict=True):
         packed = _DOUBLE.pack(value)
-        body = (b"\x09" + packed if packed != bytes(8) else b"") + pb.number(2, time)
+        body = (b"\x09" + packed if packed != bytes(8) else b"") + pb.encode_varint_field(2, time)
         out += b"\x12" + bytes([len(body)]) + body
     return bytes(out)
--- a/gingervane/wire/request_decoder.py
+++ b/gingervane/wire/request_decoder.py
@@ -24,17 +24,17 @@
     accepts: list[int] = []
     for field in pb.read_fields(data, 0, len(data), "ReadRequest"):
         if field.number == 1:
-            pb.expect(field, pb.BYTES, "ReadRequest.queries")
+            pb.expect_wire_type(field, pb.BYTES, "ReadRequest.queries")
             if len(queries) == max_queries:
                 raise ProtobufError(f"ReadRequest: more than {max_queries} queries", field.start)
             queries.append(_read_query(data, field, len(queries), max_matchers))
-        elif field.number == 2 and field.kind == pb.BYTES:  # packed
+        elif field.number == 2 and field.wire_type == pb.BYTES:  # packed
             at = field.start
             while at < field.end:
                 value, at = pb.read_varint(data, at, field.end, "ReadRequest.accepted_response_types")
                 accepts.append(value)
         elif field.number == 2:
-            pb.expect(field, pb.VARINT, "ReadRequest.accepted_response_types")
+            pb.expect_wire_type(field, pb.VARINT, "ReadRequest.accepted_response_types")
             accepts.append(field.value)
     return ReadRequest(tuple(queries), tuple(accepts))
 
@@ -46,18 +46,18 @@
     hints: bytes | None = None
     for field in pb.read_fields(data, message.start, message.end, name):
         if field.number == 1:
-            pb.expect(field, pb.VARINT, name + ".start_timestamp_ms")
-            start = pb.signed(field.value)
+            pb.expect_wire_type(field, pb.VARINT, name + ".start_timestamp_ms")
+            start = pb.decode_int64(field.value)
         elif field.number == 2:
-            pb.expect(field, pb.VARINT, name + ".end_timestamp_ms")
-            end = pb.signed(field.value)
+            pb.expect_wire_type(field, pb.VARINT, name + ".end_timestamp_ms")
+            end = pb.decode_int64(field.value)
         elif field.number == 3:
-            pb.expect(field, pb.BYTES, name + ".matchers")
+            pb.expect_wire_type(field, pb.BYTES, name + ".matchers")
             if len(matchers) == max_matchers:
                 raise ProtobufError(f"{name}: more than {max_matchers} matchers", field.start)
             matchers.append(_read_matcher(data, field, f"{name}.matchers[{len(matchers)}]"))
         elif field.number == 4:
-            pb.expect(field, pb.BYTES, name + ".hints")
+            pb.expect_wire_type(field, pb.BYTES, name + ".hints")
             _check_hints(data, field, name + ".hints")
             hints = data[field.start : field.end]
     if end < start:
@@ -69,12 +69,12 @@
     kind, label, value = 0, "", ""
     for field in pb.read_fields(data, message.start, message.end, name):
         if field.number == 1:
-            pb.expect(field, pb.VARINT, name + ".type")
+            pb.expect_wire_type(field, pb.VARINT, name + ".type")
             kind = field.value
         elif field.number == 2:
-            label = pb.text(data, field, name + ".name")
+            label = pb.decode_text(data, field, name + ".name")
         elif field.number == 3:
-            value = pb.text(data, field, name + ".value")
+            value = pb.decode_text(data, field, name + ".value")
     if kind not in _MATCH_TYPES:
         raise ProtobufError(f"{name}: type {kind} is not known", message.start)
     if not label:
@@ -86,4 +86,4 @@
     """Check the wire types of the known fields of ReadHints, which pass on as raw bytes."""
     for field in pb.read_fields(data, message.start, message.end, name):
         if field.number in _HINT_WIRE_TYPES:
-            pb.expect(field, _HINT_WIRE_TYPES[field.number], name)
+            pb.expect_wire_type(field, _HINT_WIRE_TYPES[field.number], name)
--- a/gingervane/wire/response_decoder.py
+++ b/gingervane/wire/response_decoder.py
@@ -24,14 +24,14 @@
     for field in pb.read_fields(data, 0, len(data), "ReadResponse"):
         if field.number != 1:
             continue
-        pb.expect(field, pb.BYTES, "ReadResponse.results")
+        pb.expect_wire_type(field, pb.BYTES, "ReadResponse.results")
         if len(results) == max_results:
             raise ProtobufError(f"ReadResponse: more than {max_results} results", field.start)
         name = f"results[{len(results)}]"
         found: list[_EncodedSeries] = []
         for inner in pb.read_fields(data, field.start, field.end, name):
             if inner.number == 1:
-                pb.expect(inner, pb.BYTES, name + ".timeseries")
+                pb.expect_wire_type(inner, pb.BYTES, name + ".timeseries")
                 found.append(_read_series(data, inner, f"{name}.timeseries[{len(found)}]"))
         results.append(found)
     flat = [one for found in results for one in found]
@@ -82,16 +82,16 @@
             continue
         field = next(pb.read_fields(data, at, end, name))
         if field.number == 1:
-            pb.expect(field, pb.BYTES, name + ".labels")
+            pb.expect_wire_type(field, pb.BYTES, name + ".labels")
             labels.append(_read_label(data, field, name))
             canonical = canonical and not runs
         elif field.number == 2:
-            pb.expect(field, pb.BYTES, name + ".samples")
+            pb.expect_wire_type(field, pb.BYTES, name + ".samples")
             runs.append((at, field.end))
         else:
             canonical = False
             if field.number == 4:
-                pb.expect(field, pb.BYTES, name + ".histograms")
+                pb.expect_wire_type(field, pb.BYTES, name + ".histograms")
                 histograms.append((_histogram_time(data, field, name), data[field.start : field.end]))
         at = field.end
     if len({label for label, _ in labels}) != len(labels):
@@ -127,15 +127,15 @@
     label = value = ""
     for field in pb.read_fields(data, message.start, message.end, name):
         if field.number == 1:
-            label = pb.text(data, field, name + ".labels.name")
+            label = pb.decode_text(data, field, name + ".labels.name")
         elif field.number == 2:
-            value = pb.text(data, field, name + ".labels.value")
+            value = pb.decode_text(data, field, name + ".labels.value")
     return label, value
 
 
 def _histogram_time(data: bytes, message: pb.Field, name: str) -> int:
     for field in pb.read_fields(data, message.start, message.end, name + ".histograms"):
         if field.number == 15:
-            pb.expect(field, pb.VARINT, name + ".histograms.timestamp")
-            return pb.signed(field.value)
+            pb.expect_wire_type(field, pb.VARINT, name + ".histograms.timestamp")
+            return pb.decode_int64(field.value)
     return 0
--- a/gingervane/wire/sample_decoder.py
+++ b/gingervane/wire/sample_decoder.py
@@ -45,17 +45,16 @@
     for size in set(sizes) - {0}:
         rows = [(i, *found[i].runs[0]) for i in range(len(found)) if sizes[i] == size]
         rows = [row for row in rows if not (row[2] - row[1]) % size]
-        table = (
-            _decode_table(b"".join(data[a:b] for _, a, b in rows), size)
-            if _SAMPLE_BYTES_ABOVE < size < _SAMPLE_BYTES_BELOW
-            else None
-        )
+        if not _SAMPLE_BYTES_ABOVE < size < _SAMPLE_BYTES_BELOW:
+            continue
+        table = _decode_table(b"".join(data[start:end] for _, start, end in rows), size)
         if table is None:
             continue
+        times, values = table
         at = 0
         for index, start, end in rows:
             count = (end - start) // size
-            out[index] = table[0][at : at + count], table[1][at : at + count]
+            out[index] = times[at : at + count], values[at : at + count]
             at += count
     return [out[i] or _decode_one_by_one(data, one) for i, one in enumerate(found)]
 
@@ -85,7 +84,7 @@
         for field in pb.read_fields(data, start, end, one.name):
             if field.number != 2:
                 raise ProtobufError(f"{one.name}: field {field.number} amid samples", field.start)
-            pb.expect(field, pb.BYTES, one.name + ".samples")
+            pb.expect_wire_type(field, pb.BYTES, one.name + ".samples")
             time, value = _read_sample(data, field, one.name)
             times.append(time)
             values.append(value)
@@ -97,9 +96,9 @@
     time, value = 0, 0.0
     for field in pb.read_fields(data, message.start, message.end, name):
         if field.number == 1:
-            pb.expect(field, pb.FIXED64, name + ".samples.value")
+            pb.expect_wire_type(field, pb.FIXED64, name + ".samples.value")
             (value,) = _DOUBLE.unpack_from(data, field.start)
         elif field.number == 2:
-            pb.expect(field, pb.VARINT, name + ".samples.timestamp")
-            time = pb.signed(field.value)
+            pb.expect_wire_type(field, pb.VARINT, name + ".samples.timestamp")
+            time = pb.decode_int64(field.value)
     return time, value
--- a/tests/test_json_values.py
+++ b/tests/test_json_values.py
@@ -9,15 +9,15 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
+from platform_fakes import Discovery, Recorded, Waiter
 
 from gingervane.coordinator import types as t
+from gingervane.coordinator.replica_start_times import ReplicaStartTimes
 from gingervane.node import discovery
 from gingervane.node.config import parse_address
 from gingervane.node.discovery import DiscoveryWatch
 from gingervane.node.endpoint_list import EndpointListReader
-from gingervane.coordinator.replica_start_times import ReplicaStartTimes
-from gingervane.wire.json_values import JsonValue, JsonSplitter, ValueTooLongError
-from platform_fakes import Discovery, Recorded, Waiter
+from gingervane.wire.json_values import JsonSplitter, JsonValue, ValueTooLongError
 
 _SYN_SENT = b"\2"  # the first byte of Linux's struct tcp_info
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -185,10 +185,10 @@
     assert snappy.decompress(good, 5000) == b"a" * 5000
     for bad, what in (
         (good, "over the limit"),
-        (pb.varint(4000) + b"\x00a", "claims"),
+        (pb.encode_varint(4000) + b"\x00a", "claims"),
         (b"", "length"),
         (b"\xff" * 6, "length"),
-        (pb.varint(10) + b"\x00ab", "malformed"),
+        (pb.encode_varint(10) + b"\x00ab", "malformed"),
     ):
         with pytest.raises(snappy.SnappyError, match=what):
             snappy.decompress(bad, 4999)
