--- a/tests/test_frames.py
+++ b/tests/test_frames.py
@@ -1,4 +1,4 @@
-"""Frames between a co-ordinator and a replica, however they are cut or spoilt."""
+"""Frames between a co-ordinator and a replica, however the stream is split or corrupted."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from platform_fakes import (
-    answer,
-)
+from platform_fakes import answer
 
 from gingervane.wire import frames
 
 
 @given(st.lists(st.tuples(st.integers(0, 9), st.sampled_from(frames.OUTCOMES)), max_size=6), st.data())
-def test_frames_come_out_the_same_however_they_are_cut(
+def test_frames_decode_the_same_however_the_stream_is_split(
     parts: list[tuple[int, str]],
     data: st.DataObject,
 ) -> None:
     stream = b"".join(answer(f"a.{n}", end, n) for n, end in parts)
-    reader, out, at = frames.FrameReader(), [], 0
+    reader = frames.FrameReader()
+    out = []
+    at = 0
     while at < len(stream):
         step = data.draw(st.integers(1, len(stream) - at))
         reader.feed(stream[at : at + step])
@@ -34,7 +34,7 @@
 
 
 @given(st.binary(max_size=200))
-def test_any_bytes_are_frames_or_an_error_and_never_held_past_the_bound(noise: bytes) -> None:
+def test_arbitrary_bytes_are_frames_or_an_error_and_buffered_within_the_bound(noise: bytes) -> None:
     reader = frames.FrameReader(max_bytes=64)
     reader.feed(noise)
     try:
@@ -57,12 +57,12 @@
         b"a.1 served 123456789012345678901 -\n",
     ],
 )
-def test_a_bad_answer_line_is_an_error(bad: bytes) -> None:
+def test_a_malformed_reply_line_is_an_error(bad: bytes) -> None:
     with pytest.raises(frames.FrameError):
         frames.decode_reply(bad)
 
 
-def test_a_length_of_3_gb_costs_nothing() -> None:
+def test_a_claimed_length_of_3_gb_is_rejected_at_once() -> None:
     reader = frames.FrameReader()
     reader.feed(struct.pack("<I", 3 << 30) + b"a")
     with pytest.raises(frames.FrameError, match="length"):
--- a/tests/test_json_values.py
+++ b/tests/test_json_values.py
@@ -42,11 +42,11 @@
     }
 
 
-def whole(count: int, version: int) -> dict[str, Any]:
+def full_list(count: int, version: int) -> dict[str, Any]:
     return {"seq": version, "whole": True, "hosts": [entry(i, version) for i in range(count)]}
 
 
-class Watching:
+class WatchedDiscovery:
     """A watch on `where`, what it tells and what it logs."""
 
     def __init__(self, where: str) -> None:
@@ -56,7 +56,7 @@
         self.watch.start()
         self.watch.request_watch()
 
-    def move(self, where: str) -> None:
+    def change_address(self, where: str) -> None:
         self.watch.change_address(parse_address(where, "discovery"))
 
 
@@ -69,7 +69,7 @@
 
 
 @given(Values, st.sampled_from([None, 0, 2]), st.lists(st.integers(0, 40), max_size=8), st.booleans())
-def test_values_come_out_the_same_however_they_are_written_and_cut(
+def test_values_are_split_the_same_in_any_layout_and_chunking(
     values: list[Any],
     indent: int | None,
     sizes: list[int],
@@ -82,16 +82,16 @@
 
 
 @pytest.mark.parametrize("indent", [None, 2])
-def test_a_list_cut_at_every_byte(indent: int | None) -> None:
-    data = f"{json.dumps(whole(2, 4), indent=indent)}\n\n{json.dumps(whole(1, 5))}\n".encode()
+def test_a_list_split_at_every_byte(indent: int | None) -> None:
+    data = f"{json.dumps(full_list(2, 4), indent=indent)}\n\n{json.dumps(full_list(1, 5))}\n".encode()
     for at in range(len(data) + 1):
         reader = JsonSplitter(1 << 20)
         found = [f for piece in (data[:at], data[at:]) for f in reader.feed(piece)]
-        assert [json.loads(f.data) for f in found] == [whole(2, 4), whole(1, 5)]
+        assert [json.loads(f.data) for f in found] == [full_list(2, 4), full_list(1, 5)]
 
 
 @pytest.mark.parametrize(
-    "spoilt",
+    "malformed",
     [
         b'{"seq":4,"whole":tr\n',
         b'{"seq":4,"hosts":[{"host":"s-1\n',
@@ -102,17 +102,17 @@
         b"{" * 50 + b"\n\n",
     ],
 )
-def test_what_comes_after_a_spoilt_value_is_read(spoilt: bytes) -> None:
-    good = json.dumps(whole(2, 5), indent=1).encode()
+def test_values_after_a_malformed_one_are_found(malformed: bytes) -> None:
+    good = json.dumps(full_list(2, 5), indent=1).encode()
     reader = JsonSplitter(1 << 20)
-    found = [f for byte in spoilt + good for f in reader.feed(bytes([byte]))]
+    found = [f for byte in malformed + good for f in reader.feed(bytes([byte]))]
     assert (
         found[-1] == JsonValue(good, True) and not any(f.well_formed for f in found[:-1]) and len(found) > 1
     )
 
 
 @given(st.binary(max_size=300))
-def test_any_bytes_are_bounded(noise: bytes) -> None:
+def test_arbitrary_bytes_are_bounded(noise: bytes) -> None:
     reader = JsonSplitter(100)
     try:
         for byte in noise:
@@ -122,12 +122,12 @@
         assert len(reader._buffer) == 101
 
 
-def test_a_list_of_1024_replicas_is_held_indented() -> None:
+def test_an_indented_list_of_1024_replicas_fits_the_bound() -> None:
     """Found on the page: lists may come indented, and a reader of lines skipped every one of theirs."""
     service = Discovery([])
-    watching = Watching(service.address)
+    watching = WatchedDiscovery(service.address)
     watching.found.wait()
-    data = json.dumps(whole(1024, 7), indent=4).encode() + b"\n"
+    data = json.dumps(full_list(1024, 7), indent=4).encode() + b"\n"
     for start in range(0, len(data), 3001):
         service.push(data[start : start + 3001])
     listed: t.EndpointsUpdated = watching.found.wait(2)[1]
@@ -137,13 +137,13 @@
     service.close()
 
 
-def test_a_discovery_that_counts_anew_is_believed() -> None:
+def test_a_sequence_number_that_restarts_is_accepted() -> None:
     """Its versions may be smaller than those of the one before it: its changes were dropped for good."""
     first, other = Discovery([entry(1)]), Discovery([entry(2)])
     first.version, other.version = 41, 3
-    watching = Watching(first.address)
+    watching = WatchedDiscovery(first.address)
     first.watches.wait()
-    watching.move(other.address)
+    watching.change_address(other.address)
     assert other.watches.wait()[0].endswith("since=0")
     watching.found.wait(2)
     other.change(entry(3))
@@ -153,7 +153,7 @@
     other.close()
 
 
-def test_a_move_does_not_wait_for_a_silent_address(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_address_change_does_not_wait_for_a_silent_address(monkeypatch: pytest.MonkeyPatch) -> None:
     """A change counts as told 4 s after SIGHUP, and connecting to the old address could take 3 of them."""
     monkeypatch.setattr(discovery, "SILENCE_TIMEOUT", 3600.0)
     full = socket.create_server(("127.0.0.1", 0), backlog=0)
@@ -163,14 +163,14 @@
         held[-1].setblocking(False)
         held[-1].connect_ex(full.getsockname())
     other = Discovery([entry(2)])
-    watching = Watching(f"127.0.0.1:{full.getsockname()[1]}")
+    watching = WatchedDiscovery(f"127.0.0.1:{full.getsockname()[1]}")
     watch = watching.watch
     for _ in range(2000):  # until it is on its way there
         with watch._change:
             if watch._sock and watch._sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1) == _SYN_SENT:
                 break
             watch._change.wait(0.01)
-    watching.move(other.address)
+    watching.change_address(other.address)
     assert watching.found.wait()[0].membership.replicas[0].cell == 2
     watch.stop()
     for sock in (*held, full):
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 and remote read messages: strict, bounded, the same however the bytes come."""
+"""HTTP/1.1 and remote read messages: strict, bounded, the same however the stream is split."""
 
 from __future__ import annotations
 
@@ -23,11 +23,12 @@
 
 def reader(data: bytes, step: int = 1 << 16) -> Reader:
     pieces = iter([data[i : i + step] for i in range(0, len(data), step)])
-    return Reader(lambda most: next(pieces, b""), LIMITS)
+    return Reader(lambda max_bytes: next(pieces, b""), LIMITS)
 
 
 def read(data: bytes, step: int = 1 << 16) -> list[tuple[str, bytes]]:
-    source, out = reader(data, step), []
+    source = reader(data, step)
+    out = []
     try:
         while True:
             request = source.request()
@@ -38,7 +39,7 @@
     return out
 
 
-REFUSED = {
+REJECTED = {
     "two lengths": (START + b"Content-Length: 3\r\nContent-Length: 3\r\n\r\nabc", 400, "Content-Length"),
     "length list": (START + b"Content-Length: 3, 3\r\n\r\nabc", 400, "Content-Length"),
     "signed length": (START + b"Content-Length: +3\r\n\r\nabc", 400, "Content-Length"),
@@ -68,17 +69,19 @@
 }
 
 
-@pytest.mark.parametrize("name", REFUSED)
+@pytest.mark.parametrize("name", REJECTED)
 @pytest.mark.parametrize("step", [1, 1 << 16])
-def test_refused(name: str, step: int) -> None:
-    data, status, where = REFUSED[name]
+def test_ambiguous_and_oversized_requests_are_rejected(name: str, step: int) -> None:
+    data, status, where = REJECTED[name]
     with pytest.raises(HttpError) as caught:
         read(data, step)
     assert caught.value.status == status and where in caught.value.detail
 
 
 @given(st.lists(st.tuples(st.booleans(), st.binary(max_size=300)), max_size=4), st.integers(1, 40))
-def test_however_the_bytes_come(bodies: list[tuple[bool, bytes]], step: int) -> None:
+def test_requests_parse_the_same_however_the_stream_is_split(
+    bodies: list[tuple[bool, bytes]], step: int
+) -> None:
     data, want = b"", []
     for index, (chunked, body) in enumerate(bodies):
         head = f"POST /{index} HTTP/1.1\r\nHost: x\r\n".encode()
@@ -118,7 +121,7 @@
     ),
     st.integers(1, 9),
 )
-def test_any_bytes_end_in_a_known_way(data: bytes, step: int) -> None:
+def test_arbitrary_bytes_parse_or_raise_a_known_error(data: bytes, step: int) -> None:
     for work in (lambda: read(data, step), lambda: reader(data, step).response()):
         with contextlib.suppress(HttpError, ConnectionClosedError):
             work()
@@ -133,7 +136,7 @@
 
 
 @given(st.lists(queries, max_size=3), st.lists(st.sampled_from([0, 1]), max_size=2))
-def test_requests_come_back(asked: list[Query], accepts: list[int]) -> None:
+def test_read_requests_round_trip(asked: list[Query], accepts: list[int]) -> None:
     data = remote_read.write_request([remote_read.write_query(q) for q in asked], accepts)
     assert remote_read.read_request(data, 5, 5) == ReadRequest(tuple(asked), tuple(accepts))
 
@@ -160,14 +163,16 @@
 
 
 @given(st.lists(st.tuples(names, samples), max_size=3))
-def test_responses_come_back(rows: list[tuple[str, dict[int, float]]]) -> None:
+def test_read_responses_round_trip(rows: list[tuple[str, dict[int, float]]]) -> None:
     sent = [series(found, a=name) for name, found in rows]
     (got,) = remote_read.read_response(remote_read.write_response([sent]), 1)
     assert len(got) == len(sent) and all(same(a, b) for a, b in zip(got, sent, strict=True))
 
 
 @given(st.binary(max_size=200), st.data())
-def test_cut_or_changed_messages_end_in_a_known_way(noise: bytes, data: st.DataObject) -> None:
+def test_truncated_or_corrupted_messages_decode_or_raise_a_known_error(
+    noise: bytes, data: st.DataObject
+) -> None:
     row = series({1_700_000_000_000 + i: float(i) for i in range(30)}, a="b", c="d")
     good = remote_read.write_response([[row], [row]])
     cut = data.draw(st.integers(0, len(good)))
@@ -180,7 +185,7 @@
                 assert 0 <= error.at <= len(message)
 
 
-def test_snappy_is_bounded_before_it_is_unpacked() -> None:
+def test_snappy_is_bounded_before_it_is_decompressed() -> None:
     good = snappy.compress(b"a" * 5000)
     assert snappy.decompress(good, 5000) == b"a" * 5000
     for bad, what in (
@@ -195,7 +200,7 @@
 
 
 @given(st.lists(st.tuples(names, samples), min_size=1, max_size=6), st.randoms(use_true_random=False))
-def test_merging_does_not_depend_on_the_order(rows: list[tuple[str, dict[int, float]]], rng: object) -> None:
+def test_merging_is_independent_of_order(rows: list[tuple[str, dict[int, float]]], rng: object) -> None:
     parts = [[series(found, a=name)] for name, found in rows]
     first = merging.merge(parts)
     rng.shuffle(parts)  # type: ignore[attr-defined]
@@ -217,7 +222,7 @@
         max_size=3,
     ),
 )
-def test_touched_shards_are_those_that_match(shards: list[str], asked: list[tuple[Match, str]]) -> None:
+def test_shards_found_are_those_that_match(shards: list[str], asked: list[tuple[Match, str]]) -> None:
     index = ShardIndex("tile", shards)
     found = index.matching_shards([Matcher(kind, "tile", value) for kind, value in asked])
     plain = [
