--- a/tests/test_frames.py
+++ b/tests/test_frames.py
@@ -1,4 +1,4 @@
-"""Frames between a co-ordinator and a replica, however they are cut or spoilt."""
+"""Frames between a co-ordinator and a replica, however the stream is split or corrupted."""
 
 from __future__ import annotations
 
@@ -7,42 +7,42 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from platform_fakes import (
-    answer,
-)
+from platform_fakes import answer
 
 from gingervane.wire import frames
 
 
-@given(st.lists(st.tuples(st.integers(0, 9), st.sampled_from(frames.ENDS)), max_size=6), st.data())
-def test_frames_come_out_the_same_however_they_are_cut(
+@given(st.lists(st.tuples(st.integers(0, 9), st.sampled_from(frames.OUTCOMES)), max_size=6), st.data())
+def test_frames_decode_the_same_however_the_stream_is_split(
     parts: list[tuple[int, str]],
     data: st.DataObject,
 ) -> None:
     stream = b"".join(answer(f"a.{n}", end, n) for n, end in parts)
-    reader, out, at = frames.FrameReader(), [], 0
+    reader = frames.FrameReader()
+    out = []
+    at = 0
     while at < len(stream):
         step = data.draw(st.integers(1, len(stream) - at))
         reader.feed(stream[at : at + step])
         at += step
-        while (found := reader.next()) is not None:
-            out.append(frames.read_answer(found[1]))
-    assert [(a.id, a.end, a.score) for a in out] == [
+        while (found := reader.next_frame()) is not None:
+            out.append(frames.decode_reply(found[1]))
+    assert [(a.id, a.outcome, a.score) for a in out] == [
         (f"a.{n}", end, n if end == "served" else None) for n, end in parts
     ]
-    assert not reader.waiting
+    assert not reader.buffered_bytes
 
 
 @given(st.binary(max_size=200))
-def test_any_bytes_are_frames_or_an_error_and_never_held_past_the_bound(noise: bytes) -> None:
-    reader = frames.FrameReader(most=64)
+def test_arbitrary_bytes_are_frames_or_an_error_and_buffered_within_the_bound(noise: bytes) -> None:
+    reader = frames.FrameReader(max_bytes=64)
     reader.feed(noise)
     try:
-        while (found := reader.next()) is not None:
-            frames.read_answer(found[1])
+        while (found := reader.next_frame()) is not None:
+            frames.decode_reply(found[1])
     except frames.FrameError:
         return
-    assert reader.waiting <= 4 + 64
+    assert reader.buffered_bytes <= 4 + 64
 
 
 @pytest.mark.parametrize(
@@ -57,13 +57,13 @@
         b"a.1 served 123456789012345678901 -\n",
     ],
 )
-def test_a_bad_answer_line_is_an_error(bad: bytes) -> None:
+def test_a_malformed_reply_line_is_an_error(bad: bytes) -> None:
     with pytest.raises(frames.FrameError):
-        frames.read_answer(bad)
+        frames.decode_reply(bad)
 
 
-def test_a_length_of_3_gb_costs_nothing() -> None:
+def test_a_claimed_length_of_3_gb_is_rejected_at_once() -> None:
     reader = frames.FrameReader()
     reader.feed(struct.pack("<I", 3 << 30) + b"a")
     with pytest.raises(frames.FrameError, match="length"):
-        reader.next()
+        reader.next_frame()
