--- a/gingervane/experiments/embedded.py
+++ b/gingervane/experiments/embedded.py
@@ -53,7 +53,7 @@
         "search_class": "point-lookup",
         "upsert_class": "keyed-read",
         "add_class": "unsafe-read",
-        "collection": [c._asdict() for c in grid.collections],
+        "collection": [collection._asdict() for collection in grid.collections],
     }
 
 
@@ -84,13 +84,7 @@
         self._list_coordinators = list_coordinators
         self.apps: list[App] = []
         for number in range(coordinators):
-            table = config_table(self.grid, self.list_file, ZONES[number % len(ZONES)], coordinators)
-            if vectors is not None:
-                table["vectors"] = vectors_table(vectors, self.folder / "vectors.toml")
-            for key, value in (overrides or {}).items():
-                table[key] = {**table[key], **value} if isinstance(table.get(key), dict) else value
-            if tree is not None:
-                table["tree"] = tree_table(tree, coordinators, number)
+            table = self._coordinator_table(number, coordinators, overrides or {}, tree)
             config = daemon_settings.check(table, self.folder / "embedded.toml")
             self.apps.append(App(config, None if seed is None else seed + 10 * number))
         self.app = self.apps[0]
@@ -102,6 +96,19 @@
             app.start()
         self.address = self.app.address
 
+    def _coordinator_table(
+        self, number: int, coordinators: int, overrides: dict[str, Any], tree: dict[str, Any] | None
+    ) -> dict[str, Any]:
+        """Build the settings of co-ordinator `number`; tables in `overrides` are merged, other values replaced."""
+        table = config_table(self.grid, self.list_file, ZONES[number % len(ZONES)], coordinators)
+        if self.vectors is not None:
+            table["vectors"] = vectors_table(self.vectors, self.folder / "vectors.toml")
+        for key, value in overrides.items():
+            table[key] = {**table[key], **value} if isinstance(table.get(key), dict) else value
+        if tree is not None:
+            table["tree"] = tree_table(tree, coordinators, number)
+        return table
+
     def write_list(
         self,
         states: dict[int, str] | None = None,
@@ -131,15 +138,15 @@
         if self.vectors is not None:
             rows = [
                 list_row(
-                    n.id,
-                    f"{n.address[0]}:{n.address[1]}",
-                    ZONES[n.id % len(ZONES)],
-                    n.id,
-                    (states or {}).get(n.id, "ready"),
+                    node.id,
+                    f"{node.address[0]}:{node.address[1]}",
+                    ZONES[node.id % len(ZONES)],
+                    node.id,
+                    (states or {}).get(node.id, "ready"),
                     None,
-                    name=f"v{n.id}",
+                    name=f"v{node.id}",
                 )
-                for n in self.vectors.nodes
+                for node in self.vectors.nodes
             ]
             write_list(self.folder / "vectors.toml", "\n".join(rows))
 
--- a/gingervane/membership/service.py
+++ b/gingervane/membership/service.py
@@ -88,11 +88,15 @@
         for name, datacenter in zip(names[bool(table.file) :], datacenters, strict=True):
             self._watch(consul, consul.service, datacenter, ring_sizes.cells, self.nodes, name)
         if consul.coordinators and tree is not None:
-            self._watch(consul, consul.coordinators, "", ring_sizes.peers, self.peers, "consul")
-            entry = ServiceEntry(
-                tree.name, consul.coordinators, address, fleet.zone, tree.place, consul.ttl, time.time()
-            )
-            self._registrar = self._create_registrar(consul, entry)
+            self._follow_peers(consul, tree, fleet.zone, address)
+
+    def _follow_peers(self, consul: ConsulTable, tree: Tree, zone: str, address: tuple[str, int]) -> None:
+        """Watch the co-ordinators' service, and register this co-ordinator in it."""
+        self._watch(consul, consul.coordinators, "", self._ring_sizes.peers, self.peers, "consul")
+        entry = ServiceEntry(
+            tree.name, consul.coordinators, address, zone, tree.place, consul.ttl, time.time()
+        )
+        self._registrar = self._create_registrar(consul, entry)
 
     def _file_watcher(self, path: Path, interval: float) -> FileWatcher:
         return FileWatcher(
--- a/gingervane/node/replica_connections.py
+++ b/gingervane/node/replica_connections.py
@@ -164,10 +164,12 @@
     def cancel(self, batch: t.BatchRequest) -> None:
         """Do nothing: each attempt of a batch is abandoned by itself."""
 
-    def abandon(self, batch: t.BatchRequest, request: t.AttemptRequest, tell: bool, over: bool) -> None:
-        """Give up an attempt: `tell` its replica to cancel it, or its time is `over`."""
+    def abandon(
+        self, batch: t.BatchRequest, attempt: t.AttemptRequest, notify_replica: bool, expired: bool
+    ) -> None:
+        """Drop an attempt: its replica is notified to cancel it, or its time has expired."""
         if isinstance(batch.transport_token, ReplicaConnection):
-            batch.transport_token.abandon(request, tell, over)
+            batch.transport_token.abandon(attempt, notify_replica, expired)
 
     def close_idle(self, address: tuple[str, int]) -> None:
         """Retire all connections to an address: what is sent next opens a new one, whatever is still in flight."""
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -127,7 +127,7 @@
         told.put,
     )
     first = send(links, replica, 1, "a.0")
-    links.abandon(first, first.attempts[0], tell=True, over=True)
+    links.abandon(first, first.attempts[0], notify_replica=True, expired=True)
     send(links, replica, 2, "b.0")
     assert len(replica.wires) == 1
     replica.wires[0].raw(answer("a.0") + answer("b.0"))
