--- a/tests/connection_tools.py
+++ b/tests/connection_tools.py
@@ -18,12 +18,6 @@
 from gingervane.fronts.client_connection import has_unread_data
 
 
-def free_port() -> int:
-    with socket.create_server(("127.0.0.1", 0)) as free:
-        port: int = free.getsockname()[1]
-        return port
-
-
 class Held:
     """A function of the node that waits, once it is entered, until it is let go."""
 
--- a/tests/faults/rig.py
+++ b/tests/faults/rig.py
@@ -30,6 +30,7 @@
 from faults.proxy import Proxy, receive, reset, stamp
 from faults.replicas import Alarm, Replica
 from platform_fakes import Discovery
+from ports import ReservedPort
 
 ROOT = Path(__file__).parents[2]
 CLIENTS = 12  # of each node
@@ -100,8 +101,8 @@
                 for i, proxy in enumerate(self.proxies)
             ]
         )
-        with socket.create_server(("127.0.0.1", 0)) as free:
-            self.address: tuple[str, int] = free.getsockname()[:2]
+        self._reserved_port = ReservedPort()
+        self.address = self._reserved_port.address
         path = folder / f"n{number}.json"
         path.write_text(
             json.dumps(
@@ -143,6 +144,7 @@
             self.process.send_signal(signal.SIGCONT)
             self.process.kill()
         self.process.wait()
+        self._reserved_port.close()
         self.discovery.close()
         for proxy in self.proxies:
             proxy.close()
--- a/tests/test_connection_limits.py
+++ b/tests/test_connection_limits.py
@@ -10,7 +10,6 @@
 import threading
 from pathlib import Path
 
-from connection_tools import free_port
 from platform_fakes import (
     HEAD,
     PATIENCE,
@@ -27,6 +26,7 @@
     read_until,
     reply,
 )
+from ports import ReservedPort
 
 from gingervane.fronts.connections import MAX_CLOSING
 
@@ -38,10 +38,11 @@
 ) -> None:
     """A process of its own, whose limit the system holds; all clients have spoken and rest."""
     platform, calls, limit = Platform(tmp_path), Calls(), 128
+    reserved = ReservedPort()
     data = json.loads(platform.path.read_text()) | {
         "discovery": "{}:{}".format(*calls.where),
         "limits": {"sockets": limit},
-        "listen": f"127.0.0.1:{free_port()}",
+        "listen": f"127.0.0.1:{reserved.port}",
     }
     path = tmp_path / "other.json"
     path.write_text(json.dumps(data))
@@ -81,6 +82,7 @@
     for sock in idle:
         sock.close()
     again.close()
+    reserved.close()
     platform.close()
 
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -25,6 +25,7 @@
     reply,
     start_node,
 )
+from ports import ReservedPort
 
 ROOT = Path(__file__).parent.parent
 
@@ -180,8 +181,8 @@
 
     replica = Replica(0, slow)
     platform = Platform(tmp_path, replica)
-    with socket.create_server(("127.0.0.1", 0)) as free:
-        port = free.getsockname()[1]
+    reserved = ReservedPort()
+    port = reserved.port
     platform.path.write_text(platform.path.read_text().replace('"127.0.0.1:0"', f'"127.0.0.1:{port}"'))
     program = start_node(platform.path)
     assert program.stderr is not None
@@ -200,3 +201,4 @@
     assert program.wait(PATIENCE) == 0
     program.stderr.close()
     platform.close()
+    reserved.close()
--- a/tests/test_tree_sockets.py
+++ b/tests/test_tree_sockets.py
@@ -10,6 +10,7 @@
 from pathlib import Path
 
 import pytest
+from ports import ReservedPort
 from test_hard_cases import ALL, PATIENCE, ask, eventually, is_right
 
 from gingervane.experiments.embedded import ZONES, Embedded
@@ -233,14 +234,14 @@
 
 def test_a_dead_child(fleet: Embedded) -> None:
     made = children(fleet, as_it_is)
-    with socket.create_server(("127.0.0.1", 0)) as closed:
-        dead = closed.getsockname()
-    place(fleet, dead, made[0].server.address)
+    dead = ReservedPort()
+    place(fleet, dead.address, made[0].server.address)
     try:
         for index in range(3):
             assert ask(fleet, wide(index), "area-report").status == 200
     finally:
         made[0].close()
+        dead.close()
 
 
 def test_a_middle_is_reached_from_one_root_only(tmp_path: Path) -> None:
