--- a/benchmarks/idle.py
+++ b/benchmarks/idle.py
@@ -4,6 +4,7 @@
 
 import socket
 import time
+from pathlib import Path
 
 from common import Fleet, machine
 
@@ -15,7 +16,7 @@
 
 def resident(pid: int) -> float:
     """MiB of memory that a process holds."""
-    with open(f"/proc/{pid}/status") as file:
+    with Path(f"/proc/{pid}/status").open() as file:
         line = next(row for row in file if row.startswith("VmRSS"))
     return int(line.split()[1]) / 1024
 
--- a/benchmarks/restart.py
+++ b/benchmarks/restart.py
@@ -23,6 +23,8 @@
 
 ROOT = Path(__file__).parent.parent
 REPLICAS = 100
+READY_TIMEOUT = 60.0  # seconds for all nodes to be ready
+Process = subprocess.Popen[bytes]
 SETTINGS: dict[str, Any] = {
     "Locality": 0,
     "GranularityS": 0.005,
@@ -54,7 +56,7 @@
 }
 
 
-def discover(listener: socket.socket) -> None:
+def serve_discovery(listener: socket.socket) -> None:
     """Answer each call with the list and keep its watch open."""
     hosts = [
         {
@@ -70,15 +72,16 @@
         for n in range(REPLICAS)
     ]
     line = json.dumps({"seq": 7, "whole": True, "hosts": hosts}).encode() + b"\n"
-    kept = []
+    connections = []
     while True:
         sock, _ = listener.accept()
         sock.recv(4096)
         sock.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n" % (len(line), line))
-        kept.append(sock)
+        connections.append(sock)
 
 
-def ready(port: int) -> bool:
+def is_ready(port: int) -> bool:
+    """Whether the node on a port answers its readiness check with 200."""
     try:
         with socket.create_connection(("127.0.0.1", port), 1.0) as sock:
             sock.sendall(b"GET /ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
@@ -87,60 +90,85 @@
         return False
 
 
-def seconds(what: str, figures: list[float]) -> None:
+def print_seconds(title: str, figures: list[float]) -> None:
+    """Print the least, the median and the greatest of some figures."""
     low, middle, high = min(figures), statistics.median(figures), max(figures)
-    print(f"{what}: {low:.2f} s at least, {middle:.2f} s at the median, {high:.2f} s at most")
+    print(f"{title}: {low:.2f} s at least, {middle:.2f} s at the median, {high:.2f} s at most")
 
 
-def main(nodes: int, cores: int) -> None:
-    listener = socket.create_server(("127.0.0.1", 0), backlog=512)
-    threading.Thread(target=discover, args=(listener,), daemon=True).start()
-    free = [socket.create_server(("127.0.0.1", 0)) for _ in range(nodes)]
-    ports = [one.getsockname()[1] for one in free]
-    for one in free:
-        one.close()
-    folder, where = Path(tempfile.mkdtemp(prefix="gingervane-bench-")), listener.getsockname()
-    some = sorted(os.sched_getaffinity(0))[:cores]
-    programs = []
-    began = time.monotonic()
-    for number, port in enumerate(ports):
-        path = folder / f"{number}.json"
-        path.write_text(
-            json.dumps(
-                {
-                    "name": f"n{number}",
-                    "listen": f"127.0.0.1:{port}",
-                    "discovery": f"{where[0]}:{where[1]}",
-                    "seed": "5",
-                    "limits": {"cores": 1.0, "memory_mb": 96, "sockets": 512},
-                    "settings": SETTINGS | {"Balancers": nodes, "Ordinal": number},
-                }
-            )
-        )
-        programs.append(
-            subprocess.Popen(
-                [sys.executable, "-m", "gingervane.node"],
-                env={"NODE_CONFIG": str(path)},
-                cwd=ROOT,
-                stderr=subprocess.DEVNULL,
-                preexec_fn=lambda: os.sched_setaffinity(0, some),
-            )
+def unused_ports(count: int) -> list[int]:
+    """Return different ports of the loopback address that nobody listens on."""
+    servers = [socket.create_server(("127.0.0.1", 0)) for _ in range(count)]
+    ports = [server.getsockname()[1] for server in servers]
+    for server in servers:
+        server.close()
+    return ports
+
+
+def start_node(folder: Path, number: int, port: int, nodes: int, discovery: str, cores: list[int]) -> Process:
+    """Start one of `nodes` nodes of the platform on some cores."""
+    path = folder / f"{number}.json"
+    path.write_text(
+        json.dumps(
+            {
+                "name": f"n{number}",
+                "listen": f"127.0.0.1:{port}",
+                "discovery": discovery,
+                "seed": "5",
+                "limits": {"cores": 1.0, "memory_mb": 96, "sockets": 512},
+                "settings": SETTINGS | {"Balancers": nodes, "Ordinal": number},
+            }
         )
+    )
+    return subprocess.Popen(
+        [sys.executable, "-m", "gingervane.node"],
+        env={"NODE_CONFIG": str(path)},
+        cwd=ROOT,
+        stderr=subprocess.DEVNULL,
+        preexec_fn=lambda: os.sched_setaffinity(0, cores),  # noqa: PLW1509 - a node must start on these cores
+    )
+
+
+def wait_until_ready(ports: list[int], began: float) -> list[float]:
+    """Return the seconds from `began` until each node was ready, of those that were in time."""
     figures: dict[int, float] = {}
-    while len(figures) < nodes and time.monotonic() < began + 60.0:
+    while len(figures) < len(ports) and time.monotonic() < began + READY_TIMEOUT:
         for number, port in enumerate(ports):
-            if number not in figures and ready(port):
+            if number not in figures and is_ready(port):
                 figures[number] = time.monotonic() - began
         time.sleep(0.01)
-    print(f"{nodes} nodes started at once on {len(some)} cores; {len(figures)} ready")
-    seconds("ready after", list(figures.values()))
-    began, ends = time.monotonic(), []
-    for program in programs:
-        program.send_signal(signal.SIGTERM)
-    for program in programs:
-        assert program.wait(30.0) == 0
-        ends.append(time.monotonic() - began)
-    seconds("ended after SIGTERM by", ends)
+    return list(figures.values())
+
+
+def terminate(processes: list[Process]) -> list[float]:
+    """Send SIGTERM to all; return the seconds until each had ended."""
+    began = time.monotonic()
+    figures = []
+    for process in processes:
+        process.send_signal(signal.SIGTERM)
+    for process in processes:
+        assert process.wait(30.0) == 0
+        figures.append(time.monotonic() - began)
+    return figures
+
+
+def main(nodes: int, cores: int) -> None:
+    """Start and end `nodes` nodes on `cores` cores, and print how long it took."""
+    listener = socket.create_server(("127.0.0.1", 0), backlog=512)
+    threading.Thread(target=serve_discovery, args=(listener,), daemon=True).start()
+    host, port = listener.getsockname()
+    ports = unused_ports(nodes)
+    folder = Path(tempfile.mkdtemp(prefix="gingervane-bench-"))
+    used_cores = sorted(os.sched_getaffinity(0))[:cores]
+    began = time.monotonic()
+    processes = [
+        start_node(folder, number, node_port, nodes, f"{host}:{port}", used_cores)
+        for number, node_port in enumerate(ports)
+    ]
+    figures = wait_until_ready(ports, began)
+    print(f"{nodes} nodes started at once on {len(used_cores)} cores; {len(figures)} ready")
+    print_seconds("ready after", figures)
+    print_seconds("ended after SIGTERM by", terminate(processes))
 
 
 if __name__ == "__main__":
--- a/benchmarks/sampler.py
+++ b/benchmarks/sampler.py
@@ -9,6 +9,7 @@
 import threading
 import time
 from collections import Counter
+from pathlib import Path
 
 WAITS = {"wait", "_recv_into", "accept", "poll", "select", "get"}
 
@@ -29,7 +30,7 @@
             counts[";".join(reversed(stack))] += 1
         if time.monotonic() - last > 2:
             last = time.monotonic()
-            with open(out, "w") as file:
+            with Path(out).open("w") as file:
                 file.writelines(f"{stack} {count}\n" for stack, count in counts.items())
 
 
--- a/benchmarks/throughput.py
+++ b/benchmarks/throughput.py
@@ -9,6 +9,7 @@
 import multiprocessing
 import sys
 import time
+from pathlib import Path
 from typing import Any
 
 from common import Fleet, closed_loop, machine
@@ -71,8 +72,7 @@
 
 def cpu_of(pid: int) -> float:
     """CPU seconds of a process."""
-    with open(f"/proc/{pid}/stat") as file:
-        fields = file.read().rpartition(")")[2].split()
+    fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / 100
 
 
--- a/tests/hosts.py
+++ b/tests/hosts.py
@@ -61,7 +61,7 @@
     return api.Replica(number, cell, zone, 1.0, state, started)
 
 
-class RuleBroken(AssertionError):
+class RuleViolationError(AssertionError):
     """An action that no co-ordinator may take."""
 
 
@@ -192,16 +192,16 @@
                     self._check_refusal(query)
             case api.Cancel(part, attempt):
                 if attempt >= len(self.sends[part]) or not self.settings.cancellation_allowed:
-                    raise RuleBroken("cancelled an attempt that was never made, or may not cancel")
+                    raise RuleViolationError("cancelled an attempt that was never made, or may not cancel")
                 self.cancelled.append((part, attempt))
             case api.SetTimer(delay, label):
                 self.timers.append((self.now + delay, label))
 
     def _end(self, query: int, action: api.Action) -> None:
         if query in self.ended:
-            raise RuleBroken(f"query {query} ended twice")
+            raise RuleViolationError(f"query {query} ended twice")
         if self.now > self.expires[query] + ANSWER_GRACE and self.now != self.stalled_at:
-            raise RuleBroken(f"query {query} ended late")
+            raise RuleViolationError(f"query {query} ended late")
         self.ended[query] = action
 
     def maybe_ran(self, part: int) -> list[float]:
@@ -216,33 +216,33 @@
         kind = self.settings.query_classes[self.classes[query]]
         parts = [p for p, q in self.query_of.items() if q == query]
         if kind.retry_safety is api.RetrySafety.NOT_IDEMPOTENT and any(self.maybe_ran(p) for p in parts):
-            raise RuleBroken("refused though a part may have run")
+            raise RuleViolationError("refused though a part may have run")
 
     def _check_send(self, part: int, server: int, stop_at: float) -> None:
         query, now = self.query_of[part], self.now
         kind = self.settings.query_classes[self.classes[query]]
         if query in self.ended or part in self.ok or part not in self.step_parts[query]:
-            raise RuleBroken("sent a part that is over")
+            raise RuleViolationError("sent a part that is over")
         if self.states[server].state is not READY:
-            raise RuleBroken("sent to a replica that is draining or gone")
+            raise RuleViolationError("sent to a replica that is draining or gone")
         reach = {
             (self.shard[part] + j) % self.settings.cell_count for j in range(self.settings.cells_per_replica)
         }
         if self.states[server].cell not in reach:
-            raise RuleBroken("sent to a replica that does not hold the shard")
+            raise RuleViolationError("sent to a replica that does not hold the shard")
         ran = self.maybe_ran(part)
         if kind.retry_safety is api.RetrySafety.NOT_IDEMPOTENT and ran:
-            raise RuleBroken("an unsafe part that may have run was sent again")
+            raise RuleViolationError("an unsafe part that may have run was sent again")
         if (
             kind.retry_safety is api.RetrySafety.IDEMPOTENCY_KEY
             and ran
             and now > ran[0] + (kind.idempotency_window or 0.0)
         ):
-            raise RuleBroken("a keyed part was sent again after its window")
+            raise RuleViolationError("a keyed part was sent again after its window")
         if not self.settings.hedging_allowed and any(key[0] == part for key in self.out):
-            raise RuleBroken("two attempts at once where copies are not allowed")
+            raise RuleViolationError("two attempts at once where copies are not allowed")
         if len(self.sends[part]) >= self.settings.max_attempts or stop_at > self.expires[query]:
-            raise RuleBroken("too many attempts, or a time-out past the client's time")
+            raise RuleViolationError("too many attempts, or a time-out past the client's time")
         if self.sends[part]:
             self.extras.append(now)
             span = self.settings.retry_budget_window
@@ -253,7 +253,7 @@
                     used
                     > (self.settings.retry_budget_free or 0) + (self.settings.retry_budget_share or 0) * took
                 ):
-                    raise RuleBroken("over the attempt budget")
+                    raise RuleViolationError("over the attempt budget")
         self.out[part, len(self.sends[part])] = server
         self.sends[part].append((now, server))
 
@@ -262,10 +262,10 @@
         weight = sum(self.weight[p] for p in parts if p in self.ok)
         step = self.steps[query]
         if weight < min(kind.required_coverage, kind.complete_coverage) - 1e-4 and step == 1:
-            raise RuleBroken("answered from under the least share")
+            raise RuleViolationError("answered from under the least share")
         need = kind.complete_coverage if step == 1 else 1.0
         if whole and (weight < need - 1e-4 or not self.whole.get(query, True)):
-            raise RuleBroken("marked whole what is not")
+            raise RuleViolationError("marked whole what is not")
         if kind.second_step_parts and step == 1:
             self.steps[query], self.whole[query], self.step_parts[query] = 2, whole, []
         else:
--- a/tests/recordings/codec.py
+++ b/tests/recordings/codec.py
@@ -8,12 +8,11 @@
 
 from __future__ import annotations
 
-import dataclasses
 import gzip
 import hashlib
 import json
 import random
-from collections.abc import Iterable, Sequence
+from collections.abc import Sequence
 from enum import Enum
 from math import isfinite
 from pathlib import Path
@@ -22,6 +21,8 @@
 from gingervane import interface as api
 from gingervane.decisions.engine import DecisionEngine
 
+from .values import field_values, member_at, member_position
+
 DIRECTORY = Path(__file__).parent
 PREFIX, SUFFIX = "decisions-", ".json.gz"
 
@@ -75,8 +76,7 @@
 def encode(value: Any) -> JsonValue:
     """A value of the interface as JSON without names."""
     if isinstance(value, Enum):
-        kind = type(value)
-        return [MEMBER, ENUMERATIONS.index(kind), list(kind).index(value)]
+        return [MEMBER, *member_position(ENUMERATIONS, value)]
     if type(value) in TYPES:
         fields = () if type(value) in WITHOUT_FIELDS else field_values(value)
         return [TYPES.index(type(value)), *map(encode, fields)]
@@ -91,13 +91,6 @@
     raise TypeError(f"a recording cannot hold {value!r}")
 
 
-def field_values(record: Any) -> Iterable[Any]:
-    """The fields of a named tuple or data class in order."""
-    if dataclasses.is_dataclass(record):
-        return [getattr(record, field.name) for field in dataclasses.fields(record)]
-    return tuple(record)
-
-
 def decode(value: JsonValue) -> Any:
     """The value that `encode` was given."""
     if isinstance(value, str):
@@ -106,8 +99,7 @@
         return value
     tag, *rest = value
     if tag == MEMBER:
-        enumeration, position = rest
-        return list(ENUMERATIONS[enumeration])[position]
+        return member_at(ENUMERATIONS, *rest)
     fields = tuple(map(decode, rest))
     return fields if tag == TUPLE else TYPES[tag](*fields)
 
--- a/tests/recordings/driver_codec.py
+++ b/tests/recordings/driver_codec.py
@@ -12,7 +12,7 @@
 import hashlib
 import json
 from collections.abc import Sequence
-from dataclasses import fields, is_dataclass
+from dataclasses import fields
 from enum import Enum
 from pathlib import Path
 from typing import Any, NamedTuple
@@ -23,6 +23,8 @@
 from gingervane.coordinator.attempt_outcome import ExchangePhase
 from gingervane.decisions.engine import DecisionEngine
 
+from .values import field_values, member_at, member_position
+
 DIRECTORY = Path(__file__).parent
 CALLER_TEXT = "~"  # begins each text that the generator made up; such text is stored as it is
 OWN_TEXT = "?"  # stands for any text of ours that no client sees
@@ -115,8 +117,7 @@
 
 def encode_member(member: Enum) -> list[int]:
     """An enumeration member, by its ordinals."""
-    kind = type(member)
-    return [MEMBER, ENUMERATIONS.index(kind), list(kind).index(member)]
+    return [MEMBER, *member_position(ENUMERATIONS, member)]
 
 
 def encode_member_or_value(kind: type[Enum], value: Any) -> list[int]:
@@ -156,13 +157,6 @@
     raise TypeError(f"no form for {type(value)}")
 
 
-def field_values(value: Any) -> list[Any]:
-    """Of a named tuple or a dataclass, in order of definition."""
-    if is_dataclass(value):
-        return [getattr(value, field.name) for field in fields(value)]
-    return list(value)
-
-
 def decode(form: Any) -> Any:
     """What `encode` was given; sequences come back as tuples."""
     if not isinstance(form, list):
@@ -175,7 +169,7 @@
     if tag == BYTES:
         return bytes.fromhex(rest[0])
     if tag == MEMBER:
-        return list(ENUMERATIONS[rest[0]])[rest[1]]
+        return member_at(ENUMERATIONS, *rest)
     return TYPES[tag](*(decode(item) for item in rest))
 
 
--- a/tests/recordings/record_decisions.py
+++ b/tests/recordings/record_decisions.py
@@ -8,8 +8,9 @@
 import sys
 from pathlib import Path
 
+sys.path.insert(0, str(Path(__file__).parents[1]))  # of the helpers that the scenarios import
 if __package__ in (None, ""):  # run by path
-    sys.path[:0] = [str(Path(__file__).parents[2]), str(Path(__file__).parents[1])]
+    sys.path.insert(0, str(Path(__file__).parents[2]))
     __package__ = "recordings"
 
 from .codec import DIRECTORY, PREFIX, SUFFIX, names, write
--- a/tests/recordings/scenarios.py
+++ b/tests/recordings/scenarios.py
@@ -7,6 +7,7 @@
 from math import inf
 
 from gingervane import interface as api
+from hosts import BASE
 
 from .simulator import START, Fault, FaultKind, Load, Scenario
 
@@ -28,30 +29,7 @@
 UNKNOWN = 999_999
 
 CLASS = api.QueryClass(1.0, 3.0, SAFE, None, 0, 1.0, 1.0, None, 0.0, 1.0)
-SETTINGS = api.Settings(
-    coordinator_count=3,
-    zone=0,
-    query_classes=(CLASS,),
-    tenant_quotas=(),
-    timer_granularity=0.005,
-    cell_count=1,
-    cells_per_replica=1,
-    max_parts_per_request=1,
-    max_attempts=3,
-    cancellation_allowed=True,
-    gossip_allowed=True,
-    hedging_allowed=True,
-    retry_after_allowed=True,
-    max_retry_after=1.0,
-    membership_polled=False,
-    slow_start_capacity=0.2,
-    slow_start_duration=16.0,
-    overload_window=2.0,
-    overload_multiple=4.0,
-    retry_budget_free=None,
-    retry_budget_share=None,
-    retry_budget_window=None,
-)
+SETTINGS = BASE._replace(query_classes=(CLASS,), gossip_allowed=True)
 
 
 def replica(number: int, cell: int = 0, zone: int = 0, started: float = 0.0) -> api.Replica:
