--- a/tests/ports.py
+++ b/tests/ports.py
@@ -9,8 +9,8 @@
 class ReservedPort:
     """A port of 127.0.0.1 that the kernel gives to nobody else until `close`.
 
-    Its socket is bound and does not listen. A server that sets SO_REUSEADDR, as `socket.create_server` does, can
-    bind the port and listen on it meanwhile; while none does, connections are refused.
+    Its socket is bound and does not listen. A server that sets SO_REUSEADDR, as `socket.create_server`
+    does, can bind the port and listen on it meanwhile; while none does, connections are refused.
     """
 
     def __init__(self) -> None:
