--- a/benchmarks/vectors.py
+++ b/benchmarks/vectors.py
@@ -1,10 +1,11 @@
-"""The vector front, measured: against asking a node directly, merging, the intent log, JSON.
+"""The vector front, measured: against asking a node directly, merging, the write-ahead log, JSON.
 
 python benchmarks/vectors.py [merge] [log] [serve]
 """
 
 from __future__ import annotations
 
+import itertools
 import json
 import subprocess
 import sys
@@ -33,10 +34,13 @@
 from gingervane.wire.pool import Pool, exchange
 from gingervane.wire.remote_read import Match, Matcher, Query
 
+LOAD_SECONDS = 4.0  # of each closed loop
+APPEND_SECONDS = 3.0  # for each number of writers
 ZONES = ("hall-a", "hall-b", "hall-c")
 
 
-def merging() -> None:
+def measure_merging() -> None:
+    """Measure the merge of sorted hits of shards against sorting all of them."""
     print("merging, ms (median of 5): k, shards, as built, plain sort of all")
     rng = np.random.default_rng(1)
     for k in (10, 100, 1000, 10_000):
@@ -61,62 +65,76 @@
             print(f"  {k}, {shards}: {np.median(built) * 1000:.2f}, {np.median(plain) * 1000:.2f}")
 
 
-def log(count: int = 1_000_000) -> None:
-    folder = Path(tempfile.mkdtemp(prefix="gingervane-bench-"))
+def write_log(folder: Path, count: int) -> None:
+    """Write the files of a log with `count` completed idempotency records."""
     now = time.time()
-    per = 100_000
-    for segment in range(count // per):
+    per_segment = 100_000
+    for segment in range(count // per_segment):
         rows = []
-        for n in range(segment * per, (segment + 1) * per):
+        for n in range(segment * per_segment, (segment + 1) * per_segment):
             result = {"result": {"operation_id": n, "status": "completed"}, "status": "ok", "time": 0.01}
             rows.append(
                 encode_frame(orjson.dumps([f"c/key-{n:09d}", "done", f"{n:032x}", n, now, now, result]))
             )
         (folder / f"intents-{segment + 1:08d}.log").write_bytes(b"".join(rows))
+
+
+def measure_appends(log: WriteAheadLog, entry: Any, writers: int) -> None:
+    """Measure durable appends of several threads."""
+    count = 0
+    lock = threading.Lock()
+    stop = time.monotonic() + APPEND_SECONDS
+
+    def write(number: int) -> None:
+        nonlocal count
+        turn = 0
+        while time.monotonic() < stop:
+            log.append_durably(f"w{number}-{turn}", entry)
+            turn += 1
+        with lock:
+            count += turn
+
+    threads = [threading.Thread(target=write, args=(n,)) for n in range(writers)]
+    for thread in threads:
+        thread.start()
+    for thread in threads:
+        thread.join()
+    print(f"  records forced to the disk, {writers} writers: {count / APPEND_SECONDS:.0f} a second")
+
+
+def measure_log(count: int = 1_000_000) -> None:
+    """Measure the recovery of a write-ahead log, and appends to it."""
+    folder = Path(tempfile.mkdtemp(prefix="gingervane-bench-"))
+    write_log(folder, count)
     size = sum(path.stat().st_size for path in folder.iterdir())
-    intents = IdempotencyRecords(IdempotencyLimits(max_records=2 * count))
+    records = IdempotencyRecords(IdempotencyLimits(max_records=2 * count))
     began = time.perf_counter()
-    made = WriteAheadLog(folder, 1e9, time.time)
-    found = made.recover()
-    read = time.perf_counter() - began
-    restore_records(intents, found.records, VersionClock(1))
-    took = time.perf_counter() - began
+    log = WriteAheadLog(folder, 1e9, time.time)
+    recovered = log.recover()
+    read_time = time.perf_counter() - began
+    restore_records(records, recovered.records, VersionClock(1))
+    total_time = time.perf_counter() - began
     print(
-        f"intent log, {found.record_count} entries, {size / 1e6:.0f} MB: "
-        f"read in {read:.2f} s, taken up in {took:.2f} s"
+        f"write-ahead log, {recovered.record_count} entries, {size / 1e6:.0f} MB: "
+        f"read in {read_time:.2f} s, restored in {total_time:.2f} s"
     )
+    entry = next(iter(recovered.records.values()))
     for writers in (1, 16, 64):
-        done = [0]
-        stop = time.monotonic() + 3.0
-
-        def write(number: int, done: list[int] = done, stop: float = stop) -> None:
-            entry = next(iter(found.records.values()))
-            turn = 0
-            while time.monotonic() < stop:
-                made.append_durably(f"w{number}-{turn}", entry)
-                turn += 1
-                done[0] += 1
-
-        threads = [threading.Thread(target=write, args=(n,)) for n in range(writers)]
-        for thread in threads:
-            thread.start()
-        for thread in threads:
-            thread.join()
-        print(f"  intents forced to the disk, {writers} writers: {done[0] / 3:.0f} a second")
-    made.close()
-
-
-def serve(nodes: int = 6, points: int = 6000, dims: int = 32) -> None:
-    """One co-ordinator with both fronts, vector nodes in a process of their own."""
-    folder = Path(tempfile.mkdtemp(prefix="gingervane-bench-"))
+        measure_appends(log, entry, writers)
+    log.close()
+
+
+def start_nodes(folder: Path, count: int, dims: int) -> tuple[list[subprocess.Popen[str]], list[int]]:
+    """Start fake vector nodes, a process each, so that they are not what is measured; return their ports too."""
     model = Model(cores=8, work=0.0005, call_work=0.0002, queue=10_000)
-    children, ports = [], []
-    for number in range(nodes):  # a process each, so that they are not what is measured
+    processes: list[subprocess.Popen[str]] = []
+    ports: list[int] = []
+    for number in range(count):
         path = folder / f"orders-{number}.json"
         path.write_text(
             json.dumps(
                 {
-                    "nodes": nodes,
+                    "nodes": count,
                     "collections": [["c", dims, "Cosine"]],
                     "width": 3,
                     "window": 10.0,
@@ -126,20 +144,22 @@
                 }
             )
         )
-        child = subprocess.Popen(
+        process = subprocess.Popen(
             [sys.executable, "-m", "gingervane.fake_servers.vectors", str(path)],
             stdin=subprocess.PIPE,
             stdout=subprocess.PIPE,
             text=True,
         )
-        assert child.stdout
-        ports += json.loads(child.stdout.readline().removeprefix("ready"))
-        children.append(child)
-    FileListing(folder / "vectors.toml").write(
-        [Row(n, f"v{n}", ("127.0.0.1", p), ZONES[n % 3], n, "ready", None) for n, p in enumerate(ports)], []
-    )
+        assert process.stdout
+        ports += json.loads(process.stdout.readline().removeprefix("ready"))
+        processes.append(process)
+    return processes, ports
+
+
+def coordinator_table(folder: Path, nodes: int, dims: int) -> dict[str, Any]:
+    """Build the settings of a co-ordinator with the vector front."""
     times = {"aim": 1.0, "deadline": 5.0}
-    table: dict[str, Any] = {
+    return {
         "class": [
             {"name": "look", **times},
             {"name": "up", **times, "semantics": "keyed", "repeat_window": 10.0},
@@ -155,9 +175,17 @@
             "intents": str(folder / "intents"),
         },
     }
-    pool = Pool(WireLimits(16384, 64 << 20), 64, 30.0)
 
-    def call(address: tuple[str, int], method: str, path: str, content: Any) -> Any:
+
+class CollectionClient:
+    """Requests to one collection, of the co-ordinator or directly of a node."""
+
+    def __init__(self, coordinator: tuple[str, int]) -> None:
+        self.coordinator = coordinator
+        self._pool = Pool(WireLimits(16384, 64 << 20), 64, 30.0)
+
+    def call(self, address: tuple[str, int], method: str, path: str, content: Any) -> Any:
+        """Return the result of one request; raises OSError unless its status is 200."""
         body = orjson.dumps(content)
         data = (
             http1.head(
@@ -166,90 +194,93 @@
             )
             + body
         )
-        status, _, reply = exchange(pool, address, data, time.monotonic() + 20.0)
+        status, _, reply = exchange(self._pool, address, data, time.monotonic() + 20.0)
         if status != 200:
             raise OSError(f"{status}: {reply[:200]!r}")
         return orjson.loads(reply)["result"]
 
-    rng = np.random.default_rng(2)
-    vectors = rng.normal(size=(points, dims)).round(4)
-    with Fleet(nodes=6, tiles=12, table=table) as fleet:
-        for at in range(0, points, 1000):
-            rows = [{"id": n, "vector": vectors[n].tolist()} for n in range(at, at + 1000)]
-            call(fleet.address, "PUT", "points", {"points": rows})
-        time.sleep(1.0)
-        norms = np.linalg.norm(vectors, axis=1)
-        wrong = 0
-        for _ in range(200):
-            wanted = rng.normal(size=dims)
-            found = call(fleet.address, "POST", "points/search", {"vector": wanted.tolist(), "limit": 10})
-            best = np.argsort(-(vectors @ wanted) / norms, kind="stable")[:10]
-            wrong += [p["id"] for p in found] != best.tolist()
-        print(f"{points} points, {nodes} shards, k 10: {200 - wrong} of 200 searches equal brute force")
-        wanted = rng.normal(size=dims).tolist()
-        shard = shard_of(0, nodes)
-        direct = ("127.0.0.1", ports[shard])
-        one = {"vector": wanted, "limit": 10}
-        for clients in (1, 8, 32):
-            for what, work in (
-                (
-                    "one shard of one node",
-                    lambda: call(
-                        direct,
-                        "POST",
-                        "points/search/batch",
-                        {"searches": [{**one, "shard_key": f"s{shard}"}]},
-                    ),
-                ),
-                ("search of all shards", lambda: call(fleet.address, "POST", "points/search", one)),
-            ):
-                count, histogram, errors = closed_loop(clients, 4.0, lambda index, w=work: w())  # type: ignore[misc]
-                told(f"{clients} clients, {what}", count, histogram, errors)
-        tile = Query(1_764_600_000_000, 1_764_600_300_000, (Matcher(Match.EQUAL, "tile", "t001"),))
-        reader = Client(fleet.address)
-
-        def read(index: int) -> None:
-            if reader.read([tile], {}, 5.0).status != 200:
-                raise OSError("not 200")
-
-        def search(index: int) -> None:
-            call(fleet.address, "POST", "points/search", one)
-
-        told("8 clients, remote read alone", *closed_loop(8, 4.0, read))
-        told("8 clients, search alone", *closed_loop(8, 4.0, search))
-        beside: list[Any] = []
-        thread = threading.Thread(target=lambda: beside.append(closed_loop(8, 4.0, search)))
-        thread.start()
-        told("8 clients, remote read beside 8 of search", *closed_loop(8, 4.0, read))
-        thread.join()
-        told("8 clients, search beside 8 of remote read", *beside[0])
-        newest = [points]
-        lock = threading.Lock()
-
-        def upsert(index: int) -> None:
-            with lock:
-                newest[0] += 1
-                mine = newest[0]
-            call(fleet.address, "PUT", "points", {"points": [{"id": mine, "vector": wanted}]})
-
-        for clients in (1, 16):
-            count, histogram, errors = closed_loop(clients, 4.0, upsert)
-            told(f"{clients} clients, upserts", count, histogram, errors)
-    for child in children:
-        assert child.stdin
-        child.stdin.close()
-        child.wait(20)
-    reply = orjson.dumps(
-        {
-            "result": [
-                [
-                    {"id": n, "version": 1, "score": 0.5, "payload": {"name": f"point {n}", "n": n}}
-                    for n in range(100)
-                ]
-                for _ in range(6)
-            ]
-        }
-    )
+    def search(self, vector: list[float]) -> Any:
+        """Search all shards."""
+        return self.call(self.coordinator, "POST", "points/search", {"vector": vector, "limit": 10})
+
+    def search_shard(self, node: tuple[str, int], vector: list[float], shard: int) -> Any:
+        """Search one shard of a node."""
+        search = {"vector": vector, "limit": 10, "shard_key": f"s{shard}"}
+        return self.call(node, "POST", "points/search/batch", {"searches": [search]})
+
+    def upsert(self, points: list[dict[str, Any]]) -> Any:
+        """Write points."""
+        return self.call(self.coordinator, "PUT", "points", {"points": points})
+
+
+def check_searches(client: CollectionClient, vectors: Any, rng: np.random.Generator, nodes: int) -> None:
+    """Insert all vectors, and compare searches with brute force."""
+    points, dims = vectors.shape
+    for at in range(0, points, 1000):
+        client.upsert([{"id": n, "vector": vectors[n].tolist()} for n in range(at, at + 1000)])
+    time.sleep(1.0)
+    norms = np.linalg.norm(vectors, axis=1)
+    wrong = 0
+    for _ in range(200):
+        wanted = rng.normal(size=dims)
+        found = client.search(wanted.tolist())
+        best = np.argsort(-(vectors @ wanted) / norms, kind="stable")[:10]
+        wrong += [point["id"] for point in found] != best.tolist()
+    print(f"{points} points, {nodes} shards, k 10: {200 - wrong} of 200 searches equal brute force")
+
+
+def measure_searches(client: CollectionClient, wanted: list[float], ports: list[int]) -> None:
+    """Measure searches of all shards against one shard asked directly."""
+    shard = shard_of(0, len(ports))
+    direct = ("127.0.0.1", ports[shard])
+    works: dict[str, Callable[[int], Any]] = {
+        "one shard of one node": lambda _: client.search_shard(direct, wanted, shard),
+        "search of all shards": lambda _: client.search(wanted),
+    }
+    for clients in (1, 8, 32):
+        for name, work in works.items():
+            print_load(f"{clients} clients, {name}", *closed_loop(clients, LOAD_SECONDS, work))
+
+
+def measure_both_fronts(client: CollectionClient, wanted: list[float]) -> None:
+    """Measure remote reads and searches, each alone and beside the other."""
+    tile = Query(1_764_600_000_000, 1_764_600_300_000, (Matcher(Match.EQUAL, "tile", "t001"),))
+    reader = Client(client.coordinator)
+
+    def read(_index: int) -> None:
+        if reader.read([tile], {}, 5.0).status != 200:
+            raise OSError("not 200")
+
+    def search(_index: int) -> None:
+        client.search(wanted)
+
+    print_load("8 clients, remote read alone", *closed_loop(8, LOAD_SECONDS, read))
+    print_load("8 clients, search alone", *closed_loop(8, LOAD_SECONDS, search))
+    beside: list[Any] = []
+    thread = threading.Thread(target=lambda: beside.append(closed_loop(8, LOAD_SECONDS, search)))
+    thread.start()
+    print_load("8 clients, remote read beside 8 of search", *closed_loop(8, LOAD_SECONDS, read))
+    thread.join()
+    print_load("8 clients, search beside 8 of remote read", *beside[0])
+
+
+def measure_upserts(client: CollectionClient, wanted: list[float], points: int) -> None:
+    """Measure upserts of new points, whose ids follow those of the first `points`."""
+    ids = itertools.count(points + 1)
+
+    def upsert(_index: int) -> None:
+        client.upsert([{"id": next(ids), "vector": wanted}])
+
+    for clients in (1, 16):
+        print_load(f"{clients} clients, upserts", *closed_loop(clients, LOAD_SECONDS, upsert))
+
+
+def measure_json() -> None:
+    """Measure how long a reply with hits takes to be decoded and encoded."""
+    hits = [
+        {"id": n, "version": 1, "score": 0.5, "payload": {"name": f"point {n}", "n": n}} for n in range(100)
+    ]
+    reply = orjson.dumps({"result": [hits for _ in range(6)]})
     works: dict[str, Callable[[], Any]] = {
         "json": lambda: json.dumps(json.loads(reply)),
         "orjson": lambda: orjson.dumps(orjson.loads(reply)),
@@ -262,13 +293,41 @@
         print(f"  {len(reply) / 1024:.0f} KiB of hits decoded and encoded by {name}: {each:.3f} ms")
 
 
-def told(what: str, count: int, histogram: Any, errors: int) -> None:
+def measure_fronts(nodes: int = 6, points: int = 6000, dims: int = 32) -> None:
+    """Measure one co-ordinator with both fronts before vector nodes in processes of their own."""
+    folder = Path(tempfile.mkdtemp(prefix="gingervane-bench-"))
+    processes, ports = start_nodes(folder, nodes, dims)
+    FileListing(folder / "vectors.toml").write(
+        [Row(n, f"v{n}", ("127.0.0.1", p), ZONES[n % 3], n, "ready", None) for n, p in enumerate(ports)], []
+    )
+    rng = np.random.default_rng(2)
+    vectors = rng.normal(size=(points, dims)).round(4)
+    with Fleet(nodes=6, tiles=12, table=coordinator_table(folder, nodes, dims)) as fleet:
+        client = CollectionClient(fleet.address)
+        check_searches(client, vectors, rng, nodes)
+        wanted = rng.normal(size=dims).tolist()
+        measure_searches(client, wanted, ports)
+        measure_both_fronts(client, wanted)
+        measure_upserts(client, wanted, points)
+    for process in processes:
+        assert process.stdin
+        process.stdin.close()
+        process.wait(20)
+    measure_json()
+
+
+def print_load(name: str, count: int, histogram: Any, errors: int) -> None:
+    """Print what a closed loop of `LOAD_SECONDS` gave."""
     p50, p99 = (histogram.get_value_at_percentile(q) / 1000 for q in (50, 99))
-    print(f"  {what}: {count / 4:.0f}/s, p50 {p50:.2f} ms, p99 {p99:.2f}, errors {errors}")
+    print(f"  {name}: {count / LOAD_SECONDS:.0f}/s, p50 {p50:.2f} ms, p99 {p99:.2f}, errors {errors}")
 
 
 if __name__ == "__main__":
     print(machine())
-    parts: dict[str, Callable[[], None]] = {"merge": merging, "log": log, "serve": serve}
+    parts: dict[str, Callable[[], None]] = {
+        "merge": measure_merging,
+        "log": measure_log,
+        "serve": measure_fronts,
+    }
     for chosen in sys.argv[1:] or parts:
         parts[chosen]()
