--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -40,7 +40,11 @@
 from gingervane.membership.consul import EntryFieldNames
 from gingervane.membership.consul_polling import Backoff
 
-NODES, WORKERS = 150, 6
+NODES = 150
+WORKERS = 6  # processes that the co-ordinators' watchers are spread over
+SPACED_CHANGES = 40  # nodes that drain one at a time
+ALL_CHANGES = 140  # nodes that drain in all
+ANSWER_TIMEOUT = 8.0  # seconds for a good answer
 ZONES = ("hall-a", "hall-b", "hall-c")
 
 
@@ -118,137 +122,196 @@
     sys.stdin.read()
 
 
-def busiest(calls: list[float], start: float, end: float) -> str:
+def call_rates(calls: list[float], start: float, end: float) -> str:
+    """Return the average and the greatest rate of calls in a span."""
     found = np.array([t for t in calls if start <= t < end])
     most = max((int(np.searchsorted(found, t + 1.0) - i) for i, t in enumerate(found)), default=0)
     return f"{len(found) / (end - start):.1f}/s on average, {most} in the busiest second"
 
 
-def news(count: int) -> None:
-    fake_consul = FakeConsul()
-    nodes = [row(n) for n in range(NODES)]
-    fake_consul.listing.write(nodes, [])
-    children, told = [], list[tuple[float, int, int]]()
+class WatcherFleet:
+    """Watchers of several co-ordinators, spread over worker processes."""
 
-    def read(child: subprocess.Popen[str], base: int) -> None:
-        assert child.stdout
-        for line in child.stdout:
+    def __init__(self, agents: list[tuple[str, int]], count: int) -> None:
+        self.notified: list[tuple[float, int, int]] = []  # moment, co-ordinator, node that drains
+        self._processes: list[subprocess.Popen[str]] = []
+        first = 0
+        for index in range(WORKERS):
+            own = count // WORKERS + (index < count % WORKERS)
+            process = subprocess.Popen(
+                [sys.executable, __file__, "worker", json.dumps(agents), str(own)],
+                stdin=subprocess.PIPE,
+                stdout=subprocess.PIPE,
+                text=True,
+            )
+            assert process.stdout and process.stdout.readline().strip() == "ready"
+            threading.Thread(target=self._read, args=(process, first), daemon=True).start()
+            self._processes.append(process)
+            first += own
+
+    def _read(self, process: subprocess.Popen[str], first: int) -> None:
+        assert process.stdout
+        for line in process.stdout:
             _, at, number, node = line.split()
-            told.append((float(at), base + int(number), int(node)))
-
-    base = 0
-    for index in range(WORKERS):
-        own = count // WORKERS + (index < count % WORKERS)
-        child = subprocess.Popen(
-            [sys.executable, __file__, "worker", json.dumps(fake_consul.agents), str(own)],
-            stdin=subprocess.PIPE,
-            stdout=subprocess.PIPE,
-            text=True,
-        )
-        assert child.stdout and child.stdout.readline().strip() == "ready"
-        threading.Thread(target=read, args=(child, base), daemon=True).start()
-        children.append(child)
-        base += own
+            self.notified.append((float(at), first + int(number), int(node)))
+
+    def stop(self) -> None:
+        """End the worker processes."""
+        for process in self._processes:
+            assert process.stdin
+            process.stdin.close()
+            process.wait(20)
+
+
+class DrainingNodes:
+    """The nodes of a catalogue, which drain one after the other."""
+
+    def __init__(self, consul: FakeConsul) -> None:
+        self.changed_at: dict[int, float] = {}
+        self._consul = consul
+        self._rows = [row(number) for number in range(NODES)]
+        consul.listing.write(self._rows, [])
+
+    def drain(self, node: int) -> None:
+        """Change a node's state in the catalogue."""
+        self.changed_at[node] = time.monotonic()
+        self._rows[node] = row(node, "draining")
+        self._consul.listing.write(self._rows, [])
+
+    def drain_one_at_a_time(self) -> None:
+        """Drain nodes far enough apart that each change meets waiting calls."""
+        rng = random.Random(1)
+        for node in range(SPACED_CHANGES):
+            time.sleep(0.3 + rng.random() * 0.4)
+            self.drain(node)
+
+    def drain_ten_a_second(self) -> None:
+        """Drain the nodes that follow, at a fixed rate."""
+        began = time.monotonic()
+        for node in range(SPACED_CHANGES, ALL_CHANGES):
+            self.drain(node)
+            time.sleep(max(began + (node - SPACED_CHANGES + 1) * 0.1 - time.monotonic(), 0.0))
+
+
+def measure_notifications(count: int) -> None:
+    """Measure changes, an outage and idle time before `count` co-ordinators."""
+    consul = FakeConsul()
+    nodes = DrainingNodes(consul)
+    fleet = WatcherFleet(consul.agents, count)
     time.sleep(3.0)
     idle = time.monotonic()
     time.sleep(35.0)
-    rng, changed = random.Random(1), dict[int, float]()
     spaced = time.monotonic()
-    for node in range(40):  # one at a time, and far enough apart that each meets waiting calls
-        time.sleep(0.3 + rng.random() * 0.4)
-        changed[node] = time.monotonic()
-        nodes[node] = row(node, "draining")
-        fake_consul.listing.write(nodes, [])
+    nodes.drain_one_at_a_time()
     time.sleep(2.0)
     churn = time.monotonic()
-    for node in range(40, 140):  # ten a second
-        changed[node] = time.monotonic()
-        nodes[node] = row(node, "draining")
-        fake_consul.listing.write(nodes, [])
-        time.sleep(max(churn + (node - 39) * 0.1 - time.monotonic(), 0.0))
+    nodes.drain_ten_a_second()
     time.sleep(2.0)
     outage = time.monotonic()
-    fake_consul.fault("500")
+    consul.fault("500")
     time.sleep(20.0)
-    back = time.monotonic()
-    fake_consul.fault("")
+    recovery = time.monotonic()
+    consul.fault("")
     time.sleep(20.0)
     end = time.monotonic()
-    for child in children:
-        assert child.stdin
-        child.stdin.close()
-        child.wait(20)
-    calls = fake_consul.end()
+    fleet.stop()
+    calls = consul.end()
     print(f"{count} co-ordinators, 2 watchers each, {NODES} nodes")
-    for what, first, last in (("changes one at a time", 0, 40), ("ten changes a second", 40, 140)):
-        took = [(at - changed[node]) * 1000 for at, _, node in told if first <= node < last]
-        p50, p99, most = np.percentile(took, [50, 99, 100])
-        told_of = f"{len(took)} of {(last - first) * count} told"
-        print(f"  {what}: {told_of}; p50 {p50:.1f} ms, p99 {p99:.1f}, max {most:.1f}")
-    for what, start, stop in (
+    print_notification_times("changes one at a time", fleet, nodes, range(SPACED_CHANGES), count)
+    print_notification_times("ten changes a second", fleet, nodes, range(SPACED_CHANGES, ALL_CHANGES), count)
+    for name, start, stop in (
         ("idle", idle, spaced),
         ("one change at a time", spaced, churn),
         ("ten changes a second", churn, churn + 10),
-        ("outage, all calls refused", outage, back),
-        ("the 20 s after it", back, end),
+        ("outage, all calls rejected", outage, recovery),
+        ("the 20 s after it", recovery, end),
     ):
-        print(f"  calls, {what}: {busiest(calls, start, stop)}")
-
-
-def restart() -> None:
-    """From the process's start to its first good answer, and without a catalogue to the first answer at all."""
-    folder = Path(tempfile.mkdtemp(prefix="gingervane-bench-"))
+        print(f"  calls, {name}: {call_rates(calls, start, stop)}")
+
+
+def print_notification_times(
+    name: str, fleet: WatcherFleet, nodes: DrainingNodes, changed: range, count: int
+) -> None:
+    """Print the times from changes of some nodes to the co-ordinators' module events."""
+    times = [(at - nodes.changed_at[node]) * 1000 for at, _, node in fleet.notified if node in changed]
+    p50, p99, most = np.percentile(times, [50, 99, 100])
+    notified = f"{len(times)} of {len(changed) * count} notified"
+    print(f"  {name}: {notified}; p50 {p50:.1f} ms, p99 {p99:.1f}, max {most:.1f}")
+
+
+class RestartedCoordinator:
+    """Starts a co-ordinator before a fleet again and again, each time as a process of its own."""
+
+    def __init__(self, fleet: Fleet, agents: list[tuple[str, int]]) -> None:
+        self._folder = Path(tempfile.mkdtemp(prefix="gingervane-bench-"))
+        self._tiles = fleet.tiles
+        self._agents = [f"{host}:{port}" for host, port in agents]
+
+    def _write_config(self, with_snapshot: bool) -> Path:
+        consul = {"agents": self._agents, "service": "grid"}
+        table = {
+            "shards": {"names": self._tiles, "cells": 12, "width": 3},
+            "membership": {"consul": consul} | ({"kept": "kept"} if with_snapshot else {}),
+            "fleet": {"zones": list(ZONES), "zone": "hall-a"},
+            "log": {"level": "error"},
+            "class": [{"name": "look", "aim": 2.0, "deadline": 10.0}],
+        }
+        path = self._folder / "c.toml"
+        path.write_text(toml(table))
+        return path
+
+    def measure(self, with_snapshot: bool) -> str:
+        """Start it, wait for a good answer, end it; return the times in words."""
+        config = self._write_config(with_snapshot)
+        began = time.monotonic()
+        process = subprocess.Popen(
+            [sys.executable, "-m", "gingervane.cli.main", "serve", "--config", str(config)],
+            stdout=subprocess.PIPE,
+            stderr=subprocess.DEVNULL,
+            text=True,
+        )
+        assert process.stdout
+        host, _, port = process.stdout.readline().removeprefix("listening on ").strip().rpartition(":")
+        listening = time.monotonic() - began
+        status = wait_for_answer((host, int(port)), began + ANSWER_TIMEOUT)
+        answered = time.monotonic() - began
+        if with_snapshot and status == 200:
+            time.sleep(1.5)  # let it write the list
+        process.terminate()
+        process.wait(20)
+        outcome = f"good answer after {answered:.2f} s"
+        if status != 200:
+            outcome = f"rejected with {status} for {ANSWER_TIMEOUT:g} s"
+        return f"listening after {listening:.2f} s, {outcome}"
+
+
+def wait_for_answer(address: tuple[str, int], until: float) -> int:
+    """Ask until an answer is good or the time is over; return the last status."""
+    query = Query(1_764_600_000_000, 1_764_600_300_000, (Matcher(Match.EQUAL, "tile", "t001"),))
+    client = Client(address)
+    status = 0
+    while status != 200 and time.monotonic() < until:
+        status = client.read([query], {}, 5.0).status
+        if status != 200:
+            time.sleep(0.02)
+    return status
+
+
+def measure_restarts() -> None:
+    """Measure from a start to the first good answer, with and without the catalogue and a snapshot."""
     with Fleet(nodes=12, tiles=24) as fleet:
-        fake_consul = FakeConsul()
-        fake_consul.listing.write([row(n, port=port) for n, port in enumerate(fleet.ports)], [])
-        agents = [f"{host}:{port}" for host, port in fake_consul.agents]
-
-        def start(kept: bool) -> str:
-            membership = {"consul": {"agents": agents, "service": "grid"}} | (
-                {"kept": "kept"} if kept else {}
-            )
-            table = {
-                "shards": {"names": fleet.tiles, "cells": 12, "width": 3},
-                "membership": membership,
-                "fleet": {"zones": list(ZONES), "zone": "hall-a"},
-                "log": {"level": "error"},
-                "class": [{"name": "look", "aim": 2.0, "deadline": 10.0}],
-            }
-            (folder / "c.toml").write_text(toml(table))
-            began = time.monotonic()
-            child = subprocess.Popen(
-                [sys.executable, "-m", "gingervane.cli.main", "serve", "--config", str(folder / "c.toml")],
-                stdout=subprocess.PIPE,
-                stderr=subprocess.DEVNULL,
-                text=True,
-            )
-            assert child.stdout
-            host, _, port = child.stdout.readline().removeprefix("listening on ").strip().rpartition(":")
-            listening = time.monotonic() - began
-            query = Query(1_764_600_000_000, 1_764_600_300_000, (Matcher(Match.EQUAL, "tile", "t001"),))
-            status, client = 0, Client((host, int(port)))
-            while status != 200 and time.monotonic() < began + 8.0:
-                status = client.read([query], {}, 5.0).status
-                if status != 200:
-                    time.sleep(0.02)
-            took = time.monotonic() - began
-            if kept and status == 200:
-                time.sleep(1.5)  # let it write the list
-            child.terminate()
-            child.wait(20)
-            return f"listening after {listening:.2f} s, " + (
-                f"good answer after {took:.2f} s" if status == 200 else f"refused with {status} for 8 s"
-            )
-
-        print("catalogue there, nothing kept:", start(False))
-        print("catalogue there, first start with a kept list:", start(True))
-        print("catalogue there, list kept:", start(True))
+        consul = FakeConsul()
+        consul.listing.write([row(n, port=port) for n, port in enumerate(fleet.ports)], [])
+        coordinator = RestartedCoordinator(fleet, consul.agents)
+        print("catalogue available, no snapshot:", coordinator.measure(False))
+        print("catalogue available, first start with a snapshot:", coordinator.measure(True))
+        print("catalogue available, snapshot:", coordinator.measure(True))
         for fault in ("500", "hang"):
-            fake_consul.fault(fault)
-            print(f"catalogue away ({fault}), list kept:", start(True))
-        print("catalogue away (hang), nothing kept:", start(False))
-        fake_consul.fault("")
-        fake_consul.end()
+            consul.fault(fault)
+            print(f"catalogue away ({fault}), snapshot:", coordinator.measure(True))
+        print("catalogue away (hang), no snapshot:", coordinator.measure(False))
+        consul.fault("")
+        consul.end()
 
 
 def cost(count: int = 1000) -> None:
@@ -383,8 +446,8 @@
     print(machine())
     if sys.argv[1] == "news":
         for number in sys.argv[2:] or ("12", "54"):
-            news(int(number))
+            measure_notifications(int(number))
     elif sys.argv[1] == "restart":
-        restart()
+        measure_restarts()
     else:
         cost()
