--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -1,13 +1,11 @@
-"""Membership from Consul: news, calls, restarts, and the cost of a large list.
+"""Membership from Consul: times of notifications, calls, restarts.
 
 python benchmarks/membership.py news [12 54]  # from a change to each co-ordinator's module event; calls counted
 python benchmarks/membership.py restart       # a co-ordinator's start to its first good answer
-python benchmarks/membership.py cost          # of a view of 1,000 nodes that changes
 """
 
 from __future__ import annotations
 
-import copy
 import json
 import random
 import subprocess
@@ -15,7 +13,6 @@
 import tempfile
 import threading
 import time
-from collections.abc import Callable
 from pathlib import Path
 from typing import Any
 
@@ -27,17 +24,11 @@
 from gingervane.fronts.client import Client
 from gingervane.experiments.listing import ConsulListing, Row
 from gingervane.experiments.toml_text import toml
-from gingervane.membership.reconciliation import Reconciliation
 from gingervane.membership.mass_removal_guard import MassRemovalGuard
 from gingervane.membership.source_owner import EndpointSources
-from gingervane.membership.view import Member, EndpointView
+from gingervane.membership.view import Member
 from gingervane.membership.consul_watcher import ConsulService, create_watchers
-from gingervane.decisions.engine import DecisionEngine
-from gingervane.fake_servers.consul_catalogue import Catalogue
 from gingervane.wire.remote_read import Match, Matcher, Query
-from gingervane.membership.source_ordering import SourceReport
-from gingervane.membership.consul import EntryReader
-from gingervane.membership.consul import EntryFieldNames
 from gingervane.membership.consul_polling import Backoff
 
 NODES = 150
@@ -314,131 +305,6 @@
         consul.end()
 
 
-def cost(count: int = 1000) -> None:
-    """Milliseconds of one thread for a list in which three of a thousand nodes changed, step by step."""
-    import orjson
-
-    catalogue = Catalogue()
-    for n in range(count):
-        catalogue.register(
-            {
-                "ID": f"n{n}",
-                "Name": "grid",
-                "Port": 9000,
-                "Address": "127.0.0.1",
-                "Meta": {"zone": ZONES[n % 3], "cell": str(n), "gingervane-id": str(n), "started": "1.0"},
-            }
-        )
-        catalogue.check(f"n{n}", f"service:n{n}", "passing")
-    rng = random.Random(1)
-    bodies = []
-    for turn in range(60):
-        for n in rng.sample(range(count), 3):
-            catalogue.check(f"n{n}", f"service:n{n}", "critical" if turn % 2 else "passing")
-        with catalogue.changed:
-            bodies.append(json.dumps(copy.deepcopy(catalogue.entries("grid"))).encode())
-    settings = module_settings(count)
-    times: dict[str, list[float]] = {}
-
-    def timed(what: str, work: Callable[[], Any]) -> Any:
-        began = time.perf_counter()
-        found = work()
-        times.setdefault(what, []).append((time.perf_counter() - began) * 1000)
-        return found
-
-    reader, merge, view = (
-        EntryReader(EntryFieldNames(), ZONES, count, 0.0),
-        Reconciliation(("consul",), MassRemovalGuard()),
-        EndpointView(),
-    )
-    module, plain_module, plain_view = (
-        DecisionEngine(settings, 1),
-        DecisionEngine(settings, 1),
-        EndpointView(),
-    )
-    for turn, body in enumerate(bodies):
-        now = 100.0 + turn * 0.1
-        timed("decode, json", lambda b=body: json.loads(b))  # type: ignore[misc]
-        decoded = timed("decode, orjson", lambda b=body: orjson.loads(b))  # type: ignore[misc]
-        timed(
-            "read, each entry anew",
-            lambda d=decoded: EntryReader(EntryFieldNames(), ZONES, count, 0.0).read(d),  # type: ignore[misc]
-        )
-        members, _ = timed("read, entries kept", lambda d=decoded: reader.read(d))  # type: ignore[misc]
-
-        def merged(members: tuple[Member, ...] = members, now: float = now, turn: int = turn) -> Any:
-            merge.apply_report(SourceReport("consul", members, 0.0, turn + 1), now)
-            return merge.refresh(now)
-
-        changes = timed("merge", merged)
-        whole = tuple(known.member for known in merge.latest_view(now).servers.values())
-        full = timed("view, whole list", lambda w=whole, n=now: plain_view.apply_full_list(w, n))  # type: ignore[misc]
-        delta = timed("view, delta", lambda c=changes, n=now: view.apply_delta(c, n))  # type: ignore[misc]
-        if turn and full and delta:
-            timed("module, whole list", lambda f=full, n=now: plain_module.handle(n, [f.event]))  # type: ignore[misc]
-            timed("module, delta", lambda d=delta, n=now: module.handle(n, [d.event]))  # type: ignore[misc]
-        elif delta:
-            module.handle(now, [delta.event])
-            plain_module.handle(now, [delta.event])
-    servers = list(module.membership.replicas.values())
-    held, width = module.membership.holders_by_cell, settings.cells_per_replica
-    for cell in range(count):
-        timed("holders of a tile, by index", lambda c=cell: held[c])  # type: ignore[misc]
-        timed(
-            "holders of a tile, by scan",
-            lambda c=cell: [  # type: ignore[misc]
-                s for s in servers if (s.endpoint.cell - c) % count < width
-            ],
-        )
-    print(f"{len(bodies[0]) / 1024:.0f} KiB, {count} nodes, 3 changes a list")
-    for what, found in times.items():
-        print(f"  {what}: {np.median(found):.4f} ms")
-    steps = ("decode, orjson", "read, entries kept", "merge", "view, delta", "module, delta")
-    plain = ("decode, json", "read, each entry anew", "merge", "view, whole list", "module, whole list")
-    for what, chosen in (("as built", steps), ("plain", plain)):
-        total = sum(float(np.median(times[name])) for name in chosen)
-        print(f"  {what}: {total:.1f} ms a change")  # ten a second take as many hundredths of a core
-
-
-def module_settings(count: int) -> api.Settings:
-    look = api.QueryClass(
-        latency_objective=1.5,
-        deadline=5.0,
-        retry_safety=api.RetrySafety.IDEMPOTENT,
-        idempotency_window=None,
-        second_step_parts=0,
-        required_coverage=1.0,
-        complete_coverage=1.0,
-        objective_stretch=None,
-        late_weight=0.0,
-        partial_weight=1.0,
-    )
-    return api.Settings(
-        coordinator_count=1,
-        zone=0,
-        query_classes=(look,),
-        tenant_quotas=(),
-        timer_granularity=0.005,
-        cell_count=count,
-        cells_per_replica=3,
-        max_parts_per_request=8,
-        max_attempts=3,
-        cancellation_allowed=True,
-        gossip_allowed=False,
-        hedging_allowed=True,
-        retry_after_allowed=True,
-        max_retry_after=1.0,
-        membership_polled=False,
-        slow_start_capacity=0.2,
-        slow_start_duration=15.0,
-        overload_window=2.0,
-        overload_multiple=4.0,
-        retry_budget_free=None,
-        retry_budget_share=None,
-        retry_budget_window=None,
-    )
-
-
 if __name__ == "__main__":
     if sys.argv[1] == "worker":
         worker(json.loads(sys.argv[2]), int(sys.argv[3]))
@@ -447,7 +313,5 @@
     if sys.argv[1] == "news":
         for number in sys.argv[2:] or ("12", "54"):
             measure_notifications(int(number))
-    elif sys.argv[1] == "restart":
-        measure_restarts()
     else:
-        cost()
+        measure_restarts()
