--- a/tests/faults/judge.py
+++ b/tests/faults/judge.py
@@ -5,7 +5,7 @@
 from collections import defaultdict
 from dataclasses import dataclass
 
-from faults.ledger import Ledger, PartSeen, Request
+from faults.ledger import Ledger, PartReceived, Request
 from faults.plans import ClassPlan, Plan
 from faults.replicas import cell_of, score_of
 
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True)
-class Broken:
+class Violation:
     """One break of a rule."""
 
     rule: str
@@ -25,14 +25,14 @@
     timed: bool = False  # rests on some 0.1 s, which a machine that is starved of its processors cannot keep
 
 
-class Judge:
-    """Checks one run. `broken` has what it found."""
+class RuleChecker:
+    """Checks one run. `violations` has what it found."""
 
     def __init__(self, plan: Plan, ledger: Ledger) -> None:
         self._plan, self._ledger = plan, ledger
-        self.broken: list[Broken] = []
+        self.violations: list[Violation] = []
         self.second_steps = self.short = 0
-        self._parts: dict[str, list[PartSeen]] = defaultdict(list)
+        self._parts: dict[str, list[PartReceived]] = defaultdict(list)
         for seen in ledger.parts:
             self._parts[seen.id.partition(".")[0]].append(seen)
         self._served: dict[str, float] = {}
@@ -43,7 +43,7 @@
             elif answer.end == "skipped":
                 self._skipped[answer.id].append(answer.at)
 
-    def check(self) -> list[Broken]:
+    def check(self) -> list[Violation]:
         known = {request.id for request in self._ledger.requests}
         for request in self._ledger.requests:
             kind = self._plan.classes[request.query_class]
@@ -54,63 +54,65 @@
                 self._check_answer(request, kind)
         for seen in self._ledger.parts:
             if seen.id.partition(".")[0] not in known:
-                self._break("void", f"part {seen.id} that no client asked for")
+                self._add("void", f"part {seen.id} that no client asked for")
         self._check_drains()
-        return self.broken
+        return self.violations
 
-    def _break(self, rule: str, what: str, timed: bool = False) -> None:
-        self.broken.append(Broken(rule, what, timed))
+    def _add(self, rule: str, what: str, timed: bool = False) -> None:
+        self.violations.append(Violation(rule, what, timed))
 
     # ---- one final answer
 
     def _check_ending(self, request: Request) -> None:
         ending = self._ledger.ending.get(request.node, float("inf"))
-        if request.left_at is not None or request.node in self._ledger.killed:
+        if request.disconnected_at is not None or request.node in self._ledger.killed:
             return
         if not request.status:
             if request.sent_at < ending + 0.5:
                 took = request.answered_at - request.sent_at
-                self._break(
-                    "lost", f"{request.id}: {request.ended} after {took:.3f} s of {request.timeout:g}"
-                )
+                self._add("lost", f"{request.id}: {request.ended} after {took:.3f} s of {request.timeout:g}")
         elif request.answered_at > request.sent_at + request.timeout + LATE:
             late = request.answered_at - request.sent_at - request.timeout
-            self._break("lost", f"{request.id}: answered {late:.3f} s late", timed=True)
+            self._add("lost", f"{request.id}: answered {late:.3f} s late", timed=True)
 
     # ---- attempts
 
     def _check_parts(self, request: Request, kind: ClassPlan) -> None:
-        end = request.left_at if request.left_at is not None else request.answered_at or float("inf")
+        end = (
+            request.disconnected_at
+            if request.disconnected_at is not None
+            else request.answered_at or float("inf")
+        )
         runs: dict[str, int] = defaultdict(int)
         for seen in self._parts[request.id]:
-            if seen.at > end + AFTER_END and not self._was_held(request.node, end - 0.05, seen.at):
-                self._break(
+            if seen.at > end + AFTER_END and not self._was_paused(request.node, end - 0.05, seen.at):
+                self._add(
                     "lost", f"{seen.id} sent {seen.at - end:.3f} s after the end of its request", timed=True
                 )
             left = request.sent_at + request.timeout - seen.at
-            held = self._was_held(request.node, seen.at - 0.2, seen.at)
-            if seen.wait > max(left, 0.0) + DEADLINE_SLACK and not held:
-                what = f"{seen.id} told {seen.wait:.3f} s, its client has {left:.3f} s left"
-                self._break("deadline", what, timed=True)
+            held = self._was_paused(request.node, seen.at - 0.2, seen.at)
+            if seen.timeout > max(left, 0.0) + DEADLINE_SLACK and not held:
+                what = f"{seen.id} told {seen.timeout:.3f} s, its client has {left:.3f} s left"
+                self._add("deadline", what, timed=True)
             runs[seen.id] += 1
-        if kind.semantics != "unsafe":
+        if kind.retry_safety != "unsafe":
             return
         for part, count in runs.items():
             ran = count - len(self._skipped[part])
             if ran > 1:
-                self._break(
+                self._add(
                     "duplicate", f"unsafe {part} sent {count} times, {len(self._skipped[part])} skipped"
                 )
             if ran > 0 and request.status in (429, 503):
-                self._break("duplicate", f"{request.id} refused though {part} may have run")
+                self._add("duplicate", f"{request.id} refused though {part} may have run")
 
-    def _was_held(self, node: int, since: float, until: float) -> bool:
+    def _was_paused(self, node: int, since: float, until: float) -> bool:
         """Whether a node was stopped at some time in a span."""
-        return any(n == node and start < until and end > since for start, end, n in self._ledger.held)
+        return any(n == node and start < until and end > since for start, end, n in self._ledger.pauses)
 
     def _check_drains(self) -> None:
         closed: dict[int, float] = {}
-        changes = sorted(self._ledger.told)
+        changes = sorted(self._ledger.endpoint_changes)
         for seen in sorted(self._ledger.parts, key=lambda part: part.at):
             while changes and changes[0][0] <= seen.at:
                 at, replica, health = changes.pop(0)
@@ -119,9 +121,9 @@
                 else:
                     closed.setdefault(replica, at)
             told = closed.get(seen.replica)
-            if told is not None and seen.at > told + GRACE and not self._was_held(seen.node, told, seen.at):
+            if told is not None and seen.at > told + GRACE and not self._was_paused(seen.node, told, seen.at):
                 what = f"{seen.id} to replica {seen.replica} {seen.at - told:.3f} s after it was told"
-                self._break("drain", what, timed=True)
+                self._add("drain", what, timed=True)
 
     # ---- partial answers
 
@@ -131,52 +133,52 @@
         if not steps:
             return
         self.second_steps += 1
-        if len({(seen.words["from"], seen.words["whole"]) for seen in steps}) != 1:
-            self._break("partial", f"{request.id}: second steps of one request rest on different answers")
+        if len({(seen.fields["from"], seen.fields["whole"]) for seen in steps}) != 1:
+            self._add("partial", f"{request.id}: second steps of one request rest on different answers")
         for seen in steps:
-            shards = [int(word) for word in seen.words["from"].split("+") if word]
+            shards = [int(word) for word in seen.fields["from"].split("+") if word]
             missing = [s for s in shards if self._served.get(f"{request.id}.{s}", float("inf")) > seen.at]
             if missing or len(set(shards)) != len(shards):
-                self._break("partial", f"{seen.id}: from names {missing}, which have not answered")
+                self._add("partial", f"{seen.id}: from names {missing}, which have not answered")
             share = sum(request.weights.get(s, 0.0) for s in shards)
-            if share < min(kind.least_share, kind.whole_share) - SUM_SLACK:
-                self._break("partial", f"{seen.id}: second step from {share:.4f} of the weight")
-            if seen.words["whole"] == "1" and share < kind.whole_share - SUM_SLACK:
-                self._break("partial", f"{seen.id}: first step marked whole at {share:.4f}")
+            if share < min(kind.required_coverage, kind.complete_coverage) - SUM_SLACK:
+                self._add("partial", f"{seen.id}: second step from {share:.4f} of the weight")
+            if seen.fields["whole"] == "1" and share < kind.complete_coverage - SUM_SLACK:
+                self._add("partial", f"{seen.id}: first step marked whole at {share:.4f}")
             best = sorted(shards, key=lambda s: (-score_of(f"{request.id}.{s}"), s))[: kind.second_step_parts]
             if seen.shard not in best:
-                self._break("partial", f"{seen.id}: shard {seen.shard} is not of the highest scores {best}")
+                self._add("partial", f"{seen.id}: shard {seen.shard} is not of the highest scores {best}")
 
     def _check_answer(self, request: Request, kind: ClassPlan) -> None:
         suffix = ".b" if kind.second_step_parts else ""
         for shard, cell in request.pieces.items():
             part = f"{request.id}.{shard}{suffix}"
             if cell != cell_of(part) or self._served.get(part, float("inf")) > request.answered_at:
-                self._break("lost", f"{part}: served with a value that no replica gave")
+                self._add("lost", f"{part}: served with a value that no replica gave")
         if kind.second_step_parts:
             self._check_two_steps(request, kind)
             return
         share = sum(request.weights.get(shard, 0.0) for shard in request.pieces)
-        if share < min(kind.least_share, kind.whole_share) - SUM_SLACK:
-            self._break("partial", f"{request.id}: answered from {share:.4f}, least {kind.least_share}")
-        if request.full and share < kind.whole_share - SUM_SLACK:
-            self._break("partial", f"{request.id}: marked whole at {share:.4f}, whole {kind.whole_share}")
+        if share < min(kind.required_coverage, kind.complete_coverage) - SUM_SLACK:
+            self._add("partial", f"{request.id}: answered from {share:.4f}, least {kind.required_coverage}")
+        if request.full and share < kind.complete_coverage - SUM_SLACK:
+            self._add("partial", f"{request.id}: marked whole at {share:.4f}, whole {kind.complete_coverage}")
         self.short += not request.full
 
     def _check_two_steps(self, request: Request, kind: ClassPlan) -> None:
         steps = [seen for seen in self._parts[request.id] if seen.id.endswith(".b")]
         if not steps:
             count = len(request.pieces)
-            self._break(
+            self._add(
                 "partial", f"{request.id}: {count} pieces, full={request.full}, and no second step was asked"
             )
             return
-        first = [word for word in steps[0].words["from"].split("+") if word]
+        first = [word for word in steps[0].fields["from"].split("+") if word]
         wanted = min(kind.second_step_parts, len(first))
         share = len(request.pieces) / wanted
-        need = kind.least_share if kind.least_share < kind.whole_share else 1.0
+        need = kind.required_coverage if kind.required_coverage < kind.complete_coverage else 1.0
         if share < need - SUM_SLACK:
-            self._break("partial", f"{request.id}: {share:.4f} of the second step, {need} is the least")
-        if request.full and (share < 1.0 - SUM_SLACK or steps[0].words["whole"] != "1"):
-            self._break("partial", f"{request.id}: marked whole with {share:.4f} of the second step")
+            self._add("partial", f"{request.id}: {share:.4f} of the second step, {need} is the least")
+        if request.full and (share < 1.0 - SUM_SLACK or steps[0].fields["whole"] != "1"):
+            self._add("partial", f"{request.id}: marked whole with {share:.4f} of the second step")
         self.short += not request.full
--- a/tests/faults/ledger.py
+++ b/tests/faults/ledger.py
@@ -7,7 +7,7 @@
 
 
 @dataclass(frozen=True)
-class PartSeen:
+class PartReceived:
     """The last byte of a part's frame was read from a node. `id` as sent, `wait` in seconds, as it was told."""
 
     at: float
@@ -15,12 +15,12 @@
     replica: int
     id: str
     shard: int
-    wait: float
-    words: dict[str, str]
+    timeout: float
+    fields: dict[str, str]
 
 
 @dataclass(frozen=True)
-class AnswerPassed:
+class AnswerForwarded:
     """The last byte of an answer's frame was handed to the kernel towards a node."""
 
     at: float
@@ -40,7 +40,7 @@
     weights: dict[int, float]
     timeout: float
     sent_at: float = 0.0
-    left_at: float | None = None
+    disconnected_at: float | None = None
     status: int = 0  # 0: none
     answered_at: float = 0.0
     full: bool = False
@@ -52,26 +52,28 @@
 class Ledger:
     """Everything, in the order in which it was written down."""
 
-    parts: list[PartSeen] = field(default_factory=list)
-    answers: list[AnswerPassed] = field(default_factory=list)
+    parts: list[PartReceived] = field(default_factory=list)
+    answers: list[AnswerForwarded] = field(default_factory=list)
     requests: list[Request] = field(default_factory=list)
     faults: dict[str, int] = field(default_factory=dict)
-    told: list[tuple[float, int, str]] = field(default_factory=list)  # list changes: when, replica, health
-    held: list[tuple[float, float, int]] = field(default_factory=list)  # SIGSTOP to SIGCONT, node
+    endpoint_changes: list[tuple[float, int, str]] = field(
+        default_factory=list
+    )  # list changes: when, replica, health
+    pauses: list[tuple[float, float, int]] = field(default_factory=list)  # SIGSTOP to SIGCONT, node
     ending: dict[int, float] = field(default_factory=dict)  # SIGTERM or SIGKILL, by node
     killed: set[int] = field(default_factory=set)
     _lock: Lock = field(default_factory=Lock)
 
-    def put(self, record: PartSeen | AnswerPassed | Request) -> None:
+    def record(self, record: PartReceived | AnswerForwarded | Request) -> None:
         with self._lock:
             match record:
-                case PartSeen():
+                case PartReceived():
                     self.parts.append(record)
-                case AnswerPassed():
+                case AnswerForwarded():
                     self.answers.append(record)
                 case Request():
                     self.requests.append(record)
 
-    def fault(self, kind: str) -> None:
+    def count_fault(self, kind: str) -> None:
         with self._lock:
             self.faults[kind] = self.faults.get(kind, 0) + 1
--- a/tests/faults/plans.py
+++ b/tests/faults/plans.py
@@ -12,12 +12,12 @@
     """A class of queries. Times in seconds, shares of the weight."""
 
     name: str
-    semantics: str
-    aim: float
+    retry_safety: str
+    latency_objective: float
     deadline: float
     second_step_parts: int
-    least_share: float
-    whole_share: float
+    required_coverage: float
+    complete_coverage: float
 
 
 @dataclass(frozen=True)
@@ -57,12 +57,12 @@
     rate: float  # requests a second, of all clients
     parts_per_call: int
     may_cancel: bool
-    may_copy: bool
-    may_ask: bool
+    may_hedge: bool
+    may_poll: bool
     shards: int
     replica_faults: tuple[ReplicaFaults, ...]
     proxy_faults: ProxyFaults
-    leaves: float  # chance that a client goes before its answer
+    disconnects: float  # chance that a client goes before its answer
     stops: tuple[tuple[float, int, float], ...] = ()
     changes: tuple[tuple[float, int, str], ...] = ()
     terminate: tuple[tuple[float, int], ...] = ()  # SIGTERM: (second, node)
@@ -76,23 +76,23 @@
             "Locality": 0,
             "Ordinal": number,
             "GranularityS": 0.005,
-            "MembershipMode": "ask" if self.may_ask else "push",
+            "MembershipMode": "ask" if self.may_poll else "push",
             "Zones": ["a", "b"],
             "Classes": [
                 {
                     "Name": c.name,
-                    "AimS": c.aim,
+                    "AimS": c.latency_objective,
                     "DeadlineS": c.deadline,
-                    "Semantics": c.semantics,
+                    "Semantics": c.retry_safety,
                     "LateWorth": 0.3,
                 }
-                | ({"WindowS": 1.0} if c.semantics == "keyed" else {})
+                | ({"WindowS": 1.0} if c.retry_safety == "keyed" else {})
                 for c in classes
             ],
             "Extra": {
                 "ClassFetch": [c.second_step_parts for c in classes],
-                "MinShare": [c.least_share for c in classes],
-                "WholeAt": [c.whole_share for c in classes],
+                "MinShare": [c.required_coverage for c in classes],
+                "WholeAt": [c.complete_coverage for c in classes],
                 "ShortWorth": [0.9] * len(classes),
                 "PerCall": self.parts_per_call,
                 "Sets": 1,
@@ -106,7 +106,7 @@
                 "MaxRetryAfterS": 0.5,
                 "Peers": False,
                 "RetryAfter": True,
-                "SecondCopies": self.may_copy,
+                "SecondCopies": self.may_hedge,
                 "SendCap": 3,
                 "StreamsPerConn": 32,
             },
--- a/tests/faults/proxy.py
+++ b/tests/faults/proxy.py
@@ -15,7 +15,7 @@
 from collections.abc import Callable
 from queue import SimpleQueue
 
-from faults.ledger import AnswerPassed, Ledger, PartSeen
+from faults.ledger import AnswerForwarded, Ledger, PartReceived
 from faults.plans import ProxyFaults
 
 
@@ -49,7 +49,7 @@
     return data, now
 
 
-class FrameTap:
+class FrameParser:
     """Cuts a byte stream into frames, however it comes."""
 
     def __init__(self, take: Callable[[bytes, bytes], None]) -> None:
@@ -123,9 +123,9 @@
                     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
                     stamp(sock)
                 self._open += [near, far]
-                answers = FrameTap(self._answer)
+                answers = FrameParser(self._answer)
                 for name, source, sink, read, written in (
-                    ("up", near, far, self._tap(), _nothing),
+                    ("up", near, far, self._part_recorder(), _nothing),
                     ("down", far, near, _nothing_read, answers.feed),
                 ):
                     chance = random.Random(f"{self._seed}/{number}/{name}")
@@ -168,15 +168,15 @@
         try:
             while data := waiting.get():
                 if chance.random() < faults.stuck:
-                    self._ledger.fault("proxy stuck")
+                    self._ledger.count_fault("proxy stuck")
                     while waiting.get():
                         pass
                     break
                 if chance.random() < faults.delay:
-                    self._ledger.fault("proxy delay")
+                    self._ledger.count_fault("proxy delay")
                     time.sleep(chance.uniform(0, faults.longest_delay))
                 if chance.random() < faults.reset:
-                    self._ledger.fault("proxy reset")
+                    self._ledger.count_fault("proxy reset")
                     kept = data[: chance.randint(0, len(data))]
                     sink.sendall(kept)
                     written(kept)
@@ -200,7 +200,7 @@
     ) -> None:
         pieces = [data]
         if len(data) > 1 and chance.random() < self._faults.split:
-            self._ledger.fault("proxy split")
+            self._ledger.count_fault("proxy split")
             at = chance.randint(1, len(data) - 1)
             pieces = [data[:at], data[at:]]
         for number, piece in enumerate(pieces):
@@ -209,7 +209,7 @@
             written(piece)  # before it leaves: what it causes at the node must not be written down first
             sink.sendall(piece)
 
-    def _tap(self) -> Callable[[bytes, float], None]:
+    def _part_recorder(self) -> Callable[[bytes, float], None]:
         """Takes the bytes of one connection with the time at which they came, and writes down its parts."""
         came = [0.0]
 
@@ -217,9 +217,11 @@
             if letter == b"q":
                 for part, shard, words, _ in parse_call(rest):
                     wait = int(words["d"]) / 1000
-                    self._ledger.put(PartSeen(came[0], self._node, self._replica, part, shard, wait, words))
+                    self._ledger.record(
+                        PartReceived(came[0], self._node, self._replica, part, shard, wait, words)
+                    )
 
-        tap = FrameTap(call)
+        tap = FrameParser(call)
 
         def feed(data: bytes, at: float) -> None:
             came[0] = at
@@ -231,8 +233,8 @@
         line, _, value = rest.partition(b"\n")
         words = line.decode("latin-1").split(" ")
         if letter == b"a" and len(words) == 4:
-            self._ledger.put(
-                AnswerPassed(time.monotonic(), self._replica, words[0], words[1], value.decode("latin-1"))
+            self._ledger.record(
+                AnswerForwarded(time.monotonic(), self._replica, words[0], words[1], value.decode("latin-1"))
             )
 
     def close(self) -> None:
--- a/tests/faults/replicas.py
+++ b/tests/faults/replicas.py
@@ -15,7 +15,7 @@
 
 from faults.ledger import Ledger
 from faults.plans import ReplicaFaults
-from faults.proxy import FrameTap, close_all, parse_call, reset
+from faults.proxy import FrameParser, close_all, parse_call, reset
 
 
 def cell_of(part: str) -> str:
@@ -116,7 +116,7 @@
 
     def _serve(self, sock: socket.socket) -> None:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        tap = FrameTap(lambda letter, rest: self._call(sock, rest) if letter == b"q" else None)
+        tap = FrameParser(lambda letter, rest: self._call(sock, rest) if letter == b"q" else None)
         with contextlib.suppress(OSError):
             while data := sock.recv(65536):
                 tap.feed(data)
@@ -144,7 +144,7 @@
         for name, share in kinds:
             if draw < share:
                 kind = name
-                self._ledger.fault(f"replica {name}")
+                self._ledger.count_fault(f"replica {name}")
                 break
             draw -= share
         if kind == "silent":
--- a/tests/faults/rig.py
+++ b/tests/faults/rig.py
@@ -19,12 +19,13 @@
 import threading
 import time
 from collections import Counter
+from collections.abc import Callable
 from concurrent.futures import ThreadPoolExecutor
 from dataclasses import dataclass, field
+from functools import partial
 from pathlib import Path
-from typing import Any
 
-from faults.judge import Broken, Judge
+from faults.judge import Violation, RuleChecker
 from faults.ledger import Ledger, Request
 from faults.plans import Plan, draw
 from faults.proxy import Proxy, receive, reset, stamp
@@ -44,24 +45,24 @@
     """What came of one run."""
 
     seed: int
-    broken: list[Broken]
-    doubtful: list[Broken]  # timed ones, while the host had taken the machine's processors away
+    violations: list[Violation]
+    doubtful_violations: list[Violation]  # timed ones, while the host had taken the machine's processors away
     requests: int = 0
     statuses: Counter[int] = field(default_factory=Counter)
     faults: Counter[str] = field(default_factory=Counter)
     second_steps: int = 0
-    short: int = 0
+    partial_answers: int = 0
     attempts: int = 0
     ended_early: list[str] = field(default_factory=list)  # nodes that ended though nobody told them to
-    stolen: float = 0.0  # share of the processors' time that was wanted and that the host took
+    stolen_share: float = 0.0  # share of the processors' time that was wanted and that the host took
 
     @property
-    def broken_untimed(self) -> list[Broken]:
+    def untimed_violations(self) -> list[Violation]:
         """What no starved machine explains."""
-        return [broken for broken in self.broken if not broken.timed]
+        return [violation for violation in self.violations if not violation.timed]
 
 
-def tell(discovery: Discovery, replica: int, health: str) -> None:
+def publish_health(discovery: Discovery, replica: int, health: str) -> None:
     """A change of one node's list, which a watch that is opened later holds too."""
     discovery.hosts[replica] = discovery.hosts[replica] | {"health": health}
     discovery.change(discovery.hosts[replica])
@@ -126,7 +127,7 @@
                 stdin=subprocess.DEVNULL,
                 env={"NODE_CONFIG": str(path), "PATH": os.environ["PATH"], **env},
             )
-        self.told_to_end = False
+        self.ending = False
 
     def wait_ready(self) -> None:
         until = time.monotonic() + READY
@@ -165,7 +166,7 @@
         while time.monotonic() < self._until:
             time.sleep(min(self._chance.expovariate(1 / mean), 1.0))
             count += 1
-            if not self._ask(f"{self._name}-{count}"):
+            if not self._send_query(f"{self._name}-{count}"):
                 self._drop()
         self._drop()
 
@@ -174,7 +175,7 @@
             self._sock.close()
         self._sock = None
 
-    def _ask(self, name: str) -> bool:
+    def _send_query(self, name: str) -> bool:
         """One request; whether the connection can be used again."""
         chance, plan = self._chance, self._plan
         number = chance.randrange(len(plan.classes))
@@ -199,15 +200,15 @@
         except OSError:
             return False  # not taken: nothing is owed
         request.sent_at = time.monotonic()
-        self._ledger.put(request)
-        if chance.random() < plan.leaves:
+        self._ledger.record(request)
+        if chance.random() < plan.disconnects:
             time.sleep(chance.uniform(0, timeout * 0.8))
             if chance.random() < 0.5:
                 reset(self._sock)
             else:
                 self._sock.close()
-            request.left_at = time.monotonic()
-            self._ledger.fault("client left")
+            request.disconnected_at = time.monotonic()
+            self._ledger.count_fault("client left")
             return False
         return self._read(request, self._sock)
 
@@ -244,7 +245,7 @@
 ) -> Result:
     """Play a plan to its end and judge it."""
     ledger, alarm, before = Ledger(), Alarm(), processor_times()
-    aim = max(c.aim for c in plan.classes)
+    aim = max(c.latency_objective for c in plan.classes)
     replicas = [
         Replica(i, faults, (aim * 0.5, aim * 1.3), plan.seed, alarm, ledger)
         for i, faults in enumerate(plan.replica_faults)
@@ -257,7 +258,7 @@
             for node in nodes:
                 node.wait_ready()
             _play(plan, nodes, ledger)
-            early = [f"n{n.number}" for n in nodes if n.process.poll() is not None and not n.told_to_end]
+            early = [f"n{n.number}" for n in nodes if n.process.poll() is not None and not n.ending]
         finally:
             for node in nodes:
                 node.close()
@@ -265,11 +266,11 @@
                 replica.close()
             alarm.stop()
     stolen = stolen_share(before, processor_times())
-    judge = Judge(plan, ledger)
+    judge = RuleChecker(plan, ledger)
     found = judge.check()
     doubtful = [b for b in found if b.timed] if stolen > MOST_STOLEN else []
     broken = [b for b in found if b not in doubtful]
-    statuses = Counter(r.status for r in ledger.requests if r.left_at is None)
+    statuses = Counter(r.status for r in ledger.requests if r.disconnected_at is None)
     return Result(
         plan.seed,
         broken,
@@ -305,42 +306,50 @@
         for node in nodes
         for i in range(CLIENTS)
     ]
-    events: list[tuple[float, str, Any]] = [(at, "stop", (node, span)) for at, node, span in plan.stops]
-    events += [(at, "change", (replica, health)) for at, replica, health in plan.changes]
-    events += [(at, "terminate", node) for at, node in plan.terminate]
-    events += [(at, "kill", node) for at, node in plan.kill]
+    events: list[tuple[float, Callable[[], None]]] = []
+    events += [(at, partial(_pause, nodes[node], span, ledger)) for at, node, span in plan.stops]
+    events += [(at, partial(_change, nodes, replica, health, ledger)) for at, replica, health in plan.changes]
+    events += [(at, partial(_end, nodes[node], signal.SIGTERM, ledger)) for at, node in plan.terminate]
+    events += [(at, partial(_end, nodes[node], signal.SIGKILL, ledger)) for at, node in plan.kill]
     for client in clients:
         client.start()
-    for at, what, data in sorted(events, key=lambda event: event[0]):
+    for at, play_event in sorted(events, key=lambda event: event[0]):
         time.sleep(max(start + at - time.monotonic(), 0.0))
-        _do(what, data, nodes, ledger)
+        play_event()
     for client in clients:
         client.join(60.0)
 
 
-def _do(what: str, data: Any, nodes: list[Node], ledger: Ledger) -> None:
+def _pause(node: Node, span: float, ledger: Ledger) -> None:
+    """Stop a node's process for some seconds, unless it is to end."""
+    began = time.monotonic()
+    ledger.count_fault("stop")
+    if node.ending:
+        return
+    node.process.send_signal(signal.SIGSTOP)
+    time.sleep(span)
+    node.process.send_signal(signal.SIGCONT)
+    ledger.pauses.append((began, time.monotonic(), node.number))
+
+
+def _change(nodes: list[Node], replica: int, health: str, ledger: Ledger) -> None:
+    """Publish a replica's health to all nodes."""
+    ledger.count_fault("change")
+    for node in nodes:
+        publish_health(node.discovery, replica, health)
+    ledger.endpoint_changes.append((time.monotonic(), replica, health))
+
+
+def _end(node: Node, number: signal.Signals, ledger: Ledger) -> None:
+    """End a node by SIGTERM or SIGKILL."""
     now = time.monotonic()
-    ledger.fault(what)
-    match what:
-        case "stop":
-            node, span = nodes[data[0]], data[1]
-            if node.told_to_end:
-                return
-            node.process.send_signal(signal.SIGSTOP)
-            time.sleep(span)
-            node.process.send_signal(signal.SIGCONT)
-            ledger.held.append((now, time.monotonic(), node.number))
-        case "change":
-            for each in nodes:
-                tell(each.discovery, *data)
-            ledger.told.append((time.monotonic(), *data))
-        case "terminate" | "kill":
-            node = nodes[data]
-            node.told_to_end = True
-            ledger.ending[node.number] = now
-            if what == "kill":
-                ledger.killed.add(node.number)
-            node.process.send_signal(signal.SIGTERM if what == "terminate" else signal.SIGKILL)
+    is_kill = number == signal.SIGKILL
+    ledger.count_fault("kill" if is_kill else "terminate")
+    node.ending = True
+    ledger.ending[node.number] = now
+    if is_kill:
+        ledger.killed.add(node.number)
+    node.process.send_signal(number)
 
 
 # ---- a campaign
@@ -377,21 +386,21 @@
             _seeds(options.seeds),
         )
         for run in runs:
-            total.update(doubtful=len(run.doubtful), starved_runs=run.stolen > MOST_STOLEN)
+            total.update(doubtful=len(run.doubtful_violations), starved_runs=run.stolen_share > MOST_STOLEN)
             total.update(
                 runs=1,
                 requests=run.requests,
                 attempts=run.attempts,
                 second_steps=run.second_steps,
-                short=run.short,
+                short=run.partial_answers,
                 ended_early=len(run.ended_early),
-                runs_broken=bool(run.broken),
+                runs_broken=bool(run.violations),
             )
-            rules.update(b.rule for b in run.broken)
+            rules.update(b.rule for b in run.violations)
             statuses.update(run.statuses)
             faults.update(run.faults)
-            for broken in run.broken[: options.show]:
-                print(f"seed {run.seed}: {broken.rule}: {broken.what}", flush=True)
+            for violation in run.violations[: options.show]:
+                print(f"seed {run.seed}: {violation.rule}: {violation.what}", flush=True)
             for name in run.ended_early:
                 print(f"seed {run.seed}: {name} ended by itself", flush=True)
     for title, counts in (("total", total), ("broken", rules), ("statuses", statuses), ("faults", faults)):
--- a/tests/test_incident_partial.py
+++ b/tests/test_incident_partial.py
@@ -225,5 +225,5 @@
 @pytest.mark.parametrize("seed", [22, 26, 41])
 def test_no_rule_on_partial_answers_is_broken_by_a_seeded_run(seed: int) -> None:
     """Runs of the fault rig that broke the rule on the text of the incident."""
-    found = [broken for broken in play(draw(seed)).broken if broken.rule == "partial"]
+    found = [broken for broken in play(draw(seed)).violations if broken.rule == "partial"]
     assert not found
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -454,7 +454,7 @@
 @pytest.mark.parametrize(("seed", "words"), SHIMMED)
 def test_a_seeded_run_with_failing_calls_and_a_stepped_clock_breaks_no_rule(seed: int, words: str) -> None:
     found = play(draw(seed), env=shim(seed, words))
-    assert not found.broken_untimed and not found.ended_early and found.requests > 20
+    assert not found.untimed_violations and not found.ended_early and found.requests > 20
 
 
 # ---- the wall clock
