--- a/tests/faults/rig.py
+++ b/tests/faults/rig.py
@@ -28,6 +28,7 @@
 from faults.judge import Violation, RuleChecker
 from faults.ledger import Ledger, Request
 from faults.plans import Plan, draw
+from faults.processor_time import processor_times, stolen_share
 from faults.proxy import Proxy, receive, reset, stamp
 from faults.replicas import Alarm, Replica
 from platform_fakes import Discovery
@@ -286,19 +287,6 @@
     )
 
 
-def processor_times() -> tuple[int, int]:
-    """Ticks that the machine's processors have worked, and that the host took while they had work (`steal`)."""
-    words = Path("/proc/stat").read_text().split("\n", 1)[0].split()[1:]
-    user, nice, system, _, _, interrupts, soft, steal = (int(word) for word in words[:8])
-    return user + nice + system + interrupts + soft, steal
-
-
-def stolen_share(before: tuple[int, int], after: tuple[int, int]) -> float:
-    """Share of the wanted time that was taken between two readings."""
-    worked, stolen = after[0] - before[0], after[1] - before[1]
-    return stolen / max(worked + stolen, 1)
-
-
 def _play(plan: Plan, nodes: list[Node], ledger: Ledger) -> None:
     start = time.monotonic()
     clients = [
