--- a/benchmarks/latency.py
+++ b/benchmarks/latency.py
@@ -13,8 +13,8 @@
 from common import Fleet, machine, open_loop
 from hdrh.histogram import HdrHistogram
 
-from gingervane.fronts.client import Client
 from gingervane.fake_servers.capacity import Model
+from gingervane.fronts.client import Client
 from gingervane.wire.remote_read import Match, Matcher, Query
 
 END = 1_764_600_000_000
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -21,15 +21,15 @@
 
 from gingervane import interface as api
 from gingervane.coordinator.types import EndpointsUpdated
-from gingervane.fronts.client import Client
 from gingervane.experiments.listing import ConsulListing, Row
 from gingervane.experiments.toml_text import toml
+from gingervane.fronts.client import Client
+from gingervane.membership.consul_polling import Backoff
+from gingervane.membership.consul_watcher import ConsulService, create_watchers
 from gingervane.membership.mass_removal_guard import MassRemovalGuard
 from gingervane.membership.source_owner import EndpointSources
 from gingervane.membership.view import Member
-from gingervane.membership.consul_watcher import ConsulService, create_watchers
 from gingervane.wire.remote_read import Match, Matcher, Query
-from gingervane.membership.consul_polling import Backoff
 
 NODES = 150
 WORKERS = 6  # processes that the co-ordinators' watchers are spread over
--- a/benchmarks/throughput.py
+++ b/benchmarks/throughput.py
@@ -14,8 +14,8 @@
 
 from common import Fleet, closed_loop, machine
 
-from gingervane.fronts.client import Client
 from gingervane.fake_servers.capacity import Model
+from gingervane.fronts.client import Client
 from gingervane.wire.remote_read import Match, Matcher, Query
 
 END = 1_764_600_000_000
--- a/benchmarks/tree.py
+++ b/benchmarks/tree.py
@@ -11,9 +11,9 @@
 
 from common import machine
 
-from gingervane.settings.daemon_settings import validate
 from gingervane.experiments.scenario_runner import ScenarioRun
 from gingervane.scenarios.scenario import Scenario
+from gingervane.settings.daemon_settings import validate
 
 SECONDS, RATE = 10.0, 3.0
 
--- a/benchmarks/vectors.py
+++ b/benchmarks/vectors.py
@@ -20,19 +20,19 @@
 import orjson
 from common import Fleet, closed_loop, machine
 
-from gingervane.writes.write_ahead_log import WriteAheadLog, encode_frame
-from gingervane.writes.idempotency import IdempotencyRecords, IdempotencyLimits
-from gingervane.fronts.client import Client
 from gingervane.experiments.listing import FileListing, Row
 from gingervane.fake_servers.capacity import Model
-from gingervane.writes.quorum_writes import restore_records
-from gingervane.writes.version_clock import VersionClock
+from gingervane.fronts.client import Client
 from gingervane.vectors.points import order_of, shard_of
 from gingervane.vectors.topk import merge_hits
 from gingervane.wire import http1
 from gingervane.wire.http1 import Limits as WireLimits
 from gingervane.wire.pool import Pool, exchange
 from gingervane.wire.remote_read import Match, Matcher, Query
+from gingervane.writes.idempotency import IdempotencyLimits, IdempotencyRecords
+from gingervane.writes.quorum_writes import restore_records
+from gingervane.writes.version_clock import VersionClock
+from gingervane.writes.write_ahead_log import WriteAheadLog, encode_frame
 
 LOAD_SECONDS = 4.0  # of each closed loop
 APPEND_SECONDS = 3.0  # for each number of writers
--- a/gingervane/cli/main.py
+++ b/gingervane/cli/main.py
@@ -165,8 +165,8 @@
 ) -> NoReturn:
     """Play a scenario; `notice` is written once the scenario has been read: bad input gets its error alone."""
     from gingervane.experiments import bench_day_import, report
-    from gingervane.scenarios import scenario as scenarios
     from gingervane.experiments.scenario_runner import ScenarioRun, ScenarioRunError
+    from gingervane.scenarios import scenario as scenarios
 
     if (scenario is None) == (from_day is None):
         raise click.UsageError("give a SCENARIO or --from-day, one of the two")
--- a/gingervane/coordinator/types.py
+++ b/gingervane/coordinator/types.py
@@ -11,7 +11,6 @@
 
 from gingervane import interface as api
 
-
 # Seconds after its decision by which a retry or hedged request must have been sent, the last byte of its frame
 # included. The decision module knows it and keeps its budgets and windows tighter by as much, as they hold for what
 # leaves the sockets.
--- a/gingervane/daemon/app.py
+++ b/gingervane/daemon/app.py
@@ -19,17 +19,15 @@
 from gingervane.daemon.observers import CoordinatorObserver, VectorObserver
 from gingervane.daemon.status_pages import StatusPages
 from gingervane.fronts.http_server import Exchange, Reply
-from gingervane.fronts.routing import Front, Router
-from gingervane.fronts.routing import FrontQueryClass
-from gingervane.membership.service import MembershipService
-from gingervane.membership.service import RingSizes
+from gingervane.fronts.routing import Front, FrontQueryClass, Router
+from gingervane.membership.service import MembershipService, RingSizes
 from gingervane.settings.daemon_settings import Config
 from gingervane.telemetry import daemon_log
 from gingervane.telemetry.daemon_metrics import Metrics
+from gingervane.telemetry.events import LogEvent
 from gingervane.tree import plan
 from gingervane.vectors.service import VectorService
 from gingervane.wire.http1 import Request
-from gingervane.telemetry.events import LogEvent
 
 _NO_ENDPOINTS = "no server list has come yet"  # why queries are rejected until then
 _BROKEN_POLL = 0.2  # seconds between two looks for a core that broke
--- a/gingervane/daemon/assembly.py
+++ b/gingervane/daemon/assembly.py
@@ -2,14 +2,13 @@
 
 from __future__ import annotations
 
-from gingervane.coordinator.core import CoordinatorFactory, QueryCoordinator
 from gingervane.coordinator.admission import AdmissionLimits
+from gingervane.coordinator.core import CoordinatorFactory, QueryCoordinator
 from gingervane.coordinator.request_senders import SenderLimits
 from gingervane.fronts import remote_read
 from gingervane.fronts.http_server import Handler, HttpServer, ServerLimits
-from gingervane.fronts.remote_read import RemoteReadFront
 from gingervane.fronts.read_request import FrontLimits
-from gingervane.fronts.remote_read import TreeConfig
+from gingervane.fronts.remote_read import RemoteReadFront, TreeConfig
 from gingervane.fronts.routing import FrontQueryClass
 from gingervane.fronts.shard_matching import ShardIndex
 from gingervane.limits.concurrency_limit import ConcurrencyLimit
--- a/gingervane/emulator/coordinator.py
+++ b/gingervane/emulator/coordinator.py
@@ -22,9 +22,8 @@
 from gingervane.emulator.node import SimNode
 from gingervane.emulator.processor import Processor
 from gingervane.emulator.senders import SimSenders
-from gingervane.membership.view import Member
+from gingervane.membership.view import EndpointView, Member
 from gingervane.settings.daemon_settings import Config
-from gingervane.membership.view import EndpointView
 
 _RESULT_BYTES = 1000  # size of every part's result, for the limit on results in memory
 
--- a/gingervane/experiments/fault_mutants.py
+++ b/gingervane/experiments/fault_mutants.py
@@ -12,10 +12,10 @@
 from gingervane.coordinator import driver as driving
 from gingervane.coordinator import types as t
 from gingervane.decisions.outlier_ejection import OutlierDetector
+from gingervane.fronts.read_reply import ReadReplyEncoder
 from gingervane.membership.endpoint_file import FileWatcher
 from gingervane.membership.source_owner import EndpointSources
 from gingervane.settings.daemon_settings import Config
-from gingervane.fronts.read_reply import ReadReplyEncoder
 
 
 def _settings(change: Callable[[api.Settings], api.Settings]) -> None:
--- a/gingervane/fake_servers/vector_shard.py
+++ b/gingervane/fake_servers/vector_shard.py
@@ -9,8 +9,8 @@
 import numpy as np
 import orjson
 
-from gingervane.vectors.points import Collection, order_of
 from gingervane.vectors.filters import matches_filter
+from gingervane.vectors.points import Collection, order_of
 
 Stored = dict[str, Any]  # id, version, ops (additions since the last upsert), vector, payload, deleted
 
--- a/gingervane/fake_servers/vectors.py
+++ b/gingervane/fake_servers/vectors.py
@@ -17,17 +17,14 @@
 import orjson
 
 from gingervane.fake_servers.capacity import Model
+from gingervane.fake_servers.fake_server import DEFAULT_MODEL, QUEUE_FULL_FIELDS, FakeServer
+from gingervane.fake_servers.faults import Fault
+from gingervane.fake_servers.process import ServerOrders, serve
+from gingervane.fake_servers.recorder import Recorder
+from gingervane.fake_servers.vector_shard import Shard, rank
 from gingervane.vectors.points import Collection
 from gingervane.wire import http1
 from gingervane.wire.http1 import Request
-from gingervane.fake_servers.vector_shard import rank
-from gingervane.fake_servers.vector_shard import Shard
-from gingervane.fake_servers.process import ServerOrders, serve
-from gingervane.fake_servers.recorder import Recorder
-from gingervane.fake_servers.fake_server import QUEUE_FULL_FIELDS
-from gingervane.fake_servers.faults import Fault
-from gingervane.fake_servers.fake_server import FakeServer
-from gingervane.fake_servers.fake_server import DEFAULT_MODEL
 
 Operation = dict[str, Any]  # one operation of a request: its shard, kind and body
 
--- a/gingervane/fronts/remote_read.py
+++ b/gingervane/fronts/remote_read.py
@@ -26,6 +26,7 @@
 from gingervane.fronts.routing import BEGAN_HEADER, FrontQueryClass, Route, rejection
 from gingervane.fronts.shard_matching import PatternError, ShardIndex
 from gingervane.fronts.subtree_codec import SubtreeCodec
+from gingervane.limits.concurrency_limit import ConcurrencyLimit
 from gingervane.limits.fair_queue import QueueFull
 from gingervane.tree import plan
 from gingervane.tree.cost import CostModels
@@ -33,7 +34,6 @@
 from gingervane.tree.wide_query import CompletionRules, WideQuery
 from gingervane.tree.wide_query_runner import RunnerConfig, WideQueryRunner, leaf_results
 from gingervane.wire.http1 import HttpError, Request
-from gingervane.limits.concurrency_limit import ConcurrencyLimit
 
 NAME = "remote_read"
 _NO_TREE = plan.TreeLimits(fan_out=1 << 30, levels=16, ring_size=1, placement_width=1, leaf_attempts=16)
--- a/gingervane/node/service.py
+++ b/gingervane/node/service.py
@@ -15,18 +15,21 @@
 from pathlib import Path
 
 from gingervane.coordinator import types as t
-from gingervane.coordinator.core import QueryCoordinator
 from gingervane.coordinator.admission import AdmissionLimits
+from gingervane.coordinator.core import QueryCoordinator
 from gingervane.coordinator.ports import ClusterPorts
 from gingervane.coordinator.replica_start_times import ReplicaStartTimes
 from gingervane.decisions.engine import DecisionEngine
 from gingervane.fronts.http_server import HttpServer, ServerLimits
 from gingervane.node import config as configuration
 from gingervane.node.client_front import ClientFront
-from gingervane.node.config import ConfigError
+from gingervane.node.config import ConfigError, NodeConfig
 from gingervane.node.descriptor_budget import DescriptorBudget, divide_descriptors
+from gingervane.node.discovery import DiscoveryWatch
+from gingervane.node.endpoint_list import EndpointListError, EndpointListReader
 from gingervane.node.peer_socket import PeerSocket
 from gingervane.node.query_log import QueryLog
+from gingervane.node.replica_connection_types import ReplicaConnectionClosed, ReplicaConnectionLimits
 from gingervane.node.replica_connections import ReplicaConnections
 from gingervane.node.settings_log import log_settings
 from gingervane.telemetry.events import LogEvent
@@ -34,12 +37,6 @@
 from gingervane.telemetry.node_telemetry import Telemetry
 from gingervane.wire.http1 import Limits
 from gingervane.wire.socket_recorder import SOCKET_RECORDER
-from gingervane.node.replica_connection_types import ReplicaConnectionLimits
-from gingervane.node.replica_connection_types import ReplicaConnectionClosed
-from gingervane.node.config import NodeConfig
-from gingervane.node.endpoint_list import EndpointListReader
-from gingervane.node.endpoint_list import EndpointListError
-from gingervane.node.discovery import DiscoveryWatch
 
 # SIGKILL comes no sooner than `KILL_DELAY` after SIGTERM, plus the longest deadline of a query class, of which no
 # more than `MAX_COUNTED_DEADLINE` counts.
--- a/gingervane/scenarios/scenario.py
+++ b/gingervane/scenarios/scenario.py
@@ -23,11 +23,7 @@
 from gingervane.fake_servers.faults import KINDS, Fault
 from gingervane.scenarios.coordinator_settings import ReplicaRing, coordinator_table
 from gingervane.settings.daemon_settings import SettingsError, validate
-from gingervane.settings.tables import Class
-from gingervane.settings.tables import Count
-from gingervane.settings.tables import Seconds
-from gingervane.settings.tables import Share
-from gingervane.settings.tables import Table
+from gingervane.settings.tables import Class, Count, Seconds, Share, Table
 
 OWN_KINDS = {"burst", "drain", "coordinator_kill", "coordinator_stall", "coordinator_drain", "agent_fault"}
 MAX_PAUSE = 2.0  # seconds of one pause of a co-ordinator
--- a/gingervane/tree/wide_query_runner.py
+++ b/gingervane/tree/wide_query_runner.py
@@ -14,10 +14,9 @@
 from typing import Any, NamedTuple
 
 from gingervane.coordinator import types as t
-from gingervane.coordinator.core import QueryCoordinator
-from gingervane.coordinator.pending_queries import PendingQuery
 from gingervane.coordinator.admission import Rejected
-from gingervane.coordinator.pending_queries import ResultQueue
+from gingervane.coordinator.core import QueryCoordinator
+from gingervane.coordinator.pending_queries import PendingQuery, ResultQueue
 from gingervane.tree.subquery_context import LeafSubquery, SubqueryContext, SubtreeQuery, SubtreeResult
 from gingervane.tree.wide_query import (
     Action,
--- a/gingervane/vectors/front.py
+++ b/gingervane/vectors/front.py
@@ -13,8 +13,7 @@
 
 from gingervane.coordinator.dispatch import QueryDispatcher
 from gingervane.fronts.http_server import Exchange, Reply
-from gingervane.fronts.routing import Route
-from gingervane.fronts.routing import FrontQueryClass
+from gingervane.fronts.routing import FrontQueryClass, Route
 from gingervane.limits.concurrency_limit import ConcurrencyLimit
 from gingervane.limits.fair_queue import QueueFull
 from gingervane.vectors.points import Collection, RequestError
--- a/gingervane/vectors/request_context.py
+++ b/gingervane/vectors/request_context.py
@@ -7,8 +7,7 @@
 from urllib.parse import parse_qsl
 
 from gingervane.fronts.http_server import Exchange, Reply
-from gingervane.fronts.routing import duration, flag
-from gingervane.fronts.routing import FrontQueryClass
+from gingervane.fronts.routing import FrontQueryClass, duration, flag
 from gingervane.vectors.points import Collection
 from gingervane.vectors.requests import RequestLimits
 from gingervane.wire.http1 import HttpError, Request
--- a/gingervane/vectors/search_handler.py
+++ b/gingervane/vectors/search_handler.py
@@ -12,8 +12,7 @@
 from gingervane.coordinator.admission import Rejected
 from gingervane.coordinator.dispatch import DispatchResult, QueryDispatcher, QueryRequest
 from gingervane.fronts.http_server import Exchange, Reply
-from gingervane.fronts.routing import coverage_fields
-from gingervane.fronts.routing import FrontQueryClass
+from gingervane.fronts.routing import FrontQueryClass, coverage_fields
 from gingervane.limits.concurrency_limit import ConcurrencyLimit
 from gingervane.vectors.codec import SearchCodec, ShardHits, ShardSearch
 from gingervane.vectors.points import Collection
--- a/gingervane/vectors/service.py
+++ b/gingervane/vectors/service.py
@@ -11,7 +11,7 @@
 from gingervane.coordinator.ports import QueryObserver
 from gingervane.fronts.routing import FrontQueryClass
 from gingervane.limits.concurrency_limit import ConcurrencyLimit
-from gingervane.membership.service import MembershipService
+from gingervane.membership.service import MembershipService, RingSizes
 from gingervane.settings.daemon_settings import Config
 from gingervane.settings.tables import Vectors
 from gingervane.vectors.front import VectorFront
@@ -21,7 +21,6 @@
 from gingervane.vectors.requests import RequestLimits
 from gingervane.writes.missed_writes import RepairBudget
 from gingervane.writes.replicated_shards import IdempotencySettings, ReplicatedShards, ReplicationSettings
-from gingervane.membership.service import RingSizes
 
 _SEED_OFFSET = 7  # of the engines, against those of the daemon's other coordinators
 
--- a/gingervane/vectors/write_handler.py
+++ b/gingervane/vectors/write_handler.py
@@ -13,8 +13,7 @@
 import orjson
 
 from gingervane.fronts.http_server import Reply
-from gingervane.fronts.routing import flag
-from gingervane.fronts.routing import FrontQueryClass
+from gingervane.fronts.routing import FrontQueryClass, flag
 from gingervane.vectors.codec import KEY_HEADER, ShardWrite, WriteCodec
 from gingervane.vectors.points import Collection, RequestError
 from gingervane.vectors.replies import error_reply, failure_reply, rejection_reply, result_reply
--- a/gingervane/writes/replicated_shards.py
+++ b/gingervane/writes/replicated_shards.py
@@ -17,8 +17,8 @@
 from gingervane.coordinator import types as t
 from gingervane.coordinator.boot_clock import seconds as boot_seconds
 from gingervane.coordinator.core import QueryCoordinator
-from gingervane.coordinator.ports import QueryObserver
 from gingervane.coordinator.dispatch import QueryDispatcher
+from gingervane.coordinator.ports import QueryObserver
 from gingervane.writes.idempotency import IdempotencyLimits, IdempotencyRecords
 from gingervane.writes.missed_writes import MissedWrites, RepairBudget, ShardKey
 from gingervane.writes.quorum_writes import QuorumWrites, restore_records
--- a/gingervane/writes/write_replication.py
+++ b/gingervane/writes/write_replication.py
@@ -17,10 +17,9 @@
 
 from gingervane import interface as api
 from gingervane.coordinator import types as t
-from gingervane.coordinator.pending_queries import PendingQuery
 from gingervane.coordinator.admission import Rejected
-from gingervane.coordinator.pending_queries import ResultQueue
 from gingervane.coordinator.dispatch import QueryDispatcher
+from gingervane.coordinator.pending_queries import PendingQuery, ResultQueue
 from gingervane.writes.idempotency import KeyAction, WriteState
 from gingervane.writes.missed_writes import ShardKey
 from gingervane.writes.shard_placement import MAX_CELLS, ShardPlacement
--- a/tests/faults/proxy.py
+++ b/tests/faults/proxy.py
@@ -18,7 +18,6 @@
 from faults.ledger import AnswerForwarded, Ledger, PartReceived
 from faults.plans import ProxyFaults
 
-
 _TIMESTAMPS = 35  # SO_TIMESTAMPNS and SCM_TIMESTAMPNS of Linux; the socket module has no name for them
 _TIMESPEC = struct.Struct("qq")
 
--- a/tests/faults/rig.py
+++ b/tests/faults/rig.py
@@ -25,14 +25,15 @@
 from functools import partial
 from pathlib import Path
 
-from faults.judge import Violation, RuleChecker
+from platform_fakes import Discovery
+from ports import ReservedPort
+
+from faults.judge import RuleChecker, Violation
 from faults.ledger import Ledger, Request
 from faults.plans import Plan, draw
 from faults.processor_time import processor_times, stolen_share
 from faults.proxy import Proxy, receive, reset, stamp
 from faults.replicas import Alarm, Replica
-from platform_fakes import Discovery
-from ports import ReservedPort
 
 ROOT = Path(__file__).parents[2]
 CLIENTS = 12  # of each node
--- a/tests/recordings/driver_codec.py
+++ b/tests/recordings/driver_codec.py
@@ -19,8 +19,8 @@
 
 from gingervane import interface as api
 from gingervane.coordinator import types as t
-from gingervane.coordinator.driver import Driver
 from gingervane.coordinator.attempt_outcome import ExchangePhase
+from gingervane.coordinator.driver import Driver
 from gingervane.decisions.engine import DecisionEngine
 
 from .values import field_values, member_at, member_position
--- a/tests/recordings/driver_host.py
+++ b/tests/recordings/driver_host.py
@@ -10,9 +10,10 @@
 from math import inf
 from typing import Any
 
+from hosts import BASE, query_class, replica
+
 from gingervane import interface as api
 from gingervane.coordinator import types as t
-from hosts import BASE, query_class, replica
 from recordings import driver_codec as codec
 from recordings.driver_codec import Operation, RecordedExchange, RecordedSettled, Session
 
--- a/tests/recordings/driver_tools.py
+++ b/tests/recordings/driver_tools.py
@@ -13,13 +13,13 @@
 from gingervane import interface as api
 from gingervane.coordinator import attempt_outcome
 from gingervane.coordinator import types as t
-from gingervane.coordinator.retry_after import RetryAfterEstimate
 from gingervane.coordinator.admission import Admission, AdmissionLimits, Rejected
-from gingervane.writes.shard_placement import ShardPlacement
-from gingervane.coordinator.response_time_reserve import ResponseTimeReserve
 from gingervane.coordinator.process_pause import ProcessPauseDetector
 from gingervane.coordinator.replica_start_times import ReplicaStartTimes
+from gingervane.coordinator.response_time_reserve import ResponseTimeReserve
+from gingervane.coordinator.retry_after import RetryAfterEstimate
 from gingervane.coordinator.timers import HeapTimers, WheelTimers
+from gingervane.writes.shard_placement import ShardPlacement
 from recordings.driver_codec import RAISED, RecordedExchange, decode, encode
 
 
--- a/tests/recordings/record_driver.py
+++ b/tests/recordings/record_driver.py
@@ -20,9 +20,10 @@
 from pathlib import Path
 from typing import Any
 
+from hosts import query_class, replica
+
 from gingervane import interface as api
 from gingervane.coordinator import types as t
-from hosts import query_class, replica
 from recordings import driver_codec as codec
 from recordings.driver_codec import RecordedExchange, RecordedSettled, Session
 from recordings.driver_host import (
--- a/tests/recordings/scenarios.py
+++ b/tests/recordings/scenarios.py
@@ -6,9 +6,10 @@
 from collections.abc import Iterator
 from math import inf
 
-from gingervane import interface as api
 from hosts import BASE
 
+from gingervane import interface as api
+
 from .simulator import START, Fault, FaultKind, Load, Scenario
 
 READY, DRAINING, GONE = api.ReplicaState.READY, api.ReplicaState.DRAINING, api.ReplicaState.GONE
--- a/tests/stored/make_fixtures.py
+++ b/tests/stored/make_fixtures.py
@@ -25,23 +25,22 @@
 
 from gingervane import interface as api
 from gingervane.coordinator import boot_clock
-from gingervane.writes.write_ahead_log import WriteAheadLog
-from gingervane.writes.idempotency import IdempotencyRecord
-from gingervane.fronts.leaf_codec import LeafQuery, RemoteReadCodec, LeafContent
-from gingervane.scenarios.scenario import Scenario, VectorDay
 from gingervane.experiments.store import Run, RunStore
-from gingervane.scenarios.fixed_points import fixed_points
-from gingervane.membership.snapshot import Snapshot
+from gingervane.fake_servers import data
+from gingervane.fronts.leaf_codec import LeafContent, LeafQuery, RemoteReadCodec
 from gingervane.membership.mass_removal_guard import MassRemovalGuard
 from gingervane.membership.reconciliation import Reconciliation
+from gingervane.membership.snapshot import Snapshot
 from gingervane.membership.source_ordering import SourceReport
-from gingervane.membership.view import Member, EndpointView
-from gingervane.fake_servers import data
+from gingervane.membership.view import EndpointView, Member
+from gingervane.scenarios.fixed_points import fixed_points
+from gingervane.scenarios.scenario import Scenario, VectorDay
 from gingervane.vectors.points import shard_of
 from gingervane.wire import snappy
 from gingervane.wire.remote_read import Match, Matcher, Query, write_query, write_response
 from gingervane.wire.socket_recorder import SocketRecorder
-from gingervane.writes.idempotency import WriteState
+from gingervane.writes.idempotency import IdempotencyRecord, WriteState
+from gingervane.writes.write_ahead_log import WriteAheadLog
 
 FOLDER = Path(__file__).parent
 BOOT = "0d6f3a52-8a1c-4a53-9b1e-fixture00001"
--- a/tests/test_answers_property.py
+++ b/tests/test_answers_property.py
@@ -9,6 +9,7 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
+from hosts import BASE, query_class, replica
 from hypothesis import settings as profile
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
@@ -17,7 +18,6 @@
 from gingervane.coordinator import types as t
 from gingervane.coordinator.driver import Driver
 from gingervane.decisions.engine import DecisionEngine
-from hosts import BASE, query_class, replica
 
 # Time passes between two turns, as for a decision thread: where latencies are zero, hedge timers are due at
 # once, and with a clock that stands still they would be due for ever.
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -10,10 +10,10 @@
 
 import pytest
 
-from gingervane.settings import daemon_settings
 from gingervane.experiments import bench_day_import
 from gingervane.experiments.scenario_runner import ScenarioRun
 from gingervane.scenarios.scenario import Scenario, load, names
+from gingervane.settings import daemon_settings
 
 DAY: dict[str, Any] = {
     "name": "small",
--- a/tests/test_audit_held.py
+++ b/tests/test_audit_held.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from gingervane.audit.records import Day
 from gingervane.audit.lost_requests import failed_late_after_pause
+from gingervane.audit.records import Day
 
 
 def day(*signals: tuple[float, int, str]) -> Day:
--- a/tests/test_connection_limits.py
+++ b/tests/test_connection_limits.py
@@ -88,8 +88,8 @@
 
 def test_descriptors_add_up_to_the_limit(tmp_path: Path) -> None:
     """Clients, those at their end, links, links at their end and the node's own are all that there can be."""
-    from gingervane.node.replica_connections import SPARE_DESCRIPTORS, ReplicaConnections
     from gingervane.node.descriptor_budget import OWN_DESCRIPTORS
+    from gingervane.node.replica_connections import SPARE_DESCRIPTORS, ReplicaConnections
 
     for sockets in (256, 1024, 4096):
         platform = Platform(tmp_path, sockets=sockets)
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -22,8 +22,8 @@
     until,
 )
 
-from gingervane.coordinator.core import QueryCoordinator
 from gingervane.coordinator.admission import Admission
+from gingervane.coordinator.core import QueryCoordinator
 from gingervane.fronts.client_connection import ClientConnection, NextStep
 from gingervane.fronts.connections import MAX_CLOSING, MAX_DISCARDED_BYTES, ConnectionManager
 from gingervane.fronts.http_server import HttpServer
--- a/tests/test_consul.py
+++ b/tests/test_consul.py
@@ -10,20 +10,19 @@
 
 import consul as published  # a client library that others wrote
 import pytest
+from test_hard_cases import ask, told_away
 
 from gingervane import interface as api
 from gingervane.coordinator.types import EndpointsUpdated
 from gingervane.experiments.embedded import ZONES, Embedded
+from gingervane.fake_servers.consul import Agent
+from gingervane.fake_servers.consul_catalogue import Catalogue
 from gingervane.membership.consul_polling import Backoff
-from gingervane.membership.snapshot import Snapshot
+from gingervane.membership.consul_watcher import ConsulService, ConsulWatcher
+from gingervane.membership.consul_watcher import create_watchers as watchers_of
 from gingervane.membership.mass_removal_guard import MassRemovalGuard
+from gingervane.membership.snapshot import Snapshot
 from gingervane.membership.source_owner import EndpointSources
-from gingervane.membership.consul_watcher import ConsulWatcher
-from gingervane.membership.consul_watcher import create_watchers as watchers_of
-from gingervane.fake_servers.consul import Agent
-from gingervane.fake_servers.consul_catalogue import Catalogue
-from test_hard_cases import ask, told_away
-from gingervane.membership.consul_watcher import ConsulService
 
 READY, DRAINING, GONE = api.ReplicaState.READY, api.ReplicaState.DRAINING, api.ReplicaState.GONE
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -33,12 +33,12 @@
 from gingervane.decisions.engine import DecisionEngine
 from gingervane.interface import AttemptOutcome, RetrySafety
 from gingervane.node import config as configuration
+from gingervane.node.query_log import QueryLog
 from gingervane.node.replica_connection import ReplicaConnection
 from gingervane.node.replica_connection_types import FrameCodec, ReplicaConnectionLimits
 from gingervane.node.replica_connections import ReplicaConnections
 from gingervane.node.reply_reader import ReplyReader
 from gingervane.wire.frames import SubqueryRequest
-from gingervane.node.query_log import QueryLog
 
 
 def with_limits(**changes: object) -> dict[str, Any]:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -14,13 +14,6 @@
 from typing import Any
 
 import pytest
-
-from gingervane import interface as api
-from gingervane.coordinator import types as t
-from gingervane.node import discovery
-from gingervane.node.discovery import DiscoveryWatch, WatchState
-from gingervane.node.endpoint_list import EndpointListReader
-from gingervane.coordinator.replica_start_times import ReplicaStartTimes
 from platform_fakes import (
     HEAD,
     NO_LENGTH,
@@ -37,6 +30,13 @@
     until,
 )
 
+from gingervane import interface as api
+from gingervane.coordinator import types as t
+from gingervane.coordinator.replica_start_times import ReplicaStartTimes
+from gingervane.node import discovery
+from gingervane.node.discovery import DiscoveryWatch, WatchState
+from gingervane.node.endpoint_list import EndpointListReader
+
 
 def entry(health: str = "SERVING") -> dict[str, Any]:
     return {
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -7,17 +7,17 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
+from hosts import BASE, query_class, replica
 from hypothesis import settings as profile
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from gingervane import interface as api
 from gingervane.coordinator import types as t
-from gingervane.coordinator.retry_after import RetryAfterEstimate
-from gingervane.coordinator.process_pause import ProcessPauseDetector
 from gingervane.coordinator.driver import Driver
+from gingervane.coordinator.process_pause import ProcessPauseDetector
+from gingervane.coordinator.retry_after import RetryAfterEstimate
 from gingervane.decisions.engine import DecisionEngine
-from hosts import BASE, query_class, replica
 
 ENDINGS = [o for o in api.AttemptOutcome if o is not api.AttemptOutcome.CANCELLED]
 CLASSES = (
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -10,16 +10,16 @@
 
 import pytest
 from click.testing import CliRunner
+from test_audit import DAY, RULES
 
 from gingervane.cli.main import main
-from gingervane.settings import daemon_settings
 from gingervane.emulator.events import Clock
 from gingervane.emulator.world import World, emulate
 from gingervane.experiments import experiment as experiments
 from gingervane.experiments import figures
-from gingervane.scenarios.scenario import Scenario, load
 from gingervane.experiments.store import RunStore, StoreBusy
-from test_audit import DAY, RULES
+from gingervane.scenarios.scenario import Scenario, load
+from gingervane.settings import daemon_settings
 
 
 def small(**changes: Any) -> Scenario:
@@ -72,8 +72,8 @@
 
 @pytest.mark.parametrize("rule", ["drain", "budget", "cold"])
 def test_a_broken_rule_is_seen_in_simulated_time(rule: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    from gingervane.settings.daemon_settings import Config
     from gingervane.emulator import coordinator
+    from gingervane.settings.daemon_settings import Config
 
     if rule == "drain":
         listed = coordinator.SimCoordinator.endpoints_updated
--- a/tests/test_endpoint_entries.py
+++ b/tests/test_endpoint_entries.py
@@ -12,8 +12,7 @@
 
 from gingervane import interface as api
 from gingervane.coordinator.replica_start_times import ReplicaStartTimes
-from gingervane.node.endpoint_list import replica_id
-from gingervane.node.endpoint_list import EndpointListReader
+from gingervane.node.endpoint_list import EndpointListReader, replica_id
 
 
 def test_replicas_have_the_same_numbers_everywhere_and_bad_entries_are_skipped() -> None:
--- a/tests/test_incident_partial.py
+++ b/tests/test_incident_partial.py
@@ -17,13 +17,8 @@
 from typing import Any
 
 import pytest
-
 from faults.plans import draw
 from faults.rig import play
-from gingervane import interface as api
-from gingervane.coordinator import types as t
-from gingervane.coordinator.driver import Driver
-from gingervane.decisions.engine import DecisionEngine
 from hosts import BASE, query_class, replica
 from platform_fakes import (
     PATIENCE,
@@ -40,6 +35,11 @@
     start_node,
 )
 
+from gingervane import interface as api
+from gingervane.coordinator import types as t
+from gingervane.coordinator.driver import Driver
+from gingervane.decisions.engine import DecisionEngine
+
 ROOT = Path(__file__).parents[1]
 AIM = 0.4  # seconds, the latency objective
 ROUNDS = 6  # a new node each, which has learned no delays that would have it shed load
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -14,17 +14,17 @@
 
 from gingervane import interface as api
 from gingervane.membership.consul import (
-    ConsulError,
     ConsistencyMode,
+    ConsulError,
     EntryFieldNames,
     EntryReader,
     health_query_path,
 )
-from gingervane.membership.consul_polling import BlockingQueryState, Backoff, assign_agents
+from gingervane.membership.consul_polling import Backoff, BlockingQueryState, assign_agents
 from gingervane.membership.mass_removal_guard import MassRemovalGuard
 from gingervane.membership.reconciliation import Reconciliation
-from gingervane.membership.source_ordering import SourceReport
 from gingervane.membership.registration import Registration, RegistrationCall
+from gingervane.membership.source_ordering import SourceReport
 from gingervane.membership.view import Member
 
 READY, DRAINING, GONE = api.ReplicaState.READY, api.ReplicaState.DRAINING, api.ReplicaState.GONE
--- a/tests/test_pinned_forms.py
+++ b/tests/test_pinned_forms.py
@@ -20,21 +20,21 @@
 
 import click
 import pytest
+from platform_fakes import PATIENCE, ROOT
 
 from gingervane import startup
 from gingervane.cli.main import main
-from gingervane.settings import daemon_settings
-from gingervane.fronts.client import Client
 from gingervane.experiments import experiment
-from gingervane.scenarios import scenario
 from gingervane.experiments.embedded import ZONES, config_table
-from gingervane.scenarios.scenario import Scenario
 from gingervane.experiments.toml_text import toml
-from gingervane.node import config as node_config
 from gingervane.fake_servers.node import FakeGrid
 from gingervane.fake_servers.recorder import Recorder
+from gingervane.fronts.client import Client
+from gingervane.node import config as node_config
+from gingervane.scenarios import scenario
+from gingervane.scenarios.scenario import Scenario
+from gingervane.settings import daemon_settings
 from gingervane.wire.remote_read import Match, Matcher, Query
-from platform_fakes import PATIENCE, ROOT
 
 # ---- the daemon's settings
 
--- a/tests/test_pinned_wire.py
+++ b/tests/test_pinned_wire.py
@@ -19,33 +19,33 @@
 from typing import Any, NamedTuple
 
 import pytest
+from decision_helpers import part_of
+from hosts import BASE, Host
+from platform_fakes import PATIENCE, Platform, Replica, Waiter
 from prometheus_client.parser import text_string_to_metric_families
 
 from gingervane import benchlink
 from gingervane import interface as api
 from gingervane.coordinator.types import InvalidReply
+from gingervane.experiments.embedded import Embedded
+from gingervane.fake_servers.vectors import VectorGrid
 from gingervane.fronts import subtree_codec
-from gingervane.fronts.routing import coverage_fields, duration, flag, rejection
 from gingervane.fronts.http_server import Exchange, HttpServer, Reply, ServerLimits, plain
-from gingervane.fronts.leaf_codec import LeafQuery, RemoteReadCodec, LeafContent
-from gingervane.experiments.embedded import Embedded
+from gingervane.fronts.leaf_codec import LeafContent, LeafQuery, RemoteReadCodec
+from gingervane.fronts.routing import coverage_fields, duration, flag, rejection
 from gingervane.membership import consul
-from gingervane.membership.consul_polling import Backoff
-from gingervane.membership.registration import ServiceEntry, Registrar
 from gingervane.membership.consul_http import get
+from gingervane.membership.consul_polling import Backoff
+from gingervane.membership.registration import Registrar, ServiceEntry
 from gingervane.node.endpoint_list import replica_id
-from gingervane.fake_servers.vectors import VectorGrid
 from gingervane.tree import coverage
-from gingervane.tree.subquery_context import SubtreeQuery, SubqueryContext
-from gingervane.vectors.points import Collection, shard_of
+from gingervane.tree.subquery_context import SubqueryContext, SubtreeQuery
 from gingervane.vectors.codec import SearchCodec, ShardSearch, ShardWrite, WriteCodec
+from gingervane.vectors.points import Collection, shard_of
 from gingervane.wire import frames, http1, remote_read, snappy
 from gingervane.wire.http1 import Headers, Limits, Request
 from gingervane.wire.pool import Pool
 from gingervane.wire.remote_read import Match, Matcher, Query
-from hosts import BASE, Host
-from platform_fakes import PATIENCE, Platform, Replica, Waiter
-from decision_helpers import part_of
 
 
 def plainly(value: Any) -> Any:
--- a/tests/test_recorded_driver.py
+++ b/tests/test_recorded_driver.py
@@ -7,13 +7,13 @@
 from typing import Any
 
 import pytest
-
-from gingervane import interface as api
-from gingervane.coordinator import types as t
 from recordings import driver_codec as codec
 from recordings.driver_codec import Batch, Session
 from recordings.driver_tools import TOOLS, Use
 
+from gingervane import interface as api
+from gingervane.coordinator import types as t
+
 TOOLS_FIXTURE = codec.DIRECTORY / "driver-tools.json.gz"
 FIXTURES = sorted(set(codec.DIRECTORY.glob("driver-*.json.gz")) - {TOOLS_FIXTURE})
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -9,9 +9,9 @@
 import pytest
 
 from gingervane import interface as api
-from gingervane.settings import daemon_settings
 from gingervane.membership.endpoint_file import EndpointFileError, parse
-from gingervane.membership.view import Member, EndpointView
+from gingervane.membership.view import EndpointView, Member
+from gingervane.settings import daemon_settings
 
 GOOD = """
 [shards]
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -15,28 +15,28 @@
 from pathlib import Path
 
 import pytest
+from test_consul import eventually
+from test_membership import member
 
 from gingervane import interface as api
 from gingervane.coordinator.types import EndpointsUpdated
-from gingervane.membership.snapshot import Snapshot
-from gingervane.membership.endpoint_file import EndpointFileError
-from gingervane.membership.mass_removal_guard import MassRemovalGuard
-from gingervane.membership.reconciliation import Reconciliation
-from gingervane.membership.source_ordering import SourceReport
-from gingervane.membership.source_owner import EndpointSources
 from gingervane.membership.atomic_file import (
     WRITE_CHUNK_BYTES,
+    AtomicFile,
     Disk,
     NewerVersionError,
-    WriteSchedule,
-    AtomicFile,
     StoreError,
+    WriteSchedule,
     frame,
     parse,
 )
-from gingervane.membership.view import Member, EndpointView
-from test_consul import eventually
-from test_membership import member
+from gingervane.membership.endpoint_file import EndpointFileError
+from gingervane.membership.mass_removal_guard import MassRemovalGuard
+from gingervane.membership.reconciliation import Reconciliation
+from gingervane.membership.snapshot import Snapshot
+from gingervane.membership.source_ordering import SourceReport
+from gingervane.membership.source_owner import EndpointSources
+from gingervane.membership.view import EndpointView, Member
 
 OLD, NEW = b"old" * 5, random.Random(3).randbytes(3 * WRITE_CHUNK_BYTES + 99)
 OPS = ("create", "write", "write", "write", "write", "fsync", "close", "rename", "fsync_directory")
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -8,7 +8,7 @@
 
 from gingervane import interface as api
 from gingervane.coordinator.replica_start_times import LISTING_LAG, ReplicaStartTimes
-from gingervane.membership.view import Member, EndpointView
+from gingervane.membership.view import EndpointView, Member
 
 HOUR = 3600.0
 
--- a/tests/test_stored_files.py
+++ b/tests/test_stored_files.py
@@ -20,24 +20,24 @@
 from gingervane import interface as api
 from gingervane.audit import day_reader, effects, rules
 from gingervane.coordinator import boot_clock
-from gingervane.writes import write_ahead_log
-from gingervane.writes.write_ahead_log import WriteAheadLog
-from gingervane.writes.idempotency import (
-    KeyAction,
-    IdempotencyRecord,
-    IdempotencyRecords,
-    IdempotencyLimits,
-    WriteState,
-)
 from gingervane.experiments.figures import compare, table
 from gingervane.experiments.store import Run, RunStore
 from gingervane.membership import endpoint_file
-from gingervane.membership.snapshot import Snapshot
+from gingervane.membership.atomic_file import NewerVersionError
 from gingervane.membership.mass_removal_guard import MassRemovalGuard
 from gingervane.membership.reconciliation import Reconciliation
-from gingervane.membership.atomic_file import NewerVersionError
-from gingervane.membership.view import Member, EndpointView
+from gingervane.membership.snapshot import Snapshot
+from gingervane.membership.view import EndpointView, Member
 from gingervane.wire.socket_recorder import SocketRecorder
+from gingervane.writes import write_ahead_log
+from gingervane.writes.idempotency import (
+    IdempotencyLimits,
+    IdempotencyRecord,
+    IdempotencyRecords,
+    KeyAction,
+    WriteState,
+)
+from gingervane.writes.write_ahead_log import WriteAheadLog
 
 STORED = Path(__file__).parent / "stored"
 
--- a/tests/test_telemetry.py
+++ b/tests/test_telemetry.py
@@ -17,12 +17,10 @@
 
 from gingervane import interface as api
 from gingervane.telemetry import daemon_log, log_handler
-from gingervane.telemetry.node_telemetry import Telemetry
-from gingervane.telemetry.log_handler import RATE_LIMIT_BURST
-from gingervane.telemetry.log_handler import MAX_QUEUED_LINES
-from gingervane.telemetry.events import LogEvent
-from gingervane.telemetry.log_handler import EventRateLimiter
 from gingervane.telemetry.counters import Counters
+from gingervane.telemetry.events import LogEvent
+from gingervane.telemetry.log_handler import MAX_QUEUED_LINES, RATE_LIMIT_BURST, EventRateLimiter
+from gingervane.telemetry.node_telemetry import Telemetry
 
 ROOT = Path(__file__).parents[1]
 LINE = re.compile(
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -43,10 +43,7 @@
 from gingervane.wire import local_failures
 from gingervane.wire.frames import SubqueryRequest
 from gingervane.wire.http1 import Request
-from gingervane.writes.idempotency import IdempotencyRecords
-from gingervane.writes.idempotency import WriteState
-from gingervane.writes.idempotency import KeyAction
-from gingervane.writes.idempotency import IdempotencyLimits
+from gingervane.writes.idempotency import IdempotencyLimits, IdempotencyRecords, KeyAction, WriteState
 
 LIMITS = ReplicaConnectionLimits(
     streams=8, max_connections=4, idle_timeout=PATIENCE, connect_timeout=PATIENCE
--- a/tests/test_toy_front.py
+++ b/tests/test_toy_front.py
@@ -10,8 +10,8 @@
 
 from gingervane import interface as api
 from gingervane.coordinator import types as t
-from gingervane.coordinator.core import QueryCoordinator
 from gingervane.coordinator.admission import AdmissionLimits
+from gingervane.coordinator.core import QueryCoordinator
 from gingervane.coordinator.dispatch import QueryDispatcher, QueryRequest
 from gingervane.coordinator.request_senders import RequestSenders, SenderLimits
 from gingervane.daemon.observers import SubtreeObserver
--- a/tests/test_vectors.py
+++ b/tests/test_vectors.py
@@ -12,6 +12,8 @@
 import numpy as np
 import pytest
 from qdrant_client import QdrantClient, models
+from test_consul import eventually
+from test_hard_cases import ask
 
 from gingervane.daemon.app import App
 from gingervane.experiments.embedded import Embedded
@@ -20,8 +22,6 @@
 from gingervane.wire import http1
 from gingervane.wire.http1 import Limits
 from gingervane.wire.pool import Pool, exchange
-from test_consul import eventually
-from test_hard_cases import ask
 
 COLLECTIONS = (Collection("cos", 4, "Cosine"), Collection("far", 3, "Euclid"))
 NODES = 6
