--- a/tests/decision_helpers.py
+++ b/tests/decision_helpers.py
@@ -1,4 +1,4 @@
-"""What the tests of the decisions share."""
+"""Helpers for the tests of the decisions."""
 
 from __future__ import annotations
 
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -1,4 +1,4 @@
-"""The adapter, byte by byte."""
+"""The simulator adapter, byte by byte."""
 
 from __future__ import annotations
 
@@ -72,12 +72,12 @@
     return struct.pack("<BQHB", 1, 1, number, form)
 
 
-def item(call: int, shard: float, query: float, heft: float) -> bytes:
-    return struct.pack("<BQffHfHQIdd", 2, call, shard, query, 0, heft, 0, 0, 0, 16.0, 0.0)
+def work_item(item_id: int, shard: float, query: float, weight: float) -> bytes:
+    return struct.pack("<BQffHfHQIdd", 2, item_id, shard, query, 0, weight, 0, 0, 0, 16.0, 0.0)
 
 
-def result(call: int, server: int, ending: int) -> bytes:
-    return struct.pack("<BQdIBBHBf", 4, call, 0.1, server, 1, 0, ending, 1, 0.5)
+def result(item_id: int, replica: int, outcome: int) -> bytes:
+    return struct.pack("<BQdIBBHBf", 4, item_id, 0.1, replica, 1, 0, outcome, 1, 0.5)
 
 
 def run(data: bytes) -> list[tuple[int, int, bytes]]:
@@ -100,7 +100,7 @@
 
 def test_a_query_is_sent_and_answered() -> None:
     first = frame(10.0, 1, about(3), launch(), table(0, 77), endpoints(0, 2))
-    second = frame(10.1, 2, about(3), item(5, -1.0, 0.0, 1.0), item(6, 0.0, 0.0, 1.0))
+    second = frame(10.1, 2, about(3), work_item(5, -1.0, 0.0, 1.0), work_item(6, 0.0, 0.0, 1.0))
     third = frame(10.2, 3, about(3), result(6, 77, 1))
     replies = run(first + second + third)
     assert replies[0] == (0, 1, b"")
@@ -108,7 +108,7 @@
     assert struct.pack("<BQB", 76, 5, 1) in replies[2][2]
 
 
-def test_a_table_number_is_resolved_where_it_is_used() -> None:
+def test_a_table_number_refers_to_the_table_at_the_time_of_its_use() -> None:
     first = frame(
         10.0,
         1,
@@ -121,20 +121,20 @@
         table(0, 88),
         endpoints(0, 2),
     )
-    ask = [item(5, -1.0, 0.0, 1.0), item(6, 0.0, 0.0, 1.0)]
-    replies = run(first + frame(10.1, 2, about(0), *ask, about(1), *ask))
+    query_records = [work_item(5, -1.0, 0.0, 1.0), work_item(6, 0.0, 0.0, 1.0)]
+    replies = run(first + frame(10.1, 2, about(0), *query_records, about(1), *query_records))
     assert struct.pack("<BQI", 64, 6, 77) in replies[1][2] and struct.pack("<BQI", 64, 6, 88) in replies[1][2]
 
 
-def test_a_killed_instance_forgets_and_stays_silent() -> None:
+def test_a_stopped_instance_loses_its_state_and_does_not_reply() -> None:
     first = frame(10.0, 1, about(3), launch(), table(0, 77), endpoints(0, 2))
-    second = frame(10.1, 2, about(3), item(5, -1.0, 0.0, 1.0), item(6, 0.0, 0.0, 1.0))
+    second = frame(10.1, 2, about(3), work_item(5, -1.0, 0.0, 1.0), work_item(6, 0.0, 0.0, 1.0))
     third = frame(10.2, 3, about(3), struct.pack("<B", 9))
     late = frame(10.3, 4, about(3), result(6, 77, 1))
     assert run(first + second + third + late)[3] == (0, 4, b"")
 
 
-def test_an_exception_in_the_module_becomes_a_fault(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_exception_of_the_engine_becomes_a_fault_record(monkeypatch: pytest.MonkeyPatch) -> None:
     def broken(*_: object) -> list[api.Action]:
         raise IndexError("index out of range")
 
@@ -156,22 +156,22 @@
         (frame(1.0, 9, about(0), launch(), endpoints(5, 1)), "unknown table 5"),
     ],
 )
-def test_bad_input_gives_one_plain_line(data: bytes, words: str) -> None:
+def test_bad_input_gives_one_error_line(data: bytes, words: str) -> None:
     command = [sys.executable, "-m", "gingervane.benchlink"]
-    done = subprocess.run(command, input=data, cwd=ROOT, capture_output=True, check=False)
-    lines = done.stderr.decode().splitlines()
-    assert done.returncode != 0 and len(lines) == 1 and words in lines[0]
+    process = subprocess.run(command, input=data, cwd=ROOT, capture_output=True, check=False)
+    lines = process.stderr.decode().splitlines()
+    assert process.returncode != 0 and len(lines) == 1 and words in lines[0]
 
 
 def test_end_of_input_is_a_clean_exit() -> None:
-    done = subprocess.run(
+    process = subprocess.run(
         [sys.executable, "-m", "gingervane.benchlink"],
         input=frame(1.0, 1),
         cwd=ROOT,
         capture_output=True,
         check=False,
     )
-    assert done.returncode == 0 and len(done.stdout) == 12 and not done.stderr
+    assert process.returncode == 0 and len(process.stdout) == 12 and not process.stderr
 
 
 def test_optional_settings() -> None:
@@ -193,5 +193,5 @@
     )
 
 
-def test_a_word_to_all_peers() -> None:
+def test_a_message_to_all_peers() -> None:
     assert benchlink.encode(api.SendToPeers(b"hi")) == struct.pack("<BIH", 71, 2**32 - 1, 2) + b"hi"
--- a/tests/test_decisions_admission.py
+++ b/tests/test_decisions_admission.py
@@ -1,4 +1,4 @@
-"""Which queries are rejected at the present load."""
+"""Which queries admission control rejects at the present load."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 from gingervane.interface import AttemptOutcome
 
 
-def test_a_query_whose_only_holder_is_backed_up_is_refused_at_once() -> None:
+def test_a_query_whose_only_holder_is_blocked_is_rejected_at_once() -> None:
     host = Host(BASE._replace(hedging_allowed=False), replicas=1)
     host.query(0)
-    host.wait(0.8)  # more than BACKLOG of the aim of 2 s
+    host.wait(0.8)  # more than MAX_REQUEST_AGE of the objective of 2 s
     query = host.query(0)
     assert isinstance(host.ended[query], api.Reject) and not host.sends[part_of(host, query)]
 
 
-def test_overload_is_refused_before_anything_is_sent() -> None:
+def test_overload_rejects_before_any_part_is_sent() -> None:
     host = Host(replicas=6)
     host.warm_up(latency=0.4)
     for _ in range(60):
@@ -26,32 +26,32 @@
     assert isinstance(host.ended[query], api.Reject) and not host.sends[part_of(host, query)]
 
 
-def test_a_wide_query_is_refused_sooner_than_a_narrow_one() -> None:
-    """At the same mean time the slowest of twelve servers misses an aim that the slowest of two meets."""
+def test_a_wide_query_is_rejected_sooner_than_a_narrow_one() -> None:
+    """At one mean latency the slowest of twelve replicas misses an objective that the slower of two meets."""
     host = Host(BASE._replace(cell_count=12, cells_per_replica=3), replicas=12)
     host.warm_up(60, latency=0.9)
     assert isinstance(host.ended[host.query(*range(12))], api.Reject)
     assert host.query(0, 1) not in host.ended
 
 
-def test_parts_that_share_calls_are_no_wider_than_their_servers() -> None:
-    """Found on a quiet day: a query of 96 parts at 25 servers was refused as if it waited for 96."""
+def test_parts_that_share_requests_count_once_per_replica() -> None:
+    """A query of 96 parts at 25 replicas was rejected as if it waited for 96 separate requests."""
     host = Host(BASE._replace(cell_count=6, cells_per_replica=3, max_parts_per_request=16), replicas=6)
     host.warm_up(60, latency=0.55)
     assert host.query(*(i % 6 for i in range(40))) not in host.ended
 
 
-def test_admission_waits_for_the_parts_that_an_answer_needs() -> None:
-    """Where half of the parts make a whole answer, the slower half does not decide."""
-    for whole, refused in ((1.0, True), (0.5, False)):
+def test_admission_considers_only_the_parts_that_an_answer_needs() -> None:
+    """Where half of the parts make a complete answer, the slower half does not count."""
+    for whole, rejected in ((1.0, True), (0.5, False)):
         kind = query_class(least=whole, whole=whole)
         host = Host(BASE._replace(query_classes=(kind,), cell_count=12, cells_per_replica=3), replicas=12)
         host.warm_up(60, latency=0.9)
-        assert (host.query(*range(12)) in host.ended) is refused
+        assert (host.query(*range(12)) in host.ended) is rejected
 
 
-def test_an_idle_coordinator_does_not_go_on_refusing() -> None:
-    """Found on an overloaded day: after a spike all was refused with nothing out, while it was remembered."""
+def test_an_idle_coordinator_does_not_keep_rejecting() -> None:
+    """After a load spike every query was rejected although no request was open: the mean did not decay."""
     host = Host(replicas=3)
     host.module.latency.mean, host.module.latency.mean_at = 3.0, host.now
     assert isinstance(host.ended[host.query(0)], api.Reject)
@@ -59,8 +59,8 @@
     assert host.query(0) not in host.ended
 
 
-def test_a_jam_of_full_queues_refuses_before_sending() -> None:
-    """Full queues answer at once: without them in the mean time, a jam looked like an idle fleet."""
+def test_full_queues_reject_before_sending() -> None:
+    """Full queues reject at once: without these outcomes in the mean, an overloaded fleet looked idle."""
     host = Host(BASE._replace(max_attempts=1), replicas=3)
     host.warm_up()
     for _ in range(200):
@@ -72,14 +72,14 @@
     assert isinstance(host.ended[query], api.Reject) and not host.sends[part_of(host, query)]
 
 
-def test_a_few_queries_by_chance_are_no_excess_over_a_share() -> None:
-    """Found at full size: five queries in ten seconds, times fifty co-ordinators, counted as excess."""
-    refused = list[bool]()
+def test_a_random_excess_of_a_few_queries_is_within_quota() -> None:
+    """Five queries in ten seconds, scaled up to fifty co-ordinators, counted as over quota."""
+    rejected = list[bool]()
     for count in (5, 40):
         host = Host(BASE._replace(coordinator_count=50, tenant_quotas=(20.0,)), replicas=3)
         for _ in range(count):
             query = host.query(0)
             host.finish(part_of(host, query))
         host.module.latency.mean, host.module.latency.mean_at = 1.5, host.now  # between the two limits
-        refused.append(host.query(0) in host.ended)
-    assert refused == [False, True]
+        rejected.append(host.query(0) in host.ended)
+    assert rejected == [False, True]
--- a/tests/test_decisions_completion.py
+++ b/tests/test_decisions_completion.py
@@ -1,4 +1,4 @@
-"""When a query ends, and how."""
+"""When and how a query completes."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from gingervane.interface import AttemptOutcome, MembershipUpdateKind, ReplicaState
 
 
-def test_a_held_query_ends_before_its_time_is_up() -> None:
+def test_an_unanswered_query_ends_before_its_deadline() -> None:
     host = Host(BASE._replace(hedging_allowed=False), replicas=1)
     query = host.query(0, time=1.0)
     host.wait(1.0)
@@ -29,7 +29,7 @@
     assert api.Answer(query, True) in actions and query in host.ended
 
 
-def test_second_step_that_never_comes_still_ends() -> None:
+def test_a_query_whose_second_step_never_arrives_still_ends() -> None:
     host = Host(BASE._replace(query_classes=(query_class(second=1),)))
     query = host.query(0)
     host.finish(part_of(host, query))
@@ -37,7 +37,7 @@
     assert isinstance(host.ended[query], api.Fail)
 
 
-def test_short_answer_when_time_runs_out_where_the_class_allows_it() -> None:
+def test_a_partial_answer_is_given_at_the_deadline_where_the_class_permits_it() -> None:
     host = Host(BASE._replace(query_classes=(query_class(least=0.5),), hedging_allowed=False))
     query = host.query(0, 0)
     host.finish(part_of(host, query))
@@ -45,16 +45,16 @@
     assert host.ended[query] == api.Answer(query, False)
 
 
-def ring(least: float, whole: float, late: float = 0.0, short: float = 1.0) -> Host:
-    """Four shards, each held by one server only."""
+def host_with_single_holders(least: float, whole: float, late: float = 0.0, short: float = 1.0) -> Host:
+    """A host with four shards, each held by a single replica."""
     kind = query_class(least=least, whole=whole, late=late, short=short)
     return Host(BASE._replace(query_classes=(kind,), cell_count=4, cells_per_replica=1), replicas=4)
 
 
 @pytest.mark.parametrize(("least", "whole", "answered"), [(0.75, 0.75, 1), (0.75, 1.0, 1), (1.0, 1.0, 0)])
 def test_a_part_without_a_holder_ends_only_what_needs_it(least: float, whole: float, answered: int) -> None:
-    """Found on busy days: one part without a way ended its query, though the others were enough."""
-    host = ring(least, whole)
+    """One lost part ended its query, although the other parts were enough for an answer."""
+    host = host_with_single_holders(least, whole)
     host.members(MembershipUpdateKind.DELTA, replica(13, cell=3, state=ReplicaState.GONE))
     query = host.query(0, 1, 2, 3)
     for part in host.step_parts[query]:
@@ -63,8 +63,8 @@
     assert host.ended[query] == (api.Answer(query, whole < 1.0) if answered else api.Reject(query, 0.005))
 
 
-def test_a_failed_part_without_a_way_left_is_done_without() -> None:
-    host = ring(0.75, 1.0)
+def test_a_failed_part_without_further_attempts_is_left_out_of_a_partial_answer() -> None:
+    host = host_with_single_holders(0.75, 1.0)
     query = host.query(0, 1, 2, 3)
     host.finish(part_of(host, query, 3), AttemptOutcome.ERROR)
     host.members(MembershipUpdateKind.DELTA, replica(13, cell=3, state=ReplicaState.GONE))
@@ -76,39 +76,41 @@
     assert host.ended[query] == api.Answer(query, False)
 
 
-@pytest.mark.parametrize(("late", "at_aim"), [(0.1, True), (0.9, False)])
-def test_a_short_answer_goes_at_the_aim_unless_a_late_whole_one_earns_more(late: float, at_aim: bool) -> None:
-    """Found on the first days: short answers came at the client's deadline, worth a tenth of it."""
-    host = ring(0.75, 1.0, late=late, short=0.8)
+@pytest.mark.parametrize(("late", "at_objective"), [(0.1, True), (0.9, False)])
+def test_when_a_partial_answer_is_given_at_the_objective(late: float, at_objective: bool) -> None:
+    """Partial answers were given at the client's deadline, where they are worth a tenth of those in time."""
+    host = host_with_single_holders(0.75, 1.0, late=late, short=0.8)
     query = host.query(0, 1, 2, 3)
     for index in range(3):
         host.finish(part_of(host, query, index))
     host.wait(1.98)
     assert query not in host.ended
     host.wait(0.015)
-    assert (host.ended.get(query) == api.Answer(query, False)) is at_aim
+    assert (host.ended.get(query) == api.Answer(query, False)) is at_objective
 
 
-def test_enough_parts_make_a_whole_answer() -> None:
+def test_enough_parts_make_a_complete_answer() -> None:
     host = Host(BASE._replace(query_classes=(query_class(least=0.5, whole=0.5),)))
     query = host.query(0, 0)
     assert api.Answer(query, True) in host.finish(part_of(host, query))
 
 
-def test_a_query_that_is_over_is_let_go_of_without_the_collector() -> None:
-    """Its parts refer to it: as a cycle they lay about until the collector came, some MB on a busy day."""
+def test_a_completed_query_is_freed_without_the_cycle_collector() -> None:
+    """Its parts refer to it: under load such cycles took several MB until the collector ran."""
     host = Host()
     gc.collect()
     gc.disable()
     try:
-        answered, left = host.query(0), host.query(0)
-        over = [weakref.ref(host.module.completion.queries[number]) for number in (answered, left)]
+        answered, unanswered = host.query(0), host.query(0)
+        references = [
+            weakref.ref(host.module.completion.queries[number]) for number in (answered, unanswered)
+        ]
         host.wait(0.1)
         host.finish(part_of(host, answered))
         host.wait(20.0)
-        assert set(host.ended) >= {answered, left}
+        assert set(host.ended) >= {answered, unanswered}
         for part, attempt in list(host.out):
             host.finish(part, AttemptOutcome.TIMED_OUT, attempt)
-        assert [ref() for ref in over] == [None, None]
+        assert [ref() for ref in references] == [None, None]
     finally:
         gc.enable()
--- a/tests/test_decisions_engine.py
+++ b/tests/test_decisions_engine.py
@@ -1,4 +1,4 @@
-"""Batches of events: their order, odd ones, and the same actions for the same events."""
+"""Batches of events: their order, unknown or late events, and determinism."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 ROOT = Path(__file__).resolve().parent.parent
 
 
-def test_what_came_during_an_own_standstill_is_read_before_timers() -> None:
-    """Found with co-ordinators that stand still: timers first, so silence was judged and copies sent."""
+def test_events_received_during_a_process_pause_are_handled_before_timers() -> None:
+    """With timers handled first, replicas that had answered counted as unresponsive and hedges were sent."""
     host = Host()
     host.warm_up()
     host.wait(15.0)
     part = part_of(host, host.query(0))
-    where, learned = host.where(part), list(host.module.latency.samples[0])
+    where, known_samples = host.where(part), list(host.module.latency.samples[0])
     due = [label for _, label in sorted(host.timers)]
     host.now += 1.0
     del host.out[part, 0]
@@ -32,10 +32,10 @@
     actions = host.feed(*fired, api.AttemptEnded(part, 0, where, OK, 1.0))
     assert not sends(actions) and any(isinstance(a, api.Answer) for a in actions)
     assert not host.module.membership.replicas[where].ejected_for
-    assert list(host.module.latency.samples[0]) == learned
+    assert list(host.module.latency.samples[0]) == known_samples
 
 
-def test_events_about_what_is_over_or_unknown_are_taken_calmly() -> None:
+def test_events_about_completed_or_unknown_items_are_ignored() -> None:
     host = Host()
     query = host.query(0)
     part = part_of(host, query)
@@ -57,10 +57,10 @@
     )
 
 
-def test_an_expired_query_is_let_go() -> None:
+def test_an_abandoned_query_gets_no_answer() -> None:
     host = Host()
     query = host.query(0)
-    host.ended[query] = api.Fail(query)  # the client has left: any answer now would be a second end
+    host.ended[query] = api.Fail(query)  # the client has disconnected: the host raises on any further end
     assert not sends(host.feed(api.QueryAbandoned(query)))
     host.wait(10.0)
 
@@ -76,7 +76,7 @@
 """
 
 
-def test_independent_of_hash_order() -> None:
+def test_actions_do_not_depend_on_the_hash_seed() -> None:
     logs = {
         subprocess.run(
             [sys.executable, "-c", SCRIPT],
--- a/tests/test_decisions_hedging.py
+++ b/tests/test_decisions_hedging.py
@@ -1,4 +1,4 @@
-"""When a late part is hedged, and what stops hedges."""
+"""When a late part is hedged, and what suppresses hedges."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 from gingervane.interface import AttemptOutcome, RetrySafety
 
 
-def test_start_delay_is_half_the_aim() -> None:
+def test_the_initial_hedge_delay_is_half_the_objective() -> None:
     host = Host()
     part = part_of(host, host.query(0))
     assert not sends(host.wait(0.99))
-    (copy,) = sends(host.wait(0.02))
-    assert copy.part == part and copy.replica != host.where(part)
+    (hedge,) = sends(host.wait(0.02))
+    assert hedge.part == part and hedge.replica != host.where(part)
 
 
-def test_copy_at_the_learned_percentile() -> None:
+def test_a_late_part_is_hedged_at_the_learned_percentile() -> None:
     host = Host()
     host.warm_up()
     part = part_of(host, host.query(0))
@@ -26,7 +26,7 @@
     assert [a.part for a in sends(host.wait(0.03))] == [part]
 
 
-def test_first_good_answer_wins_and_the_twin_is_cancelled() -> None:
+def test_the_first_good_answer_wins_and_the_other_attempt_is_cancelled() -> None:
     host = Host()
     query = host.query(0)
     part = part_of(host, query)
@@ -36,8 +36,8 @@
     assert not sends(host.wait(5.0))
 
 
-def test_work_that_takes_long_for_its_aim_is_no_queueing() -> None:
-    """Found at a site whose parts take a quarter of the aim when all is well: nothing was ever copied."""
+def test_a_long_service_time_is_not_queueing() -> None:
+    """At a site whose parts take a quarter of the objective under normal load, nothing was ever hedged."""
     host = Host(BASE._replace(query_classes=(query_class(aim=1.0),)), replicas=6)
     host.warm_up(60, latency=0.3)
     host.wait(15.0)
@@ -47,75 +47,75 @@
     assert len(host.sends[part]) == 2
 
 
-def test_queueing_is_told_against_the_usual_time() -> None:
-    """Found at a wide site: a percentile of the last 200 parts, two queries, climbs with the queue."""
+def test_queueing_is_judged_against_the_baseline() -> None:
+    """With wide queries a percentile of the last 200 parts, those of two queries, rises with the queue."""
     host = Host(replicas=6)
     host.warm_up(60)
-    usual = host.module.latency.baseline[0]
+    baseline_before = host.module.latency.baseline[0]
     host.module.latency.samples[0].extend([0.6] * 200)
     host.module.latency.mean, host.module.latency.mean_at = 0.5, host.now
     part = part_of(host, host.query(0))
     host.wait(0.62)
     assert len(host.sends[part]) == 1
-    assert usual < host.module.latency.baseline[0] < 0.2
+    assert baseline_before < host.module.latency.baseline[0] < 0.2
 
 
-def test_one_copy_only() -> None:
+def test_a_part_gets_one_hedge_only() -> None:
     host = Host()
     part = part_of(host, host.query(0))
     host.wait(1.9)
     assert len(host.sends[part]) == 2
 
 
-def test_no_copy_that_would_come_after_the_aim() -> None:
+def test_no_hedge_is_sent_that_would_be_answered_after_the_objective() -> None:
     host = Host(BASE._replace(query_classes=(query_class(aim=2.0, deadline=9.0),)), replicas=3)
-    host.module.latency.samples[0].extend([1.2] * 20)  # learned: half of the parts take as long
+    host.module.latency.samples[0].extend([1.2] * 20)  # the median is then 1.2 s
     part = part_of(host, host.query(0))
     host.wait(2.3)
     assert len(host.sends[part]) == 1
 
 
 @pytest.mark.parametrize("semantics", [RetrySafety.IDEMPOTENCY_KEY, RetrySafety.NOT_IDEMPOTENT])
-def test_only_safe_parts_are_copied(semantics: RetrySafety) -> None:
+def test_only_idempotent_parts_are_hedged(semantics: RetrySafety) -> None:
     host = Host(BASE._replace(query_classes=(query_class(semantics=semantics, window=5.0),)))
     part = part_of(host, host.query(0))
-    assert not sends(host.wait(2.0))  # later, silence may turn a keyed one into a retry, one at a time
+    assert not sends(host.wait(2.0))  # later, ejections may lead to retries of a keyed part, one at a time
     host.wait(3.0)
     assert sum(key[0] == part for key in host.out) <= 1
 
 
-def test_no_copies_where_the_site_forbids_them() -> None:
+def test_no_hedges_where_the_site_forbids_them() -> None:
     host = Host(BASE._replace(hedging_allowed=False, cancellation_allowed=False))
     part = part_of(host, host.query(0))
     host.wait(5.0)
     assert len(host.sends[part]) == 1
 
 
-def test_breaker_opens_on_the_share_of_copies_and_closes_lower() -> None:
+def test_the_breaker_opens_at_one_share_of_hedges_and_closes_at_a_lower_one() -> None:
     from gingervane.decisions.circuit_breaker import CircuitBreaker
 
     breaker = CircuitBreaker(10.0)
     for i in range(16):
         breaker.add(float(i) / 10)
     assert breaker.is_open(2.0, 100)
-    assert breaker.is_open(2.0, 130)  # 12%: over the lower mark, stays open
+    assert breaker.is_open(2.0, 130)  # 12% is above CLOSE_RATIO: the open breaker stays open
     assert not breaker.is_open(2.0, 200)
-    assert not breaker.is_open(2.0, 130)  # and stays closed on the way up
+    assert not breaker.is_open(2.0, 130)  # 12% is below OPEN_RATIO: the closed breaker stays closed
     assert not breaker.is_open(20.0, 1)
 
 
-def test_a_common_slowdown_stops_copies() -> None:
-    """Every part passes a percentile learned before: copies must stay a small share of the parts."""
+def test_a_common_slowdown_stops_hedges() -> None:
+    """Every part exceeds the percentile learned before: hedges must remain a small share of the parts."""
     host = Host(replicas=6)
     host.warm_up()
     for _ in range(60):
         host.query(0)
         host.wait(0.02)
-    copies = sum(len(s) - 1 for s in host.sends.values())
-    assert 0 < copies <= 0.15 * (60 + 40) + 1
+    hedges = sum(len(s) - 1 for s in host.sends.values())
+    assert 0 < hedges <= 0.15 * (60 + 40) + 1
 
 
-def test_many_failures_stop_copies() -> None:
+def test_many_failures_stop_hedges() -> None:
     host = Host(replicas=6)
     host.warm_up()
     for _ in range(12):
@@ -125,25 +125,25 @@
     assert len(host.sends[part]) == 1
 
 
-def test_what_an_ejected_server_holds_is_copied_though_the_breaker_is_open() -> None:
-    """Found where servers lose answers for one co-ordinator alone: the breakers left its parts to die."""
+def test_a_part_at_an_ejected_replica_is_resent_although_the_breaker_is_open() -> None:
+    """Where replicas lose answers to one co-ordinator only, open breakers left its parts without a retry."""
     host = Host(replicas=4)
     host.warm_up()
     host.wait(10.0)
-    stuck = part_of(host, host.query(0))
+    late_part = part_of(host, host.query(0))
     for _ in range(100):
         host.module.hedging.failures.add(host.now)
     host.wait(0.12)
-    assert len(host.sends[stuck]) == 1
-    server = host.module.membership.replicas[host.where(stuck)]
-    server.ejected_for, server.ejected_until = 2.0, host.now + 2.0
+    assert len(host.sends[late_part]) == 1
+    known = host.module.membership.replicas[host.where(late_part)]
+    known.ejected_for, known.ejected_until = 2.0, host.now + 2.0
     host.wait(0.12)
-    assert len(host.sends[stuck]) == 2
+    assert len(host.sends[late_part]) == 2
 
 
-@pytest.mark.parametrize(("ejected", "tries"), [(2, 3), (1, 2)])
-def test_a_third_try_goes_only_where_both_are_at_ejected_servers(ejected: int, tries: int) -> None:
-    """Found under flapping: part and copy both at silent servers, and nothing more until the client left."""
+@pytest.mark.parametrize(("ejected", "attempts"), [(2, 3), (1, 2)])
+def test_a_third_attempt_is_made_only_if_both_replicas_are_ejected(ejected: int, attempts: int) -> None:
+    """With part and hedge both at unresponsive replicas, nothing was sent until the client disconnected."""
     host = Host(replicas=4)
     host.warm_up()
     host.wait(10.0)
@@ -151,17 +151,17 @@
     host.wait(0.12)
     assert len(host.sends[part]) == 2
     for attempt in range(ejected):
-        server = host.module.membership.replicas[host.where(part, attempt)]
-        server.ejected_for, server.ejected_until = 4.0, host.now + 4.0
+        known = host.module.membership.replicas[host.where(part, attempt)]
+        known.ejected_for, known.ejected_until = 4.0, host.now + 4.0
     host.module.membership.replicas[host.where(part, 1)].last_answered_send_at = host.now
-    for _ in range(8):  # leaves room under the cap on copies
+    for _ in range(8):  # leaves room under the cap on hedges
         host.query(0)
     host.wait(0.09)
-    assert len(host.sends[part]) == tries
+    assert len(host.sends[part]) == attempts
 
 
-def wide_query_of(host: Host, parts: int, missing: int) -> list[int]:
-    """A query of so many parts, all but some of which are in, while the mean time says queueing."""
+def query_with_missing_parts(host: Host, parts: int, missing: int) -> list[int]:
+    """Start a query of `parts` parts, answer all but `missing`, and raise the mean latency to queueing."""
     query = host.query(*range(parts))
     for part in host.step_parts[query][missing:]:
         host.finish(part)
@@ -169,11 +169,13 @@
     return host.step_parts[query][:missing]
 
 
-@pytest.mark.parametrize(("missing", "copied"), [(2, 2), (12, 0)])
-def test_stragglers_are_copied_though_servers_queue(missing: int, copied: int) -> None:
-    """Found by hunt --scale: one answer lost of sixty, its copy held back as queueing, and the query gone.
-    Where many parts are missing they are late together, and copies would only lengthen the queues."""
+@pytest.mark.parametrize(("missing", "hedged"), [(2, 2), (12, 0)])
+def test_stragglers_are_hedged_although_requests_queue(missing: int, hedged: int) -> None:
+    """With one answer of sixty lost, its hedge was suppressed because of queueing, and the query failed.
+
+    Where many parts are missing they are late together, and hedges would only lengthen the queues.
+    """
     host = Host(BASE._replace(cell_count=20, cells_per_replica=3), replicas=20)
-    parts = wide_query_of(host, 20, missing)
+    parts = query_with_missing_parts(host, 20, missing)
     host.wait(1.1)
-    assert sum(len(host.sends[p]) == 2 for p in parts) == copied
+    assert sum(len(host.sends[p]) == 2 for p in parts) == hedged
--- a/tests/test_decisions_idle_connections.py
+++ b/tests/test_decisions_idle_connections.py
@@ -8,26 +8,26 @@
 from gingervane import interface as api
 
 
-def test_connections_idle_for_longer_than_silence_followed_are_shut_before_a_send() -> None:
-    """Found where idle connections are dropped unseen: the first part after each pause met silence."""
+def test_connections_idle_for_too_long_are_closed_before_a_send() -> None:
+    """Where idle connections are dropped silently, the first part after each idle time got no response."""
     host = Host(replicas=3)
     host.warm_up()
     host.wait(5.0)
     host.query(0)
-    host.wait(0.5)  # silence after a pause of five seconds
-    seen = len(host.log)
+    host.wait(0.5)  # no response after an idle time of five seconds
+    log_length = len(host.log)
     host.wait(6.0)
     host.query(0)
-    closed = [a for a in host.log[seen:] if isinstance(a, api.CloseIdle)]
-    assert closed and sends(host.log[seen:])
-    host.wait(120.0)  # forgotten
-    seen = len(host.log)
+    closed = [a for a in host.log[log_length:] if isinstance(a, api.CloseIdle)]
+    assert closed and sends(host.log[log_length:])
+    host.wait(120.0)  # the limit decays
+    log_length = len(host.log)
     host.query(0)
-    assert not [a for a in host.log[seen:] if isinstance(a, api.CloseIdle)]
+    assert not [a for a in host.log[log_length:] if isinstance(a, api.CloseIdle)]
 
 
-def test_silence_says_nothing_of_a_pause_after_which_others_answered() -> None:
-    """Found on the full fleet: one silent server, and each part seconds later had a new connection."""
+def test_a_missing_response_is_ignored_where_others_answered_after_the_same_idle_time() -> None:
+    """With one unresponsive replica, every part sent some seconds later opened a new connection."""
     host = Host(replicas=3)
     host.warm_up()
     for _ in range(2):
@@ -37,43 +37,45 @@
     host.wait(2.0)
     part = part_of(host, host.query(0))
     host.wait(0.5)
-    silent = {where for _, where in host.sends[part]}  # it and its copy
-    seen = len(host.log)
+    unresponsive = {where for _, where in host.sends[part]}  # the replicas of the part and of its hedge
+    log_length = len(host.log)
     host.wait(4.0)
     for _ in range(6):
         host.query(0)
-    assert {10, 11, 12} - silent <= {a.replica for a in sends(host.log[seen:])}
-    assert {a.replica for a in host.log[seen:] if isinstance(a, api.CloseIdle)} <= silent
+    assert {10, 11, 12} - unresponsive <= {a.replica for a in sends(host.log[log_length:])}
+    assert {a.replica for a in host.log[log_length:] if isinstance(a, api.CloseIdle)} <= unresponsive
 
 
-def test_silence_after_a_short_pause_says_nothing_of_idle_connections() -> None:
-    """Found at a quiet site: after any silence nearly every connection was shut before each send."""
+def test_a_missing_response_after_a_short_idle_time_sets_no_low_limit() -> None:
+    """With little traffic, any missing response led to closing nearly every connection before each send."""
     host = Host(BASE._replace(query_classes=(query_class(aim=4.0, deadline=9.0),)), replicas=3)
     host.warm_up()
-    for server in host.module.membership.replicas.values():
-        server.last_sent_at = host.now - 0.3
+    for known in host.module.membership.replicas.values():
+        known.last_sent_at = host.now - 0.3
     host.query(0)
-    host.wait(0.5)  # silence
-    seen = len(host.log)
+    host.wait(0.5)  # no response
+    log_length = len(host.log)
     for _ in range(6):
         part = part_of(host, host.query(0))
         host.wait(0.05)
         host.finish(part)
         host.wait(0.45)
-    assert sends(host.log[seen:]) and not [a for a in host.log[seen:] if isinstance(a, api.CloseIdle)]
+    assert sends(host.log[log_length:]) and not [
+        a for a in host.log[log_length:] if isinstance(a, api.CloseIdle)
+    ]
 
 
-def test_a_server_met_by_silence_is_met_on_a_new_connection_once() -> None:
-    """Found on sockets: connections that fell silent kept taking parts, and their servers stayed out."""
+def test_an_unresponsive_replica_is_sent_to_on_a_new_connection_once() -> None:
+    """Stalled connections were used again and again, and their replicas stayed ejected."""
     host = Host(replicas=1)
     host.warm_up()
     part = part_of(host, host.query(0))
-    host.wait(0.5)  # silence
-    seen = len(host.log)
+    host.wait(0.5)  # no response
+    log_length = len(host.log)
     host.query(0)
     host.query(0)
-    assert len([a for a in host.log[seen:] if isinstance(a, api.CloseIdle)]) == 1
-    host.finish(part)  # heard from after all
-    seen = len(host.log)
+    assert len([a for a in host.log[log_length:] if isinstance(a, api.CloseIdle)]) == 1
+    host.finish(part)  # answered after all
+    log_length = len(host.log)
     host.query(0)
-    assert not [a for a in host.log[seen:] if isinstance(a, api.CloseIdle)]
+    assert not [a for a in host.log[log_length:] if isinstance(a, api.CloseIdle)]
--- a/tests/test_decisions_latency.py
+++ b/tests/test_decisions_latency.py
@@ -1,4 +1,4 @@
-"""What latencies are learned from."""
+"""Which latencies the estimates are based on."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 from hosts import Host
 
 
-def test_latency_runs_from_the_first_send() -> None:
-    """A copy that wins must not make the class look fast: the cancelled twin would have been the tail."""
+def test_latency_is_measured_from_the_first_send() -> None:
+    """A successful hedge must not make the class look fast: the cancelled attempt belongs to the tail."""
     host = Host()
     host.warm_up()
     before = max(host.module.latency.samples[0])
@@ -19,8 +19,8 @@
     assert max(host.module.latency.samples[0]) >= 0.15 > before
 
 
-def test_rescues_from_silence_do_not_raise_the_delay() -> None:
-    """Found under flapping: a third of the parts met silence, each rescue raised the delay for the next."""
+def test_rescued_parts_do_not_raise_the_hedge_delay() -> None:
+    """Where a third of the parts got no response, each rescue raised the hedge delay of the next part."""
     host = Host(replicas=6)
     host.warm_up(100)
     for _ in range(40):
--- a/tests/test_decisions_outlier_ejection.py
+++ b/tests/test_decisions_outlier_ejection.py
@@ -11,8 +11,8 @@
 OK = AttemptOutcome.OK
 
 
-def test_a_server_that_only_turns_parts_away_is_ejected() -> None:
-    """Full at once with nothing out looks idle under the position rule: a few refusals must be enough."""
+def test_a_replica_that_only_rejects_is_ejected() -> None:
+    """A replica that rejects at once has no open requests and looks idle: a few rejections must eject it."""
     host = Host(replicas=4)
     host.warm_up()
     host.sends.clear()
@@ -26,7 +26,7 @@
     assert 1 <= sum(made[0][1] == 10 for made in host.sends.values()) <= 4
 
 
-def test_a_silent_server_is_ejected_and_its_parts_move() -> None:
+def test_an_unresponsive_replica_is_ejected_and_its_parts_move() -> None:
     host = Host(replicas=4)
     host.warm_up()
     for _ in range(40):
@@ -39,7 +39,7 @@
     assert all(host.where(p) != 10 for p in late)
 
 
-def test_a_server_that_fails_fast_attracts_nothing() -> None:
+def test_a_replica_that_fails_fast_attracts_no_load() -> None:
     host = Host(replicas=4)
     host.warm_up()
     hits = 0
@@ -56,7 +56,7 @@
     assert hits <= 6
 
 
-def test_an_ejected_server_comes_back_by_a_trial() -> None:
+def test_an_ejected_replica_is_reinstated_by_a_trial() -> None:
     host = Host(replicas=4)
     host.warm_up()
     while not host.module.membership.replicas[10].ejected_for:
@@ -72,7 +72,7 @@
     assert not host.module.membership.replicas[10].ejected_for
 
 
-def test_never_more_than_half_are_ejected() -> None:
+def test_at_most_half_of_the_replicas_are_ejected() -> None:
     host = Host(replicas=4)
     for _ in range(30):
         part = part_of(host, host.query(0))
@@ -83,18 +83,18 @@
     assert sum(bool(s.ejected_for) for s in host.module.membership.replicas.values()) <= 2
 
 
-def test_one_part_overtaken_by_its_copy_ejects_a_server_of_which_little_is_known() -> None:
-    """Found at full size: a co-ordinator meets each slow server once in seconds and never saw two running."""
+def test_one_attempt_that_loses_to_its_hedge_ejects_a_replica_with_little_evidence() -> None:
+    """In a large fleet a co-ordinator sends to a slow replica once in several seconds, not twice in a row."""
     host = Host(replicas=4)
     host.warm_up()
-    host.wait(10.0)  # what good parts vouched for has faded
+    host.wait(10.0)  # the credit of good parts decays
     part = part_of(host, host.query(0))
     host.wait(0.15)
     host.finish(part, OK, 1)
     assert host.module.membership.replicas[host.where(part)].ejected_for
 
 
-def test_good_parts_of_the_last_seconds_vouch_for_a_server() -> None:
+def test_recent_good_parts_outweigh_one_attempt_that_loses_to_its_hedge() -> None:
     host = Host(replicas=2)
     host.warm_up()
     part = part_of(host, host.query(0))
@@ -103,8 +103,8 @@
     assert not host.module.membership.replicas[host.where(part)].ejected_for
 
 
-def test_ejection_sends_nothing_again_at_once() -> None:
-    """Found at full size: each ejection called off and resent all parts out there, and doubled the load."""
+def test_an_ejection_resends_nothing_at_once() -> None:
+    """Each ejection cancelled and resent all parts open at the replica, which doubled the load."""
     host = Host(BASE._replace(max_parts_per_request=4), replicas=3)
     host.warm_up()
     host.wait(10.0)
@@ -116,78 +116,78 @@
     assert not [a for a in actions if isinstance(a, api.Cancel)]
 
 
-def test_a_thin_coordinator_leaves_a_bad_server_out_for_longer() -> None:
-    """Two seconds are nothing where the next part for that server comes after eight."""
-    terms = list[float]()
+def test_a_coordinator_with_little_traffic_ejects_for_longer() -> None:
+    """An ejection of two seconds has no effect where the next part for the replica comes after eight."""
+    durations = list[float]()
     for peers in (False, True):
         host = Host(BASE._replace(coordinator_count=60, gossip_allowed=peers), replicas=9)
         host.wait(10.0)
         for _ in range(10):
             bad = part_of(host, host.query(0))
         host.finish(bad, AttemptOutcome.ERROR)
-        terms.append(host.module.membership.replicas[host.where(bad)].ejected_for)
-    assert terms == [9.0, 2.0]  # nine servers, a part a second; those who would tell shorten it
+        durations.append(host.module.membership.replicas[host.where(bad)].ejected_for)
+    assert durations == [9.0, 2.0]  # nine replicas, one part per second; peers that report shorten it
 
 
-def test_peers_are_told_of_ejections_and_two_words_eject() -> None:
+def test_ejections_are_reported_to_peers_and_two_reports_eject() -> None:
     host = Host(BASE._replace(gossip_allowed=True, coordinator_count=9), replicas=4)
     where = host.where(part := part_of(host, host.query(0)))
-    told = [a for a in host.finish(part, AttemptOutcome.ERROR) if isinstance(a, api.SendToPeers)]
-    assert len(told) == 1 and len(told[0].payload) <= 256
+    sent_reports = [a for a in host.finish(part, AttemptOutcome.ERROR) if isinstance(a, api.SendToPeers)]
+    assert len(sent_reports) == 1 and len(sent_reports[0].payload) <= 256
     other = Host(BASE._replace(gossip_allowed=True, coordinator_count=9), replicas=4)
     other.wait(10.0)
-    other.feed(api.PeerMessageReceived(1, told[0].payload))
+    other.feed(api.PeerMessageReceived(1, sent_reports[0].payload))
     assert not other.module.membership.replicas[where].ejected_for
-    actions = other.feed(api.PeerMessageReceived(3, told[0].payload))
+    actions = other.feed(api.PeerMessageReceived(3, sent_reports[0].payload))
     assert other.module.membership.replicas[where].ejected_for
-    assert not [a for a in actions if isinstance(a, api.SendToPeers)]  # hearsay is not passed on
-    for odd in (b"", b"x", bytes(256)):
-        other.feed(api.PeerMessageReceived(1, odd))
+    assert not [a for a in actions if isinstance(a, api.SendToPeers)]  # peers' reports are not passed on
+    for malformed in (b"", b"x", bytes(256)):
+        other.feed(api.PeerMessageReceived(1, malformed))
 
 
-def test_a_minority_of_many_peers_ejects_no_sound_server() -> None:
-    """Each of 200 co-ordinators has thin evidence; a few words are little of what all send there."""
+def test_reports_of_a_minority_of_many_peers_do_not_eject_a_healthy_replica() -> None:
+    """Each of 200 co-ordinators has little evidence; a few reports are few beside all parts sent there."""
     host = Host(BASE._replace(gossip_allowed=True, coordinator_count=200), replicas=3)
-    host.warm_up()  # 40 parts in 6 s: the fleet sends some 530 a second to each server
-    # Whatever this one knows of them has faded, and it still sends.
-    for server in host.module.membership.replicas.values():
-        server.failure_score = 0.0
-    word = (10).to_bytes(8, "big")
+    host.warm_up()  # 40 parts in 6 s: the fleet sends some 530 parts per second to each replica
+    # This co-ordinator's own evidence has decayed, and it still sends.
+    for known in host.module.membership.replicas.values():
+        known.failure_score = 0.0
+    report = (10).to_bytes(8, "big")
     for peer in range(20):
-        host.feed(api.PeerMessageReceived(peer, word))
+        host.feed(api.PeerMessageReceived(peer, report))
     assert not host.module.membership.replicas[10].ejected_for
-    for peer in range(20, 199):  # most of the fleet: this is no chance
-        host.feed(api.PeerMessageReceived(peer, word))
+    for peer in range(20, 199):  # most of the fleet: no coincidence
+        host.feed(api.PeerMessageReceived(peer, report))
     assert host.module.membership.replicas[10].ejected_for
-    # A word that comes once the term is over does not double it: a trial part tells whether it is still bad.
-    term = host.module.membership.replicas[10].ejected_for
-    host.now += term + 0.1
-    host.feed(api.PeerMessageReceived(1, word))
+    # A report after the end of the ejection does not double it: a trial shows whether the replica fails.
+    duration = host.module.membership.replicas[10].ejected_for
+    host.now += duration + 0.1
+    host.feed(api.PeerMessageReceived(1, report))
     assert (
-        host.module.membership.replicas[10].ejected_for == term
+        host.module.membership.replicas[10].ejected_for == duration
         and host.module.membership.replicas[10].ejected_until < host.now
     )
 
 
-def test_a_new_process_does_not_eject_on_two_words_of_a_large_fleet() -> None:
-    """Found at a rolling restart: with little sent yet, two words of 186 took a server out for six s."""
+def test_a_new_process_does_not_eject_on_two_reports_of_a_large_fleet() -> None:
+    """After a rolling restart, with little sent yet, two reports of 186 peers ejected a replica for 6 s."""
     host = Host(
         BASE._replace(gossip_allowed=True, coordinator_count=186, cell_count=9, cells_per_replica=3),
         replicas=9,
     )
     host.query(0)
     host.now += 0.5
-    word, server = (10).to_bytes(8, "big"), host.module.membership.replicas[10]
+    report, known = (10).to_bytes(8, "big"), host.module.membership.replicas[10]
     for peer in (1, 2, 3):
-        host.feed(api.PeerMessageReceived(peer, word))
-    assert not server.ejected_for
+        host.feed(api.PeerMessageReceived(peer, report))
+    assert not known.ejected_for
     for peer in [*range(4, 186), *range(1, 186)]:
-        host.feed(api.PeerMessageReceived(peer, word))
-    assert server.ejected_for == 2.0
+        host.feed(api.PeerMessageReceived(peer, report))
+    assert known.ejected_for == 2.0
 
 
-def test_an_answer_as_late_as_silence_does_not_let_a_server_back() -> None:
-    """Found on a release: trials at jammed servers took 0.8 s, and the fleet was told that all was well."""
+def test_an_answer_as_late_as_a_missing_response_does_not_reinstate_a_replica() -> None:
+    """Trials at overloaded replicas took 0.8 s, and their success was reported to the whole fleet."""
     host = Host(BASE._replace(gossip_allowed=True), replicas=3)
     host.warm_up()
     host.wait(10.0)
@@ -195,53 +195,53 @@
     where, host.log = host.where(bad), []
     host.finish(bad, AttemptOutcome.ERROR)
     host.finish(bad, OK, 1)
-    server = host.module.membership.replicas[where]
-    for late, back in ((0.5, False), (0.05, True)):
+    known = host.module.membership.replicas[where]
+    for late, reinstated in ((0.5, False), (0.05, True)):
         host.wait(20.0)
         for _ in range(12):
             part = part_of(host, host.query(0))
             if host.where(part) == where:
                 break
             host.finish(part)
-        assert host.where(part) == where and server.ejected_for
+        assert host.where(part) == where and known.ejected_for
         host.wait(late)
         host.finish(part)
-        assert (not server.ejected_for) is back
-    name = where.to_bytes(8, "big")
-    told = [a.payload for a in host.log if isinstance(a, api.SendToPeers)]
-    words = [payload[8:] for payload in told if payload.startswith(name)]
-    assert words.count(b"\2") == 1 and words[-1] == b"\2"
+        assert (not known.ejected_for) is reinstated
+    replica_id = where.to_bytes(8, "big")
+    sent_reports = [a.payload for a in host.log if isinstance(a, api.SendToPeers)]
+    report_kinds = [payload[8:] for payload in sent_reports if payload.startswith(replica_id)]
+    assert report_kinds.count(b"\2") == 1 and report_kinds[-1] == b"\2"
 
 
-def test_words_keep_a_server_out_and_let_it_back() -> None:
-    """Found on the full fleet: each of 200 tried each dead server by itself, at every end of a term."""
+def test_reports_prolong_and_end_an_ejection() -> None:
+    """Each of 200 co-ordinators tried each failed replica on its own, at the end of every ejection."""
     host = Host(BASE._replace(gossip_allowed=True, coordinator_count=9), replicas=4)
     host.wait(10.0)
-    word, server = (10).to_bytes(8, "big"), host.module.membership.replicas[10]
+    report, known = (10).to_bytes(8, "big"), host.module.membership.replicas[10]
     for peer in (1, 2):
-        host.feed(api.PeerMessageReceived(peer, word + b"\1"))
-    until, term = server.ejected_until, server.ejected_for
+        host.feed(api.PeerMessageReceived(peer, report + b"\1"))
+    until, duration = known.ejected_until, known.ejected_for
     host.now = until - 0.1
     for peer in (1, 2):
-        host.feed(api.PeerMessageReceived(peer, word + b"\1"))
-    assert server.ejected_until > until + 1.0 and server.ejected_for == term
+        host.feed(api.PeerMessageReceived(peer, report + b"\1"))
+    assert known.ejected_until > until + 1.0 and known.ejected_for == duration
     for peer in (3, 4, 5, 6):
-        host.feed(api.PeerMessageReceived(peer, word + b"\2"))
-    assert not server.ejected_for
-    # Silent for longer than a term: it may have restarted, and is spared while another holder is left.
+        host.feed(api.PeerMessageReceived(peer, report + b"\2"))
+    assert not known.ejected_for
+    # Unresponsive for longer than an ejection: it may have restarted, and is spared while others are left.
     assert {host.where(part_of(host, host.query(0))) for _ in range(9)} == {11, 12, 13}
     host.members(MembershipUpdateKind.DELTA, *(replica(i, state=ReplicaState.GONE) for i in (11, 12, 13)))
-    assert host.where(part_of(host, host.query(0))) == 10  # suspicion alone refuses nothing
+    assert host.where(part_of(host, host.query(0))) == 10  # a suspected restart alone rejects nothing
 
 
-def test_a_reinstated_server_is_told_and_few_ejected_ones_are_tried_at_once() -> None:
-    """A query of many parts that tries every ejected server at once waits for each."""
+def test_a_reinstatement_is_reported_and_few_ejected_replicas_are_tried_at_once() -> None:
+    """A query of many parts that tries every ejected replica at once waits for each of them."""
     host = Host(
         BASE._replace(gossip_allowed=True, coordinator_count=9, cell_count=8, cells_per_replica=2), replicas=8
     )
-    for server in host.module.membership.replicas.values():
-        if server.endpoint.id % 2:
-            server.ejected_for = server.ejected_until = 1.0
+    for known in host.module.membership.replicas.values():
+        if known.endpoint.id % 2:
+            known.ejected_for = known.ejected_until = 1.0
     parts = host.step_parts[host.query(0, 2, 4, 6)]
     tried = [p for p in parts if host.where(p) % 2]
     assert len(tried) <= 1
@@ -250,12 +250,12 @@
         tried += [p for p in parts if host.where(p) % 2]
         if tried:
             break
-    told = [a.payload for a in host.finish(tried[0]) if isinstance(a, api.SendToPeers)]
-    assert told == [host.where(tried[0]).to_bytes(8, "big") + b"\2"]
+    sent_reports = [a.payload for a in host.finish(tried[0]) if isinstance(a, api.SendToPeers)]
+    assert sent_reports == [host.where(tried[0]).to_bytes(8, "big") + b"\2"]
 
 
-def test_a_full_queue_is_not_told_as_bad_and_two_eject() -> None:
-    """Found on the full fleet: a hot holder's full queue put it out everywhere, and filled the next one."""
+def test_a_full_queue_is_not_reported_and_two_rejections_eject() -> None:
+    """The full queue of a busy holder ejected it at all co-ordinators, which filled the next one's queue."""
     host = Host(BASE._replace(gossip_allowed=True, coordinator_count=9), replicas=3)
     first = part_of(host, host.query(0))
     where = host.where(first)
@@ -268,8 +268,8 @@
     assert not [a for a in actions if isinstance(a, api.SendToPeers)]
 
 
-def test_unreachable_servers_are_out_however_many() -> None:
-    """A co-ordinator that is cut off with a third of the servers must not go on trying half of the rest."""
+def test_any_number_of_unreachable_replicas_is_ejected() -> None:
+    """A co-ordinator that can reach only a third of the replicas must not keep trying half of the others."""
     host = Host(BASE._replace(cell_count=6, cells_per_replica=3), replicas=6)
     for _ in range(40):
         for part in host.step_parts[host.query(0, 2, 3)]:
--- a/tests/test_decisions_retries.py
+++ b/tests/test_decisions_retries.py
@@ -1,4 +1,4 @@
-"""Retries, their budget, and parts that must not have an effect twice."""
+"""Retries, the retry budget, and parts that must not have an effect twice."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 def test_a_failed_part_is_retried_on_another_holder() -> None:
     host = Host()
     part = part_of(host, host.query(0))
-    (again,) = sends(host.finish(part, AttemptOutcome.ERROR))
-    assert again.replica != host.where(part, 0)
+    (retry,) = sends(host.finish(part, AttemptOutcome.ERROR))
+    assert retry.replica != host.where(part, 0)
 
 
-def test_no_way_left_ends_the_query_at_once_with_a_time_to_come_again() -> None:
+def test_a_query_without_further_attempts_is_rejected_at_once_with_retry_advice() -> None:
     host = Host()
     query = host.query(0)
     part = part_of(host, query)
@@ -28,7 +28,7 @@
     assert isinstance(end, api.Reject) and 0 < end.retry_after <= 1.0
 
 
-def test_giving_up_one_part_calls_off_the_others() -> None:
+def test_failing_one_part_cancels_the_others() -> None:
     host = Host()
     query = host.query(0, 0)
     for attempt in range(3):
@@ -36,8 +36,8 @@
     assert query in host.ended and (part_of(host, query, 1), 0) in host.cancelled
 
 
-def test_budget_bounds_further_attempts() -> None:
-    """Counted as the rule counts: failures soon exhaust it and then queries are given up."""
+def test_the_budget_bounds_further_attempts() -> None:
+    """The host counts as the rule does: failures soon exhaust the budget, and then queries are rejected."""
     host = Host(
         BASE._replace(retry_budget_free=2.0, retry_budget_share=0.1, retry_budget_window=10.0), replicas=6
     )
@@ -49,19 +49,19 @@
     assert host.extras and len(host.ended) > 5
 
 
-def test_a_try_after_a_full_queue_waits_for_room() -> None:
-    """Found at full size: three tries in a millisecond, the query given up, its other parts left queued."""
+def test_a_retry_after_a_full_queue_is_delayed() -> None:
+    """Three attempts in a millisecond used up the cap: the query was rejected with its other parts queued."""
     host = Host(replicas=3)
     host.warm_up()
     query = host.query(0)
     part = part_of(host, query)
     assert not sends(host.finish(part, AttemptOutcome.REJECTED))
     assert query not in host.ended
-    (again,) = sends(host.wait(0.15))
-    assert again.replica != host.where(part)
+    (retry,) = sends(host.wait(0.15))
+    assert retry.replica != host.where(part)
 
 
-def test_unsafe_is_sent_again_only_on_proof() -> None:
+def test_an_unsafe_part_is_resent_only_if_it_provably_had_no_effect() -> None:
     host = Host(BASE._replace(query_classes=(query_class(semantics=RetrySafety.NOT_IDEMPOTENT),)))
     first = part_of(host, host.query(0))
     assert sends(host.finish(first, AttemptOutcome.CONNECT_FAILED))
@@ -70,7 +70,7 @@
     assert isinstance(host.ended[query], api.Fail)
 
 
-def test_unsafe_stays_unsent_after_a_later_attempt_is_proved_harmless() -> None:
+def test_earlier_attempts_without_effect_do_not_permit_resending_an_unsafe_part() -> None:
     host = Host(
         BASE._replace(query_classes=(query_class(semantics=RetrySafety.NOT_IDEMPOTENT),), max_attempts=9)
     )
@@ -78,13 +78,13 @@
     part = part_of(host, query)
     for attempt, outcome in enumerate((AttemptOutcome.CONNECT_FAILED, AttemptOutcome.REJECTED)):
         host.finish(part, outcome, attempt)
-        host.wait(attempt * 2.1)  # after a full queue the next try waits
+        host.wait(attempt * 2.1)  # after a full queue the next attempt is delayed
     assert len(host.sends[part]) == 3
     host.finish(part, AttemptOutcome.RESET, 2)
     assert isinstance(host.ended[query], api.Fail)
 
 
-def test_keyed_is_sent_again_within_its_window_only() -> None:
+def test_a_keyed_part_is_resent_within_its_window_only() -> None:
     host = Host(
         BASE._replace(query_classes=(query_class(semantics=RetrySafety.IDEMPOTENCY_KEY, window=2.0),))
     )
@@ -96,16 +96,16 @@
     assert len(host.sends[part]) == 2 and isinstance(host.ended[query], api.Fail)
 
 
-def test_retries_go_before_copies_when_the_budget_is_scarce() -> None:
+def test_retries_have_priority_over_hedges_when_the_budget_is_scarce() -> None:
     host = Host(
         BASE._replace(retry_budget_free=2.0, retry_budget_share=0.0, retry_budget_window=60.0), replicas=4
     )
     first = part_of(host, host.query(0))
     host.wait(1.1)
-    assert len(host.sends[first]) == 2  # a copy, while more than half of the few is left
+    assert len(host.sends[first]) == 2  # a hedge, while more than half of the free attempts remain
     host.finish(first, OK, 1)
     host.wait(3.0)
     second = part_of(host, host.query(0))
     host.wait(1.5)
-    assert len(host.sends[second]) == 1  # held back
-    assert sends(host.finish(second, AttemptOutcome.RESET))  # the retry that saves the query
+    assert len(host.sends[second]) == 1  # no hedge
+    assert sends(host.finish(second, AttemptOutcome.RESET))  # the budget still permits a retry
--- a/tests/test_decisions_slow_start.py
+++ b/tests/test_decisions_slow_start.py
@@ -1,4 +1,4 @@
-"""How much a replica that has just started is sent."""
+"""How much a recently started replica is sent."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from gingervane.interface import AttemptOutcome, MembershipUpdateKind
 
 
-def test_a_cold_replica_is_paced() -> None:
+def test_a_cold_replica_is_sent_a_limited_share() -> None:
     host = Host(replicas=3)
     host.warm_up(100)
     host.members(MembershipUpdateKind.DELTA, replica(10, started=host.now))
@@ -28,7 +28,7 @@
     assert to_cold <= 0.5 * to_warm / 2
 
 
-def test_a_new_machine_is_cold_too() -> None:
+def test_a_new_replica_is_cold_too() -> None:
     host = Host(replicas=2)
     host.warm_up(100)
     host.members(MembershipUpdateKind.DELTA, replica(12, started=host.now))
@@ -36,18 +36,18 @@
     assert placed.count(12) <= 1
 
 
-def test_all_holders_cold_sheds() -> None:
+def test_queries_are_shed_while_all_holders_are_cold() -> None:
     host = Host()
     host.members(MembershipUpdateKind.FULL, *(replica(i, started=host.now) for i in (10, 11, 12)))
     for _ in range(30):
         host.query(0)
-    # Half of what pushes them over: twice a fifth of the thirty; and one part ahead at each.
+    # Half of what overloads them: twice a fifth of the thirty, plus one part in advance at each.
     assert 3 <= sum(len(s) for s in host.sends.values()) <= 12 + 3
     assert all(isinstance(a, api.Reject) for a in host.ended.values())
 
 
-def test_a_storm_of_refusals_does_not_buy_a_cold_server_more() -> None:
-    """Found on a test day: pace counted sends, so sends to full servers inflated it until a cold one fell."""
+def test_a_storm_of_rejections_does_not_earn_a_cold_replica_more() -> None:
+    """Tokens were earned by sends: sends to full replicas raised them until a cold one was overloaded."""
     host = Host()
     host.members(MembershipUpdateKind.DELTA, replica(10, started=host.now))
     for _ in range(300):
@@ -59,51 +59,51 @@
 
 
 @pytest.mark.parametrize("coordinators", [3, 60])
-def test_many_coordinators_together_keep_a_cold_server_up(coordinators: int) -> None:
-    """Each had a whole part to send at once and a floor of its own: sixty of them can push a server over."""
+def test_many_coordinators_together_do_not_overload_a_cold_replica(coordinators: int) -> None:
+    """Each had a whole part to send at once and a floor of its own: sixty of them can overload a replica."""
     settings = BASE._replace(coordinator_count=coordinators, zone=9)
     hosts = [Host(settings, replicas=3, seed=i) for i in range(coordinators)]
     for host in hosts:
         host.members(MembershipUpdateKind.DELTA, replica(10, started=host.now))
     sent = sum(bool(h.sends[p]) and h.where(p) == 10 for h in hosts for p in h.step_parts[h.query(0, 0)])
-    ready_one = coordinators * 2 / 3
-    assert sent <= 1 + 1.5 * ready_one * settings.slow_start_capacity
+    ready_share = coordinators * 2 / 3
+    assert sent <= 1 + 1.5 * ready_share * settings.slow_start_capacity
     before = sum(h.module.membership.replicas[10].slow_start_tokens for h in hosts)
-    for host in hosts:  # ten seconds of the ramp, at the floors, as nothing is answered
+    for host in hosts:  # ten seconds of the ramp; only the floors earn tokens, as nothing is answered
         for _ in range(20):
             host.module.context.now += 0.5
             host.module.slow_start.may_send(host.module.membership.replicas[10])
     earned = sum(h.module.membership.replicas[10].slow_start_tokens for h in hosts) - before
-    # Half a part in each fall time of 2 s, at the share surely there, times half of what pushes it over.
+    # Half a part per overload window of 2 s, times the capacity by then, times half of what overloads it.
     assert 0.2 < earned <= 4
 
 
-def test_a_cold_server_gets_its_share_of_many_who_ask_seldom() -> None:
-    """Found on a release under 186 co-ordinators: each saved for a whole part and then waited for a query to
-    meet it, so cold servers got a third of what they could do and the ready ones were jammed."""
+def test_a_cold_replica_gets_its_share_from_many_coordinators_with_little_traffic() -> None:
+    """With 186 co-ordinators each saved up a whole token and then waited for a query that could use it: cold
+    replicas got a third of what they could serve, and the ready ones were overloaded."""
     coordinators, ramp = 60, BASE.slow_start_duration
     settings = BASE._replace(coordinator_count=coordinators, zone=9)
     hosts = [Host(settings, replicas=3, seed=i) for i in range(coordinators)]
-    born = hosts[0].now + 10.0
-    times = Random(1)
-    due = [0.0, 0.0]  # a third of what was asked, times the sure capacity; by half of the ramp
-    got = [0, 0]
+    start_time = hosts[0].now + 10.0
+    arrivals = Random(1)
+    expected = [0.0, 0.0]  # for each half of the ramp: a third of the parts, times the capacity that is sure
+    received = [0, 0]
     for host in hosts:
         while True:
-            host.wait(times.expovariate(0.5))  # a query in two seconds
-            if host.now >= born + ramp:
+            host.wait(arrivals.expovariate(0.5))  # one query in two seconds, in the mean
+            if host.now >= start_time + ramp:
                 break
-            if host.now >= born and host.states[10].started_at < born:
-                host.members(MembershipUpdateKind.DELTA, replica(10, started=born))
+            if host.now >= start_time and host.states[10].started_at < start_time:
+                host.members(MembershipUpdateKind.DELTA, replica(10, started=start_time))
             query = host.query(0)
             (part,) = host.step_parts[query]
-            if host.now >= born:
-                age, half = host.now - born, host.now >= born + ramp / 2
-                due[half] += (
+            if host.now >= start_time:
+                age, half = host.now - start_time, host.now >= start_time + ramp / 2
+                expected[half] += (
                     settings.slow_start_capacity + (1 - settings.slow_start_capacity) * age / ramp
                 ) / 3
-                got[half] += host.where(part) == 10
+                received[half] += host.where(part) == 10
             host.wait(0.05)
             host.finish(part)
-    for given, right in zip(got, due, strict=True):
-        assert 0.75 * right <= given <= 1.25 * right, (got, due)
+    for actual, target in zip(received, expected, strict=True):
+        assert 0.75 * target <= actual <= 1.25 * target, (received, expected)
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -1,4 +1,4 @@
-"""Starts of replicas on the monotonic clock, with a wall clock that is stepped before or after the start."""
+"""Start times of replicas on the monotonic clock, with a wall clock that steps before or after the start."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
 
 
 class Clocks:
-    """True Unix time is the monotonic time plus 1e9; this machine's wall clock is `ahead` of it."""
+    """Clocks of a machine: true Unix time is the monotonic time plus 1e9, the wall clock is `ahead` of it."""
 
     def __init__(self, ahead: float = 0.0) -> None:
         self.now, self.ahead = 1000.0, ahead
         self.starts = ReplicaStartTimes(lambda: self.now, lambda: 1e9 + self.now + self.ahead)
 
     def place(self, cached: bool = False, **starts: float) -> dict[str, float]:
-        """Places of starts that are given on the monotonic clock."""
+        """Place start times that are given on the monotonic clock; 0 stands for an unknown one."""
         placed = self.starts.place({ord(k): 1e9 + at if at else 0.0 for k, at in starts.items()}, cached)
         return {chr(number): at for number, at in placed.items()}
 
 
-def test_a_sound_clock_places_starts_where_they_are() -> None:
+def test_a_correct_wall_clock_gives_correct_start_times() -> None:
     clocks = Clocks()
     assert clocks.place(a=990.0, b=0.0) == pytest.approx({"a": 990.0, "b": 0.0})
     clocks.now = 1010.0
@@ -36,8 +36,8 @@
 
 
 @pytest.mark.parametrize("ahead", [-HOUR, -5.0, HOUR, 20.0])
-def test_a_start_listed_later_is_never_placed_far_too_early(ahead: float) -> None:
-    """A wall clock that was off before the process began: a restart must not pass for a warm replica."""
+def test_a_start_time_listed_later_is_never_placed_far_too_early(ahead: float) -> None:
+    """The wall clock is wrong from before the process began: a restart must not make a replica look warm."""
     clocks = Clocks(ahead)
     clocks.place(a=500.0, b=800.0)
     clocks.now = 1030.0
@@ -46,13 +46,13 @@
     (placed,) = clocks.place(c=1031.0).values()
     assert 1031.0 - LISTING_LAG <= placed <= 1032.0
     clocks.now = 1034.0
-    (placed,) = clocks.place(a=1033.0).values()  # one that was known, with a new start
+    (placed,) = clocks.place(a=1033.0).values()  # a known replica with a new start time
     assert 1033.0 - LISTING_LAG <= placed <= 1034.0
     assert clocks.starts.corrections
 
 
 @pytest.mark.parametrize("step", [-HOUR, -5.0, 5.0, HOUR])
-def test_a_step_after_the_start_moves_no_known_start(step: float) -> None:
+def test_a_clock_step_after_the_start_moves_no_known_start_time(step: float) -> None:
     clocks = Clocks()
     before = clocks.place(a=995.0, b=400.0)
     clocks.now, clocks.ahead = 1001.0, step
@@ -62,13 +62,13 @@
     assert 1002.0 - LISTING_LAG <= placed <= 1003.0
 
 
-def test_a_start_in_the_future_corrects_the_places_of_all() -> None:
+def test_a_start_time_in_the_future_corrects_all_start_times() -> None:
     clocks = Clocks(ahead=-HOUR)
-    found = clocks.place(a=999.0, b=900.0)
-    assert found["a"] == pytest.approx(1000.0) and found["b"] == pytest.approx(901.0)
+    start_times = clocks.place(a=999.0, b=900.0)
+    assert start_times["a"] == pytest.approx(1000.0) and start_times["b"] == pytest.approx(901.0)
 
 
-def test_a_cached_list_says_nothing_of_when_the_next_one_changed() -> None:
+def test_a_cached_list_does_not_bound_start_times_in_the_next_one() -> None:
     """A replica that started long after the cached list and long before this process is warm."""
     clocks = Clocks()
     clocks.place(cached=True, a=100.0)
@@ -77,19 +77,19 @@
     assert not clocks.starts.corrections
 
 
-def test_a_replica_that_comes_back_without_a_restart_keeps_its_start() -> None:
+def test_a_replica_listed_again_without_a_restart_keeps_its_start_time() -> None:
     clocks = Clocks()
     clocks.place(a=100.0, b=200.0)
     clocks.now = 1100.0
-    clocks.place(b=200.0)  # a is gone
+    clocks.place(b=200.0)  # a is removed
     clocks.now = 1200.0
     assert clocks.place(a=100.0) == pytest.approx({"a": 100.0}) and not clocks.starts.corrections
 
 
-def test_what_was_missed_in_an_outage_may_have_started_in_it() -> None:
+def test_a_replica_first_listed_after_an_outage_may_have_started_during_it() -> None:
     clocks = Clocks()
     clocks.place(a=100.0)
-    clocks.now = 1060.0  # nothing was heard for a minute
+    clocks.now = 1060.0  # no data for a minute
     assert clocks.place(b=1010.0) == pytest.approx({"b": 1010.0})
 
 
@@ -97,10 +97,10 @@
 
 
 @given(st.lists(EVENTS, max_size=20))
-def test_whatever_the_clock_does_no_restart_is_placed_too_early_by_more_than_the_lag(
+def test_no_clock_step_places_a_restart_too_early_by_more_than_the_lag(
     events: list[tuple[float, float, float]],
 ) -> None:
-    """Each event: seconds since the last, how long ago the replica started, a step of the wall clock."""
+    """Each event: seconds since the last one, seconds since the replica started, a step of the wall clock."""
     clocks = Clocks()
     clocks.place(z=50.0)
     for number, (gap, lag, step) in enumerate(events):
@@ -112,8 +112,8 @@
         assert started - LISTING_LAG - 1e-3 <= placed <= clocks.now
 
 
-def test_a_listed_restart_is_not_placed_before_the_list_behind_which_it_came() -> None:
-    """The same for lists from files and catalogues: a start that changes, and one in the future."""
+def test_a_listed_restart_is_not_placed_before_the_previous_list() -> None:
+    """The same for lists from files and catalogues: a changed start time, and one in the future."""
     old = Member(1, "a", ("127.0.0.1", 1), 0, 0, api.ReplicaState.READY, 100.0)
     view = EndpointView()
     view.apply_full_list((old,), 1000.0)
