--- a/gingervane/benchlink.py
+++ b/gingervane/benchlink.py
@@ -48,15 +48,15 @@
     def answer(self, now: float, count: int, batch: int, body: bytes) -> bytes:
         """Return the reply frame to one batch."""
         reader = RecordReader(body, batch)
-        handling = _BatchHandling(now, self._engines, self._tables)
+        processor = _BatchProcessor(now, self._engines, self._tables)
         for _ in range(count):
-            handling.take_record(reader, reader.take_code())
+            processor.process_record(reader, reader.read_code())
         reader.expect_end()
-        handling.flush()
-        return handling.reply(batch)
+        processor.flush()
+        return processor.reply(batch)
 
 
-class _BatchHandling:
+class _BatchProcessor:
     """One batch in progress: the instance that its records apply to, and the reply records so far."""
 
     def __init__(
@@ -72,11 +72,11 @@
         self._events = list[api.Event]()  # events of that instance, not handled yet
         self._replies = dict[int, list[bytes]]()  # by instance, in the order of their first events
 
-    def take_record(self, reader: RecordReader, code: int) -> None:
+    def process_record(self, reader: RecordReader, code: int) -> None:
         """Read and process a record."""
         if code == RecordCode.ABOUT:
             self.flush()
-            (self._instance,) = reader.take(INSTANCE, "about")
+            (self._instance,) = reader.read_fields(INSTANCE, "about")
         elif code == RecordCode.LAUNCH:
             self.flush()
             self._launch(reader)
@@ -84,8 +84,8 @@
             self.flush()
             self._engines.pop(self._instance, None)
         elif code == RecordCode.TABLE:
-            number, rows = reader.take(TABLE, "table")
-            self._tables[number] = tuple(read_replica(reader) for _ in range(rows))
+            table_number, rows = reader.read_fields(TABLE, "table")
+            self._tables[table_number] = tuple(read_replica(reader) for _ in range(rows))
         elif code == RecordCode.ENDPOINTS:
             self._events.append(self._read_endpoints(reader))
         elif code in EVENT_READERS:
@@ -96,8 +96,8 @@
             raise reader.error(f"unknown event code {code}")
 
     def _launch(self, reader: RecordReader) -> None:
-        seed, length = reader.take(LAUNCH, "launch")
-        text = reader.take_bytes(length, "the settings")
+        seed, length = reader.read_fields(LAUNCH, "launch")
+        text = reader.read_bytes(length, "the settings")
         try:
             settings = parse_settings(text.decode())
         except UnicodeDecodeError:
@@ -105,8 +105,8 @@
         self._engines[self._instance] = DecisionEngine(settings, seed)
 
     def _read_endpoints(self, reader: RecordReader) -> api.Event:
-        _, table, form = reader.take(ENDPOINTS, "endpoints")
-        kind = reader.look_up(UPDATE_KINDS, form, "list form")
+        _, table, kind_code = reader.read_fields(ENDPOINTS, "endpoints")
+        kind = reader.look_up(UPDATE_KINDS, kind_code, "list form")
         if kind is api.MembershipUpdateKind.FAILED:
             return api.MembershipChanged(kind, ())
         return api.MembershipChanged(kind, reader.look_up(self._tables, table, "table"))
--- a/gingervane/benchlink_records.py
+++ b/gingervane/benchlink_records.py
@@ -186,39 +186,39 @@
         self._position = 0
         self._batch = batch
 
-    def error(self, what: str) -> WireError:
+    def error(self, description: str) -> WireError:
         """An error at the current offset."""
-        return WireError(f"batch {self._batch}, byte {self._position + BATCH_HEADER.size}: {what}")
+        return WireError(f"batch {self._batch}, byte {self._position + BATCH_HEADER.size}: {description}")
 
-    def take(self, shape: struct.Struct, what: str) -> tuple[Any, ...]:
+    def read_fields(self, layout: struct.Struct, description: str) -> tuple[Any, ...]:
         """Read the fields of a structure."""
-        if self._position + shape.size > len(self._data):
-            raise self.error(f"frame ends inside {what}")
-        fields = shape.unpack_from(self._data, self._position)
-        self._position += shape.size
+        if self._position + layout.size > len(self._data):
+            raise self.error(f"frame ends inside {description}")
+        fields = layout.unpack_from(self._data, self._position)
+        self._position += layout.size
         return fields
 
-    def take_bytes(self, length: int, what: str) -> bytes:
+    def read_bytes(self, length: int, description: str) -> bytes:
         """Read `length` bytes."""
         if self._position + length > len(self._data):
-            raise self.error(f"frame ends inside {what}")
+            raise self.error(f"frame ends inside {description}")
         self._position += length
         return self._data[self._position - length : self._position]
 
-    def take_code(self) -> int:
+    def read_code(self) -> int:
         """Read the code of the next record."""
-        return self.take_bytes(1, "a record")[0]
+        return self.read_bytes(1, "a record")[0]
 
-    def look_up(self, table: dict[int, T], code: int, what: str) -> T:
+    def look_up(self, table: dict[int, T], code: int, description: str) -> T:
         """The value of a code; an unknown code is a `WireError`."""
         if code not in table:
-            raise self.error(f"unknown {what} {code}")
+            raise self.error(f"unknown {description} {code}")
         return table[code]
 
-    def take_load(self) -> tuple[float, ...]:
+    def read_load(self) -> tuple[float, ...]:
         """Read a load report: a count, followed by as many numbers."""
-        count = self.take_bytes(1, "load report")[0]
-        return struct.unpack(f"<{count}f", self.take_bytes(4 * count, "load report"))
+        count = self.read_bytes(1, "load report")[0]
+        return struct.unpack(f"<{count}f", self.read_bytes(4 * count, "load report"))
 
     def expect_end(self) -> None:
         """Raise a `WireError` if bytes remain after the last record."""
@@ -228,51 +228,53 @@
 
 def read_replica(reader: RecordReader) -> api.Replica:
     """Read an entry of an endpoint table."""
-    cell, zone, _, state, number, weight, started_at = reader.take(_REPLICA, "a table entry")
-    return api.Replica(number, cell, zone, weight, reader.look_up(_STATES, state, "lifecycle"), started_at)
+    cell, zone, _, state, replica_id, weight, started_at = reader.read_fields(_REPLICA, "a table entry")
+    return api.Replica(
+        replica_id, cell, zone, weight, reader.look_up(_STATES, state, "lifecycle"), started_at
+    )
 
 
 def _read_work_item(reader: RecordReader) -> api.Event:
     """Read a query, which has a negative shard, or a part."""
-    item, shard, query, query_class, size, marks, _, tenant, expires_at, cost = reader.take(
-        _WORK_ITEM, "work_item"
+    item_id, shard, query, query_class, weight_or_part_count, flags, _, tenant, expires_at, cost = (
+        reader.read_fields(_WORK_ITEM, "work_item")
     )
     if shard >= 0:
-        return api.PartArrived(item, int(query), int(shard), size)
-    is_client_retry = bool(marks & _CLIENT_RETRY_BIT)
+        return api.PartArrived(item_id, int(query), int(shard), weight_or_part_count)
+    is_client_retry = bool(flags & _CLIENT_RETRY_BIT)
     return api.QueryArrived(
-        item, int(query), query_class, tenant, int(size), expires_at, is_client_retry, cost
+        item_id, int(query), query_class, tenant, int(weight_or_part_count), expires_at, is_client_retry, cost
     )
 
 
 def _read_started(reader: RecordReader) -> None:
     """Skip the start of an attempt, which the decision engine does not use."""
-    reader.take(_STARTED, "started")
+    reader.read_fields(_STARTED, "started")
 
 
 def _read_result(reader: RecordReader) -> api.Event:
-    part, latency, replica, _, attempt, outcome = reader.take(_RESULT, "result")
-    reader.take_load()
+    part, latency, replica, _, attempt, outcome = reader.read_fields(_RESULT, "result")
+    reader.read_load()
     return api.AttemptEnded(part, attempt, replica, reader.look_up(_OUTCOMES, outcome, "ending"), latency)
 
 
 def _read_expired(reader: RecordReader) -> api.Event:
-    return api.QueryAbandoned(*reader.take(_IDENTIFIER, "expired"))
+    return api.QueryAbandoned(*reader.read_fields(_IDENTIFIER, "expired"))
 
 
 def _read_fired(reader: RecordReader) -> api.Event:
-    return api.TimerFired(*reader.take(_IDENTIFIER, "fired"))
+    return api.TimerFired(*reader.read_fields(_IDENTIFIER, "fired"))
 
 
 def _read_probe_result(reader: RecordReader) -> api.Event:
-    replica, code, latency = reader.take(_PROBE_RESULT, "probe_result")
+    replica, code, latency = reader.read_fields(_PROBE_RESULT, "probe_result")
     outcome = reader.look_up(_OUTCOMES, code, "ending")
-    return api.HealthCheckEnded(replica, outcome, latency, reader.take_load())
+    return api.HealthCheckEnded(replica, outcome, latency, reader.read_load())
 
 
 def _read_note_from(reader: RecordReader) -> api.Event:
-    sender, length = reader.take(_NOTE_FROM, "note_from")
-    return api.PeerMessageReceived(sender, reader.take_bytes(length, "note_from"))
+    sender, length = reader.read_fields(_NOTE_FROM, "note_from")
+    return api.PeerMessageReceived(sender, reader.read_bytes(length, "note_from"))
 
 
 # Readers of the events that consist of a single record.
--- a/gingervane/decisions/admission.py
+++ b/gingervane/decisions/admission.py
@@ -26,7 +26,7 @@
 QUOTA_TOLERANCE = 1.5
 # The harmonic number of n is approximated by log(n + HARMONIC_OFFSET); at n = 0, by minus Euler's constant.
 HARMONIC_OFFSET = 0.5
-HARMONIC_CONSTANT = -0.58
+HARMONIC_AT_ZERO = -0.58
 # Largest rounding error of a sum of weights received from a client.
 WEIGHT_ERROR = 1e-6
 
@@ -77,7 +77,7 @@
         now = self._context.now
         limit = ADMISSION_LIMIT_OVER_QUOTA if self._is_over_quota(query.arrived.tenant) else ADMISSION_LIMIT
         limit /= 2 if query.query_class.second_step_parts else 1
-        slowest = self._expected_latency_at(replicas) * self._slowest_over_mean(query, replicas)
+        slowest = self._expected_latency_at(replicas) * self._slowest_to_mean_ratio(query, replicas)
         if slowest > limit * (query.objective_at - now):
             return True
         assigned = dict(zip(map(id, parts), replicas, strict=True))
@@ -96,7 +96,7 @@
         return excess * self._coordinator_count > TRAFFIC_WINDOW * quota
 
     @staticmethod
-    def _slowest_over_mean(query: Query, replicas: list[KnownReplica]) -> float:
+    def _slowest_to_mean_ratio(query: Query, replicas: list[KnownReplica]) -> float:
         """Expected latency of the slowest replica that the query needs, as a multiple of the mean latency.
 
         Latencies are taken to be exponentially distributed. The result is the harmonic number of the replicas less
@@ -106,5 +106,5 @@
         count = len(set(replicas))
         needed = min(query.query_class.complete_coverage, query.query_class.required_coverage)
         unneeded = int(count * (1.0 - needed) + WEIGHT_ERROR)
-        least = log(unneeded + HARMONIC_OFFSET) if unneeded else HARMONIC_CONSTANT
-        return max(log(count + HARMONIC_OFFSET) - least, 1.0)
+        unneeded_harmonic = log(unneeded + HARMONIC_OFFSET) if unneeded else HARMONIC_AT_ZERO
+        return max(log(count + HARMONIC_OFFSET) - unneeded_harmonic, 1.0)
--- a/gingervane/decisions/attempt_dispatch.py
+++ b/gingervane/decisions/attempt_dispatch.py
@@ -18,7 +18,7 @@
 
 # Largest number of attempts at a part, including those that are never sent, as a multiple of the attempt cap. Without
 # this limit a process that cannot send would keep trying.
-MAX_TRIES_PER_CAP = 2
+MAX_ATTEMPTS_PER_CAP = 2
 
 
 class AttemptDispatcher:
@@ -75,9 +75,9 @@
         batch = self._context.batch
         request = RequestKey(now, batch, self._parts_sent[replica] // self._settings.max_parts_per_request)
         self._parts_sent[replica] += 1
-        ahead = sum(key.batch < batch for key in replica.requests)
-        idle = self._idle_connections.prepare_send(replica)
-        attempt = Attempt(part, part.attempts_made, replica, request, hedged, idle, ahead)
+        requests_ahead = sum(key.batch < batch for key in replica.requests)
+        idle_before = self._idle_connections.prepare_send(replica)
+        attempt = Attempt(part, part.attempts_made, replica, request, hedged, idle_before, requests_ahead)
         replica.requests[request] = replica.requests.get(request, 0) + 1
         self.open_attempts[part.arrived.id, attempt.number] = attempt
         part.attempts_made += 1
@@ -106,7 +106,7 @@
         """
         cap = self._settings.max_attempts
         sent = part.attempts_made - part.attempts_not_sent
-        return sent >= cap or part.attempts_made >= MAX_TRIES_PER_CAP * cap
+        return sent >= cap or part.attempts_made >= MAX_ATTEMPTS_PER_CAP * cap
 
     def _may_run_again(self, part: Part) -> bool:
         """Whether a repeated execution is safe: the part is idempotent, or still within its idempotency window."""
--- a/gingervane/decisions/completeness.py
+++ b/gingervane/decisions/completeness.py
@@ -54,9 +54,11 @@
             return True
         if not self.parts_received:
             return False
-        as_stated = self.weight_received >= share - self.parts_requested * WEIGHT_ROUNDING - FLOAT_ERROR
-        of_all = self.weight_received >= (share - FLOAT_ERROR) * self.weight_requested
-        return as_stated and of_all
+        reaches_absolute = (
+            self.weight_received >= share - self.parts_requested * WEIGHT_ROUNDING - FLOAT_ERROR
+        )
+        reaches_relative = self.weight_received >= (share - FLOAT_ERROR) * self.weight_requested
+        return reaches_absolute and reaches_relative
 
 
 def required_coverage(query_class: QueryClass, state: QueryState) -> float:
--- a/gingervane/decisions/engine.py
+++ b/gingervane/decisions/engine.py
@@ -34,9 +34,9 @@
 from gingervane.decisions.slow_start import SlowStart
 
 # Outcomes that prove that the replica responds.
-RESPONSES = (api.AttemptOutcome.OK, api.AttemptOutcome.ERROR, api.AttemptOutcome.REJECTED)
+RESPONSE_OUTCOMES = (api.AttemptOutcome.OK, api.AttemptOutcome.ERROR, api.AttemptOutcome.REJECTED)
 # Outcomes that are no evidence of a replica's health.
-OWN_ENDINGS = (api.AttemptOutcome.CANCELLED, api.AttemptOutcome.NEVER_SENT)
+NEUTRAL_OUTCOMES = (api.AttemptOutcome.CANCELLED, api.AttemptOutcome.NEVER_SENT)
 
 
 class DecisionEngine:
@@ -104,7 +104,7 @@
         self._selector.begin_batch()
         self._dispatcher.begin_batch()
         if self.context.batch == 1 and self.settings.membership_polled:
-            self.membership.watch.ask()
+            self.membership.watch.request_updates()
         # Events received during a pause of this process are handled before any timer. Otherwise replicas that have
         # answered would count as unresponsive.
         for event in sorted(events, key=_is_timer):
@@ -121,7 +121,7 @@
         self.hedging.start_timer(attempt)
 
     def _on_peer_message(self, event: api.PeerMessageReceived) -> None:
-        if not self._drain_reports.take(event):
+        if not self._drain_reports.handle_message(event):
             self._outlier_detector.on_peer_message(event)
 
     def _on_query_abandoned(self, event: api.QueryAbandoned) -> None:
@@ -209,12 +209,12 @@
         Immediate retries would overload replicas whose queues are full, and would keep a process busy that cannot
         send.
         """
-        waits = 0
+        median_count = 0
         if outcome is api.AttemptOutcome.REJECTED and part.attempts_made < self.settings.max_attempts:
-            waits = part.attempts_made
+            median_count = part.attempts_made
         elif outcome is api.AttemptOutcome.NEVER_SENT and part.attempts_not_sent > 1:
-            waits = part.attempts_not_sent
-        return waits * self.latency.percentile(part.query.arrived.query_class, 0.5)
+            median_count = part.attempts_not_sent
+        return median_count * self.latency.percentile(part.query.arrived.query_class, 0.5)
 
     def _record_health(self, attempt: Attempt, outcome: api.AttemptOutcome) -> None:
         """Record an outcome as evidence for or against the health of the replicas concerned."""
@@ -226,9 +226,9 @@
                 self._outlier_detector.record_outcome(replica, 0.0)
             if attempt.hedged and not attempt.part.done and not self.context.process_paused:
                 self._record_lost_to_hedge(attempt.part)
-        elif outcome not in OWN_ENDINGS:
+        elif outcome not in NEUTRAL_OUTCOMES:
             self.hedging.record_failure()
-            if outcome not in RESPONSES:
+            if outcome not in RESPONSE_OUTCOMES:
                 replica.last_unresponsive_at = self.context.now
             # Ejecting a replica whose queue is merely full would move its load to the next holder.
             rejected = outcome is api.AttemptOutcome.REJECTED
@@ -244,7 +244,7 @@
 
     def _record_response(self, attempt: Attempt, event: api.AttemptEnded) -> None:
         """Update the replica's state and the latency estimates from a response of any kind."""
-        if event.outcome not in RESPONSES:
+        if event.outcome not in RESPONSE_OUTCOMES:
             return
         replica = attempt.replica
         replica.last_answered_send_at = max(replica.last_answered_send_at, attempt.request.sent_at)
--- a/gingervane/decisions/hedging.py
+++ b/gingervane/decisions/hedging.py
@@ -76,16 +76,16 @@
             return
         self.start_timer(attempt)
         attempt.hedge_delays += 1
-        is_ejection = False
+        newly_ejected = False
         if attempt.hedge_delays % NO_RESPONSE_DELAYS == 0:
-            is_ejection = self._check_response(attempt)
+            newly_ejected = self._check_response(attempt)
         part = attempt.part
         breakers_open = self._breakers_open()
         if part.has_failed:
             self._retry_failed(part)
         elif not breakers_open and self._is_hedge_useful(part) and self._is_below_cap(part):
             self._send_hedge(part)
-        if is_ejection:
+        if newly_ejected:
             self._retry_overdue(attempt.replica)
 
     def _check_response(self, attempt: Attempt) -> bool:
@@ -130,8 +130,8 @@
         A part of a query that is nearly complete is a straggler: its lateness does not indicate queueing.
         """
         query = part.query
-        usual = self._latency.baseline[query.arrived.query_class]
-        queueing = self._admission.expected_latency() > QUEUEING_LATENCY * usual
+        baseline_latency = self._latency.baseline[query.arrived.query_class]
+        queueing = self._admission.expected_latency() > QUEUEING_LATENCY * baseline_latency
         return queueing and query.weight_received < 1 - MAX_STRAGGLER_WEIGHT
 
     def _retry_failed(self, part: Part) -> None:
--- a/gingervane/decisions/idle_connections.py
+++ b/gingervane/decisions/idle_connections.py
@@ -23,10 +23,10 @@
 
     def __init__(self, context: BatchContext) -> None:
         self._context = context
-        self._limit = inf  # shortest idle time in seconds after which there was no response
-        self._limit_at = 0.0
-        self._longest_sound = 0.0  # longest idle time in seconds after which a part was answered
-        self._longest_sound_at = 0.0
+        self._idle_limit = inf  # shortest idle time in seconds after which there was no response
+        self._idle_limit_at = 0.0
+        self._longest_safe = 0.0  # longest idle time in seconds after which a part was answered
+        self._longest_safe_at = 0.0
 
     def record_no_response(self, attempt: Attempt) -> None:
         """Lower the limit after a missing response, unless a part was recently answered after as long an idle time.
@@ -34,20 +34,20 @@
         Without that condition, where parts are rare, one replica that does not respond for another reason would cost
         a new connection for each part.
         """
-        if attempt.idle_before > self._sound_idle_time():
+        if attempt.idle_before > self._safe_idle_time():
             objective = attempt.part.query.query_class.latency_objective
-            self._limit = min(self._limit, max(attempt.idle_before, objective))
-            self._limit_at = self._context.now
+            self._idle_limit = min(self._idle_limit, max(attempt.idle_before, objective))
+            self._idle_limit_at = self._context.now
 
     def record_answer(self, attempt: Attempt) -> None:
         """Record an idle time after which a part was answered."""
-        if attempt.idle_before > self._sound_idle_time():
-            self._longest_sound = attempt.idle_before
-            self._longest_sound_at = self._context.now
+        if attempt.idle_before > self._safe_idle_time():
+            self._longest_safe = attempt.idle_before
+            self._longest_safe_at = self._context.now
 
-    def _sound_idle_time(self) -> float:
+    def _safe_idle_time(self) -> float:
         """The longest recent idle time after which a part was answered; it decays as the limit grows."""
-        return self._longest_sound * float(0.5 ** ((self._context.now - self._longest_sound_at) / HALF_LIFE))
+        return self._longest_safe * float(0.5 ** ((self._context.now - self._longest_safe_at) / HALF_LIFE))
 
     def prepare_send(self, replica: KnownReplica) -> float:
         """Close the replica's idle connections if necessary, and return their idle time in seconds before this send.
@@ -56,7 +56,7 @@
         """
         now = self._context.now
         idle = now - replica.last_sent_at if replica.last_sent_at else 0.0  # 0 for the first send
-        too_long = idle * 0.5 ** ((now - self._limit_at) / HALF_LIFE) >= self._limit
+        too_long = idle * 0.5 ** ((now - self._idle_limit_at) / HALF_LIFE) >= self._idle_limit
         if too_long or now < replica.unresponsive_until:
             self._context.actions.append(api.CloseIdle(replica.endpoint.id))
             replica.unresponsive_until = 0.0
--- a/gingervane/decisions/latency.py
+++ b/gingervane/decisions/latency.py
@@ -67,9 +67,9 @@
 
         It decays while no outcomes are recorded; otherwise a co-ordinator that rejects everything would never stop.
         """
-        silence = max(now - self.mean_at - self.mean, 0.0)
+        time_without_outcome = max(now - self.mean_at - self.mean, 0.0)
         scaled = self.mean * (1 + requests_per_replica) / (1 + self.mean_requests_ahead)
-        return scaled * float(0.5 ** (silence / MEAN_HALF_LIFE))
+        return scaled * float(0.5 ** (time_without_outcome / MEAN_HALF_LIFE))
 
     def record_outcome(
         self, replica: KnownReplica, query_class: int, latency: float, requests_ahead: int, now: float
--- a/gingervane/decisions/membership_watch.py
+++ b/gingervane/decisions/membership_watch.py
@@ -33,14 +33,14 @@
 # Minimum backoff per co-ordinator in seconds from the second consecutive failure on, when discovery is taken to be
 # overloaded; limited by the longest backoff. Rejected calls take discovery's time too, so that a fleet that calls
 # faster than they are processed would keep it overloaded.
-CROWDED_BACKOFF_PER_COORDINATOR = 0.05
+OVERLOADED_BACKOFF_PER_COORDINATOR = 0.05
 # Jitter factors of the backoff, so that co-ordinators do not call in step.
 MIN_JITTER = 0.5
 MAX_JITTER = 1.5
 # The remaining time is divided by this to limit the backoff, so that several calls fit into it despite the jitter.
-BACKOFFS_IN_TIME_LEFT = 8
+BACKOFFS_IN_REMAINING_TIME = 8
 # The same in a large fleet while much time remains, which leaves capacity of discovery to co-ordinators with less.
-CROWDED_BACKOFFS_IN_TIME_LEFT = 2
+LARGE_FLEET_BACKOFFS_IN_REMAINING_TIME = 2
 # Limit per co-ordinator, in seconds, up to which the backoff is lengthened in a large fleet.
 LARGE_FLEET_BACKOFF_PER_COORDINATOR = 0.07
 # Shortest backoff that the remaining time can lead to, seconds.
@@ -50,21 +50,21 @@
 # Longest backoff when no time remains, seconds.
 MAX_URGENT_BACKOFF = 4 / 3
 # Upper bound for the remaining time in the computation of a call's timeout, seconds.
-MAX_TIME_LEFT = 6.0
+MAX_REMAINING_TIME = 6.0
 # A call without an answer gets a further call beside it after the remaining time divided by this.
-WAITS_IN_TIME_LEFT = 3
+CALL_TIMEOUTS_IN_REMAINING_TIME = 3
 # Shortest time in seconds before that further call, as a place in discovery's queue is worth waiting for.
-MIN_WAIT = 1.25
+MIN_CALL_TIMEOUT = 1.25
 # Where lists are pushed, the backoff is at most the drain grace divided by this, as all changes count as notified as
 # soon as discovery has recovered.
 PUSHED_BACKOFFS_PER_GRACE = 4
 # Where lists are pushed, a call without an answer gets a further call after the drain grace divided by this.
-PUSHED_WAITS_PER_GRACE = 2
+PUSHED_CALL_TIMEOUTS_PER_GRACE = 2
 # Upper bound for the drain grace in both cases, seconds.
 MAX_PUSHED_GRACE = 6.0
 # Seconds for which a replica is excluded after the end of its lease or its last rejection. It is then tried again if
 # there is no other holder: it may still serve, and discovery may be unavailable for long.
-BAR_DURATION = 12.0
+EXCLUSION_DURATION = 12.0
 # Seconds for which a peer's drain report is valid; peers repeat it every 2 s.
 REPORT_LIFETIME = 6.0
 # Mean number of parts that each ready replica must have served while the watch is down before one that served none is
@@ -97,33 +97,35 @@
 class MembershipWatch:
     """Decides on the watch of the endpoint list, and whether replicas may be used while it is down."""
 
-    def __init__(self, settings: api.Settings, context: BatchContext, terms: WatchTerms) -> None:
+    def __init__(self, settings: api.Settings, context: BatchContext, watch_terms: WatchTerms) -> None:
         self._context = context
         self._polled = settings.membership_polled
-        self._calls_may_overlap = terms.parallel_calls > 1
-        self._notified_within = terms.notified_within
+        self._calls_may_overlap = watch_terms.parallel_calls > 1
+        self._notified_within = watch_terms.notified_within
         self._pushed_grace = min(max(settings.drain_grace, settings.timer_granularity), MAX_PUSHED_GRACE)
         coordinators = settings.coordinator_count
         self._min_backoff = min(
             max(MIN_URGENT_BACKOFF, coordinators / MAX_FLEET_CALL_RATE), MAX_URGENT_BACKOFF
         )
         self._fleet_backoff = LARGE_FLEET_BACKOFF_PER_COORDINATOR * coordinators
-        self._crowded_backoff = min(CROWDED_BACKOFF_PER_COORDINATOR * coordinators, MAX_BACKOFF)
+        self._overloaded_backoff = min(OVERLOADED_BACKOFF_PER_COORDINATOR * coordinators, MAX_BACKOFF)
         self._backoff = INITIAL_BACKOFF
         self._phase = WatchPhase.PENDING
-        self._known_at = -inf  # time up to which the list is known to be current, while the watch is not up
+        self._last_current_at = -inf  # while the watch is not up: time at which the list was last current
         self._served_parts = 0  # parts served by all replicas while the watch is not up
         self.ready_replicas = 0  # number of ready replicas in the endpoint list
-        self._calls = 0  # number of calls requested
+        self._calls_made = 0  # number of calls requested
         self._retry_pending = False
 
-    def ask(self) -> None:
+    def request_updates(self) -> None:
         """Request the endpoint list and its changes, and a further call if no answer comes in time."""
         self._retry_pending = False
-        self._calls += 1
+        self._calls_made += 1
         self._context.actions.append(api.WatchMembership())
         if self._calls_may_overlap:
-            self._context.set_timer(self._longest_wait(), partial(self._hedge, self._calls))
+            self._context.set_timer(
+                self._call_timeout(), partial(self._hedge_unanswered_call, self._calls_made)
+            )
 
     def record_list(self) -> None:
         """Record that a list, a change or a confirmation without changes was received."""
@@ -138,16 +140,16 @@
     def record_failure(self, silent_for: float = 0.0) -> None:
         """Record a failed call, or a watch on which the last data came `silent_for` seconds ago, and call again."""
         if self._phase is WatchPhase.UP:
-            self._known_at = self._context.now - silent_for
+            self._last_current_at = self._context.now - silent_for
         self._phase = WatchPhase.DOWN
         if self._retry_pending:
             return
         self._retry_pending = True
         jitter = self._context.random.uniform(MIN_JITTER, MAX_JITTER)
-        self._context.set_timer(min(self._backoff, self._max_backoff()) * jitter, self.ask)
+        self._context.set_timer(min(self._backoff, self._max_backoff()) * jitter, self.request_updates)
         self._backoff = min(BACKOFF_GROWTH * self._backoff, MAX_BACKOFF)
         if self._polled:
-            self._backoff = max(self._backoff, self._crowded_backoff)
+            self._backoff = max(self._backoff, self._overloaded_backoff)
 
     @property
     def is_up(self) -> bool:
@@ -158,59 +160,59 @@
         """Count a part that a replica has served."""
         self._served_parts += 1
 
-    def is_doubtful(self, replica: KnownReplica) -> bool:
+    def is_lease_expired(self, replica: KnownReplica) -> bool:
         """Whether a replica may be draining or removed while this co-ordinator cannot know of it."""
-        return self._phase is WatchPhase.DOWN and self._has_lease_expired(replica)
+        return self._phase is WatchPhase.DOWN and self._is_past_lease_end(replica)
 
-    def is_barred(self, replica: KnownReplica) -> bool:
+    def is_excluded(self, replica: KnownReplica) -> bool:
         """Whether a replica must not be sent to: reported as draining, or its lease has expired without service."""
         if not self.is_up and self._context.now < replica.reported_draining_at + REPORT_LIFETIME:
             return True
-        if not self.is_doubtful(replica):
+        if not self.is_lease_expired(replica):
             return False
-        if not _only_turns_away(replica) and not self._should_have_served():
+        if not _only_rejects(replica) and not self._should_have_served():
             return False
         since = max(self._lease_end(replica), replica.last_rejected_send_at)
-        return self._context.now < since + BAR_DURATION
+        return self._context.now < since + EXCLUSION_DURATION
 
     def _should_have_served(self) -> bool:
         """Whether there is enough traffic that each ready replica should have served a part by now."""
         return self._served_parts >= EXPECTED_PARTS_SERVED * max(self.ready_replicas, 1)
 
-    def _has_lease_expired(self, replica: KnownReplica) -> bool:
+    def _is_past_lease_end(self, replica: KnownReplica) -> bool:
         return self._polled and self._context.now > self._lease_end(replica)
 
     def _lease_end(self, replica: KnownReplica) -> float:
         """Time until which no unknown change of the replica can count as notified."""
-        return max(self._known_since(), replica.last_served_send_at) + self._notified_within
+        return max(self._list_current_at(), replica.last_served_send_at) + self._notified_within
 
-    def _hedge(self, call: int) -> None:
+    def _hedge_unanswered_call(self, call: int) -> None:
         """Make a further call if the last one is still without an answer."""
-        if call == self._calls and self._phase is not WatchPhase.UP and not self._retry_pending:
+        if call == self._calls_made and self._phase is not WatchPhase.UP and not self._retry_pending:
             self._phase = WatchPhase.DOWN
-            self.ask()
+            self.request_updates()
 
-    def _known_since(self) -> float:
-        return max(self._known_at, self._context.started_at - CACHED_LIST_AGE)
+    def _list_current_at(self) -> float:
+        return max(self._last_current_at, self._context.started_at - CACHED_LIST_AGE)
 
-    def _time_left(self) -> float:
+    def _remaining_time(self) -> float:
         """Seconds until a change that is still unknown may count as notified."""
-        return self._known_since() + self._notified_within - self._context.now
+        return self._list_current_at() + self._notified_within - self._context.now
 
     def _max_backoff(self) -> float:
         if not self._polled:
             return self._pushed_grace / PUSHED_BACKOFFS_PER_GRACE
-        left = self._time_left()
-        in_crowd = min(left / CROWDED_BACKOFFS_IN_TIME_LEFT, self._fleet_backoff)
-        return max(left / BACKOFFS_IN_TIME_LEFT, in_crowd, self._min_backoff)
+        remaining = self._remaining_time()
+        large_fleet_backoff = min(remaining / LARGE_FLEET_BACKOFFS_IN_REMAINING_TIME, self._fleet_backoff)
+        return max(remaining / BACKOFFS_IN_REMAINING_TIME, large_fleet_backoff, self._min_backoff)
 
-    def _longest_wait(self) -> float:
+    def _call_timeout(self) -> float:
         if not self._polled:
-            return self._pushed_grace / PUSHED_WAITS_PER_GRACE
-        left = min(self._time_left(), MAX_TIME_LEFT)
-        return max(left / WAITS_IN_TIME_LEFT, MIN_WAIT)
+            return self._pushed_grace / PUSHED_CALL_TIMEOUTS_PER_GRACE
+        remaining = min(self._remaining_time(), MAX_REMAINING_TIME)
+        return max(remaining / CALL_TIMEOUTS_IN_REMAINING_TIME, MIN_CALL_TIMEOUT)
 
 
-def _only_turns_away(replica: KnownReplica) -> bool:
+def _only_rejects(replica: KnownReplica) -> bool:
     """Whether a replica has rejected parts and served none that was sent later, as a draining one does."""
     return replica.last_rejected_send_at > replica.last_served_send_at
--- a/gingervane/decisions/outlier_ejection.py
+++ b/gingervane/decisions/outlier_ejection.py
@@ -106,7 +106,7 @@
         A failed part at one of many peers is little evidence compared with all the parts that the fleet sends to the
         replica. As in the circuit breaker, failures count relative to the number of parts.
         """
-        fleet_rate = self._rate(MIN_PARTS_FOR_REPORTS) * self._coordinator_count
+        fleet_rate = self._send_rate(MIN_PARTS_FOR_REPORTS) * self._coordinator_count
         sent = fleet_rate * SCORE_HALF_LIFE / max(self._membership.ready_count, 1)
         return min(MAX_REPORT_WEIGHT, EJECTION_SCORE / max(OPEN_RATIO * sent, MIN_FLEET_PARTS))
 
@@ -125,7 +125,7 @@
             replica.ejected_until = max(replica.ejected_until, self._context.now + MIN_EJECTION)
             replica.failure_score = 0.0
 
-    def _rate(self, min_parts: int) -> float:
+    def _send_rate(self, min_parts: int) -> float:
         """Parts per second that this co-ordinator has recently sent, computed from at least `min_parts`."""
         now = self._context.now
         parts = max(self._first_sends.count(now), min_parts)
@@ -151,7 +151,7 @@
         It lasts at least as long as the next part for the replica takes to reach a co-ordinator that reports on it.
         """
         observers = self._coordinator_count if self._gossip_allowed else 1
-        return max(MIN_EJECTION, self._membership.ready_count / self._rate(1) / observers)
+        return max(MIN_EJECTION, self._membership.ready_count / self._send_rate(1) / observers)
 
     def _eject(
         self,
--- a/gingervane/decisions/query_state.py
+++ b/gingervane/decisions/query_state.py
@@ -67,7 +67,7 @@
         """Whether the query has completed."""
         return self.state is QueryState.SETTLED
 
-    def wanted_by(self, now: float) -> float:
+    def response_due_at(self, now: float) -> float:
         """Time by which a part sent now should be answered: the objective, or after it the deadline."""
         return self.objective_at if now < self.objective_at else self.answer_by
 
--- a/gingervane/decisions/replica_selection.py
+++ b/gingervane/decisions/replica_selection.py
@@ -36,7 +36,7 @@
     """
     answered = replica.last_answered_send_at
     oldest = next((key.sent_at for key in replica.requests if key.sent_at > answered), now)
-    return now - oldest > MAX_REQUEST_AGE * (query.wanted_by(now) - now)
+    return now - oldest > MAX_REQUEST_AGE * (query.response_due_at(now) - now)
 
 
 class ReplicaSelector:
@@ -71,7 +71,7 @@
         limited, as a query with parts at all ejected replicas would wait for each of them.
         """
         now = self._context.now
-        if self._membership.watch.is_doubtful(replica):
+        if self._membership.watch.is_lease_expired(replica):
             return False
         if replica.ejected_for:
             due = now >= replica.ejected_until and not replica.requests
@@ -99,7 +99,7 @@
 
     def _substitution_rank(self, replica: KnownReplica, part: Part) -> tuple[bool, bool, bool, float, bool]:
         return (
-            self._membership.watch.is_doubtful(replica),
+            self._membership.watch.is_lease_expired(replica),
             not self.is_preferred(replica, part.query),
             replica in part.tried_replicas,
             len(replica.requests) + relative_latency(replica, self._context.now),
@@ -134,9 +134,11 @@
             relative_latency(replica, now) if self.is_preferred(replica, query) else inf
             for replica in holders
         ]
-        most = MAX_RELATIVE_LATENCY * min(latencies, default=0.0)
-        usable = [latency < inf and latency <= most for latency in latencies]
+        max_latency = MAX_RELATIVE_LATENCY * min(latencies, default=0.0)
+        usable = [latency < inf and latency <= max_latency for latency in latencies]
         substitute = None if all(usable) else self.substitute(part)
         if substitute is None:
             return list(holders)
-        return [replica if ok else substitute for replica, ok in zip(holders, usable, strict=True)]
+        return [
+            replica if is_usable else substitute for replica, is_usable in zip(holders, usable, strict=True)
+        ]
--- a/gingervane/decisions/retry_budget.py
+++ b/gingervane/decisions/retry_budget.py
@@ -46,6 +46,6 @@
         now = self._context.now
         if self._free is None:
             return True
-        left = self._share * self._requests.count(now) - self._further_attempts.count(now)
+        remaining = self._share * self._requests.count(now) - self._further_attempts.count(now)
         needed = 1 + (self._free * RESERVED_FOR_RETRIES if hedged else 0.0)
-        return self._free + left >= needed
+        return self._free + remaining >= needed
--- a/gingervane/decisions/slow_start.py
+++ b/gingervane/decisions/slow_start.py
@@ -38,17 +38,17 @@
         self._coordinator_count = settings.coordinator_count
         # Mean number of this co-ordinator's parts that a ready replica has answered.
         self.answered_per_replica = 0.0
-        self._requested = SlidingWindowCount(TRAFFIC_WINDOW)
-        self._answered = SlidingWindowCount(TRAFFIC_WINDOW)
+        self._parts_requested = SlidingWindowCount(TRAFFIC_WINDOW)
+        self._parts_answered = SlidingWindowCount(TRAFFIC_WINDOW)
 
     def record_request(self) -> None:
         """Count a part that a query requests."""
-        self._requested.add(self._context.now)
+        self._parts_requested.add(self._context.now)
 
     def record_answer(self) -> None:
         """Count an answered part. Only answers earn tokens, so that a storm of retries earns none."""
         self.answered_per_replica += 1 / max(self._membership.ready_count, 1)
-        self._answered.add(self._context.now)
+        self._parts_answered.add(self._context.now)
 
     def record_unservable(self, parts: int) -> None:
         """Count parts that no replica may be sent.
@@ -64,7 +64,7 @@
         suspected of a restart is refused.
         """
         now = self._context.now
-        if self._membership.watch.is_barred(replica):
+        if self._membership.watch.is_excluded(replica):
             return False
         if conservative and now < replica.suspected_restart_at + self._duration:
             return False
@@ -82,10 +82,10 @@
         # Each client retry leads to one more draw, at all co-ordinators, without an answer. The probability is
         # therefore limited to half of the multiple that overloads the replica, in relation to the answers.
         now = self._context.now
-        answered = self._answered.count(now) + ANSWER_RATIO_PRIOR
-        answer_ratio = answered / (self._requested.count(now) + ANSWER_RATIO_PRIOR)
-        chance = capacity * min(1.0, answer_ratio * self._safe_multiple)
-        drawn = replica.slow_start_sample < chance and replica.slow_start_tokens > -MAX_TOKEN_DEBT
+        answered = self._parts_answered.count(now) + ANSWER_RATIO_PRIOR
+        answer_ratio = answered / (self._parts_requested.count(now) + ANSWER_RATIO_PRIOR)
+        probability = capacity * min(1.0, answer_ratio * self._safe_multiple)
+        drawn = replica.slow_start_sample < probability and replica.slow_start_tokens > -MAX_TOKEN_DEBT
         return drawn or (replica.slow_start_tokens >= MAX_TOKENS and not conservative)
 
     def _refill_tokens(self, replica: KnownReplica, capacity: float) -> None:
--- a/gingervane/interface.py
+++ b/gingervane/interface.py
@@ -135,9 +135,7 @@
     retry_budget_share: float | None
     retry_budget_window: float | None
     max_send_delay: float = 0.0  # longest delay in seconds between the decision and the send of an attempt
-    drain_grace: float = (
-        inf  # seconds after the notification of a drain in which the replica may still be sent to
-    )
+    drain_grace: float = inf  # seconds after the notification of a drain in which sends are permitted
 
 
 class Replica(NamedTuple):
--- a/gingervane/startup.py
+++ b/gingervane/startup.py
@@ -46,7 +46,7 @@
     return str(value).lower() if isinstance(value, bool) else str(value)
 
 
-class _Pairs:
+class _SettingsReader:
     """Typed access to settings by key; a missing or malformed key raises a `SettingsError` that names it."""
 
     def __init__(self, pairs: Mapping[str, str]) -> None:
@@ -55,7 +55,7 @@
     def __contains__(self, key: str) -> bool:
         return key in self._pairs
 
-    def need(self, key: str, read: Callable[[str], T]) -> T:
+    def required(self, key: str, read: Callable[[str], T]) -> T:
         """The value of a required key."""
         if key not in self._pairs:
             raise SettingsError(f"settings: key {key} is missing")
@@ -64,13 +64,13 @@
         except (ValueError, KeyError, IndexError):
             raise SettingsError(f"settings: key {key} has the bad value {self._pairs[key]!r}") from None
 
-    def maybe(self, key: str, read: Callable[[str], T]) -> T | None:
+    def optional(self, key: str, read: Callable[[str], T]) -> T | None:
         """The value of an optional key; None if it is absent or empty."""
-        return self.need(key, read) if self._pairs.get(key) else None
+        return self.required(key, read) if self._pairs.get(key) else None
 
-    def need_item(self, key: str, read: Callable[[str], T], index: int) -> T:
+    def required_item(self, key: str, read: Callable[[str], T], index: int) -> T:
         """One value of a required comma-separated list."""
-        return self.need(key, lambda value: read(value.split(",")[index]))
+        return self.required(key, lambda value: read(value.split(",")[index]))
 
 
 # These parsers reject values that would make decisions fail long after the start, or wait without end.
@@ -107,48 +107,50 @@
 
 def read_settings(pairs: Mapping[str, str]) -> api.Settings:
     """Read the settings. Unknown keys are ignored; a `SettingsError` names a missing or bad key."""
-    found = _Pairs(pairs)
-    drain_grace = found.maybe("Rules.StopSendingWithinS", _number)
-    tenants = range(found.need("Tenants.count", int) if "Tenants.count" in found else 0)
+    reader = _SettingsReader(pairs)
+    drain_grace = reader.optional("Rules.StopSendingWithinS", _number)
+    tenants = range(reader.required("Tenants.count", int) if "Tenants.count" in reader else 0)
     return api.Settings(
-        coordinator_count=found.need("Balancers", _count),
-        zone=found.need("Locality", int),
-        query_classes=tuple(_read_query_class(found, i) for i in range(found.need("Classes.count", _count))),
-        tenant_quotas=tuple(found.maybe(f"Tenants.{i}.QuotaPerS", _number) for i in tenants),
-        timer_granularity=found.need("GranularityS", _positive),
-        cell_count=found.need("Extra.Sets", _count),
-        cells_per_replica=found.need("Extra.Width", _count),
-        max_parts_per_request=found.need("Extra.PerCall", _count),
-        max_attempts=found.need("Limits.SendCap", _count),
-        cancellation_allowed=found.need("Limits.Cancelling", _flag),
-        gossip_allowed=found.need("Limits.Peers", _flag),
-        hedging_allowed=found.need("Limits.SecondCopies", _flag),
-        retry_after_allowed=found.need("Limits.RetryAfter", _flag),
-        max_retry_after=found.need("Limits.MaxRetryAfterS", _number),
-        membership_polled=found.need("MembershipMode", _is_polled),
-        slow_start_capacity=found.need("Rules.StartCapacity", _number),
-        slow_start_duration=found.need("Rules.RampTimeS", _number),
-        overload_window=found.need("Rules.FallS", _number),
-        overload_multiple=found.need("Rules.TipMultiple", _number),
-        retry_budget_free=found.maybe("Rules.BudgetFree", _number),
-        retry_budget_share=found.maybe("Rules.ExtraRatio", _number),
-        retry_budget_window=found.maybe("Rules.ResendSpanS", _number),
+        coordinator_count=reader.required("Balancers", _count),
+        zone=reader.required("Locality", int),
+        query_classes=tuple(
+            _read_query_class(reader, i) for i in range(reader.required("Classes.count", _count))
+        ),
+        tenant_quotas=tuple(reader.optional(f"Tenants.{i}.QuotaPerS", _number) for i in tenants),
+        timer_granularity=reader.required("GranularityS", _positive),
+        cell_count=reader.required("Extra.Sets", _count),
+        cells_per_replica=reader.required("Extra.Width", _count),
+        max_parts_per_request=reader.required("Extra.PerCall", _count),
+        max_attempts=reader.required("Limits.SendCap", _count),
+        cancellation_allowed=reader.required("Limits.Cancelling", _flag),
+        gossip_allowed=reader.required("Limits.Peers", _flag),
+        hedging_allowed=reader.required("Limits.SecondCopies", _flag),
+        retry_after_allowed=reader.required("Limits.RetryAfter", _flag),
+        max_retry_after=reader.required("Limits.MaxRetryAfterS", _number),
+        membership_polled=reader.required("MembershipMode", _is_polled),
+        slow_start_capacity=reader.required("Rules.StartCapacity", _number),
+        slow_start_duration=reader.required("Rules.RampTimeS", _number),
+        overload_window=reader.required("Rules.FallS", _number),
+        overload_multiple=reader.required("Rules.TipMultiple", _number),
+        retry_budget_free=reader.optional("Rules.BudgetFree", _number),
+        retry_budget_share=reader.optional("Rules.ExtraRatio", _number),
+        retry_budget_window=reader.optional("Rules.ResendSpanS", _number),
         drain_grace=inf if drain_grace is None else drain_grace,
     )
 
 
-def _read_query_class(found: _Pairs, index: int) -> api.QueryClass:
-    retry_safety = found.need(f"Classes.{index}.Semantics", api.RetrySafety)
+def _read_query_class(reader: _SettingsReader, index: int) -> api.QueryClass:
+    retry_safety = reader.required(f"Classes.{index}.Semantics", api.RetrySafety)
     has_key = retry_safety is api.RetrySafety.IDEMPOTENCY_KEY
     return api.QueryClass(
-        latency_objective=found.need(f"Classes.{index}.AimS", _number),
-        deadline=found.need(f"Classes.{index}.DeadlineS", _positive),
+        latency_objective=reader.required(f"Classes.{index}.AimS", _number),
+        deadline=reader.required(f"Classes.{index}.DeadlineS", _positive),
         retry_safety=retry_safety,
-        idempotency_window=found.need(f"Classes.{index}.WindowS", _number) if has_key else None,
-        second_step_parts=found.need_item("Extra.ClassFetch", int, index),
-        required_coverage=found.need_item("Extra.MinShare", float, index),
-        complete_coverage=found.need_item("Extra.WholeAt", _positive, index),
-        objective_stretch=found.maybe(f"Classes.{index}.AimStretch", float),
-        late_weight=found.need(f"Classes.{index}.LateWorth", float),
-        partial_weight=found.need_item("Extra.ShortWorth", float, index),
+        idempotency_window=reader.required(f"Classes.{index}.WindowS", _number) if has_key else None,
+        second_step_parts=reader.required_item("Extra.ClassFetch", int, index),
+        required_coverage=reader.required_item("Extra.MinShare", float, index),
+        complete_coverage=reader.required_item("Extra.WholeAt", _positive, index),
+        objective_stretch=reader.optional(f"Classes.{index}.AimStretch", float),
+        late_weight=reader.required(f"Classes.{index}.LateWorth", float),
+        partial_weight=reader.required_item("Extra.ShortWorth", float, index),
     )
--- a/tests/test_completeness.py
+++ b/tests/test_completeness.py
@@ -10,7 +10,8 @@
 from gingervane.decisions.completeness import Coverage, QueryState, is_complete, may_answer, required_coverage
 from gingervane.interface import QueryClass
 
-COMPLETE, PARTIAL, THREE_QUARTERS = query_class(), query_class(least=0.5), query_class(least=0.75, whole=0.75)
+# Classes that need all parts, permit partial answers, and are complete from 0.75 of the weight on.
+ALL, SOME, MOST = query_class(), query_class(least=0.5), query_class(least=0.75, whole=0.75)
 
 
 def coverage_of(received: int, requested: int, weight: float | None = None) -> Coverage:
@@ -19,7 +20,7 @@
     return Coverage(requested, received, requested * part_weight, received * part_weight)
 
 
-@pytest.mark.parametrize("kind", [COMPLETE, PARTIAL, THREE_QUARTERS])
+@pytest.mark.parametrize("kind", [ALL, SOME, MOST])
 @pytest.mark.parametrize("step", list(QueryState))
 def test_no_requested_or_no_received_part_is_no_answer(kind: QueryClass, step: QueryState) -> None:
     """A step without parts was taken for one of which all parts were received."""
@@ -29,30 +30,20 @@
 
 @pytest.mark.parametrize("step", [QueryState.BETWEEN_STEPS, QueryState.SETTLED])
 def test_no_answer_between_steps_or_after_completion(step: QueryState) -> None:
-    assert not may_answer(COMPLETE, step, coverage_of(4, 4)) and not is_complete(
-        THREE_QUARTERS, step, coverage_of(4, 4)
-    )
+    assert not may_answer(ALL, step, coverage_of(4, 4)) and not is_complete(MOST, step, coverage_of(4, 4))
 
 
 def test_a_second_step_needs_all_parts_unless_partial_answers_are_permitted() -> None:
-    assert [required_coverage(k, QueryState.SECOND_STEP) for k in (COMPLETE, PARTIAL, THREE_QUARTERS)] == [
-        1.0,
-        0.5,
-        1.0,
-    ]
-    assert [required_coverage(k, QueryState.FIRST_STEP) for k in (COMPLETE, PARTIAL, THREE_QUARTERS)] == [
-        1.0,
-        0.5,
-        0.75,
-    ]
-    assert not may_answer(THREE_QUARTERS, QueryState.SECOND_STEP, coverage_of(3, 4)) and may_answer(
-        PARTIAL, QueryState.SECOND_STEP, coverage_of(2, 4)
+    assert [required_coverage(k, QueryState.SECOND_STEP) for k in (ALL, SOME, MOST)] == [1.0, 0.5, 1.0]
+    assert [required_coverage(k, QueryState.FIRST_STEP) for k in (ALL, SOME, MOST)] == [1.0, 0.5, 0.75]
+    assert not may_answer(MOST, QueryState.SECOND_STEP, coverage_of(3, 4)) and may_answer(
+        SOME, QueryState.SECOND_STEP, coverage_of(2, 4)
     )
-    assert is_complete(THREE_QUARTERS, QueryState.FIRST_STEP, coverage_of(3, 4)) and not is_complete(
-        THREE_QUARTERS, QueryState.SECOND_STEP, coverage_of(3, 4)
+    assert is_complete(MOST, QueryState.FIRST_STEP, coverage_of(3, 4)) and not is_complete(
+        MOST, QueryState.SECOND_STEP, coverage_of(3, 4)
     )
-    assert not is_complete(PARTIAL, QueryState.FIRST_STEP, coverage_of(3, 4)) and is_complete(
-        PARTIAL, QueryState.SECOND_STEP, coverage_of(4, 4)
+    assert not is_complete(SOME, QueryState.FIRST_STEP, coverage_of(3, 4)) and is_complete(
+        SOME, QueryState.SECOND_STEP, coverage_of(4, 4)
     )
 
 
--- a/tests/test_decisions_drain_reports.py
+++ b/tests/test_decisions_drain_reports.py
@@ -7,12 +7,12 @@
 from hosts import BASE, Host, replica
 
 from gingervane import interface as api
-from gingervane.decisions.drain_reports import MAX_IDS, REPORT_DRAINING, REPORTED_FOR, REPORTERS
+from gingervane.decisions.drain_reports import GONE_REPORT_DURATION, MAX_IDS, MEAN_REPORTERS, REPORT_DRAINING
 from gingervane.decisions.membership_watch import REPORT_LIFETIME, WatchTerms
 from gingervane.interface import MembershipUpdateKind, ReplicaState
 from gingervane.node.service import NOTIFIED_WITHIN, PARALLEL_WATCH_CALLS
 
-SETTINGS = BASE._replace(membership_polled=True, gossip_allowed=True, coordinator_count=REPORTERS)
+SETTINGS = BASE._replace(membership_polled=True, gossip_allowed=True, coordinator_count=MEAN_REPORTERS)
 NODE_WATCH = WatchTerms(PARALLEL_WATCH_CALLS, NOTIFIED_WITHIN)
 
 
@@ -31,7 +31,7 @@
     host.members(MembershipUpdateKind.DELTA)
     reports = sent_reports(host.members(MembershipUpdateKind.DELTA, replica(10, state=ReplicaState.DRAINING)))
     assert reports == [drain_report(10).payload]
-    assert sent_reports(host.wait(REPORTED_FOR)) == reports * 6, "every two seconds while it drains"
+    assert sent_reports(host.wait(GONE_REPORT_DURATION)) == reports * 6, "every two seconds while it drains"
     reports = sent_reports(host.members(MembershipUpdateKind.DELTA, replica(11, state=ReplicaState.GONE)))
     assert reports == [drain_report(11).payload]
     assert sent_reports(host.wait(2.1)) == [drain_report(10, 11).payload]
@@ -40,7 +40,7 @@
         payload == drain_report(10, 11).payload for payload in sent_reports(host.wait(5.0))
     ), "it serves again"
     assert not sent_reports(
-        host.wait(REPORTED_FOR) and host.wait(5.0)
+        host.wait(GONE_REPORT_DURATION) and host.wait(5.0)
     ), "a removed replica is reported for a limited time"
 
 
@@ -80,10 +80,10 @@
     sent = {host.where(part_of(host, host.query(0))) for _ in range(20)}
     assert sent and excluded not in sent
     known, watch = host.module.membership.replicas[excluded], host.module.membership.watch
-    assert watch.is_barred(known)
+    assert watch.is_excluded(known)
     host.wait(REPORT_LIFETIME + 0.1)
     host.feed()
-    assert not watch.is_barred(known)
+    assert not watch.is_excluded(known)
 
 
 def test_a_report_is_ignored_where_the_watch_is_up() -> None:
@@ -117,4 +117,4 @@
     host = Host(SETTINGS, watch_terms=NODE_WATCH)
     host.feed(api.MembershipChanged(MembershipUpdateKind.FAILED, ()), api.PeerMessageReceived(1, payload))
     watch, replicas = host.module.membership.watch, host.module.membership.replicas
-    assert not any(watch.is_barred(known) for known in replicas.values())
+    assert not any(watch.is_excluded(known) for known in replicas.values())
--- a/tests/test_decisions_membership.py
+++ b/tests/test_decisions_membership.py
@@ -10,7 +10,7 @@
 from hosts import BASE, Host, replica
 
 from gingervane import interface as api
-from gingervane.decisions.membership_watch import BAR_DURATION, CACHED_LIST_AGE, WatchTerms
+from gingervane.decisions.membership_watch import CACHED_LIST_AGE, EXCLUSION_DURATION, WatchTerms
 from gingervane.interface import MembershipUpdateKind, ReplicaState
 from gingervane.node.service import NOTIFIED_WITHIN, PARALLEL_WATCH_CALLS
 
@@ -174,23 +174,23 @@
     host.wait(20.0)
     watch, replicas = host.module.membership.watch, host.module.membership.replicas
     served = part_of(host, host.query(0))
-    assert not any(watch.is_doubtful(known) for known in replicas.values()), "the watch is up"
+    assert not any(watch.is_lease_expired(known) for known in replicas.values()), "the watch is up"
     host.feed(api.WatchInterrupted(2.0))
     host.wait(1.0)
     host.finish(served)  # it did not drain when this part was sent, 1 s ago and 2 s after the last data
     host.wait(NOTIFIED_WITHIN - 3.0 - 0.1)
     host.feed()
-    assert not any(watch.is_doubtful(known) for known in replicas.values())
+    assert not any(watch.is_lease_expired(known) for known in replicas.values())
     host.wait(0.2)
     host.feed()
-    expired = {number for number, known in replicas.items() if watch.is_doubtful(known)}
+    expired = {number for number, known in replicas.items() if watch.is_lease_expired(known)}
     assert expired == {10, 11, 12} - {host.where(served)}
     assert host.where(part_of(host, host.query(0))) == host.where(served)
     host.wait(2.0)
     host.feed()
-    assert watch.is_doubtful(replicas[host.where(served)])
+    assert watch.is_lease_expired(replicas[host.where(served)])
     host.members(MembershipUpdateKind.DELTA)
-    assert not any(watch.is_doubtful(known) for known in replicas.values()), "it is up again"
+    assert not any(watch.is_lease_expired(known) for known in replicas.values()), "it is up again"
 
 
 def test_a_rejecting_replica_is_used_until_its_lease_expires() -> None:
@@ -213,15 +213,15 @@
     host.finish(part_of(host, host.query(0)), api.AttemptOutcome.REJECTED)
     host.wait(NOTIFIED_WITHIN - 0.1)
     host.feed()
-    assert not watch.is_barred(known), "a drain cannot count as notified yet"
+    assert not watch.is_excluded(known), "a drain cannot count as notified yet"
     host.wait(0.2)
     query = host.query(0)
     assert not host.sends[part_of(host, query)]
     ended = host.ended[query]
     assert isinstance(ended, api.Reject) and ended.reason is api.QueryEndReason.NO_REPLICA
-    host.wait(BAR_DURATION)
+    host.wait(EXCLUSION_DURATION)
     host.feed()
-    assert not watch.is_barred(known), "its queue may have been full"
+    assert not watch.is_excluded(known), "its queue may have been full"
 
 
 def test_a_replica_that_served_nothing_is_excluded_only_if_there_was_enough_traffic() -> None:
@@ -235,8 +235,8 @@
         host.wait(NOTIFIED_WITHIN + 0.1)
         host.feed()
         watch, replicas = host.module.membership.watch, host.module.membership.replicas
-        assert all(watch.is_doubtful(known) for known in replicas.values())
-        assert all(watch.is_barred(known) is excluded for known in replicas.values())
+        assert all(watch.is_lease_expired(known) for known in replicas.values())
+        assert all(watch.is_excluded(known) is excluded for known in replicas.values())
 
 
 def test_parts_are_sent_although_the_leases_of_all_holders_have_expired() -> None:
