--- a/gingervane/decisions/attempt_dispatch.py
+++ b/gingervane/decisions/attempt_dispatch.py
@@ -22,7 +22,7 @@
 
 
 class AttemptDispatcher:
-    """Sends and closes every attempt."""
+    """Sends and closes all attempts: no other class adds to or removes from the open attempts."""
 
     def __init__(
         self,
--- a/gingervane/decisions/engine.py
+++ b/gingervane/decisions/engine.py
@@ -156,7 +156,7 @@
     def _start_parts(self, query: Query) -> None:
         """Send the parts of a step, or reject the query."""
         for part in query.parts:
-            part.lost = not self._selector.has_holder(part)
+            part.lost = not self._selector.has_usable_holder(part)
         parts = [part for part in query.parts if not part.lost]
         replicas = self._selector.assign(parts)
         if not parts or query.is_unanswerable():
--- a/gingervane/decisions/membership.py
+++ b/gingervane/decisions/membership.py
@@ -28,7 +28,7 @@
 
     def ready_ids(self) -> frozenset[int]:
         """Ids of the ready replicas."""
-        return frozenset(number for number, known in self.replicas.items() if known.ready)
+        return frozenset(replica_id for replica_id, replica in self.replicas.items() if replica.ready)
 
     def update(self, event: api.MembershipChanged) -> None:
         """Apply a membership event."""
@@ -38,44 +38,46 @@
         if event.kind is not api.MembershipUpdateKind.CACHED:
             self.watch.record_list()
         if event.kind is not api.MembershipUpdateKind.DELTA:
-            for known in self.replicas.values():
-                known.endpoint = known.endpoint._replace(state=api.ReplicaState.GONE)
-                known.ready = False
+            for replica in self.replicas.values():
+                replica.endpoint = replica.endpoint._replace(state=api.ReplicaState.GONE)
+                replica.ready = False
         for endpoint in event.replicas:
             self._update_replica(endpoint)
         self._index_holders()
-        self.unavailable = frozenset(n for n, known in self.replicas.items() if not known.ready)
+        self.unavailable = frozenset(
+            replica_id for replica_id, replica in self.replicas.items() if not replica.ready
+        )
         self._forget_gone_replicas()
-        self.ready_count = sum(known.ready for known in self.replicas.values())
+        self.ready_count = sum(replica.ready for replica in self.replicas.values())
         self.watch.ready_replicas = self.ready_count
 
     def _update_replica(self, endpoint: api.Replica) -> None:
         """Apply one entry of the list; a restarted replica is no longer ejected and enters slow start."""
-        known = self.replicas.setdefault(endpoint.id, KnownReplica(endpoint))
-        if endpoint.started_at > known.endpoint.started_at:
-            known.failure_score = 0.0
-            known.ejected_for = 0.0
-        known.slow_start_began_at = max(known.slow_start_began_at, endpoint.started_at)
-        known.endpoint = endpoint
-        known.ready = endpoint.state is api.ReplicaState.READY
+        replica = self.replicas.setdefault(endpoint.id, KnownReplica(endpoint))
+        if endpoint.started_at > replica.endpoint.started_at:
+            replica.failure_score = 0.0
+            replica.ejected_for = 0.0
+        replica.slow_start_began_at = max(replica.slow_start_began_at, endpoint.started_at)
+        replica.endpoint = endpoint
+        replica.ready = endpoint.state is api.ReplicaState.READY
 
     def _index_holders(self) -> None:
         """Compute the holders of each cell once per list; doing so for each part would cost too much CPU."""
         cell_count = self._settings.cell_count
         width = min(self._settings.cells_per_replica, cell_count)
         holders = defaultdict[int, list[KnownReplica]](list)
-        for _, known in sorted(self.replicas.items()):
-            if known.endpoint.state is not api.ReplicaState.GONE:
+        for _, replica in sorted(self.replicas.items()):
+            if replica.endpoint.state is not api.ReplicaState.GONE:
                 for offset in range(width):
-                    holders[(known.endpoint.cell - offset) % cell_count].append(known)
+                    holders[(replica.endpoint.cell - offset) % cell_count].append(replica)
         self.holders_by_cell = holders
 
     def _forget_gone_replicas(self) -> None:
         """Drop removed replicas without open requests: memory would grow where replicas are replaced continually."""
         gone = [
-            number
-            for number, known in self.replicas.items()
-            if known.endpoint.state is api.ReplicaState.GONE and not known.requests
+            replica_id
+            for replica_id, replica in self.replicas.items()
+            if replica.endpoint.state is api.ReplicaState.GONE and not replica.requests
         ]
-        for number in gone:
-            del self.replicas[number]
+        for replica_id in gone:
+            del self.replicas[replica_id]
--- a/gingervane/decisions/membership_watch.py
+++ b/gingervane/decisions/membership_watch.py
@@ -5,9 +5,9 @@
 while the first is unanswered, therefore depend on the time that remains: calls become more frequent as it runs out,
 and co-ordinators with a fresh list leave capacity in discovery's queue to those with a stale one.
 
-While no watch is up, each replica holds a lease: a part that it served proves that it did not drain when that part
-was sent. A replica whose lease has expired is used only after all others. If it has only rejected parts since, or
-should have served some meanwhile, it is excluded from selection for a while.
+While no watch is up, each replica holds a lease. Each part that it serves renews the lease, as it proves that the
+replica did not drain when that part was sent. A replica whose lease has expired is used only after all others. If it
+has only rejected parts since, or should have served some meanwhile, it is excluded from selection for a while.
 """
 
 from __future__ import annotations
@@ -43,11 +43,11 @@
 LARGE_FLEET_BACKOFFS_IN_REMAINING_TIME = 2
 # Limit per co-ordinator, in seconds, up to which the backoff is lengthened in a large fleet.
 LARGE_FLEET_BACKOFF_PER_COORDINATOR = 0.07
-# Shortest backoff that the remaining time can lead to, seconds.
+# Upper limit of the backoff when no time remains, in a small fleet, seconds.
 MIN_URGENT_BACKOFF = 0.05
 # Largest mean rate of calls of the whole fleet when no co-ordinator has time remaining, calls per second.
 MAX_FLEET_CALL_RATE = 6.0
-# Longest backoff when no time remains, seconds.
+# Upper limit of the backoff when no time remains, in a large fleet, seconds.
 MAX_URGENT_BACKOFF = 4 / 3
 # Upper bound for the remaining time in the computation of a call's timeout, seconds.
 MAX_REMAINING_TIME = 6.0
@@ -62,8 +62,8 @@
 PUSHED_CALL_TIMEOUTS_PER_GRACE = 2
 # Upper bound for the drain grace in both cases, seconds.
 MAX_PUSHED_GRACE = 6.0
-# Seconds for which a replica is excluded after the end of its lease or its last rejection. It is then tried again if
-# there is no other holder: it may still serve, and discovery may be unavailable for long.
+# Seconds for which a replica is excluded, from the later of the end of its lease and its last rejection. It is then
+# tried again if there is no other holder: it may still serve, and discovery may be unavailable for long.
 EXCLUSION_DURATION = 12.0
 # Seconds for which a peer's drain report is valid; peers repeat it every 2 s.
 REPORT_LIFETIME = 6.0
@@ -165,7 +165,11 @@
         return self._phase is WatchPhase.DOWN and self._is_past_lease_end(replica)
 
     def is_excluded(self, replica: KnownReplica) -> bool:
-        """Whether a replica must not be sent to: reported as draining, or its lease has expired without service."""
+        """Whether a replica must not be sent to at present.
+
+        A peer reported it as draining, or its lease has expired and it has only rejected parts since or should have
+        served some.
+        """
         if not self.is_up and self._context.now < replica.reported_draining_at + REPORT_LIFETIME:
             return True
         if not self.is_lease_expired(replica):
--- a/gingervane/decisions/query_completion.py
+++ b/gingervane/decisions/query_completion.py
@@ -55,12 +55,12 @@
         elif query.is_unanswerable():
             self.reject_or_fail(query, api.QueryEndReason.PARTS_LOST)
         elif may_answer(query_class, query.state, coverage):
-            if self._partial_answer_pays(query):
+            if self._is_partial_answer_worth_more(query):
                 self._answer(query, False, api.QueryEndReason.PARTIAL_AT_OBJECTIVE)
             elif all(part.done or part.lost for part in query.parts):
                 self._answer(query, False, api.QueryEndReason.PARTIAL_NO_MORE_PARTS)
 
-    def _partial_answer_pays(self, query: Query) -> bool:
+    def _is_partial_answer_worth_more(self, query: Query) -> bool:
         """Whether a partial answer now is worth more than a complete answer after the objective."""
         if self._context.now < query.objective_at - self._margin:
             return False
--- a/gingervane/decisions/query_state.py
+++ b/gingervane/decisions/query_state.py
@@ -43,7 +43,7 @@
 
     @property
     def has_failed(self) -> bool:
-        """Whether all its attempts are at ejected replicas, and there is one at least: these count as failed."""
+        """Whether the part is open at ejected replicas only; such attempts count as failed, not as late."""
         return bool(self.attempts) and all(attempt.replica.ejected_for for attempt in self.attempts)
 
 
--- a/gingervane/decisions/replica_selection.py
+++ b/gingervane/decisions/replica_selection.py
@@ -59,7 +59,7 @@
         """Count a trial if the replica is ejected."""
         self._trials += replica.ejected_for > 0
 
-    def has_holder(self, part: Part) -> bool:
+    def has_usable_holder(self, part: Part) -> bool:
         """Whether the part has a holder that may be sent to."""
         may_send = self._slow_start.may_send
         return any(may_send(replica) for replica in self._membership.holders(part.arrived.shard))
--- a/tests/test_decisions_outlier_ejection.py
+++ b/tests/test_decisions_outlier_ejection.py
@@ -196,7 +196,7 @@
     host.finish(bad, AttemptOutcome.ERROR)
     host.finish(bad, OK, 1)
     known = host.module.membership.replicas[where]
-    for late, reinstated in ((0.5, False), (0.05, True)):
+    for latency, reinstated in ((0.5, False), (0.05, True)):
         host.wait(20.0)
         for _ in range(12):
             part = part_of(host, host.query(0))
@@ -204,7 +204,7 @@
                 break
             host.finish(part)
         assert host.where(part) == where and known.ejected_for
-        host.wait(late)
+        host.wait(latency)
         host.finish(part)
         assert (not known.ejected_for) is reinstated
     replica_id = where.to_bytes(8, "big")
