--- a/gingervane/coordinator/admission.py
+++ b/gingervane/coordinator/admission.py
@@ -82,8 +82,8 @@
         with self._lock:
             self._open -= size
             self._reserved_bytes -= result_bytes
-            self._open_estimate.freed(self._now(), size)
-            self._bytes_estimate.freed(self._now(), result_bytes)
+            self._open_estimate.record_release(self._now(), size)
+            self._bytes_estimate.record_release(self._now(), result_bytes)
 
     def reserve_results(self, result_bytes: int) -> None:
         """Count the results of a completed query, which wait to be merged and written."""
--- a/gingervane/coordinator/batch_assembly.py
+++ b/gingervane/coordinator/batch_assembly.py
@@ -30,7 +30,7 @@
         key = replica, id(codec)
         batch = self._batches.get(key)
         if batch is None or len(batch.attempts) >= self._max_parts:
-            batch = self._begin(now, replica, codec, request.expires_at)
+            batch = self._create_batch(now, replica, codec, request.expires_at)
             self._batches[key] = batch
             effects.append(t.StartRequest(batch))
         batch.attempts.append(request)
@@ -38,7 +38,7 @@
         batch.open_attempts += 1
         return batch
 
-    def _begin(self, now: float, replica: int, codec: t.Codec, expires_at: float) -> t.BatchRequest:
+    def _create_batch(self, now: float, replica: int, codec: t.Codec, expires_at: float) -> t.BatchRequest:
         address = self._addresses[replica]
         batch = t.BatchRequest(self._next_id, replica, address, codec, [], expires_at, decided_at=now)
         self._next_id += 1
--- a/gingervane/coordinator/core.py
+++ b/gingervane/coordinator/core.py
@@ -18,7 +18,7 @@
 from gingervane import interface as api
 from gingervane.coordinator import types as t
 from gingervane.coordinator.admission import Admission, AdmissionLimits
-from gingervane.coordinator.driver import Driver, Module
+from gingervane.coordinator.driver import DecisionModule, Driver
 from gingervane.coordinator.driver_counts import Counts
 from gingervane.coordinator.pending_queries import PendingQuery, ResultQueue
 from gingervane.coordinator.ports import ClusterPorts, QueryObserver, TransportFactory
@@ -29,8 +29,8 @@
 
 MAX_INPUTS = 512  # inputs of one turn from which on the rest waits for the next
 MAX_INBOX_WAIT = 60.0  # seconds that one wait for an input lasts at most
-DRAIN_POLL = 0.005  # seconds between two looks at whether all is released, at the end
-BROKEN_POLL = 0.5  # seconds between two looks at whether to end, after the decision thread broke
+DRAIN_POLL_INTERVAL = 0.005  # seconds between two looks at whether all is released, at the end
+FAILED_POLL_INTERVAL = 0.5  # seconds between two looks at whether to end, after the decision thread broke
 
 
 class QueryCoordinator:
@@ -38,7 +38,7 @@
 
     def __init__(
         self,
-        module: Module,
+        module: DecisionModule,
         settings: api.Settings,
         limits: AdmissionLimits,
         observer: QueryObserver,
@@ -117,7 +117,7 @@
         self.close()
         deadline = time.monotonic() + grace
         while self.admission.open and time.monotonic() < deadline and not self.broken.is_set():
-            self._stop.wait(DRAIN_POLL)
+            self._stop.wait(DRAIN_POLL_INTERVAL)
         self._inbox.put([t.Shutdown()])
         self._stop.set()
         self._inbox.put([])
@@ -158,10 +158,10 @@
             if wait > 0:
                 inputs += self._inbox.get(timeout=min(wait, MAX_INBOX_WAIT))
             if self._batch_interval:
-                rest = self._last_turn_at + self._batch_interval - time.monotonic()
-                if rest > 0:
+                remaining = self._last_turn_at + self._batch_interval - time.monotonic()
+                if remaining > 0:
                     # Guards CPU: a turn for each answer costs more in waking threads than in deciding.
-                    time.sleep(rest)
+                    time.sleep(remaining)
             while len(inputs) < MAX_INPUTS:
                 inputs += self._inbox.get_nowait()
         except Empty:
@@ -184,11 +184,11 @@
                 case t.CompleteQuery(on_result, result, _):
                     on_result(result)
                 case _:
-                    self._pass_on(effect)
+                    self._notify(effect)
         if not_started:
             self._inbox.put(not_started)
 
-    def _pass_on(self, effect: t.Effect) -> None:
+    def _notify(self, effect: t.Effect) -> None:
         """Carry out an effect that concerns neither a request nor a query."""
         match effect:
             case t.LogMessage(text):
@@ -211,7 +211,7 @@
             on_result(failed)
         while not self._stop.is_set() or not self._inbox.empty():
             try:
-                inputs = self._inbox.get(timeout=BROKEN_POLL)
+                inputs = self._inbox.get(timeout=FAILED_POLL_INTERVAL)
             except Empty:
                 continue
             for item in inputs:
--- a/gingervane/coordinator/driver.py
+++ b/gingervane/coordinator/driver.py
@@ -33,13 +33,13 @@
     completions_at_shutdown,
     coverage_violation,
     result_of,
-    shutdown,
+    shutdown_completion,
 )
 from gingervane.coordinator.timers import WheelTimers
 from gingervane.decisions.completeness import QueryState
 
 
-class Module(Protocol):
+class DecisionModule(Protocol):
     """What the driver needs of the decision module."""
 
     def handle(self, now: float, events: Sequence[api.Event]) -> list[api.Action]:
@@ -55,7 +55,7 @@
     completions: dict[int, Completion] = field(default_factory=dict)  # without an action, by id of the query
 
 
-def _observe_nothing(outcome: api.AttemptOutcome, replica: int, seconds: float) -> None:
+def _ignore_attempt(outcome: api.AttemptOutcome, replica: int, seconds: float) -> None:
     """Stand in where nobody observes attempts."""
 
 
@@ -63,7 +63,7 @@
     """Drives one decision module."""
 
     def __init__(
-        self, module: Module, settings: api.Settings, observe: AttemptObserver = _observe_nothing
+        self, module: DecisionModule, settings: api.Settings, observe: AttemptObserver = _ignore_attempt
     ) -> None:
         """`observe` is called for each attempt that ends, with its outcome, replica and seconds."""
         self._module = module
@@ -173,7 +173,7 @@
         self.counts.queries += 1
         query = self._open.add(submitted)
         if self._shutting_down:
-            turn.completions[query.id] = shutdown(t.QueryStatus.REJECTED)
+            turn.completions[query.id] = shutdown_completion(t.QueryStatus.REJECTED)
             return []
         plan = submitted.plan
         arrived = api.QueryArrived(
@@ -234,9 +234,9 @@
                     completion = Completion(t.QueryStatus.FAILED, reason)
                     self._complete_query(turn.now, query_id, completion, effects)
                 case _:
-                    effects += self._pass_on(action)
+                    effects += self._other_effects(action)
 
-    def _pass_on(self, action: api.Action) -> list[t.Effect]:
+    def _other_effects(self, action: api.Action) -> list[t.Effect]:
         """Return the effect of an action that concerns no query."""
         match action:
             case api.CloseIdle(replica) if replica in self._addresses:
--- a/gingervane/coordinator/query_completion.py
+++ b/gingervane/coordinator/query_completion.py
@@ -29,7 +29,7 @@
 CLIENT_DISCONNECTED = Completion(t.QueryStatus.CLIENT_DISCONNECTED, api.QueryEndReason.CLIENT_DISCONNECTED)
 
 
-def shutdown(status: t.QueryStatus) -> Completion:
+def shutdown_completion(status: t.QueryStatus) -> Completion:
     """Return the completion of a query that a shutdown ends."""
     return Completion(status, api.QueryEndReason.SHUTDOWN, detail="shutting down")
 
@@ -82,7 +82,7 @@
         query_class = settings.query_classes[query.submitted.plan.query_class]
         parts = [open_queries.parts[part_id] for part_id in query.part_ids]
         may_have_run = any(part.possible_executions or part.in_flight for part in parts)
-        harmless = query_class.retry_safety is api.RetrySafety.IDEMPOTENT or not may_have_run
-        status = t.QueryStatus.REJECTED if harmless else t.QueryStatus.FAILED
-        completions[query.id] = shutdown(status)
+        safe_to_retry = query_class.retry_safety is api.RetrySafety.IDEMPOTENT or not may_have_run
+        status = t.QueryStatus.REJECTED if safe_to_retry else t.QueryStatus.FAILED
+        completions[query.id] = shutdown_completion(status)
     return completions
--- a/gingervane/coordinator/replica_start_times.py
+++ b/gingervane/coordinator/replica_start_times.py
@@ -44,7 +44,9 @@
         self._initial_offset = monotonic() - wall()  # the monotonic clock less Unix time, seconds
         self._offset = self._initial_offset  # the same, as corrected
         self._last_listed: float | None = None  # when the list before this one came
-        self._places: dict[int, tuple[float, float]] = {}  # replica -> its start in Unix time, and its place
+        self._known_starts: dict[
+            int, tuple[float, float]
+        ] = {}  # replica -> its start in Unix time, and its place
         self.corrections = 0  # times that a list showed this clock to be off
 
     def place(self, starts: Mapping[int, float], cached: bool = False) -> dict[int, float]:
@@ -57,7 +59,8 @@
         self._correct_offset(max(starts.values(), default=0.0), now)
         present_offset = self._monotonic() - self._wall()
         placed = {
-            replica: self._place_one(replica, start, now, present_offset) for replica, start in starts.items()
+            replica: self._convert_one(replica, start, now, present_offset)
+            for replica, start in starts.items()
         }
         self._remember(starts, placed)
         if not cached:
@@ -71,10 +74,10 @@
 
     def _remember(self, starts: Mapping[int, float], placed: Mapping[int, float]) -> None:
         for replica, start in starts.items():
-            self._places.pop(replica, None)
-            self._places[replica] = start, placed[replica]
-        while len(self._places) > MAX_REMEMBERED_STARTS:
-            del self._places[next(iter(self._places))]
+            self._known_starts.pop(replica, None)
+            self._known_starts[replica] = start, placed[replica]
+        while len(self._known_starts) > MAX_REMEMBERED_STARTS:
+            del self._known_starts[next(iter(self._known_starts))]
 
     def _correct_offset(self, latest_start: float, now: float) -> None:
         """Make sure that the latest start of a list does not lie in the future."""
@@ -82,11 +85,11 @@
             self.corrections += latest_start + self._offset > now + STEP_THRESHOLD
             self._offset = now - latest_start
 
-    def _place_one(self, replica: int, start: float, now: float, present_offset: float) -> float:
+    def _convert_one(self, replica: int, start: float, now: float, present_offset: float) -> float:
         """`present_offset`: between the clocks as they read now."""
         if not start:
             return 0.0
-        known = self._places.get(replica)
+        known = self._known_starts.get(replica)
         if known is not None and known[0] == start:
             return known[1]
         place = start + self._offset
--- a/gingervane/coordinator/request_senders.py
+++ b/gingervane/coordinator/request_senders.py
@@ -133,7 +133,7 @@
             grow = self._in_flight > len(self._threads) < limits.threads
         batch.transport_token = Lease()
         if grow:
-            thread = Thread(target=self._work, name=f"sender-{len(self._threads)}", daemon=True)
+            thread = Thread(target=self._run, name=f"sender-{len(self._threads)}", daemon=True)
             self._threads.append(thread)
             thread.start()
         self._batches.put(batch)
@@ -163,10 +163,10 @@
 
     # ---- sender threads
 
-    def _work(self) -> None:
+    def _run(self) -> None:
         while (batch := self._batches.get()) is not None:
             try:
-                finished = self._carry_out(batch)
+                finished = self._send_batch(batch)
             except Exception as error:  # noqa: BLE001 - a bug must not leave an attempt without an end
                 detail = f"internal: {type(error).__name__}: {error}"
                 finished = _fail(batch.attempts, _Failure(AttemptOutcome.ERROR, detail))
@@ -175,7 +175,7 @@
                 self._in_flight_by_replica[batch.replica] -= 1
             self._report(finished)
 
-    def _carry_out(self, batch: t.BatchRequest) -> list[t.AttemptFinished]:
+    def _send_batch(self, batch: t.BatchRequest) -> list[t.AttemptFinished]:
         """Return the ends of the batch's attempts; those that waited too long are reported on the way."""
         lease: Lease = batch.transport_token
         if lease.cancelled:
@@ -186,7 +186,7 @@
             attempts = self._claim(batch) if lease.acquire(connection) else []
             if not attempts:
                 # Not a byte has left: the connection is as good as before, unless it was shut.
-                self._give_back(exchange, connection, reusable=True)
+                self._release_connection(exchange, connection, reusable=True)
                 return _fail(batch.attempts, _CANCELLED)
             reply = exchange.run(connection, attempts)
         except (OSError, ConnectionClosedError) as error:
@@ -196,15 +196,15 @@
         except HttpError as error:
             exchange.drop_connection()
             return _fail(batch.attempts, _Failure(AttemptOutcome.ERROR, error.detail))
-        self._give_back(exchange, connection, reply.response.keep_alive)
+        self._release_connection(exchange, connection, reply.response.keep_alive)
         return _results(batch, attempts, reply)
 
     def _connect(self, exchange: _Exchange) -> Connection:
         connection = exchange.connection
         if connection is None:
             batch = exchange.batch
-            left = min(self._limits.connect_timeout, batch.expires_at - time.monotonic())
-            connection = self._pool.connect(batch.address, max(left, MIN_CONNECT_TIMEOUT))
+            remaining = min(self._limits.connect_timeout, batch.expires_at - time.monotonic())
+            connection = self._pool.connect(batch.address, max(remaining, MIN_CONNECT_TIMEOUT))
             exchange.connection = connection
         exchange.phase = ExchangePhase.WRITING
         return connection
@@ -219,7 +219,7 @@
             self._report(_fail(overdue, _Failure(AttemptOutcome.NEVER_SENT, "waited too long")))
         return sendable
 
-    def _give_back(self, exchange: _Exchange, connection: Connection, reusable: bool) -> None:
+    def _release_connection(self, exchange: _Exchange, connection: Connection, reusable: bool) -> None:
         """Put a connection into the pool, or close it if it is not reusable or was shut meanwhile."""
         if exchange.lease.release() and reusable:
             self._pool.release(exchange.batch.address, connection)
--- a/gingervane/coordinator/retry_after.py
+++ b/gingervane/coordinator/retry_after.py
@@ -21,7 +21,7 @@
         self._freed: deque[tuple[float, int]] = deque()  # when and how much, within the window
         self._freed_total = 0
 
-    def freed(self, now: float, size: int) -> None:
+    def record_release(self, now: float, size: int) -> None:
         """Note that so much capacity came free."""
         self._freed.append((now, size))
         self._freed_total += size
--- a/gingervane/coordinator/types.py
+++ b/gingervane/coordinator/types.py
@@ -46,8 +46,8 @@
     `proves_not_executed`: it says that nothing was begun. `overloaded`: the replica rejected it for want of capacity.
     """
 
-    def __init__(self, what: str, proves_not_executed: bool = False, overloaded: bool = False) -> None:
-        super().__init__(what)
+    def __init__(self, detail: str, proves_not_executed: bool = False, overloaded: bool = False) -> None:
+        super().__init__(detail)
         self.proves_not_executed, self.overloaded = proves_not_executed, overloaded
 
 
@@ -257,10 +257,10 @@
         never sent.
         """
         claimed = [request for request in self.attempts if request.claim()]
-        late = self.is_send_overdue(now)
+        overdue = self.is_send_overdue(now)
         return (
-            [request for request in claimed if not (late and request.attempt)],
-            [request for request in claimed if late and request.attempt],
+            [request for request in claimed if not (overdue and request.attempt)],
+            [request for request in claimed if overdue and request.attempt],
         )
 
     def seconds_left(self, attempts: list[AttemptRequest], now: float) -> list[float]:
--- a/tests/hosts.py
+++ b/tests/hosts.py
@@ -94,7 +94,7 @@
         self.out: dict[tuple[int, int], int] = {}
         self.cancelled: list[tuple[int, int]] = []
         self.extras: list[float] = []
-        self.taken: list[float] = []
+        self.arrival_times: list[float] = []
         self.states: dict[int, api.Replica] = {}
         self.log: list[api.Action] = []
         self.next_id, self.next_query = 1, 0
@@ -126,7 +126,7 @@
         kind = self.settings.query_classes[query_class]
         self.classes[query] = query_class
         self.expires[query] = self.now + (kind.deadline if time is None else time)
-        self.taken.append(self.now)
+        self.arrival_times.append(self.now)
         count, expires = len(shards), self.expires[query]
         arrived = api.QueryArrived(query, number, query_class, tenant, count, expires, False, 0.0)
         self.feed(arrived, *self.make_parts(query, number, shards))
@@ -138,7 +138,7 @@
             part, self.next_id = self.next_id, self.next_id + 1
             self.query_of[part], self.weight[part], self.shard[part] = query, 1 / len(shards), shard
             self.step_parts[query].append(part)
-            self.taken.append(self.now)
+            self.arrival_times.append(self.now)
             events.append(api.PartArrived(part, number, shard, 1 / len(shards)))
         return events
 
@@ -189,8 +189,8 @@
 
     def _check(self, action: api.Action) -> None:
         match action:
-            case api.Send(part, server, stop_at):
-                self._check_send(part, server, stop_at)
+            case api.Send(part, replica_id, expires_at):
+                self._check_send(part, replica_id, expires_at)
             case api.Answer(query, whole):
                 self._check_answer(query, whole)
             case api.Reject(query, _) | api.Fail(query):
@@ -211,7 +211,7 @@
             raise RuleViolationError(f"query {query} ended late")
         self.ended[query] = action
 
-    def maybe_ran(self, part: int) -> list[float]:
+    def possible_run_times(self, part: int) -> list[float]:
         """When the attempts that may have run were sent."""
         return [
             at
@@ -219,7 +219,7 @@
             if (part, n) not in self.results or not self.results[part, n].never_ran
         ]
 
-    def attempts_that_left(self, part: int) -> int:
+    def attempts_possibly_sent(self, part: int) -> int:
         """All attempts but those known never to have left: the platform counts what comes to a replica."""
         never_sent = api.AttemptOutcome.NEVER_SENT
         return sum(self.results.get((part, n)) is not never_sent for n in range(len(self.sends[part])))
@@ -227,47 +227,52 @@
     def _check_refusal(self, query: int) -> None:
         kind = self.settings.query_classes[self.classes[query]]
         parts = [p for p, q in self.query_of.items() if q == query]
-        if kind.retry_safety is api.RetrySafety.NOT_IDEMPOTENT and any(self.maybe_ran(p) for p in parts):
+        if kind.retry_safety is api.RetrySafety.NOT_IDEMPOTENT and any(
+            self.possible_run_times(p) for p in parts
+        ):
             raise RuleViolationError("refused though a part may have run")
 
-    def _check_send(self, part: int, server: int, stop_at: float) -> None:
+    def _check_send(self, part: int, replica_id: int, expires_at: float) -> None:
         query, now = self.query_of[part], self.now
         kind = self.settings.query_classes[self.classes[query]]
         if query in self.ended or part in self.ok or part not in self.step_parts[query]:
             raise RuleViolationError("sent a part that is over")
-        if self.states[server].state is not READY:
+        if self.states[replica_id].state is not READY:
             raise RuleViolationError("sent to a replica that is draining or gone")
-        reach = {
+        candidate_cells = {
             (self.shard[part] + j) % self.settings.cell_count for j in range(self.settings.cells_per_replica)
         }
-        if self.states[server].cell not in reach:
+        if self.states[replica_id].cell not in candidate_cells:
             raise RuleViolationError("sent to a replica that does not hold the shard")
-        ran = self.maybe_ran(part)
-        if kind.retry_safety is api.RetrySafety.NOT_IDEMPOTENT and ran:
+        run_times = self.possible_run_times(part)
+        if kind.retry_safety is api.RetrySafety.NOT_IDEMPOTENT and run_times:
             raise RuleViolationError("an unsafe part that may have run was sent again")
         if (
             kind.retry_safety is api.RetrySafety.IDEMPOTENCY_KEY
-            and ran
-            and now > ran[0] + (kind.idempotency_window or 0.0)
+            and run_times
+            and now > run_times[0] + (kind.idempotency_window or 0.0)
         ):
             raise RuleViolationError("a keyed part was sent again after its window")
         if not self.settings.hedging_allowed and any(key[0] == part for key in self.out):
             raise RuleViolationError("two attempts at once where copies are not allowed")
-        if self.attempts_that_left(part) >= self.settings.max_attempts or stop_at > self.expires[query]:
+        if (
+            self.attempts_possibly_sent(part) >= self.settings.max_attempts
+            or expires_at > self.expires[query]
+        ):
             raise RuleViolationError("too many attempts, or a time-out past the client's time")
         if self.sends[part]:
             self.extras.append(now)
             span = self.settings.retry_budget_window
             if span is not None:
                 used = sum(at > now - span for at in self.extras)
-                took = sum(at > now - span for at in self.taken)
+                took = sum(at > now - span for at in self.arrival_times)
                 if (
                     used
                     > (self.settings.retry_budget_free or 0) + (self.settings.retry_budget_share or 0) * took
                 ):
                     raise RuleViolationError("over the attempt budget")
-        self.out[part, len(self.sends[part])] = server
-        self.sends[part].append((now, server))
+        self.out[part, len(self.sends[part])] = replica_id
+        self.sends[part].append((now, replica_id))
 
     def _check_answer(self, query: int, whole: bool) -> None:
         kind, parts = self.settings.query_classes[self.classes[query]], self.step_parts[query]
--- a/tests/recordings/driver_host.py
+++ b/tests/recordings/driver_host.py
@@ -18,10 +18,10 @@
 from recordings.driver_codec import Operation, RecordedExchange, RecordedSettled, Session
 
 START = 1000.0  # the first time on the host's clock
-TURN = 0.0003  # seconds between two turns, at least
+MIN_TURN_INTERVAL = 0.0003  # seconds between two turns, at least
 SENDER_DELAY = 0.0004  # seconds from a call's start until a sender takes it
-STUCK = 0.08  # seconds that a call waits for a sender that is late
-MOST_BATCHES = 310
+SENDER_WAIT = 0.08  # seconds that a call waits for a sender that is late
+MAX_BATCHES = 310
 READY, DRAINING, GONE = api.ReplicaState.READY, api.ReplicaState.DRAINING, api.ReplicaState.GONE
 FULL, DELTA, CACHED, FAILED = (
     api.MembershipUpdateKind.FULL,
@@ -48,27 +48,27 @@
     seed: int = 1
     queries: int = 40
     gap: float = 0.05  # mean seconds between arrivals
-    most_parts: int = 4
+    max_parts: int = 4
     client_times: tuple[float, ...] = (2.0,)
     latency: float = 0.02
-    tails: float = 0.05  # chance of a slow attempt
-    tail: float = 0.7
+    slow_share: float = 0.05  # chance of a slow attempt
+    slow_seconds: float = 0.7
     failures: dict[api.AttemptOutcome, float] = field(default_factory=dict)
     slow_replicas: dict[int, float] = field(default_factory=dict)  # replica -> times the latency
     broken_replicas: dict[int, api.AttemptOutcome] = field(default_factory=dict)
-    mute_replicas: frozenset[int] = frozenset()  # never reply
-    refused_starts: float = 0.0  # every sender is taken
-    stuck: float = 0.0  # waits for a sender
-    piecemeal: float = 0.0  # only the first errand leaves
+    unresponsive_replicas: frozenset[int] = frozenset()  # never reply
+    rejected_starts: float = 0.0  # every sender is taken
+    sender_waits: float = 0.0  # waits for a sender
+    partial_sends: float = 0.0  # only the first errand leaves
     late_replies: float = 0.3  # a call that was called off is reported all the same
-    leavers: float = 0.0
-    early_stamps: float = 0.0  # an ending stamped before its attempt was sent
-    listed_with_news: float = 0.0  # a list comes as the driver has endings of its own to tell
-    repeats: float = 0.1
-    granted: float = 0.0  # parts with a bound on runs
+    disconnects: float = 0.0
+    early_end_times: float = 0.0  # an ending stamped before its attempt was sent
+    lists_with_deferred_events: float = 0.0  # a list comes as the driver has endings of its own to tell
+    client_retries: float = 0.1
+    limited_parts: float = 0.0  # parts with a bound on runs
     second_parts: int | None = None
     first_list: tuple[t.EndpointsUpdated, ...] = ()
-    stalls: tuple[tuple[float, float], ...] = ()  # (seconds after the start, length)
+    pauses: tuple[tuple[float, float], ...] = ()  # (seconds after the start, length)
     timed: tuple[tuple[float, tuple[t.Input, ...]], ...] = ()
     stop_after: float = inf  # the run is cut here, with queries open
 
@@ -96,11 +96,11 @@
         self._inputs: list[Any] = []  # in the form of the recording
         self._operations: list[Any] = []
         self._results: list[Any] = []
-        self._withdrawn: set[int] = set()
+        self._cancelled: set[int] = set()
 
     # ---- the schedule
 
-    def at(self, when: float, then: Callable[[], None]) -> None:
+    def schedule(self, when: float, then: Callable[[], None]) -> None:
         heapq.heappush(self._due, (round(when, 4), next(self._order), then))
 
     def chance(self, share: float) -> bool:
@@ -111,37 +111,39 @@
 
     def run(self) -> list[Any]:
         """The whole recording."""
-        self._plan()
-        while len(self.batches) < MOST_BATCHES:
+        self._schedule_scenario()
+        while len(self.batches) < MAX_BATCHES:
             due = min(self._due[0][0] if self._due else inf, self.session.driver.next_due())
             if due == inf or due > START + self.scenario.stop_after:
                 break
-            self.now = round(max(self.now + TURN, due), 4)
-            self._stand_still()
+            self.now = round(max(self.now + MIN_TURN_INTERVAL, due), 4)
+            self._apply_pauses()
             while self._due and self._due[0][0] <= self.now:
                 heapq.heappop(self._due)[2]()
-            if self.session.driver.next_due() == -inf and self.chance(self.scenario.listed_with_news):
+            if self.session.driver.next_due() == -inf and self.chance(
+                self.scenario.lists_with_deferred_events
+            ):
                 state = self.random.choice((READY, DRAINING, GONE))
                 self.put(listed(DELTA, *in_state(state, self.random.randrange(len(ROWS)))))
             self._turn()
         return [self.settings, self.scenario.seed, None, self.batches, self.session.closing()]
 
-    def _stand_still(self) -> None:
-        for start, length in self.scenario.stalls:
+    def _apply_pauses(self) -> None:
+        for start, length in self.scenario.pauses:
             if START + start <= self.now < START + start + length:
                 self.now = START + start + length
 
-    def _plan(self) -> None:
+    def _schedule_scenario(self) -> None:
         scenario = self.scenario
         for first in scenario.first_list or (listed(FULL, *ROWS),):
             self.put(first)
         self._turn()
         for after, items in scenario.timed:
             for item in items:
-                self.at(START + after, lambda item=item: self.put(item))  # type: ignore[misc]
+                self.schedule(START + after, lambda item=item: self.put(item))  # type: ignore[misc]
         when = START + 0.01
         for number in range(1, scenario.queries + 1):
-            self.at(when, lambda number=number: self._arrive(number))  # type: ignore[misc]
+            self.schedule(when, lambda number=number: self._arrive(number))  # type: ignore[misc]
             when += self.random.expovariate(1 / scenario.gap) if scenario.gap else 0.0
 
     # ---- clients
@@ -149,7 +151,7 @@
     def _arrive(self, number: int) -> None:
         scenario, draw = self.scenario, self.random
         kind = draw.randrange(len(scenario.settings.query_classes))
-        count = draw.randint(1, scenario.most_parts)
+        count = draw.randint(1, scenario.max_parts)
         weights = [draw.choice((1.0, 1.0, 3.0)) for _ in range(count)]
         parts = tuple(
             self._part(number * 100 + index, shard, round(weight / sum(weights), 6))
@@ -163,19 +165,23 @@
             parts,
             RecordedExchange(draw.choice((1, 1, 2))),
             f"~{number}",
-            self.chance(scenario.repeats),
+            self.chance(scenario.client_retries),
             draw.choice((0.0, 0.0, 0.01)),
         )
         self.put(t.QuerySubmitted(number, plan, RecordedSettled(number)), second)
-        if self.chance(scenario.leavers):
-            self.at(self.now + draw.uniform(0.0, 0.3), lambda: self.put(t.ClientDisconnected(number)))
+        if self.chance(scenario.disconnects):
+            self.schedule(self.now + draw.uniform(0.0, 0.3), lambda: self.put(t.ClientDisconnected(number)))
 
     def _part(self, content: int, shard: int, weight: float) -> t.PartPlan:
-        if not self.chance(self.scenario.granted):
+        if not self.chance(self.scenario.limited_parts):
             return t.PartPlan(shard, weight, content)
-        most = self.random.randint(0, 2)
+        max_executions = self.random.randint(0, 2)
         return t.PartPlan(
-            shard, weight, content, most, tuple(content + 10 * run for run in range(1, most + 1))
+            shard,
+            weight,
+            content,
+            max_executions,
+            tuple(content + 10 * run for run in range(1, max_executions + 1)),
         )
 
     # ---- senders and replicas
@@ -188,26 +194,26 @@
         self.batches.append([operations, results, self.now, inputs, forms, state, observed])
         for effect in effects:
             match effect:
-                case t.StartRequest(call):
-                    self._start(self.session.call_number(call), call)
-                case t.CancelRequest(call):
-                    self._withdrawn |= {self.session.errand_number(errand) for errand in call.attempts}
-                case t.AbandonAttempt(_, errand, _, True):
-                    self._withdrawn.add(self.session.errand_number(errand))
+                case t.StartRequest(batch):
+                    self._start(self.session.call_number(batch), batch)
+                case t.CancelRequest(batch):
+                    self._cancelled |= {self.session.errand_number(request) for request in batch.attempts}
+                case t.AbandonAttempt(_, request, _, True):
+                    self._cancelled.add(self.session.errand_number(request))
                 case t.WatchMembership():
                     answer = listed(FAILED) if self.chance(0.7) else listed(FULL, *ROWS)
-                    self.at(self.now + 0.02, lambda answer=answer: self.put(answer))  # type: ignore[misc]
+                    self.schedule(self.now + 0.02, lambda answer=answer: self.put(answer))  # type: ignore[misc]
 
-    def _start(self, number: int, call: t.BatchRequest) -> None:
-        if self.chance(self.scenario.refused_starts):
-            for errand in call.attempts:
+    def _start(self, number: int, batch: t.BatchRequest) -> None:
+        if self.chance(self.scenario.rejected_starts):
+            for request in batch.attempts:
                 never = t.AttemptFinished(
-                    errand.part, errand.attempt, api.AttemptOutcome.NEVER_SENT, self.now, None, "~taken"
+                    request.part, request.attempt, api.AttemptOutcome.NEVER_SENT, self.now, None, "~taken"
                 )
-                self.at(self.now, lambda never=never: self.put(never))  # type: ignore[misc]
+                self.schedule(self.now, lambda never=never: self.put(never))  # type: ignore[misc]
             return
-        delay = STUCK if self.chance(self.scenario.stuck) else SENDER_DELAY
-        self.at(self.now + delay, lambda: self._leave(number, call))
+        delay = SENDER_WAIT if self.chance(self.scenario.sender_waits) else SENDER_DELAY
+        self.schedule(self.now + delay, lambda: self._send(number, batch))
 
     def _operate(self, *form: Any) -> Any:
         operation, *arguments = form
@@ -216,43 +222,45 @@
         self._results.append(result := self.session.operate(encoded))
         return result
 
-    def _leave(self, number: int, call: t.BatchRequest) -> None:
+    def _send(self, number: int, batch: t.BatchRequest) -> None:
         """A sender writes the call."""
-        if self.chance(self.scenario.piecemeal):
-            first = self.session.errand_number(call.attempts[0])
-            gone = [first] if self._operate(Operation.CLAIM, first) else []
+        if self.chance(self.scenario.partial_sends):
+            first = self.session.errand_number(batch.attempts[0])
+            sent = [first] if self._operate(Operation.CLAIM, first) else []
         else:
-            gone, late = self._operate(Operation.GO, number, self.now)
-            for errand in late:
-                self._end(errand, api.AttemptOutcome.NEVER_SENT, self.now, "~late")
-        if not gone:
+            sent, overdue = self._operate(Operation.GO, number, self.now)
+            for request in overdue:
+                self._end(request, api.AttemptOutcome.NEVER_SENT, self.now, "~late")
+        if not sent:
             return
-        self._operate(Operation.SECONDS_LEFT, number, gone, self.now)
-        together = self._latency(call.replica)
-        for errand in gone:
-            self._reply(errand, call, together)
+        self._operate(Operation.SECONDS_LEFT, number, sent, self.now)
+        together = self._latency(batch.replica)
+        for request in sent:
+            self._reply(request, batch, together)
 
-    def _latency(self, where: int) -> float:
+    def _latency(self, replica_id: int) -> float:
         scenario = self.scenario
-        seconds = scenario.latency * self.random.uniform(0.5, 1.5) * scenario.slow_replicas.get(where, 1.0)
-        return seconds + (scenario.tail if self.chance(scenario.tails) else 0.0)
+        seconds = (
+            scenario.latency * self.random.uniform(0.5, 1.5) * scenario.slow_replicas.get(replica_id, 1.0)
+        )
+        return seconds + (scenario.slow_seconds if self.chance(scenario.slow_share) else 0.0)
 
-    def _reply(self, errand: int, call: t.BatchRequest, seconds: float) -> None:
+    def _reply(self, request: int, batch: t.BatchRequest, seconds: float) -> None:
         scenario = self.scenario
-        outcome = scenario.broken_replicas.get(call.replica, api.AttemptOutcome.OK)
+        outcome = scenario.broken_replicas.get(batch.replica, api.AttemptOutcome.OK)
         for failure, share in scenario.failures.items():
             if self.chance(share):
                 outcome = failure
-        if call.replica in scenario.mute_replicas:
+        if batch.replica in scenario.unresponsive_replicas:
             return
         when = self.now + seconds
-        why = "" if outcome is api.AttemptOutcome.OK else f"~{self.random.randrange(3)}"
-        stamp = round(when - 60.0 if self.chance(scenario.early_stamps) else when, 4)
-        self.at(when, lambda: self._end(errand, outcome, stamp, why))
+        detail = "" if outcome is api.AttemptOutcome.OK else f"~{self.random.randrange(3)}"
+        stamp = round(when - 60.0 if self.chance(scenario.early_end_times) else when, 4)
+        self.schedule(when, lambda: self._end(request, outcome, stamp, detail))
 
-    def _end(self, number: int, outcome: api.AttemptOutcome, ended_at: float, why: str) -> None:
-        if number in self._withdrawn and not self.chance(self.scenario.late_replies):
+    def _end(self, number: int, outcome: api.AttemptOutcome, ended_at: float, detail: str) -> None:
+        if number in self._cancelled and not self.chance(self.scenario.late_replies):
             return
-        errand = self.session.errands[number]
-        result = errand.content if outcome is api.AttemptOutcome.OK else None
-        self.put(t.AttemptFinished(errand.part, errand.attempt, outcome, ended_at, result, why))
+        request = self.session.errands[number]
+        result = request.content if outcome is api.AttemptOutcome.OK else None
+        self.put(t.AttemptFinished(request.part, request.attempt, outcome, ended_at, result, detail))
--- a/tests/recordings/driver_tools.py
+++ b/tests/recordings/driver_tools.py
@@ -33,7 +33,7 @@
         self.monotonic, self.wall = monotonic, wall
 
 
-class Starts:
+class StartTimesTool:
     """The start clock, with both its clocks."""
 
     def __init__(self, monotonic: float, wall: float) -> None:
@@ -45,57 +45,61 @@
         return self.starts.place(starts, cached), self.starts.corrections
 
 
-class Admitting:
+class AdmissionTool:
     """Admission, with its clock."""
 
-    def __init__(self, open_queries: int, result_bytes: int, longest: float) -> None:
+    def __init__(self, open_queries: int, result_bytes: int, max_retry_after: float) -> None:
         self.clock = Clock()
         self.admission = Admission(
-            AdmissionLimits(open_queries, result_bytes), longest, lambda: self.clock.monotonic
+            AdmissionLimits(open_queries, result_bytes), max_retry_after, lambda: self.clock.monotonic
         )
 
-    def enter(self, size: int, gathered: int) -> tuple[bool, float]:
+    def admit_query(self, size: int, open_result_bytes: int) -> tuple[bool, float]:
         """Whether there was room, and the advice where there was none."""
         try:
-            self.admission.admit(size, gathered)
-        except Rejected as refused:
-            return False, refused.retry_after
+            self.admission.admit(size, open_result_bytes)
+        except Rejected as rejected:
+            return False, rejected.retry_after
         return True, 0.0
 
-    def held(self) -> tuple[int, int]:
+    def in_use(self) -> tuple[int, int]:
         return self.admission.open, self.admission.reserved_bytes
 
 
-class Holding:
+class ShardPlacementTool:
     """The holders of shards."""
 
     def __init__(self, cells: int, width: int) -> None:
-        self.holders = ShardPlacement(cells, width)
+        self.placement = ShardPlacement(cells, width)
 
-    def listed(self, item: t.EndpointsUpdated) -> tuple[Any, ...]:
-        found = self.holders.endpoints_updated(item)
-        return found, tuple(sorted(self.holders.returned))
+    def update(self, item: t.EndpointsUpdated) -> tuple[Any, ...]:
+        found = self.placement.endpoints_updated(item)
+        return found, tuple(sorted(self.placement.returned))
 
-    def of(self, shard: int) -> tuple[Any, ...]:
-        return tuple(tuple(holder) for holder in self.holders.replicas_of(shard))
+    def lookup(self, shard: int) -> tuple[Any, ...]:
+        return tuple(tuple(holder) for holder in self.placement.replicas_of(shard))
 
 
-class Proofs:
+class AttemptOutcomeTool:
     """What the end of an exchange proves."""
 
-    def broken(self, phase: attempt_outcome.ExchangePhase, wrote: int, timed_out: bool) -> api.AttemptOutcome:
+    def transport_error(
+        self, phase: attempt_outcome.ExchangePhase, wrote: int, timed_out: bool
+    ) -> api.AttemptOutcome:
         return attempt_outcome.outcome_of_transport_error(phase, wrote, timed_out)
 
-    def refused(self, semantics: api.RetrySafety, proven_idle: bool, overloaded: bool) -> api.AttemptOutcome:
+    def invalid_reply(
+        self, semantics: api.RetrySafety, proven_idle: bool, overloaded: bool
+    ) -> api.AttemptOutcome:
         return attempt_outcome.outcome_of_invalid_reply(semantics, proven_idle, overloaded)
 
 
-class Late(NamedTuple):
+class SendDeadlineTool(NamedTuple):
     """A call that was decided at some time."""
 
     decided_at: float
 
-    def is_late(self, now: float) -> bool:
+    def is_overdue(self, now: float) -> bool:
         return t.BatchRequest(
             1, 1, ("~1", 1), RecordedExchange(1), [], 9.0, decided_at=self.decided_at
         ).is_send_overdue(now)
@@ -109,12 +113,18 @@
 
 
 TOOLS = (
-    Tool(Starts, (lambda o, *a: o.clock.set(*a), Starts.place, lambda o: o.starts.message_received())),
-    Tool(Proofs, (Proofs.broken, Proofs.refused)),
+    Tool(
+        StartTimesTool,
+        (lambda o, *a: o.clock.set(*a), StartTimesTool.place, lambda o: o.starts.message_received()),
+    ),
+    Tool(AttemptOutcomeTool, (AttemptOutcomeTool.transport_error, AttemptOutcomeTool.invalid_reply)),
     Tool(ResponseTimeReserve, (ResponseTimeReserve.learn, ResponseTimeReserve.get)),
     Tool(WheelTimers, (WheelTimers.add, WheelTimers.next_due, WheelTimers.pop_due, WheelTimers.__len__)),
     Tool(HeapTimers, (HeapTimers.add, HeapTimers.next_due, HeapTimers.pop_due, HeapTimers.__len__)),
-    Tool(Holding, (Holding.listed, Holding.of, lambda o, n: o.holders.shards_of(n))),
+    Tool(
+        ShardPlacementTool,
+        (ShardPlacementTool.update, ShardPlacementTool.lookup, lambda o, n: o.placement.shards_of(n)),
+    ),
     Tool(
         ProcessPauseDetector,
         (
@@ -125,25 +135,36 @@
             lambda o: o.count,
         ),
     ),
-    Tool(RetryAfterEstimate, (RetryAfterEstimate.freed, RetryAfterEstimate.seconds_until_free)),
+    Tool(RetryAfterEstimate, (RetryAfterEstimate.record_release, RetryAfterEstimate.seconds_until_free)),
     Tool(
-        Admitting,
+        AdmissionTool,
         (
             lambda o, *a: o.clock.set(*a),
-            Admitting.enter,
+            AdmissionTool.admit_query,
             lambda o, *a: o.admission.release(*a),
             lambda o, n: o.admission.reserve_results(n),
             lambda o, why: o.admission.close(why),
             lambda o, why: o.admission.reopen(why),
-            Admitting.held,
+            AdmissionTool.in_use,
         ),
     ),
-    Tool(Late, (Late.is_late,)),
+    Tool(SendDeadlineTool, (SendDeadlineTool.is_overdue,)),
 )
-STARTS, PROOFS, RESERVE, WHEEL, HEAP, HOLDING, STANDSTILL, ADVICE, ADMITTING, LATE = range(len(TOOLS))
-
-
-class Use:
+(
+    START_TIMES,
+    ATTEMPT_OUTCOMES,
+    RESERVE,
+    WHEEL,
+    HEAP,
+    SHARD_PLACEMENT,
+    PROCESS_PAUSE,
+    RETRY_AFTER,
+    ADMISSION,
+    SEND_DEADLINE,
+) = range(len(TOOLS))
+
+
+class ToolUse:
     """One helper in use: each call is given, and its result read, in the form of the recordings."""
 
     def __init__(self, tool: int, arguments: list[Any]) -> None:
@@ -161,7 +182,7 @@
 
 class _Recorder:
     def __init__(self, tool: int, *arguments: Any) -> None:
-        self.use = Use(tool, [encode(argument) for argument in arguments])
+        self.use = ToolUse(tool, [encode(argument) for argument in arguments])
         self.form: list[Any] = [tool, [encode(argument) for argument in arguments], []]
 
     def __call__(self, index: int, *arguments: Any) -> None:
@@ -173,24 +194,24 @@
     """All uses: `[tool, what it is made of, [call, arguments, result]...]` each."""
     return [
         *(
-            _starts(ahead, step)
+            _start_times(ahead, step)
             for ahead, step in product((0.0, -20.0, 3600.0), (0.0, -50.0, -1.0, 0.05, 40.0))
         ),
-        _proofs(),
+        _attempt_outcomes(),
         _reserve(),
         _timers(WHEEL, 0.005),
         _timers(HEAP),
-        _holders(),
-        _standstills(),
-        _advice(),
+        _shard_placement(),
+        _process_pauses(),
+        _retry_after(),
         _admission(),
-        _late(),
+        _send_deadline(),
     ]
 
 
-def _starts(ahead: float, step: float) -> list[Any]:
+def _start_times(ahead: float, step: float) -> list[Any]:
     """A wall clock that is `ahead` from the first, and is stepped by `step` on the way."""
-    use, draw, unix = _Recorder(STARTS, 1000.0, 1.7e9 + ahead), random.Random(3), 1.7e9 - 1000.0
+    use, draw, unix = _Recorder(START_TIMES, 1000.0, 1.7e9 + ahead), random.Random(3), 1.7e9 - 1000.0
     known = {number: unix + 500.0 + 60 * number for number in range(4)}
     use(2)
     use(1, known | {9: 0.0}, True)
@@ -207,15 +228,15 @@
     return use.form
 
 
-def _late() -> list[Any]:
-    use = _Recorder(LATE, 0.0)
+def _send_deadline() -> list[Any]:
+    use = _Recorder(SEND_DEADLINE, 0.0)
     for now in (-1.0, 0.0, t.MAX_SEND_DELAY - 1e-9, t.MAX_SEND_DELAY, t.MAX_SEND_DELAY + 1e-9, 1.0):
         use(0, now)
     return use.form
 
 
-def _proofs() -> list[Any]:
-    use = _Recorder(PROOFS)
+def _attempt_outcomes() -> list[Any]:
+    use = _Recorder(ATTEMPT_OUTCOMES)
     for phase, wrote, timed_out in product(attempt_outcome.ExchangePhase, (0, 1, 900), (False, True)):
         use(0, phase, wrote, timed_out)
     for semantics, proven, overloaded in product(api.RetrySafety, (False, True), (False, True)):
@@ -246,8 +267,8 @@
     return use.form
 
 
-def _holders() -> list[Any]:
-    use, draw = _Recorder(HOLDING, 5, 3), random.Random(6)
+def _shard_placement() -> list[Any]:
+    use, draw = _Recorder(SHARD_PLACEMENT, 5, 3), random.Random(6)
     for kind in (api.MembershipUpdateKind.FULL, *draw.choices(list(api.MembershipUpdateKind), k=14)):
         numbers = draw.sample(range(8), draw.randint(1, 6))
         states = {number: draw.choice(list(api.ReplicaState)) for number in numbers}
@@ -260,8 +281,8 @@
     return use.form
 
 
-def _standstills() -> list[Any]:
-    use, draw, now = _Recorder(STANDSTILL, 100.0), random.Random(7), 100.0
+def _process_pauses() -> list[Any]:
+    use, draw, now = _Recorder(PROCESS_PAUSE, 100.0), random.Random(7), 100.0
     for _ in range(120):
         now = round(now + draw.choice((0.05, 0.05, 0.05, 0.16, 1.0)), 4)
         before = draw.random()
@@ -282,8 +303,8 @@
     return use.form
 
 
-def _advice() -> list[Any]:
-    use, draw, now = _Recorder(ADVICE, 1.5), random.Random(8), 100.0
+def _retry_after() -> list[Any]:
+    use, draw, now = _Recorder(RETRY_AFTER, 1.5), random.Random(8), 100.0
     use(1, now, 4)
     for _ in range(120):
         now = round(now + draw.choice((0.0, 0.01, 0.1, 2.5)) * draw.random(), 4)
@@ -297,24 +318,24 @@
 
 
 def _admission() -> list[Any]:
-    use, draw, now = _Recorder(ADMITTING, 12, 500, 1.0), random.Random(9), 100.0
-    held: list[tuple[int, int]] = []
+    use, draw, now = _Recorder(ADMISSION, 12, 500, 1.0), random.Random(9), 100.0
+    in_use: list[tuple[int, int]] = []
     for turn in range(150):
         now = round(now + draw.random() / 20, 4)
         use(0, now)
         match draw.randrange(5):
-            case 0 if held:
-                use(2, *held.pop(draw.randrange(len(held))))
-            case 1 if held:
-                size, found = held.pop()
+            case 0 if in_use:
+                use(2, *in_use.pop(draw.randrange(len(in_use))))
+            case 1 if in_use:
+                size, found = in_use.pop()
                 result_bytes = draw.randint(0, 200)
                 use(3, result_bytes)
-                held.append((size, found + result_bytes))
+                in_use.append((size, found + result_bytes))
             case _:
                 size = draw.randint(2, 5)
                 use(1, size, draw.choice((0, 0, 120)))
                 if use.form[2][-1][2][1] is True:
-                    held.append((size, 0))
+                    in_use.append((size, 0))
         if turn in (60, 110):
             use(4, "~closed")
         if turn in (70, 80):
--- a/tests/recordings/record_driver.py
+++ b/tests/recordings/record_driver.py
@@ -47,7 +47,7 @@
 
 KEYED, UNSAFE = api.RetrySafety.IDEMPOTENCY_KEY, api.RetrySafety.NOT_IDEMPOTENT
 COORDINATOR = Path(t.__file__).parent
-WATCHED = (
+COVERED_FILES = (
     *(
         COORDINATOR / f"{name}.py"
         for name in ("driver", "open_queries", "attempt_tracking", "batch_assembly")
@@ -77,7 +77,7 @@
 
 def scenarios() -> list[Scenario]:
     """All runs of the real module."""
-    return [*_load(), *_classes(), *_membership(), *_ends()]
+    return [*_load(), *_classes(), *_membership(), *_completions()]
 
 
 def _load() -> list[Scenario]:
@@ -86,14 +86,18 @@
     quota = classes(stretched)._replace(tenant_quotas=(1.0,))
     overloaded = {"gap": 0.002, "queries": 70, "latency": 0.3, "client_times": (0.3, 0.6, 2.0)}
     return [
-        Scenario("calm", SETTINGS, 1, tails=0.0, queries=20),
-        Scenario("hedges", hedging, 2, queries=60, tails=0.15, client_times=(0.1, 0.6, 2.0)),
+        Scenario("calm", SETTINGS, 1, slow_share=0.0, queries=20),
+        Scenario("hedges", hedging, 2, queries=60, slow_share=0.15, client_times=(0.1, 0.6, 2.0)),
         Scenario(
-            "hedges-no-cancel", hedging._replace(cancellation_allowed=False), 3, tails=0.25, late_replies=1.0
+            "hedges-no-cancel",
+            hedging._replace(cancellation_allowed=False),
+            3,
+            slow_share=0.25,
+            late_replies=1.0,
         ),
-        Scenario("no-hedges", hedging._replace(hedging_allowed=False), 4, tails=0.15, failures=FAILURES),
+        Scenario("no-hedges", hedging._replace(hedging_allowed=False), 4, slow_share=0.15, failures=FAILURES),
         Scenario("overload", hedging, 5, **overloaded),  # type: ignore[arg-type]
-        Scenario("quota", quota, 9, queries=30, gap=0.01, latency=0.08, tails=0.0),
+        Scenario("quota", quota, 9, queries=30, gap=0.01, latency=0.08, slow_share=0.0),
         Scenario(
             "budget",
             SETTINGS._replace(
@@ -103,18 +107,20 @@
                 max_send_delay=t.MAX_SEND_DELAY,
             ),
             6,
-            tails=0.3,
+            slow_share=0.3,
             failures=FAILURES,
         ),
         Scenario(
-            "wide-calls", SETTINGS._replace(max_parts_per_request=8), 7, most_parts=8, gap=0.0, queries=25
+            "wide-calls", SETTINGS._replace(max_parts_per_request=8), 7, max_parts=8, gap=0.0, queries=25
+        ),
+        Scenario(
+            "standstills", hedging, 8, gap=0.03, queries=60, slow_share=0.1, pauses=((0.4, 0.3), (1.2, 1.0))
         ),
-        Scenario("standstills", hedging, 8, gap=0.03, queries=60, tails=0.1, stalls=((0.4, 0.3), (1.2, 1.0))),
     ]
 
 
 def _classes() -> list[Scenario]:
-    meanings = classes(
+    retry_safeties = classes(
         query_class(aim=0.5, deadline=2.0, semantics=UNSAFE),
         query_class(aim=0.5, deadline=2.0, semantics=KEYED, window=0.2),
         query_class(aim=0.5, deadline=2.0, semantics=KEYED, window=5.0),
@@ -129,33 +135,58 @@
         query_class(aim=0.1, deadline=0.5, least=0.3, late=1.0),
     )
     full = {api.AttemptOutcome.REJECTED: 0.7}
-    patient = classes(query_class(aim=0.1, deadline=0.5, least=0.3, late=1.0))._replace(
+    short_objective = classes(query_class(aim=0.1, deadline=0.5, least=0.3, late=1.0))._replace(
         hedging_allowed=False, max_attempts=30
     )
     return [
-        Scenario("failures", SETTINGS, 11, failures=FAILURES, queries=60, refused_starts=0.05),
-        Scenario("semantics", meanings, 12, failures=FAILURES, queries=60, tails=0.1, refused_starts=0.05),
-        Scenario("semantics-hand-over", meanings._replace(max_send_delay=0.05), 13, tails=0.3, stuck=0.2),
-        Scenario("second-step", second, 14, second_parts=2, tails=0.15, queries=50, failures=FAILURES),
+        Scenario("failures", SETTINGS, 11, failures=FAILURES, queries=60, rejected_starts=0.05),
+        Scenario(
+            "semantics",
+            retry_safeties,
+            12,
+            failures=FAILURES,
+            queries=60,
+            slow_share=0.1,
+            rejected_starts=0.05,
+        ),
+        Scenario(
+            "semantics-hand-over",
+            retry_safeties._replace(max_send_delay=0.05),
+            13,
+            slow_share=0.3,
+            sender_waits=0.2,
+        ),
+        Scenario("second-step", second, 14, second_parts=2, slow_share=0.15, queries=50, failures=FAILURES),
         Scenario(
             "second-step-no-cancel",
             second._replace(cancellation_allowed=False),
             15,
             second_parts=2,
-            tails=0.3,
+            slow_share=0.3,
         ),
         Scenario("second-step-empty", second, 16, second_parts=0, queries=10),
-        Scenario("shares", shares, 17, tails=0.3, client_times=(0.08, 0.5), queries=60, failures=FAILURES),
-        Scenario("short-at-deadline", patient, 20, failures=full, client_times=(0.5,), queries=20),
+        Scenario(
+            "shares", shares, 17, slow_share=0.3, client_times=(0.08, 0.5), queries=60, failures=FAILURES
+        ),
+        Scenario("short-at-deadline", short_objective, 20, failures=full, client_times=(0.5,), queries=20),
         Scenario(
             "granted",
-            meanings._replace(query_classes=hedged(meanings)),
+            retry_safeties._replace(query_classes=hedged(retry_safeties)),
             18,
-            granted=0.6,
+            limited_parts=0.6,
             failures=FAILURES,
-            listed_with_news=0.5,
+            lists_with_deferred_events=0.5,
+        ),
+        Scenario(
+            "stuck",
+            SETTINGS,
+            19,
+            sender_waits=0.5,
+            partial_sends=0.3,
+            slow_share=0.3,
+            disconnects=0.2,
+            queries=60,
         ),
-        Scenario("stuck", SETTINGS, 19, stuck=0.5, piecemeal=0.3, tails=0.3, leavers=0.2, queries=60),
     ]
 
 
@@ -175,10 +206,10 @@
         (1.6, (listed(DELTA, *in_state(GONE, 1, 2, 3, 4)),)),
         (1.8, (listed(FULL, *ROWS),)),
     )
-    asking = SETTINGS._replace(membership_polled=True, drain_grace=2.0)
+    polled = SETTINGS._replace(membership_polled=True, drain_grace=2.0)
     cold = tuple(row._replace(started_at=START - 2.0 * row.id) for row in ROWS)
     peers = SETTINGS._replace(gossip_allowed=True, coordinator_count=4)
-    words = tuple(
+    messages = tuple(
         (
             0.2 + 0.1 * n,
             (
@@ -191,47 +222,72 @@
     )
     broken = {2: api.AttemptOutcome.CONNECT_FAILED, 4: api.AttemptOutcome.RESET}
     return [
-        Scenario("membership", SETTINGS, 21, queries=50, gap=0.035, tails=0.2, stuck=0.4, timed=churn),
         Scenario(
-            "membership-asked", asking, 22, timed=churn, first_list=(listed(FAILED),), failures=FAILURES
+            "membership", SETTINGS, 21, queries=50, gap=0.035, slow_share=0.2, sender_waits=0.4, timed=churn
         ),
         Scenario(
-            "membership-no-cancel", SETTINGS._replace(cancellation_allowed=False), 23, timed=churn, tails=0.3
+            "membership-asked", polled, 22, timed=churn, first_list=(listed(FAILED),), failures=FAILURES
+        ),
+        Scenario(
+            "membership-no-cancel",
+            SETTINGS._replace(cancellation_allowed=False),
+            23,
+            timed=churn,
+            slow_share=0.3,
         ),
         Scenario("cold", SETTINGS, 24, first_list=(listed(FULL, *cold),), queries=60, latency=0.05),
-        Scenario("peers", peers, 25, queries=60, broken_replicas=broken, timed=words),
+        Scenario("peers", peers, 25, queries=60, broken_replicas=broken, timed=messages),
         Scenario(
             "ejections", SETTINGS, 26, queries=60, gap=0.1, broken_replicas=broken, slow_replicas={1: 9.0}
         ),
-        Scenario("silence", peers, 27, queries=60, gap=0.15, mute_replicas=frozenset({0, 3})),
+        Scenario("silence", peers, 27, queries=60, gap=0.15, unresponsive_replicas=frozenset({0, 3})),
         Scenario(
             "no-replica", SETTINGS, 28, queries=5, first_list=(listed(FULL, *in_state(DRAINING, 0, 1)),)
         ),
     ]
 
 
-def _ends() -> list[Scenario]:
-    meanings = classes(
+def _completions() -> list[Scenario]:
+    retry_safeties = classes(
         query_class(aim=0.5, deadline=2.0),
         query_class(aim=0.5, deadline=2.0, semantics=UNSAFE),
         query_class(aim=0.5, deadline=2.0, semantics=KEYED, window=0.5),
     )
     shutdown = ((0.5, (t.Shutdown(),)), (0.9, (t.Shutdown(), t.ClientDisconnected(3))))
-    uncancelled = meanings._replace(cancellation_allowed=False)
+    uncancelled = retry_safeties._replace(cancellation_allowed=False)
     return [
         Scenario(
             "deadlines-no-cancel", uncancelled, 36, queries=20, latency=0.4, client_times=(0.05, 0.3, 0.45)
         ),
-        Scenario("news", meanings, 37, leavers=0.4, latency=0.08, early_stamps=0.1, listed_with_news=0.5),
-        Scenario("leavers", meanings, 31, leavers=0.5, latency=0.1, tails=0.2, queries=60),
         Scenario(
-            "shutdown", meanings, 32, gap=0.02, latency=0.2, timed=shutdown, refused_starts=0.1, stuck=0.2
+            "news",
+            retry_safeties,
+            37,
+            disconnects=0.4,
+            latency=0.08,
+            early_end_times=0.1,
+            lists_with_deferred_events=0.5,
+        ),
+        Scenario("leavers", retry_safeties, 31, disconnects=0.5, latency=0.1, slow_share=0.2, queries=60),
+        Scenario(
+            "shutdown",
+            retry_safeties,
+            32,
+            gap=0.02,
+            latency=0.2,
+            timed=shutdown,
+            rejected_starts=0.1,
+            sender_waits=0.2,
         ),
         Scenario(
-            "shutdown-no-cancel", meanings._replace(cancellation_allowed=False), 33, gap=0.02, timed=shutdown
+            "shutdown-no-cancel",
+            retry_safeties._replace(cancellation_allowed=False),
+            33,
+            gap=0.02,
+            timed=shutdown,
         ),
-        Scenario("cut", meanings, 34, gap=0.02, latency=0.3, stop_after=0.5),
-        Scenario("deadlines", meanings, 35, latency=0.4, client_times=(0.05, 0.3, 0.45), queries=40),
+        Scenario("cut", retry_safeties, 34, gap=0.02, latency=0.3, stop_after=0.5),
+        Scenario("deadlines", retry_safeties, 35, latency=0.4, client_times=(0.05, 0.3, 0.45), queries=40),
     ]
 
 
@@ -248,7 +304,7 @@
         [api.Answer(1, True, api.QueryEndReason.ALL_PARTS), api.Answer(1, False), api.Answer(99, True)],
         [api.Reject(1, 0.5), api.Reject(2, 0.25, api.QueryEndReason.OVERLOAD), api.Fail(2)],
     ]
-    false_whole: list[list[api.Action]] = [
+    false_complete: list[list[api.Action]] = [
         [],
         [api.Send(1, 0, 1002.0), api.Send(2, 1, 1002.0)],
         [],
@@ -275,7 +331,7 @@
         "scripted-false-second": _scripted(second, false_second, 1),
         "scripted-unstated": _scripted(half, unstated),
         "scripted": _scripted(SETTINGS, everything),
-        "scripted-false-whole": _scripted(half, false_whole),
+        "scripted-false-whole": _scripted(half, false_complete),
         "scripted-unknown-replica": _scripted(SETTINGS, unknown),
     }
 
@@ -336,7 +392,7 @@
 
 if __name__ == "__main__":
     if "--lines" in sys.argv:
-        for path, lines in untaken_lines(WATCHED, run_all).items():
+        for path, lines in untaken_lines(COVERED_FILES, run_all).items():
             print(path.name, lines)
     else:
         main()
--- a/tests/recordings/scenarios.py
+++ b/tests/recordings/scenarios.py
@@ -24,10 +24,10 @@
     api.RetrySafety.IDEMPOTENCY_KEY,
     api.RetrySafety.NOT_IDEMPOTENT,
 )
-DRAWN = 10
+DRAWN_SCENARIOS = 10
 FIRST_ID = 10
 MESSAGES = (b"", b"\1", b"\2", b"\3", b"\2\2")
-UNKNOWN = 999_999
+UNKNOWN_ID = 999_999
 
 CLASS = api.QueryClass(1.0, 3.0, SAFE, None, 0, 1.0, 1.0, None, 0.0, 1.0)
 SETTINGS = BASE._replace(query_classes=(CLASS,), gossip_allowed=True)
@@ -50,9 +50,9 @@
     return at, api.MembershipChanged(kind, rows)
 
 
-def message(at: float, number: int, word: bytes) -> tuple[float, api.PeerMessageReceived]:
+def message(at: float, number: int, payload: bytes) -> tuple[float, api.PeerMessageReceived]:
     """A peer's word on a replica."""
-    return at, api.PeerMessageReceived(1, number.to_bytes(8, "big") + word)
+    return at, api.PeerMessageReceived(1, number.to_bytes(8, "big") + payload)
 
 
 # ---- drawn
@@ -140,12 +140,12 @@
 def drawn_fault(draw: random.Random, rows: tuple[api.Replica, ...]) -> Fault:
     """Some replicas at fault for some seconds, at times all of them."""
     begins = round(draw.uniform(1.0, 14.0), 1)
-    struck = draw.sample(rows, draw.randint(0, max(1, len(rows) // 3)))
+    affected = draw.sample(rows, draw.randint(0, max(1, len(rows) // 3)))
     return Fault(
         draw.choice(list(FaultKind)),
         begins,
         begins + draw.choice((1.0, 3.0, 6.0)),
-        frozenset(row.id for row in struck),
+        frozenset(row.id for row in affected),
         share=draw.choice((1.0, 1.0, 0.4)),
     )
 
@@ -153,7 +153,7 @@
 def drawn_others(draw: random.Random, rows: tuple[api.Replica, ...]) -> Iterator[tuple[float, api.Event]]:
     """Peers' messages, true, false, garbled or of what nobody knows, and a probe's end."""
     for _ in range(draw.randint(0, 12)):
-        at, number = round(draw.uniform(0.5, 19.0), 3), draw.choice((*(r.id for r in rows), UNKNOWN))
+        at, number = round(draw.uniform(0.5, 19.0), 3), draw.choice((*(r.id for r in rows), UNKNOWN_ID))
         yield message(at, number, draw.choice(MESSAGES))
     yield 3.0, api.PeerMessageReceived(2, draw.randbytes(5))
     yield 4.0, api.HealthCheckEnded(rows[0].id, api.AttemptOutcome.OK, 0.01, (0.5, inf))
@@ -177,8 +177,8 @@
         ),
         lists=tuple(drawn_lists(draw, rows)),
         faults=tuple(drawn_fault(draw, rows) for _ in range(draw.randint(1, 5))),
-        others=tuple(drawn_others(draw, rows)),
-        stalls=((round(draw.uniform(2.0, 16.0), 2), draw.choice((0.05, 0.4, 1.5))),),
+        other_events=tuple(drawn_others(draw, rows)),
+        pauses=((round(draw.uniform(2.0, 16.0), 2), draw.choice((0.05, 0.4, 1.5))),),
         capacity=draw.choice((2.0, 6.0, inf)),
         failed_subscriptions=draw.choice((0, 2, 6)),
         seed=seed,
@@ -202,7 +202,7 @@
             SETTINGS,
             (steady(12.0, 24.0),),
             (listed(0.0, FULL, *six),),
-            (Fault(FaultKind.SILENT, 3.0, 10.0, frozenset({10, 11})),),
+            (Fault(FaultKind.UNRESPONSIVE, 3.0, 10.0, frozenset({10, 11})),),
             duration=24.0,
         ),
     )
@@ -212,7 +212,7 @@
             SETTINGS._replace(coordinator_count=1),
             (steady(4.0),),
             (listed(0.0, FULL, *six),),
-            others=(
+            other_events=(
                 *(message(2.0 + 0.01 * i, 10, b"\1") for i in range(8)),
                 *(message(3.0 + 0.01 * i, 10, b"") for i in range(8)),
                 *(message(3.3 + 0.01 * i, 10, b"\2") for i in range(8)),
@@ -243,7 +243,7 @@
             (listed(0.0, FULL, *fleet(18, 6, 3)),),
             (
                 Fault(FaultKind.SLOW, 3.0, 5.0, frozenset({12, 17})),
-                Fault(FaultKind.SILENT, 6.0, 8.0, frozenset({13})),
+                Fault(FaultKind.UNRESPONSIVE, 6.0, 8.0, frozenset({13})),
             ),
             duration=14.0,
         ),
@@ -263,7 +263,7 @@
             SETTINGS,
             (steady(10.0, 4.0), Load(22.0, 26.0, 4.0, 1, 1), Load(45.0, 48.0, 4.0, 1, 1)),
             (listed(0.0, FULL, *three),),
-            (Fault(FaultKind.SILENT, 22.0, 23.5), Fault(FaultKind.SILENT, 45.0, 45.5)),
+            (Fault(FaultKind.UNRESPONSIVE, 22.0, 23.5), Fault(FaultKind.UNRESPONSIVE, 45.0, 45.5)),
             duration=50.0,
         ),
     )
@@ -303,7 +303,7 @@
             (listed(0.0, FULL, *six),),
             (
                 Fault(FaultKind.RESET, 3.0, 6.0, share=0.4),
-                Fault(FaultKind.SILENT, 8.0, 10.0, frozenset({10})),
+                Fault(FaultKind.UNRESPONSIVE, 8.0, 10.0, frozenset({10})),
                 Fault(FaultKind.UNREACHABLE, 12.0, 15.0, share=0.5),
                 Fault(FaultKind.NEVER_SENT, 17.0, 19.0, share=0.5),
             ),
@@ -327,7 +327,7 @@
                 listed(15.0, DELTA, *(row._replace(state=GONE) for row in fleet(8, 4) if row.cell == 1)),
             ),
             (
-                Fault(FaultKind.SILENT, 3.0, 8.0, frozenset({11, 15})),
+                Fault(FaultKind.UNRESPONSIVE, 3.0, 8.0, frozenset({11, 15})),
                 Fault(FaultKind.ERROR, 10.0, 12.0, frozenset({12, 16})),
             ),
         ),
@@ -338,11 +338,11 @@
             SETTINGS,
             (steady(4.0, 8.0),),
             (listed(0.0, FULL),),
-            others=(
-                (0.5, api.AttemptEnded(UNKNOWN, 0, 10, api.AttemptOutcome.OK, 0.1)),
-                (0.6, api.QueryAbandoned(UNKNOWN)),
-                (0.7, api.TimerFired(UNKNOWN)),
-                (0.8, api.PartArrived(UNKNOWN, UNKNOWN, 0, 1.0)),
+            other_events=(
+                (0.5, api.AttemptEnded(UNKNOWN_ID, 0, 10, api.AttemptOutcome.OK, 0.1)),
+                (0.6, api.QueryAbandoned(UNKNOWN_ID)),
+                (0.7, api.TimerFired(UNKNOWN_ID)),
+                (0.8, api.PartArrived(UNKNOWN_ID, UNKNOWN_ID, 0, 1.0)),
                 (1.0, api.MembershipChanged(DELTA, three)),
                 (4.0, api.MembershipChanged(FULL, ())),
                 (6.0, api.MembershipChanged(CACHED, three[:1])),
@@ -400,7 +400,7 @@
             (steady(1.0, 29.0),),
             (listed(0.0, CACHED, *three),),
             (Fault(FaultKind.FULL, 6.0, 28.0, replicas=frozenset({10})),),
-            others=((5.0, api.WatchInterrupted(2.5)), (20.0, api.WatchInterrupted(0.0))),
+            other_events=((5.0, api.WatchInterrupted(2.5)), (20.0, api.WatchInterrupted(0.0))),
             duration=30.0,
             failed_subscriptions=24,
         ),
@@ -442,7 +442,7 @@
                 Fault(FaultKind.ERROR, 3.0, 8.0, frozenset({10})),
                 Fault(FaultKind.ERROR, 6.0, 8.0, frozenset({13})),
             ),
-            others=(
+            other_events=(
                 *(message(2.0 + 0.02 * i, 11, b"") for i in range(14)),
                 *(message(6.5 + 0.1 * i, 10, b"\1") for i in range(4)),
                 *(message(9.0 + 0.02 * i, 12, b"\1") for i in range(40)),
@@ -497,9 +497,9 @@
             (listed(0.0, FULL, *three),),
             (
                 Fault(FaultKind.SLOW, 4.0, 8.0, frozenset({10, 11}), slowness=10.0),
-                Fault(FaultKind.SILENT, 12.0, 14.0, frozenset({11, 12})),
+                Fault(FaultKind.UNRESPONSIVE, 12.0, 14.0, frozenset({11, 12})),
             ),
-            stalls=((6.0, 0.3), (13.0, 0.2)),
+            pauses=((6.0, 0.3), (13.0, 0.2)),
             duration=24.0,
         ),
     )
@@ -557,7 +557,7 @@
             (steady(1.0, 30.0),),
             (listed(0.0, FULL, *six),),
             (Fault(FaultKind.ERROR, 2.0, 20.0, frozenset({10, 11, 12})),),
-            others=tuple(
+            other_events=tuple(
                 message(8.0 + 2.0 * i + 0.01 * j, 10 + i % 3, b"") for i in range(8) for j in range(4)
             ),
             duration=32.0,
@@ -620,5 +620,5 @@
 def scenarios() -> Iterator[tuple[str, Scenario]]:
     """All that is recorded, by name of the recording."""
     yield from directed()
-    for seed in range(DRAWN):
+    for seed in range(DRAWN_SCENARIOS):
         yield f"drawn-{seed:02}", drawn_scenario(seed)
--- a/tests/recordings/simulator.py
+++ b/tests/recordings/simulator.py
@@ -28,7 +28,7 @@
     """What a replica does to a part while it is at fault."""
 
     SLOW = auto()
-    SILENT = auto()
+    UNRESPONSIVE = auto()
     ERROR = auto()
     FULL = auto()
     UNREACHABLE = auto()
@@ -64,15 +64,15 @@
     begins: float
     ends: float
     rate: float  # queries a second
-    narrowest: int = 1  # parts of a query
-    widest: int = 3
+    min_parts: int = 1  # parts of a query
+    max_parts: int = 3
     classes: tuple[int, ...] = (0,)
     tenants: int = 1
     repeat_share: float = 0.0
     leaving_share: float = 0.0  # of clients that go before they have an answer
     even_weights: bool = True
     shards: tuple[int, ...] = ()  # all, if none is named
-    patience: float = 1.0  # of the class's deadline: when a query expires
+    deadline_factor: float = 1.0  # of the class's deadline: when a query expires
 
 
 @dataclass(frozen=True)
@@ -83,8 +83,10 @@
     loads: tuple[Load, ...]
     lists: tuple[tuple[float, api.MembershipChanged], ...]
     faults: tuple[Fault, ...] = ()
-    others: tuple[tuple[float, api.Event], ...] = ()  # peers' messages, probes, and events out of the blue
-    stalls: tuple[tuple[float, float], ...] = ()  # from, for seconds
+    other_events: tuple[
+        tuple[float, api.Event], ...
+    ] = ()  # peers' messages, probes, and events out of the blue
+    pauses: tuple[tuple[float, float], ...] = ()  # from, for seconds
     duration: float = 20.0
     latency: float = 0.08  # seconds, in the mean
     capacity: float = inf  # calls at a replica at which its latency is doubled
@@ -120,20 +122,20 @@
         self.now, self.order = START, 0
         self.due: list[tuple[float, int, Callable[[], list[api.Event]]]] = []
         self.queries: dict[int, _Query] = {}
-        self.out: dict[tuple[int, int], _Attempt] = {}
-        self.made, self.busy = Counter[int](), Counter[int]()
+        self.open_attempts: dict[tuple[int, int], _Attempt] = {}
+        self.attempts_made, self.in_flight = Counter[int](), Counter[int]()
         self.next_id, self.next_number = 1, 0
-        self.known: dict[int, api.Replica] = {}
+        self.listed_replicas: dict[int, api.Replica] = {}
         self.failed_subscriptions = scenario.failed_subscriptions
 
     def run(self) -> Recording:
         """Play the scenario to its end."""
         for at, change in self.scenario.lists:
             self._at(START + at, lambda change=change: self._listed(change))  # type: ignore[misc]
-        for at, event in self.scenario.others:
+        for at, event in self.scenario.other_events:
             self._at(START + at, lambda event=event: [event])  # type: ignore[misc]
         for load in self.scenario.loads:
-            self._at(START + load.begins, lambda load=load: self._come(load))  # type: ignore[misc]
+            self._at(START + load.begins, lambda load=load: self._arrive(load))  # type: ignore[misc]
         while self.due and self.due[0][0] <= START + self.scenario.duration:
             self._turn()
         return self.recorder.recording()
@@ -145,7 +147,7 @@
     def _turn(self) -> None:
         """One batch: all that is due at the next tick, or at the end of a standstill."""
         at = max(self.due[0][0], self.now + TICK)
-        for begins, seconds in self.scenario.stalls:
+        for begins, seconds in self.scenario.pauses:
             if START + begins <= at < START + begins + seconds:
                 at = START + begins + seconds
         at = round(ceil(round(at / TICK, 6)) * TICK, 6)
@@ -156,35 +158,35 @@
             events += heapq.heappop(self.due)[2]()
         if events:
             for action in self.recorder.handle(self.now, events):
-                self._act(action)
+                self._execute(action)
 
     # ---- what comes
 
     def _listed(self, change: api.MembershipChanged) -> list[api.Event]:
         if change.kind is not api.MembershipUpdateKind.FAILED:
             if change.kind is not api.MembershipUpdateKind.DELTA:
-                self.known = {}
-            self.known.update((row.id, row) for row in change.replicas)
+                self.listed_replicas = {}
+            self.listed_replicas.update((row.id, row) for row in change.replicas)
         return [change]
 
-    def _come(self, load: Load) -> list[api.Event]:
+    def _arrive(self, load: Load) -> list[api.Event]:
         """A query with its parts; the next one is already on its way."""
         following = self.now + self.draw.expovariate(load.rate)
         if following < START + load.ends:
-            self._at(following, lambda: self._come(load))
+            self._at(following, lambda: self._arrive(load))
         index = self.draw.choice(load.classes)
-        kind, count = self.settings.query_classes[index], self.draw.randint(load.narrowest, load.widest)
+        kind, count = self.settings.query_classes[index], self.draw.randint(load.min_parts, load.max_parts)
         query, number = self._id(), self.next_number
         self.next_number += 1
-        expires = round(self.now + kind.deadline * load.patience, DIGITS)
+        expires = round(self.now + kind.deadline * load.deadline_factor, DIGITS)
         repeat = self.draw.random() < load.repeat_share
         cost = round(self.draw.random(), 3) if kind.objective_stretch is not None else 0.0
         tenant = self.draw.randrange(load.tenants)
         arrived = api.QueryArrived(query, number, index, tenant, count, expires, repeat, cost)
         self.queries[query] = _Query(arrived, kind)
         if self.draw.random() < load.leaving_share:
-            self._at(self.now + self.draw.random() * kind.latency_objective, lambda: self._left(query))
-        self._at(expires + ABANDONED_AFTER, lambda: self._left(query))
+            self._at(self.now + self.draw.random() * kind.latency_objective, lambda: self._disconnect(query))
+        self._at(expires + ABANDONED_AFTER, lambda: self._disconnect(query))
         weights = [1.0 if load.even_weights else self.draw.choice((1.0, 1.0, 3.0)) for _ in range(count)]
         shards = load.shards or range(self.settings.cell_count)
         first = self.draw.randrange(len(shards))
@@ -209,17 +211,17 @@
             for _ in range(count)
         ]
 
-    def _left(self, number: int) -> list[api.Event]:
+    def _disconnect(self, number: int) -> list[api.Event]:
         if self.queries[number].ended:
             return []
         self.queries[number].ended = True
         return [api.QueryAbandoned(number)]
 
     def _end(self, key: tuple[int, int], outcome: api.AttemptOutcome) -> list[api.Event]:
-        attempt = self.out.pop(key, None)
+        attempt = self.open_attempts.pop(key, None)
         if attempt is None:
             return []
-        self.busy[attempt.replica] -= 1
+        self.in_flight[attempt.replica] -= 1
         latency = round(self.now - attempt.sent_at, DIGITS)
         return [api.AttemptEnded(*key, attempt.replica, outcome, latency)]
 
@@ -229,10 +231,10 @@
 
     # ---- what the module asks for
 
-    def _act(self, action: api.Action) -> None:
+    def _execute(self, action: api.Action) -> None:
         match action:
-            case api.Send(part, replica, stop_at):
-                self._send(part, replica, stop_at)
+            case api.Send(part, replica, expires_at):
+                self._send(part, replica, expires_at)
             case api.Cancel(part, attempt):
                 if self.draw.random() >= self.scenario.late_cancels:
                     self._at(self.now, lambda: self._end((part, attempt), api.AttemptOutcome.CANCELLED))
@@ -257,31 +259,31 @@
         if self.failed_subscriptions > 0:
             self.failed_subscriptions -= 1
             return [api.MembershipChanged(api.MembershipUpdateKind.FAILED, ())]
-        return [api.MembershipChanged(api.MembershipUpdateKind.FULL, tuple(self.known.values()))]
+        return [api.MembershipChanged(api.MembershipUpdateKind.FULL, tuple(self.listed_replicas.values()))]
 
-    def _send(self, part: int, replica: int, stop_at: float) -> None:
-        key = part, self.made[part]
-        self.made[part] += 1
+    def _send(self, part: int, replica: int, expires_at: float) -> None:
+        key = part, self.attempts_made[part]
+        self.attempts_made[part] += 1
         usual = self.scenario.latency * (0.5 + self.draw.expovariate(2.0))
-        latency = usual * (1 + self.busy[replica] / self.scenario.capacity)
+        latency = usual * (1 + self.in_flight[replica] / self.scenario.capacity)
         outcome = api.AttemptOutcome.OK
         for fault in self.scenario.faults:
-            if self._struck(fault, replica):
+            if self._is_affected(fault, replica):
                 if fault.kind is FaultKind.SLOW:
                     latency *= fault.slowness
-                elif fault.kind is FaultKind.SILENT:
+                elif fault.kind is FaultKind.UNRESPONSIVE:
                     latency = inf
                 else:
                     outcome, latency = FAST_OUTCOMES[fault.kind], min(latency, 0.01)
         ends_at = self.now + round(latency, DIGITS) if latency < inf else inf
-        if ends_at >= stop_at:
+        if ends_at >= expires_at:
             # The module's own timer for a query is at times read before the time-outs of its parts.
-            ends_at, outcome = stop_at + TICK * self.draw.randrange(3), api.AttemptOutcome.TIMED_OUT
-        self.out[key] = _Attempt(replica, self.now, outcome)
-        self.busy[replica] += 1
+            ends_at, outcome = expires_at + TICK * self.draw.randrange(3), api.AttemptOutcome.TIMED_OUT
+        self.open_attempts[key] = _Attempt(replica, self.now, outcome)
+        self.in_flight[replica] += 1
         self._at(ends_at, lambda: self._end(key, outcome))
 
-    def _struck(self, fault: Fault, replica: int) -> bool:
-        there = not fault.replicas or replica in fault.replicas
-        at_time = fault.begins <= self.now - START < fault.ends
-        return there and at_time and self.draw.random() < fault.share
+    def _is_affected(self, fault: Fault, replica: int) -> bool:
+        is_target = not fault.replicas or replica in fault.replicas
+        is_active = fault.begins <= self.now - START < fault.ends
+        return is_target and is_active and self.draw.random() < fault.share
--- a/tests/test_answers_property.py
+++ b/tests/test_answers_property.py
@@ -21,13 +21,13 @@
 
 # Time passes between two turns, as for a decision thread: where latencies are zero, hedge timers are due at
 # once, and with a clock that stands still they would be due for ever.
-TURN = 0.001  # seconds
+TURN_SECONDS = 0.001  # seconds
 OBJECTIVE = 0.5  # seconds, the latency objective
 DEADLINE = 2.0  # seconds
-SLACK = 1e-4  # of a sum of weights
-SHARES = ((1.0, 1.0), (0.75, 0.75), (0.5, 1.0), (0.5, 0.75), (1.0, 0.75), (0.7, 0.9))
+WEIGHT_TOLERANCE = 1e-4  # of a sum of weights
+COVERAGES = ((1.0, 1.0), (0.75, 0.75), (0.5, 1.0), (0.5, 0.75), (1.0, 0.75), (0.7, 0.9))
 ROWS = tuple(replica(number, zone=number % 2) for number in range(4))
-REPLICAS = {row.id: ("127.0.0.1", row.id + 1) for row in ROWS}
+ADDRESSES = {row.id: ("127.0.0.1", row.id + 1) for row in ROWS}
 FAILURES = [o for o in api.AttemptOutcome if o not in (api.AttemptOutcome.OK, api.AttemptOutcome.CANCELLED)]
 
 
@@ -49,7 +49,7 @@
         return 1
 
 
-class QueryLedger:
+class QueryModel:
     """One query, as its client and its replicas see it."""
 
     def __init__(self, kind: api.QueryClass, weights: dict[int, float], deadline: float) -> None:
@@ -60,7 +60,7 @@
         self.results: list[t.QueryResult] = []
         self.objective_at = 0.0
 
-    def first_share(self, shards: set[int]) -> float:
+    def first_step_weight(self, shards: set[int]) -> float:
         return sum(self.weights[shard] for shard in shards)
 
 
@@ -71,13 +71,13 @@
     """Settings are drawn once; then anything may come."""
 
     @initialize(
-        shares=st.tuples(st.sampled_from(SHARES), st.sampled_from(SHARES)),
+        shares=st.tuples(st.sampled_from(COVERAGES), st.sampled_from(COVERAGES)),
         second=st.tuples(st.integers(0, 3), st.integers(0, 3)),
         late=st.sampled_from([0.0, 0.3, 1.0]),
         semantics=st.sampled_from(list(api.RetrySafety)),
-        per_call=st.sampled_from([1, 3, 8]),
-        copies=st.booleans(),
-        cancels=st.booleans(),
+        parts_per_request=st.sampled_from([1, 3, 8]),
+        hedging=st.booleans(),
+        cancellation=st.booleans(),
     )
     def begin(
         self,
@@ -85,9 +85,9 @@
         second: Any,
         late: float,
         semantics: api.RetrySafety,
-        per_call: int,
-        copies: bool,
-        cancels: bool,
+        parts_per_request: int,
+        hedging: bool,
+        cancellation: bool,
     ) -> None:
         window = 1.0 if semantics is api.RetrySafety.IDEMPOTENCY_KEY else None
         drawn = zip(shares, second, (api.RetrySafety.IDEMPOTENT, semantics), strict=True)
@@ -98,12 +98,12 @@
         config = BASE._replace(
             query_classes=self.classes,
             coordinator_count=1,
-            max_parts_per_request=per_call,
-            hedging_allowed=copies,
-            cancellation_allowed=cancels,
+            max_parts_per_request=parts_per_request,
+            hedging_allowed=hedging,
+            cancellation_allowed=cancellation,
         )
         self.driver, self.now = Driver(DecisionEngine(config, 5), config), 100.0
-        self.ledgers: dict[int, QueryLedger] = {}
+        self.models: dict[int, QueryModel] = {}
         self.in_flight: list[t.AttemptRequest] = []  # claimed and unanswered
         self.pending: list[t.Input] = []
         self.update_endpoints({})
@@ -114,32 +114,32 @@
         kind=st.integers(0, 1),
         weights=st.lists(st.sampled_from([1.0, 1.0, 3.0]), min_size=1, max_size=6),
         time=st.sampled_from([0.1, 0.6, 2.0]),
-        hold=st.booleans(),
+        deferred=st.booleans(),
     )
-    def arrive(self, kind: int, weights: list[float], time: float, hold: bool) -> None:
-        number, total = len(self.ledgers) + 1, sum(weights)
+    def arrive(self, kind: int, weights: list[float], time: float, deferred: bool) -> None:
+        number, total = len(self.models) + 1, sum(weights)
         shares = {shard: round(weight / total, 6) for shard, weight in enumerate(weights)}
-        ledger = self.ledgers[number] = QueryLedger(self.classes[kind], shares, self.now + time)
-        ledger.objective_at = self.now + OBJECTIVE
+        model = self.models[number] = QueryModel(self.classes[kind], shares, self.now + time)
+        model.objective_at = self.now + OBJECTIVE
         parts = tuple(t.PartPlan(s, w, Content(number, 1, s)) for s, w in shares.items())
         has_second = self.classes[kind].second_step_parts > 0
         plan = t.QueryPlan(
             kind,
-            ledger.deadline,
+            model.deadline,
             parts,
             CODEC,
             second_step=self._second_step(number) if has_second else None,
         )
-        self.pending.append(t.QuerySubmitted(number, plan, ledger.results.append))
-        if not hold:
+        self.pending.append(t.QuerySubmitted(number, plan, model.results.append))
+        if not deferred:
             self.turn()
 
     @rule(
         picks=st.lists(st.integers(0, 1 << 16), min_size=1, max_size=8),
         outcome=st.sampled_from([api.AttemptOutcome.OK] * 8 + FAILURES),
-        hold=st.booleans(),
+        deferred=st.booleans(),
     )
-    def end(self, picks: list[int], outcome: api.AttemptOutcome, hold: bool) -> None:
+    def end_attempts(self, picks: list[int], outcome: api.AttemptOutcome, deferred: bool) -> None:
         for pick in picks:
             if not self.in_flight:
                 break
@@ -147,9 +147,9 @@
             content: Content = attempt.content
             answer = content if outcome is api.AttemptOutcome.OK else None
             if answer:
-                self.ledgers[content.query].answered.add((content.step, content.shard))
+                self.models[content.query].answered.add((content.step, content.shard))
             self.pending.append(t.AttemptFinished(attempt.part, attempt.attempt, outcome, self.now, answer))
-        if not hold:
+        if not deferred:
             self.turn()
 
     @rule(seconds=st.sampled_from([0.001, 0.02, 0.1, OBJECTIVE - 0.01, 1.0]))
@@ -157,39 +157,39 @@
         """Timers fire in batches of their own."""
         until = self.now + seconds
         while (due := self.driver.next_due()) <= until:
-            self.now = max(self.now + TURN, due)
+            self.now = max(self.now + TURN_SECONDS, due)
             self.turn()
         self.now = max(self.now, until)
 
     @rule(seconds=st.sampled_from([0.005, 0.1, OBJECTIVE, 1.0]))
-    def stand_still(self, seconds: float) -> None:
+    def pause(self, seconds: float) -> None:
         """Whatever is pending, and all timers due, come in one batch."""
         self.now += seconds
         self.turn()
 
-    @precondition(lambda self: any(ledger.objective_at > self.now for ledger in self.ledgers.values()))
+    @precondition(lambda self: any(model.objective_at > self.now for model in self.models.values()))
     @rule(pick=st.integers(0, 1 << 16), some=st.lists(st.integers(0, 1 << 16), max_size=6))
-    def reach_an_objective(self, pick: int, some: list[int]) -> None:
+    def reply_at_an_objective(self, pick: int, some: list[int]) -> None:
         """Answers come in the very batch in which the objective timer of a query is due."""
-        ledgers = [ledger for ledger in self.ledgers.values() if ledger.objective_at > self.now]
-        objective_at = ledgers[pick % len(ledgers)].objective_at
+        models = [model for model in self.models.values() if model.objective_at > self.now]
+        objective_at = models[pick % len(models)].objective_at
         self.wait(objective_at - self.now - 3 * BASE.timer_granularity)
         self.now = objective_at
-        self.end(some, api.AttemptOutcome.OK, hold=True)
+        self.end_attempts(some, api.AttemptOutcome.OK, deferred=True)
         self.turn()
 
-    @precondition(lambda self: self.ledgers)
-    @rule(pick=st.integers(0, 1 << 16), hold=st.booleans())
-    def leave(self, pick: int, hold: bool) -> None:
-        self.pending.append(t.ClientDisconnected(1 + pick % len(self.ledgers)))
-        if not hold:
+    @precondition(lambda self: self.models)
+    @rule(pick=st.integers(0, 1 << 16), deferred=st.booleans())
+    def disconnect(self, pick: int, deferred: bool) -> None:
+        self.pending.append(t.ClientDisconnected(1 + pick % len(self.models)))
+        if not deferred:
             self.turn()
 
     @rule(states=st.dictionaries(st.integers(0, 3), st.sampled_from(list(api.ReplicaState)), max_size=3))
     def update_endpoints(self, states: dict[int, api.ReplicaState]) -> None:
         rows = tuple(row._replace(state=states.get(row.id, row.state)) for row in ROWS)
         self.pending.append(
-            t.EndpointsUpdated(api.MembershipChanged(api.MembershipUpdateKind.FULL, rows), dict(REPLICAS))
+            t.EndpointsUpdated(api.MembershipChanged(api.MembershipUpdateKind.FULL, rows), dict(ADDRESSES))
         )
         self.turn()
 
@@ -202,7 +202,7 @@
 
     def turn(self) -> None:
         inputs, self.pending = self.pending, []
-        before = {number for number, ledger in self.ledgers.items() if ledger.results}
+        before = {number for number, model in self.models.items() if model.results}
         for effect in self.driver.step(self.now, inputs):
             match effect:
                 case t.StartRequest(batch):
@@ -215,64 +215,75 @@
 
     def _second_step(self, number: int) -> Callable[[dict[int, Any], bool], tuple[t.PartPlan, ...]]:
         def begin(results: dict[int, Any], whole: bool) -> tuple[t.PartPlan, ...]:
-            ledger = self.ledgers[number]
-            named = {content.shard for content in results.values()}
-            assert ledger.second_step_shards is None, "a second step twice"
-            assert named <= {shard for step, shard in ledger.answered if step == 1}, "names a shard not in"
-            share = ledger.first_share(named)
+            model = self.models[number]
+            received_shards = {content.shard for content in results.values()}
+            assert model.second_step_shards is None, "a second step twice"
+            assert received_shards <= {
+                shard for step, shard in model.answered if step == 1
+            }, "names a shard not in"
+            share = model.first_step_weight(received_shards)
             assert (
-                named and share >= min(ledger.kind.required_coverage, ledger.kind.complete_coverage) - SLACK
+                received_shards
+                and share
+                >= min(model.kind.required_coverage, model.kind.complete_coverage) - WEIGHT_TOLERANCE
             )
-            assert not whole or share >= ledger.kind.complete_coverage - SLACK, "marked whole that is not"
-            chosen = tuple(sorted(named)[: ledger.kind.second_step_parts])
-            ledger.second_step_shards, ledger.first_step_complete = chosen, whole
+            assert (
+                not whole or share >= model.kind.complete_coverage - WEIGHT_TOLERANCE
+            ), "marked whole that is not"
+            chosen = tuple(sorted(received_shards)[: model.kind.second_step_parts])
+            model.second_step_shards, model.first_step_complete = chosen, whole
             return tuple(t.PartPlan(s, 1 / len(chosen), Content(number, 2, s)) for s in chosen)
 
         return begin
 
     @invariant()
-    def answers_are_honest(self) -> None:
-        for number, ledger in getattr(self, "ledgers", {}).items():
-            assert len(ledger.results) <= 1, "two results"
-            for result in ledger.results:
+    def answers_are_correct(self) -> None:
+        for number, model in getattr(self, "models", {}).items():
+            assert len(model.results) <= 1, "two results"
+            for result in model.results:
                 assert (
                     result.reason is not api.QueryEndReason.COVERAGE_CHECK_FAILED
                 ), "the module called a false answer"
                 if result.status in (t.QueryStatus.COMPLETE, t.QueryStatus.PARTIAL):
-                    self._check(number, ledger, result)
+                    self._check(number, model, result)
 
-    def _check(self, number: int, ledger: QueryLedger, result: t.QueryResult) -> None:
-        kind, step = ledger.kind, 2 if ledger.kind.second_step_parts else 1
-        got = {content.shard for content in result.results.values()}
+    def _check(self, number: int, model: QueryModel, result: t.QueryResult) -> None:
+        kind, step = model.kind, 2 if model.kind.second_step_parts else 1
+        received_shards = {content.shard for content in result.results.values()}
         assert all(content == Content(number, step, content.shard) for content in result.results.values())
-        assert got <= {shard for s, shard in ledger.answered if s == step}, "a part that was not answered"
+        assert received_shards <= {
+            shard for s, shard in model.answered if s == step
+        }, "a part that was not answered"
         marked = result.status is t.QueryStatus.COMPLETE or result.marked_complete
         if step == 1:
-            share = ledger.first_share(got)
+            share = model.first_step_weight(received_shards)
             assert (
-                got and share >= min(kind.required_coverage, kind.complete_coverage) - SLACK
+                received_shards
+                and share >= min(kind.required_coverage, kind.complete_coverage) - WEIGHT_TOLERANCE
             ), "under its least share"
-            assert not marked or share >= kind.complete_coverage - SLACK, "marked whole that is not"
+            assert (
+                not marked or share >= kind.complete_coverage - WEIGHT_TOLERANCE
+            ), "marked whole that is not"
             return
-        assert ledger.second_step_shards, "no second step was asked"
-        share = len(got) / len(ledger.second_step_shards)
+        assert model.second_step_shards, "no second step was asked"
+        share = len(received_shards) / len(model.second_step_shards)
         least = kind.required_coverage if kind.required_coverage < kind.complete_coverage else 1.0
-        assert share >= least - SLACK, "under its least share"
-        assert not marked or (ledger.first_step_complete and share == 1.0), "marked whole that is not"
+        assert share >= least - WEIGHT_TOLERANCE, "under its least share"
+        assert not marked or (model.first_step_complete and share == 1.0), "marked whole that is not"
 
     def teardown(self) -> None:
         """All timers run out: every query has its one result."""
-        if not hasattr(self, "ledgers"):
+        if not hasattr(self, "models"):
             return
         self.turn()
         for _ in range(3000):
             due = self.driver.next_due()
             if due == float("inf"):
                 break
-            self.now = max(self.now + TURN, due)
+            self.now = max(self.now + TURN_SECONDS, due)
             self.turn()
-        assert all(len(ledger.results) == 1 for ledger in self.ledgers.values())
-        self.answers_are_honest()
+        assert all(len(model.results) == 1 for model in self.models.values())
+        self.answers_are_correct()
 
 
 TestAnswers = AnswersMachine.TestCase
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -19,7 +19,7 @@
 from gingervane.coordinator.retry_after import RetryAfterEstimate
 from gingervane.decisions.engine import DecisionEngine
 
-ENDINGS = [o for o in api.AttemptOutcome if o is not api.AttemptOutcome.CANCELLED]
+OUTCOMES = [o for o in api.AttemptOutcome if o is not api.AttemptOutcome.CANCELLED]
 CLASSES = (
     query_class(aim=1.0, deadline=3.0),
     query_class(aim=1.0, deadline=3.0, least=0.5),
@@ -117,16 +117,16 @@
         kind=st.integers(0, 3),
         shards=st.sets(st.integers(0, 7), min_size=1, max_size=5),
         time=st.sampled_from([0.02, 0.3, 3.0]),
-        hold=st.booleans(),
+        deferred=st.booleans(),
     )
-    def arrive(self, kind: int, shards: set[int], time: float, hold: bool) -> None:
+    def arrive(self, kind: int, shards: set[int], time: float, deferred: bool) -> None:
         number, self.next = self.next, self.next + 1
         weight = 1 / len(shards)
         parts = tuple(t.PartPlan(s, weight, (number, i, True)) for i, s in enumerate(sorted(shards)))
         plan = t.QueryPlan(kind, self.now + time, parts, CODEC)
         self.query_results[number], self.plans[number] = [], plan
         arrived = t.QuerySubmitted(number, plan, self.query_results[number].append)
-        if hold:
+        if deferred:
             self.pending.append(arrived)
         else:
             self.step(arrived)
@@ -134,16 +134,16 @@
     @precondition(lambda self: self.batches)
     @rule(
         pick=st.integers(0, 1 << 20),
-        outcome=st.sampled_from([api.AttemptOutcome.OK] * 6 + ENDINGS),
-        hold=st.booleans(),
+        outcome=st.sampled_from([api.AttemptOutcome.OK] * 6 + OUTCOMES),
+        deferred=st.booleans(),
         again=st.booleans(),
     )
-    def end(self, pick: int, outcome: api.AttemptOutcome, hold: bool, again: bool) -> None:
+    def end(self, pick: int, outcome: api.AttemptOutcome, deferred: bool, again: bool) -> None:
         """A batch ends, also one that was cancelled, at times twice, at times in one step with others."""
         index = pick % len(self.batches)
         batch = self.batches[index] if again else self.batches.pop(index)
         self.pending += self.ended(batch, outcome)
-        if not hold:
+        if not deferred:
             self.step()
 
     @rule(seconds=st.sampled_from([0.001, 0.004, 0.05, 0.4, 2.0]))
@@ -155,28 +155,28 @@
         self.now = until
 
     @rule(seconds=st.sampled_from([0.1, 1.0, 5.0]))
-    def stand_still(self, seconds: float) -> None:
+    def pause(self, seconds: float) -> None:
         self.now += seconds
         self.step()
 
     @precondition(lambda self: self.query_results)
-    @rule(pick=st.integers(0, 1 << 20), hold=st.booleans())
-    def leave(self, pick: int, hold: bool) -> None:
+    @rule(pick=st.integers(0, 1 << 20), deferred=st.booleans())
+    def disconnect(self, pick: int, deferred: bool) -> None:
         self.pending.append(t.ClientDisconnected(sorted(self.query_results)[pick % len(self.query_results)]))
-        if not hold:
+        if not deferred:
             self.step()
 
     @rule(states=st.dictionaries(st.integers(0, 3), st.sampled_from(list(api.ReplicaState)), max_size=3))
-    def change(self, states: dict[int, api.ReplicaState]) -> None:
+    def change_replica_states(self, states: dict[int, api.ReplicaState]) -> None:
         self.update_endpoints(states)
 
     @rule()
-    def shut(self) -> None:
+    def shut_down(self) -> None:
         self.step(t.Shutdown())
         assert self.driver.open_queries == 0
 
     @invariant()
-    def promises(self) -> None:
+    def guarantees(self) -> None:
         for number, query_results in self.query_results.items():
             assert len(query_results) <= 1, "settled twice"
             plan = self.plans[number]
@@ -213,12 +213,12 @@
 class DriverHarness:
     """One driver, with inputs given by hand."""
 
-    def __init__(self, kind: api.QueryClass, chosen: api.Settings | None = None) -> None:
-        chosen = chosen or SETTINGS._replace(
+    def __init__(self, kind: api.QueryClass, driver_settings: api.Settings | None = None) -> None:
+        driver_settings = driver_settings or SETTINGS._replace(
             query_classes=(kind,), cell_count=1, cells_per_replica=1, max_parts_per_request=1
         )
-        self.module, self.now = CheckedModule(DecisionEngine(chosen, 1)), 100.0
-        self.driver = Driver(self.module, chosen)
+        self.module, self.now = CheckedModule(DecisionEngine(driver_settings, 1)), 100.0
+        self.driver = Driver(self.module, driver_settings)
         self.query_results: list[t.QueryResult] = []
         rows = tuple(replica(i) for i in range(3))
         event = api.MembershipChanged(api.MembershipUpdateKind.FULL, rows)
@@ -233,11 +233,11 @@
                 out.append(effect.request)
         return out
 
-    def ask(self, seconds: float) -> list[t.BatchRequest]:
+    def submit(self, seconds: float) -> list[t.BatchRequest]:
         plan = t.QueryPlan(0, self.now + seconds, (t.PartPlan(0, 1.0, "x"),), CODEC)
         return self.step(t.QuerySubmitted(1, plan, self.query_results.append))
 
-    def run_to(self, at: float) -> list[t.BatchRequest]:
+    def run_until(self, at: float) -> list[t.BatchRequest]:
         out = []
         while (due := self.driver.next_due()) <= at:
             self.now = max(self.now, due)
@@ -255,10 +255,10 @@
 
 def test_hedged_request_and_original_answer_in_one_batch() -> None:
     harness = DriverHarness(query_class(aim=1.0, deadline=3.0))
-    first = harness.ask(3.0)
-    copy = harness.run_to(harness.now + 0.6)
-    assert len(first) == len(copy) == 1 and first[0].replica != copy[0].replica
-    harness.step(succeed(copy[0], harness.now, "copy"), succeed(first[0], harness.now, "original"))
+    first = harness.submit(3.0)
+    hedged = harness.run_until(harness.now + 0.6)
+    assert len(first) == len(hedged) == 1 and first[0].replica != hedged[0].replica
+    harness.step(succeed(hedged[0], harness.now, "copy"), succeed(first[0], harness.now, "original"))
     harness.step()
     assert [f.status for f in harness.query_results] == [t.QueryStatus.COMPLETE]
     assert harness.query_results[0].results == {0: "copy"} and not harness.module.in_flight
@@ -266,7 +266,7 @@
 
 def test_reply_in_the_batch_in_which_its_query_expires() -> None:
     harness = DriverHarness(query_class(aim=1.0, deadline=3.0))
-    (batch,) = harness.ask(0.2)
+    (batch,) = harness.submit(0.2)
     harness.now = 100.2  # its timer is due; the answer is in the same batch and comes first
     harness.step(succeed(batch, harness.now, "late but here"))
     harness.step()
@@ -277,14 +277,14 @@
     assert len(harness.query_results) == 1 and harness.driver.counts.late_endings == 1
 
 
-def test_an_attempt_that_was_never_sent_is_proof() -> None:
+def test_non_idempotent_query_is_rejected_only_if_its_attempt_was_not_sent() -> None:
     """A query that is not idempotent may be rejected if no sender had claimed its attempt, else not."""
     for is_sent, status in ((False, t.QueryStatus.REJECTED), (True, t.QueryStatus.FAILED)):
         harness = DriverHarness(query_class(aim=1.0, deadline=3.0, semantics=api.RetrySafety.NOT_IDEMPOTENT))
-        (batch,) = harness.ask(0.5)
+        (batch,) = harness.submit(0.5)
         if is_sent:
             assert batch.attempts[0].claim()
-        harness.run_to(harness.now + 1.0)
+        harness.run_until(harness.now + 1.0)
         assert [f.status for f in harness.query_results] == [status] and not batch.attempts[0].claim()
 
 
@@ -294,7 +294,7 @@
         (api.RetrySafety.NOT_IDEMPOTENT, t.QueryStatus.FAILED),
     ):
         harness = DriverHarness(query_class(aim=1.0, deadline=3.0, semantics=retry_safety))
-        harness.ask(3.0)
+        harness.submit(3.0)
         harness.step(t.Shutdown())
         assert [f.status for f in harness.query_results] == [status]
 
@@ -303,7 +303,7 @@
     estimate = RetryAfterEstimate(1.0)
     assert estimate.seconds_until_free(10.0, 5) == 1.0, "nothing is known"
     for tick in range(100):
-        estimate.freed(10.0 + tick * 0.02, 2)  # a hundred a second
+        estimate.record_release(10.0 + tick * 0.02, 2)  # a hundred a second
     assert 0.08 <= estimate.seconds_until_free(12.0, 10) <= 0.12
     assert estimate.seconds_until_free(12.0, 1) == 0.02 and estimate.seconds_until_free(12.0, 10_000) == 1.0
     assert estimate.seconds_until_free(20.0, 10) == 1.0, "old rates are forgotten"
@@ -329,7 +329,7 @@
     assert [len(found) for found in made.claim_sendable(5.06)] == [1, 0]
 
 
-def test_requests_read_after_a_process_pause() -> None:
+def test_arrival_time_of_requests_read_after_a_process_pause() -> None:
     detector = ProcessPauseDetector(100.0)
     for n in range(20):
         detector.tick(100.0 + n * 0.05)
@@ -345,7 +345,7 @@
 
 def test_unsent_attempts_are_withheld_where_cancelling_is_not_allowed() -> None:
     """Its query is over, or the hedged request has answered: what no sender has claimed may be withheld."""
-    chosen = SETTINGS._replace(
+    driver_settings = SETTINGS._replace(
         query_classes=CLASSES[:1],
         cell_count=1,
         cells_per_replica=1,
@@ -353,11 +353,11 @@
         max_parts_per_request=1,
     )
     for answered in (True, False):
-        harness = DriverHarness(CLASSES[0], chosen)
-        (first,) = harness.ask(3.0)
-        (copy,) = harness.run_to(harness.now + 0.6)
-        assert first.attempts[0].attempt == 0 and copy.attempts[0].attempt == 1
-        harness.step(succeed(copy, harness.now, "copy") if answered else t.ClientDisconnected(1))
+        harness = DriverHarness(CLASSES[0], driver_settings)
+        (first,) = harness.submit(3.0)
+        (hedged,) = harness.run_until(harness.now + 0.6)
+        assert first.attempts[0].attempt == 0 and hedged.attempts[0].attempt == 1
+        harness.step(succeed(hedged, harness.now, "copy") if answered else t.ClientDisconnected(1))
         harness.step()
         assert not first.attempts[0].claim() and not harness.module.in_flight
         assert [f.status for f in harness.query_results] == [
@@ -370,9 +370,11 @@
     that it says is gone, whose address the driver no longer has (which broke the decision thread)."""
     for state, which in itertools.product((api.ReplicaState.DRAINING, api.ReplicaState.GONE), (1, 2)):
         harness = DriverHarness(query_class(aim=1.0, deadline=3.0))
-        (batch,) = harness.ask(3.0)
-        keeps = (batch.replica + which) % 3
-        rows = tuple(replica(i, state=api.ReplicaState.READY if i == keeps else state) for i in range(3))
+        (batch,) = harness.submit(3.0)
+        ready_replica = (batch.replica + which) % 3
+        rows = tuple(
+            replica(i, state=api.ReplicaState.READY if i == ready_replica else state) for i in range(3)
+        )
         batch.attempts[0].claim()
         ended = t.AttemptFinished(
             batch.attempts[0].part, 0, api.AttemptOutcome.CONNECT_FAILED, harness.now, None, "refused"
@@ -380,4 +382,4 @@
         again = harness.step(
             ended, t.EndpointsUpdated(api.MembershipChanged(api.MembershipUpdateKind.DELTA, rows), {})
         )
-        assert [batch.replica for batch in again] == [keeps]
+        assert [batch.replica for batch in again] == [ready_replica]
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -18,7 +18,7 @@
 
 def shares(
     weights: dict[str, float],
-    took: dict[str, float],
+    durations: dict[str, float],
     seconds: float,
     slots: int = 2,
 ) -> dict[str, float]:
@@ -30,16 +30,16 @@
     for name in weights:
         for _ in range(50):
             if queue.acquire(name, name):
-                running.append((now + took[name], name))
+                running.append((now + durations[name], name))
     while now < seconds:
         running.sort()
         now, name = running.pop(0)
-        used[name] += took[name]
-        following = queue.release(name, took[name])
+        used[name] += durations[name]
+        granted = queue.release(name, durations[name])
         if queue.acquire(name, name):
-            running.append((now + took[name], name))
-        if following:
-            running.append((now + took[following], following))
+            running.append((now + durations[name], name))
+        if granted:
+            running.append((now + durations[granted], granted))
     return {name: value / sum(used.values()) for name, value in used.items()}
 
 
@@ -50,20 +50,20 @@
     assert three["a"] == pytest.approx(0.75, abs=0.02)
 
 
-def test_idleness_is_not_saved_up() -> None:
+def test_idle_time_earns_no_credit() -> None:
     queue: FairQueue[Any] = FairQueue({"a": 1.0, "b": 1.0}, 1, 100)
     assert queue.acquire("a", "first")
     for n in range(50):
         queue.acquire("a", n)
-    following: Any = "first"
+    granted: Any = "first"
     for _ in range(30):
-        following = queue.release("a", 1.0)
+        granted = queue.release("a", 1.0)
     assert queue.acquire("b", "b0") is False
     order = []
     for n in range(6):
-        following = queue.release("a" if following != "b" else "b", 1.0)
-        following = "b" if isinstance(following, str) else "a"
-        order.append(following)
+        granted = queue.release("a" if granted != "b" else "b", 1.0)
+        granted = "b" if isinstance(granted, str) else "a"
+        order.append(granted)
         queue.acquire("b", f"b{n + 1}")
     assert order.count("b") == 3, "its share from now on, and not all that it did not take before"
 
@@ -116,9 +116,9 @@
     @rule(seconds=st.floats(0, 2))
     def release(self, seconds: float) -> None:
         name, _ = self.running.pop(0)
-        following = self.queue.release(name, seconds)
-        if following is not None:
-            self.running.append((self.waiting.pop(following), following))
+        granted = self.queue.release(name, seconds)
+        if granted is not None:
+            self.running.append((self.waiting.pop(granted), granted))
 
     @precondition(lambda self: bool(self.waiting))
     @rule(data=st.data())
@@ -137,14 +137,14 @@
 
 def test_a_concurrency_limit_under_threads() -> None:
     limit = ConcurrencyLimit({"a": 1.0, "b": 1.0}, 3, 1000)
-    inside, most, done = [0], [0], [0]
+    inside, max_inside, done = [0], [0], [0]
     lock = threading.Lock()
 
     def work(index: int) -> None:
         with limit.slot("ab"[index % 2], time.monotonic() + 60.0):
             with lock:
                 inside[0] += 1
-                most[0] = max(most[0], inside[0])
+                max_inside[0] = max(max_inside[0], inside[0])
             time.sleep(random.random() / 500)
             with lock:
                 inside[0] -= 1
@@ -155,25 +155,25 @@
         thread.start()
     for thread in threads:
         thread.join(60.0)
-    assert done[0] == 60 and 1 <= most[0] <= 3
+    assert done[0] == 60 and 1 <= max_inside[0] <= 3
 
 
-def test_whose_time_is_up_goes_on_without_a_slot() -> None:
+def test_work_continues_without_a_slot_after_its_deadline() -> None:
     limit = ConcurrencyLimit({"a": 1.0}, 1, 10)
-    hold = threading.Event()
+    finish = threading.Event()
     inside = threading.Event()
 
-    def keep() -> None:
+    def occupy_slot() -> None:
         with limit.slot("a", time.monotonic() + 60.0):
             inside.set()
-            hold.wait(60.0)
+            finish.wait(60.0)
 
-    thread = threading.Thread(target=keep)
+    thread = threading.Thread(target=occupy_slot)
     thread.start()
     assert inside.wait(30.0)
     with limit.slot("a", time.monotonic() + 0.02):
         assert limit.waiting("a") == 0
-    hold.set()
+    finish.set()
     thread.join(30.0)
     with limit.slot("a", time.monotonic() + 60.0):
         pass
--- a/tests/test_recorded_decisions.py
+++ b/tests/test_recorded_decisions.py
@@ -21,7 +21,7 @@
 from gingervane import interface as api
 
 NAMES = names()
-FEWEST_RECORDINGS, FEWEST_BATCHES, FEWEST_ACTIONS = 35, 20_000, 40_000
+MIN_RECORDINGS, MIN_BATCHES, MIN_ACTIONS = 35, 20_000, 40_000
 # Of the host's words on endings, none is the module's to say.
 HOST_REASONS: set[Enum] = {
     api.QueryEndReason.SHUTDOWN,
@@ -30,7 +30,7 @@
     api.QueryEndReason.INTERNAL,
     api.QueryEndReason.UNSTATED,
 }
-NEVER_SAID: set[type] = {api.LogMessage}  # by the decision module
+NEVER_EMITTED: set[type] = {api.LogMessage}  # by the decision module
 
 
 @cache
@@ -60,59 +60,59 @@
     return f"expected {exact(expected)}, got {exact(got)}"
 
 
-def records(value: Any) -> Iterator[list[Any]]:
+def encoded_records(value: Any) -> Iterator[list[Any]]:
     """All encoded records, members and tuples within an encoded value, itself included."""
     if isinstance(value, list):
         if value and isinstance(value[0], int):
             yield value
         for inner in value:
-            yield from records(inner)
+            yield from encoded_records(inner)
 
 
 @cache
-def census() -> tuple[Counter[type], Counter[Enum]]:
+def count_occurrences() -> tuple[Counter[type], Counter[Enum]]:
     """How often each type and each member of an enumeration occurs in the recordings."""
     kinds, members = Counter[type](), Counter[Enum]()
     for name in NAMES:
         found = recording(name)
         for batch in found.batches:
             for value in (*batch.events, *batch.actions):
-                for record in records(value):
+                for record in encoded_records(value):
                     if record[0] >= 0:
                         kinds[TYPES[record[0]]] += 1
                     elif record[0] == MEMBER:
                         members[list(ENUMERATIONS[record[1]])[record[2]]] += 1
-        for record in records(found.settings):
+        for record in encoded_records(found.settings):
             if record[0] == MEMBER:
                 members[list(ENUMERATIONS[record[1]])[record[2]]] += 1
     return kinds, members
 
 
-def test_there_is_much_to_compare() -> None:
+def test_recordings_are_large_enough() -> None:
     batches = [batch for name in NAMES for batch in recording(name).batches]
-    assert len(NAMES) >= FEWEST_RECORDINGS
-    assert len(batches) >= FEWEST_BATCHES
-    assert sum(len(batch.actions) for batch in batches) >= FEWEST_ACTIONS
+    assert len(NAMES) >= MIN_RECORDINGS
+    assert len(batches) >= MIN_BATCHES
+    assert sum(len(batch.actions) for batch in batches) >= MIN_ACTIONS
     assert any(sum(e[0] == TYPES.index(api.PartArrived) for e in b.events) >= 100 for b in batches)
 
 
-def test_each_recording_has_decisions_and_ends() -> None:
-    ends = {TYPES.index(kind) for kind in (api.Answer, api.Reject, api.Fail)}
+def test_each_recording_sends_parts_and_completes_queries() -> None:
+    completion_types = {TYPES.index(kind) for kind in (api.Answer, api.Reject, api.Fail)}
     for name in NAMES:
-        said = {action[0] for batch in recording(name).batches for action in batch.actions}
-        assert TYPES.index(api.Send) in said and said & ends, name
+        action_types = {action[0] for batch in recording(name).batches for action in batch.actions}
+        assert TYPES.index(api.Send) in action_types and action_types & completion_types, name
 
 
 def test_each_event_and_action_occurs() -> None:
-    kinds, _ = census()
+    kinds, _ = count_occurrences()
     in_settings_only = {api.Settings, api.QueryClass}
-    assert set(TYPES) - set(kinds) == NEVER_SAID | in_settings_only
+    assert set(TYPES) - set(kinds) == NEVER_EMITTED | in_settings_only
 
 
 def test_each_outcome_list_state_and_reason_occurs() -> None:
-    _, members = census()
-    wanted: set[Enum] = {member for enumeration in ENUMERATIONS for member in enumeration}
-    assert wanted - set(members) == HOST_REASONS
+    _, members = count_occurrences()
+    expected_members: set[Enum] = {member for enumeration in ENUMERATIONS for member in enumeration}
+    assert expected_members - set(members) == HOST_REASONS
 
 
 def test_random_numbers_are_consumed() -> None:
--- a/tests/test_recorded_driver.py
+++ b/tests/test_recorded_driver.py
@@ -9,7 +9,7 @@
 import pytest
 from recordings import driver_codec as codec
 from recordings.driver_codec import Batch, Session
-from recordings.driver_tools import TOOLS, Use
+from recordings.driver_tools import TOOLS, ToolUse
 
 from gingervane import interface as api
 from gingervane.coordinator import types as t
@@ -18,8 +18,8 @@
 FIXTURES = sorted(set(codec.DIRECTORY.glob("driver-*.json.gz")) - {TOOLS_FIXTURE})
 
 # What the recordings hold at least; an emptied or missing fixture falls short of it.
-LEAST_RECORDINGS, LEAST_BATCHES, LEAST_TOOL_CALLS = 39, 8000, 2000
-LEAST_INPUTS = {
+MIN_RECORDINGS, MIN_BATCHES, MIN_TOOL_CALLS = 39, 8000, 2000
+MIN_INPUTS = {
     t.QuerySubmitted: 1200,
     t.AttemptFinished: 2000,
     t.ClientDisconnected: 40,
@@ -27,7 +27,7 @@
     t.Shutdown: 4,
     t.PeerMessageReceived: 24,
 }
-LEAST_EFFECTS = {
+MIN_EFFECTS = {
     t.StartRequest: 2000,
     t.CancelRequest: 2000,
     t.AbandonAttempt: 250,
@@ -57,13 +57,13 @@
     session = Session(recording.settings, recording.seed, recording.script)
     for number, batch in enumerate(recording.batches):
         expected = [batch.operation_results, batch.effects, batch.state, batch.observed]
-        for what, recorded, found in zip(
+        for description, recorded, found in zip(
             ("operation results", "effects", "state", "observed"),
             expected,
             replay(session, batch),
             strict=True,
         ):
-            difference = codec.first_difference(recorded, found, what)
+            difference = codec.first_difference(recorded, found, description)
             assert not difference, f"batch {number} at {batch.now}: {difference}"
     difference = codec.first_difference(recording.closing, session.closing(), "closing")
     assert not difference, difference
@@ -71,13 +71,13 @@
 
 def test_the_helpers_of_the_driver_do_what_was_recorded() -> None:
     for number, (tool, arguments, calls) in enumerate(codec.read_fixture(TOOLS_FIXTURE)):
-        use = Use(tool, arguments)
+        use = ToolUse(tool, arguments)
         for position, (call, given, recorded) in enumerate(calls):
             difference = codec.first_difference(recorded, use.call(call, given))
             assert not difference, f"use {number} of tool {tool}, call {position}: {difference}"
 
 
-def test_the_recordings_hold_what_they_claim() -> None:
+def test_recordings_contain_every_input_effect_and_outcome() -> None:
     """Every kind of input and effect, every verdict and outcome, in no fewer numbers than were recorded."""
     inputs, effects, members, batches = Counter[int](), Counter[int](), Counter[tuple[int, int]](), 0
     for path in FIXTURES:
@@ -89,12 +89,12 @@
             effects.update(form[0] for form in batch.effects)
             count_members(batch.effects, members)
             count_members(batch.observed, members)
-    assert len(FIXTURES) >= LEAST_RECORDINGS and batches >= LEAST_BATCHES
-    assert {*LEAST_INPUTS} == {*codec.INPUTS} and {*LEAST_EFFECTS} == {*codec.EFFECTS}
-    for kind, least in LEAST_INPUTS.items():
-        assert inputs[codec.type_index(kind)] >= least, kind
-    for kind, least in LEAST_EFFECTS.items():
-        assert effects[codec.type_index(kind)] >= least, kind
+    assert len(FIXTURES) >= MIN_RECORDINGS and batches >= MIN_BATCHES
+    assert {*MIN_INPUTS} == {*codec.INPUTS} and {*MIN_EFFECTS} == {*codec.EFFECTS}
+    for kind, minimum in MIN_INPUTS.items():
+        assert inputs[codec.type_index(kind)] >= minimum, kind
+    for kind, minimum in MIN_EFFECTS.items():
+        assert effects[codec.type_index(kind)] >= minimum, kind
     assert effects[codec.RAISED], "a step that broke"
     for enumeration in (t.QueryStatus, api.AttemptOutcome):
         for member in enumeration:
@@ -111,7 +111,7 @@
     for tool, _, calls in codec.read_fixture(TOOLS_FIXTURE):
         used.update((tool, call) for call, _, _ in calls)
     assert set(used) == {(n, call) for n, tool in enumerate(TOOLS) for call in range(len(tool.calls))}
-    assert used.total() >= LEAST_TOOL_CALLS
+    assert used.total() >= MIN_TOOL_CALLS
 
 
 def count_members(form: Any, members: Counter[tuple[int, int]]) -> None:
