--- a/gingervane/coordinator/__init__.py
+++ b/gingervane/coordinator/__init__.py
@@ -1,1 +1,1 @@
-"""The heart: drives the decision module and carries out what it decides."""
+"""The co-ordinator: drives the decision module and executes its actions."""
--- a/gingervane/coordinator/admission.py
+++ b/gingervane/coordinator/admission.py
@@ -1,4 +1,4 @@
-"""Admission control: bounds on the open queries and on the memory of their results.
+"""Admission control: limits the open queries and the memory that their results take.
 
 Shared by front threads and the decision thread.
 """
@@ -14,23 +14,23 @@
 
 
 class AdmissionLimits(NamedTuple):
-    """How much may be open at once."""
+    """Limits on open queries and on the memory of their results."""
 
-    max_open: int  # queries and their parts, counted together
-    max_result_bytes: int  # results of open queries and of those whose reply is being written
+    max_open: int  # open queries and their parts, counted together
+    max_result_bytes: int  # of open queries and of queries whose reply is being written
 
 
 class Rejected(Exception):
-    """A query was not admitted: nothing of it was begun."""
+    """A query was not admitted; no part of it was started."""
 
     def __init__(self, detail: str, retry_after: float) -> None:
-        """`retry_after`: seconds, from how fast capacity came free lately."""
+        """`retry_after`: seconds, from the recent rate at which capacity was released."""
         super().__init__(detail)
         self.retry_after = retry_after
 
 
 class Admission:
-    """Counts what is open, and rejects queries past the limits."""
+    """Counts admitted queries and result bytes, and rejects queries beyond the limits."""
 
     def __init__(
         self,
@@ -51,18 +51,18 @@
 
     @property
     def open(self) -> int:
-        """Queries and parts that have been admitted and not released."""
+        """Queries and parts that are admitted and not yet released."""
         return self._open
 
     @property
     def reserved_bytes(self) -> int:
-        """Bytes of the results of completed queries that have not been released."""
+        """Bytes of the results of queries that are completed and not yet released."""
         return self._reserved_bytes
 
     def admit(self, size: int, open_result_bytes: int) -> None:
-        """Take capacity for a query of `size` (itself and its parts), or raise `Rejected`.
+        """Reserve capacity for a query of `size` (itself and its parts), or raise `Rejected`.
 
-        `open_result_bytes`: of the results of queries that have not been completed.
+        `open_result_bytes`: size of the results of queries that are not yet completed.
         """
         with self._lock:
             if self._closed_reason:
@@ -78,7 +78,7 @@
             self._open += size
 
     def release(self, size: int, result_bytes: int) -> None:
-        """Give back the capacity of a query that has been replied to and whose results are no longer held."""
+        """Release the capacity of a query whose reply has been written and whose results have been dropped."""
         with self._lock:
             self._open -= size
             self._reserved_bytes -= result_bytes
@@ -86,17 +86,17 @@
             self._bytes_estimate.record_release(self._now(), result_bytes)
 
     def reserve_results(self, result_bytes: int) -> None:
-        """Count the results of a completed query, which wait to be merged and written."""
+        """Count the results of a completed query until they have been merged and written."""
         with self._lock:
             self._reserved_bytes += result_bytes
 
     def close(self, reason: str) -> None:
-        """Reject every query from now on."""
+        """Reject all queries from now on; `reason` is the detail of each rejection."""
         with self._lock:
             self._closed_reason = reason
 
     def reopen(self, reason: str) -> None:
-        """Admit queries again, if `reason` is what admission was closed for."""
+        """Admit queries again if admission was closed for this `reason`."""
         with self._lock:
             if self._closed_reason == reason:
                 self._closed_reason = ""
--- a/gingervane/coordinator/attempt_outcome.py
+++ b/gingervane/coordinator/attempt_outcome.py
@@ -1,9 +1,10 @@
-"""What the end of an exchange proves: from what was seen on a socket to one outcome. Free of I/O.
+"""Maps the end of an exchange with a replica, as observed on the socket, to an attempt outcome. Free of I/O.
 
-The order of the cases matters for effects. A part may have run from the first byte of its request that left; until
-then it cannot have. A replica proves that nothing was begun only by saying so (`Gingervane-Began: no` with 503). For
-an idempotent class a plain 503 or 429 is read as a full queue too: no proof is needed there, and a server that is
-only full must not be taken for a faulty one.
+The outcome tells whether the attempt may have run, which decides whether a part that is not idempotent may be
+retried. An attempt may have run as soon as the first byte of its request was written, and not before. After that only
+an explicit statement of the replica proves that it did not run (`Gingervane-Began: no` with 503). For an idempotent
+class no proof is needed: a plain 503 or 429 is read as a full queue, so that an overloaded server does not count as
+faulty.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 
 
 class ExchangePhase(Enum):
-    """How far an exchange had come when it ended."""
+    """Phase in which an exchange ended."""
 
     QUEUED = "queued"
     CONNECTING = "connecting"
@@ -23,7 +24,7 @@
 
 
 def outcome_of_transport_error(phase: ExchangePhase, bytes_written: int, timed_out: bool) -> AttemptOutcome:
-    """Return the outcome of an exchange that an error of the transport ended."""
+    """Return the outcome of an exchange that ended with a transport error."""
     if phase is ExchangePhase.QUEUED:
         return AttemptOutcome.NEVER_SENT
     if phase is ExchangePhase.CONNECTING:
@@ -36,7 +37,7 @@
 def outcome_of_invalid_reply(
     retry_safety: RetrySafety, proves_not_executed: bool, overloaded: bool
 ) -> AttemptOutcome:
-    """Return the outcome of a reply that does not count."""
+    """Return the outcome of an exchange whose reply holds no usable results."""
     if proves_not_executed or (overloaded and retry_safety is RetrySafety.IDEMPOTENT):
         return AttemptOutcome.REJECTED
     return AttemptOutcome.ERROR
--- a/gingervane/coordinator/attempt_tracking.py
+++ b/gingervane/coordinator/attempt_tracking.py
@@ -1,7 +1,7 @@
-"""Ends attempts: reported by the transport, timed out, cancelled or withheld before they were sent. Free of I/O.
+"""Ends attempts: reported by the transport, timed out, cancelled, or withheld before they were sent. Free of I/O.
 
-Of several ends of one attempt the first counts. Whether an attempt that ends on this side was sent is settled by its
-claim: one that no sender has claimed was never sent, and never will be.
+If an attempt ends several times, the first end counts. When the driver ends an attempt, it claims it: an attempt that
+no sender had claimed by then was not sent and never will be.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 
 
 class AttemptTracker:
-    """Turns the end of an attempt into its result, its record, effects, and one event of the decision module."""
+    """Records the end of each attempt: its result, its record, effects, and one event for the decision module."""
 
     def __init__(
         self, open_queries: OpenQueries, counts: Counts, cancellation_allowed: bool, observe: AttemptObserver
     ) -> None:
-        """`cancellation_allowed`: whether a replica may be notified that an attempt is no longer wanted."""
+        """`cancellation_allowed`: whether replicas may be sent cancellations."""
         self._open = open_queries
         self._counts = counts
         self._cancellation_allowed = cancellation_allowed
@@ -63,7 +63,7 @@
         detail: str,
         effects: list[t.Effect],
     ) -> list[api.Event]:
-        """End an attempt that is in flight, whatever its connection is doing."""
+        """End an attempt in flight from this side, whatever the state of its connection."""
         part = self._open.parts.get(part_id)
         attempt = part.in_flight.get(number) if part else None
         if attempt is None:
@@ -71,7 +71,7 @@
         if attempt.claim():
             outcome = api.AttemptOutcome.NEVER_SENT
         elif attempt.request and attempt.batch:
-            # The setting holds at a time-out too: the platform may forbid any notice to the replica.
+            # The setting applies to timeouts too: the platform may forbid any cancellation.
             effects.append(
                 t.AbandonAttempt(attempt.batch, attempt.request, self._cancellation_allowed, expired=True)
             )
@@ -80,15 +80,15 @@
     def end_unsent(
         self, now: float, part_id: int, number: int, detail: str, effects: list[t.Effect]
     ) -> list[api.Event]:
-        """End an attempt that was not sent and cannot be sent any more."""
+        """End an attempt that was not sent and can no longer be sent."""
         never_sent = t.AttemptFinished(part_id, number, api.AttemptOutcome.NEVER_SENT, now, None, detail)
         return self.record_end(never_sent, effects)
 
     def withhold_unsent(self, part_id: int, now: float, effects: list[t.Effect]) -> list[api.Event]:
-        """End what no sender has claimed of a part that is no longer wanted, even where cancelling is not allowed.
+        """End the unsent attempts of a part whose result is no longer needed, also if cancellation is not allowed.
 
-        Guards against a part that waits for its connection and is sent long after its query was answered. A frame of
-        which only a part was written is not finished either.
+        Otherwise an attempt that waits for a connection could be sent long after its query was answered. Partly
+        written frames are not completed either.
         """
         events: list[api.Event] = []
         part = self._open.parts.get(part_id)
@@ -104,7 +104,7 @@
     def withhold_from_replicas(
         self, replicas: Collection[int], now: float, effects: list[t.Effect]
     ) -> list[api.Event]:
-        """End what no sender has claimed of the attempts that go to these replicas, which drain or are gone."""
+        """End the unsent attempts to these replicas, which are draining or gone."""
         affected = [
             (part_id, attempt)
             for part_id, part in self._open.parts.items()
@@ -133,7 +133,7 @@
 
 
 def _release_batch(attempt: OpenAttempt, effects: list[t.Effect]) -> None:
-    """Cancel the attempt's batch request if no other attempt waits for it."""
+    """Cancel the attempt's batch request if it was the last open attempt of the batch."""
     if (batch := attempt.batch) is not None:
         batch.open_attempts -= 1
         if batch.open_attempts == 0:
--- a/gingervane/coordinator/batch_assembly.py
+++ b/gingervane/coordinator/batch_assembly.py
@@ -1,4 +1,4 @@
-"""Groups the attempts of one turn into batch requests, one replica and one codec each. Free of I/O."""
+"""Groups the attempts of one turn into batch requests by replica and codec. Free of I/O."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 class BatchAssembler:
-    """Assembles batch requests. A batch takes attempts until it is full or the next turn begins."""
+    """Assembles batch requests. A batch accepts attempts until it is full or the next turn begins."""
 
     def __init__(self, max_parts: int, addresses: Mapping[int, tuple[str, int]], counts: Counts) -> None:
-        """`addresses`: of replicas, as they are when a batch is begun."""
+        """`addresses`: of replicas by id; read whenever a batch is created."""
         self._max_parts = max_parts
         self._addresses = addresses
         self._counts = counts
@@ -20,13 +20,13 @@
         self._batches: dict[tuple[int, int], t.BatchRequest] = {}  # by replica and identity of the codec
 
     def begin_turn(self) -> None:
-        """Close the batches of the turn before."""
+        """Add no further attempts to the batches of the previous turn."""
         self._batches = {}
 
     def add(
         self, now: float, replica: int, codec: t.Codec, request: t.AttemptRequest, effects: list[t.Effect]
     ) -> t.BatchRequest:
-        """Add an attempt to the batch that it fits, or to a new one; the batch expires with its last attempt."""
+        """Add an attempt to the open batch for its replica and codec, or to a new one if there is none with room."""
         key = replica, id(codec)
         batch = self._batches.get(key)
         if batch is None or len(batch.attempts) >= self._max_parts:
--- a/gingervane/coordinator/boot_clock.py
+++ b/gingervane/coordinator/boot_clock.py
@@ -1,8 +1,8 @@
-"""Real time that a step of the wall clock does not touch, and that goes on across restarts of this process.
+"""A clock that wall-clock steps do not affect and that continues across restarts of this process.
 
-`CLOCK_BOOTTIME` runs on from the machine's start, sleep included, and is the same for all processes until the machine
-boots again. So a time that was stored on disk means something as long as the id of the boot is the same; else it is
-not known how long ago it was.
+`CLOCK_BOOTTIME` counts from the boot of the machine, suspended time included, and is the same for all processes. A
+time stored on disk can be compared with the present one while the boot id is unchanged; after a reboot the time
+between the two is unknown.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class Moment(NamedTuple):
-    """Seconds since a boot. Moments of different boots cannot be compared."""
+    """A time in seconds since a boot. Moments of different boots cannot be compared."""
 
     boot: str
     seconds: float
@@ -24,7 +24,7 @@
 
 @cache
 def boot_id() -> str:
-    """Return the id of this boot; empty if the system gives none, and then no stored moment is of this boot."""
+    """Return the id of this boot; empty if the system provides none, so that no stored moment is of this boot."""
     try:
         return _BOOT_ID.read_text().strip()
     except OSError:
@@ -37,12 +37,12 @@
 
 
 def moment() -> Moment:
-    """Return the present moment."""
+    """Return the current moment."""
     return Moment(boot_id(), seconds())
 
 
 def since(stored: Moment) -> float | None:
-    """Return the seconds since a stored moment; None if it was before another boot."""
+    """Return the seconds since a stored moment; None if it is of another boot."""
     if not stored.boot or stored.boot != boot_id():
         return None
     return max(seconds() - stored.seconds, 0.0)
--- a/gingervane/coordinator/core.py
+++ b/gingervane/coordinator/core.py
@@ -1,9 +1,8 @@
-"""The running coordinator: one decision thread around a `Driver`.
+"""The running co-ordinator: one decision thread around a `Driver`.
 
-Owners: the decision thread alone touches the driver, and through it the decision module. Front threads hand over
-queries with `submit`, sender threads hand over ended attempts; both only put into the inbox. The inbox needs no bound
-of its own: queries in it are counted by admission, ended attempts by those in flight, endpoint lists by the pauses of
-their senders.
+Ownership: only the decision thread uses the driver, and through it the decision module. Front threads pass queries to
+`submit`, sender threads pass ended attempts; both only put them into the inbox. The inbox needs no limit of its own:
+admission limits its queries, the attempts in flight limit its ended attempts, and discovery paces its endpoint lists.
 """
 
 from __future__ import annotations
@@ -27,14 +26,14 @@
 from gingervane.wire.local_failures import start_thread
 from gingervane.wire.pool import Pool
 
-MAX_INPUTS = 512  # inputs of one turn from which on the rest waits for the next
-MAX_INBOX_WAIT = 60.0  # seconds that one wait for an input lasts at most
-DRAIN_POLL_INTERVAL = 0.005  # seconds between two looks at whether all is released, at the end
-FAILED_POLL_INTERVAL = 0.5  # seconds between two looks at whether to end, after the decision thread broke
+MAX_INPUTS = 512  # a turn takes no further inputs once it has this many
+MAX_INBOX_WAIT = 60.0  # longest wait for inputs, in seconds
+DRAIN_POLL_INTERVAL = 0.005  # seconds between checks whether all queries are released, while stopping
+FAILED_POLL_INTERVAL = 0.5  # seconds between checks whether to stop, after the decision thread has failed
 
 
 class QueryCoordinator:
-    """Owns the decision thread. Each pending query that `submit` returns is completed exactly once."""
+    """Runs the decision thread. Each pending query that `submit` returns is completed exactly once."""
 
     def __init__(
         self,
@@ -46,11 +45,11 @@
         ports: ClusterPorts | None = None,
         batch_interval: float = 0.0,
     ) -> None:
-        """`batch_interval`: seconds between two turns, at least; what comes meanwhile makes one batch."""
+        """`batch_interval`: minimum seconds between two turns; inputs that arrive meanwhile form one batch."""
         self.settings = settings
         self.observer = observer
         self.admission = Admission(limits, settings.max_retry_after if settings.retry_after_allowed else 0.0)
-        self.broken = Event()  # the decision thread failed
+        self.broken = Event()  # set when the decision thread has failed
         self._driver = Driver(module, settings, observer.attempt_finished)
         self._ports = ports or ClusterPorts()
         self._inbox: SimpleQueue[list[t.Input]] = SimpleQueue()
@@ -63,25 +62,25 @@
         self._thread: Thread | None = None
 
     def start(self) -> None:
-        """Start deciding. Endpoint lists and queries that came before wait in the inbox."""
+        """Start the decision thread. Endpoint lists and queries received earlier are waiting in the inbox."""
         self._thread = start_thread(self._run, "decisions")
 
     @property
     def driver_counts(self) -> Counts:
-        """The driver's running totals; a reader may see one of them a step ahead of another."""
+        """The driver's running totals; another thread may read them while a step is updating them."""
         return self._driver.counts
 
     @property
     def requests_in_flight(self) -> int:
-        """Batch requests that are sent or wait for a sender."""
+        """Batch requests that are being sent or wait for a sender."""
         return self._transport.in_flight
 
     def submit(self, plan: t.QueryPlan, results: ResultQueue | None = None) -> PendingQuery:
-        """Hand over a query, or raise `Rejected`, and then nothing of it was begun.
+        """Submit a query, or raise `Rejected` without having started any part of it.
 
-        `results`: where its result goes, for a caller that waits for several queries at once.
+        `results`: the queue for its result, for callers that wait for several queries at once.
         """
-        # The lock guards against a query that is admitted before the end, and put behind it where nobody looks.
+        # Without the lock a query admitted just before the shutdown could be queued after it and never be read.
         with self._submit_lock:
             self.admission.admit(1 + len(plan.parts), self._driver.open_result_bytes)
             query = PendingQuery(
@@ -91,29 +90,29 @@
         return query
 
     def client_disconnected(self, query: int) -> None:
-        """Take note that the client of a query has gone."""
+        """Report that the client of a query has disconnected."""
         self._inbox.put([t.ClientDisconnected(query)])
 
     def endpoints_updated(self, update: t.EndpointsUpdated) -> None:
-        """Take an endpoint list, or a change to it."""
+        """Report an endpoint list or a change to it."""
         self._inbox.put([update])
 
     def watch_interrupted(self, silent_for: float) -> None:
-        """Take word that the watch of the endpoint list ended or fell silent, so many seconds after its last line."""
+        """Report that the watch of the endpoint list ended or stalled, `silent_for` seconds after its last line."""
         self._inbox.put([t.WatchInterrupted(silent_for)])
 
     def peer_message_received(self, sender: int, payload: bytes) -> None:
-        """Take a message from another coordinator. Messages may be lost: with much to read, these go first."""
+        """Report a message from another co-ordinator. Messages may be lost: a full inbox drops them."""
         if self._inbox.qsize() < MAX_INPUTS:
             self._inbox.put([t.PeerMessageReceived(sender, payload)])
 
     def close(self) -> None:
-        """Admit nothing from now on; what was admitted is in the inbox."""
+        """Admit no further queries; all admitted ones are in the inbox when this returns."""
         with self._submit_lock:
             self.admission.close("shutting down")
 
     def stop(self, grace: float) -> None:
-        """Admit nothing, let open queries be answered for `grace` seconds, reject or fail the rest, and end."""
+        """Admit no further queries, give open ones `grace` seconds, reject or fail the rest, and stop the thread."""
         self.close()
         deadline = time.monotonic() + grace
         while self.admission.open and time.monotonic() < deadline and not self.broken.is_set():
@@ -134,24 +133,24 @@
         try:
             while self._turn():
                 pass
-        except Exception as error:  # noqa: BLE001 - the driver's state can no longer be trusted, whatever it was
+        except Exception as error:  # noqa: BLE001 - after any exception the driver's state may be inconsistent
             self.broken.set()
             self.admission.close("the decision thread broke")
             self.observer.internal_error(error)
             self._fail_all()
 
     def _turn(self) -> bool:
-        """Take one step of the driver; return whether to go on."""
+        """Run one step of the driver; return whether to continue."""
         inputs = self._collect_inputs()
         self._last_turn_at = time.monotonic()
         self._carry_out(self._driver.step(self._last_turn_at, inputs))
         self._transport.maintain()
-        # Done once asked to stop, with nothing to read, no open query and no event of its own.
+        # The thread ends when a stop was requested and there is no input, no open query and no deferred event.
         idle = self._inbox.empty() and not self._driver.open_queries and self._driver.next_due() > 0
         return not (self._stop.is_set() and idle)
 
     def _collect_inputs(self) -> list[t.Input]:
-        """Wait for inputs until the driver is due, and take what has come."""
+        """Wait for inputs until the driver is due, and return those that have arrived."""
         inputs: list[t.Input] = []
         wait = self._driver.next_due() - time.monotonic()
         try:
@@ -160,7 +159,7 @@
             if self._batch_interval:
                 remaining = self._last_turn_at + self._batch_interval - time.monotonic()
                 if remaining > 0:
-                    # Guards CPU: a turn for each answer costs more in waking threads than in deciding.
+                    # A turn for each reply would cost more CPU in thread wake-ups than in decisions.
                     time.sleep(remaining)
             while len(inputs) < MAX_INPUTS:
                 inputs += self._inbox.get_nowait()
@@ -189,7 +188,7 @@
             self._inbox.put(not_started)
 
     def _notify(self, effect: t.Effect) -> None:
-        """Carry out an effect that concerns neither a request nor a query."""
+        """Pass an effect that concerns neither a request nor a query to the observer or the cluster ports."""
         match effect:
             case t.LogMessage(text):
                 self.observer.log_message(text)
@@ -201,7 +200,10 @@
                 self._ports.send_to_peers(payload)
 
     def _fail_all(self) -> None:
-        """Fail all open queries, which promises nothing, and those still in the inbox until the stop."""
+        """Fail all open queries, and until `stop` those that are still in the inbox.
+
+        They fail rather than being rejected because it is unknown which of their parts have run.
+        """
         failed = t.QueryResult(
             t.QueryStatus.FAILED,
             detail="internal: the decision thread broke",
@@ -220,7 +222,7 @@
 
 
 def _never_sent(batch: t.BatchRequest) -> list[t.AttemptFinished]:
-    """Return the ends of the attempts of a batch request for which no sender is free."""
+    """Return the ends of all attempts of a batch request that the transport had no capacity for."""
     now = time.monotonic()
     return [
         t.AttemptFinished(
@@ -236,15 +238,15 @@
 
 
 class CoordinatorFactory(NamedTuple):
-    """Makes the coordinators of one process over its connection pool."""
+    """Creates the co-ordinators of one process, which share its connection pool."""
 
     pool: Pool
     sender_limits: SenderLimits
     admission_limits: AdmissionLimits
-    seed: int | None  # of the decision modules; None: a random one each
+    seed: int | None  # of the decision modules; None: a random seed for each
 
     def make(self, settings: api.Settings, observer: QueryObserver, offset: int = 0) -> QueryCoordinator:
-        """Return a coordinator that has not been started; `offset` sets its seed apart from the others'."""
+        """Return a co-ordinator that is not started; `offset` is added to the seed to make it distinct."""
         seed = int.from_bytes(os.urandom(8), "big") if self.seed is None else self.seed + offset
         return QueryCoordinator(
             DecisionEngine(settings, seed),
--- a/gingervane/coordinator/dispatch.py
+++ b/gingervane/coordinator/dispatch.py
@@ -1,8 +1,8 @@
-"""What every front does with a coordinator: hand over a query, and wait for its one result.
+"""Shared by all fronts: submits a query to a co-ordinator and waits for its result. Independent of the protocol.
 
-A front gives a class of its own, parts with weights, a codec that asks replicas and checks their replies, and a
-merge. The dispatcher gives the time to answer (what is left after merging and writing, learned by class) and the
-pending query, which is completed once. Nothing here knows a protocol.
+A front provides the query class, the weighted parts, a codec for requests and replies, and the merge of the results.
+The dispatcher sets the time by which the result must be in: the client's deadline less the time that merging and
+writing the answer takes, learned by class.
 """
 
 from __future__ import annotations
@@ -18,25 +18,25 @@
 
 
 class Client(Protocol):
-    """Who sent the query."""
+    """The client that sent a query."""
 
     def watch(self, gone: Callable[[], None]) -> None:
-        """Have `gone` called, once, if the client disconnects before the reply."""
+        """Call `gone` once if the client disconnects before the reply."""
 
 
 class QueryRequest(NamedTuple):
-    """A query that a front has read."""
+    """A query that a front has parsed."""
 
     class_name: str  # for logs
     class_index: int  # in the settings of the decision module
     parts: Sequence[t.PartPlan]
     codec: t.HttpCodec
     arrived_at: float
-    deadline: float  # when the client's time is up
+    deadline: float  # of the client
 
 
 class DispatchResult(NamedTuple):
-    """The end of a query. `release` must be called once the reply is written or cannot be."""
+    """The result of a query. Call `release` after the reply has been written or has failed."""
 
     result: t.QueryResult
     seconds: float  # since it was submitted
@@ -44,29 +44,29 @@
 
 
 class QueryDispatcher:
-    """Dispatches to one coordinator; shared by front threads."""
+    """Dispatches queries to one co-ordinator; shared by front threads."""
 
     def __init__(self, core: QueryCoordinator, class_names: Iterable[str]) -> None:
         self.core = core
-        self._lock = Lock()  # over the reserves
+        self._lock = Lock()  # guards the reserves
         self._reserves = {name: ResponseTimeReserve() for name in class_names}
 
     def reserve(self, class_name: str, parts: int, client_time: float) -> float:
-        """Seconds of `client_time` to reserve for merging and writing."""
+        """Return how many seconds of `client_time` to reserve for merging and writing the answer."""
         with self._lock:
             return self._reserves[class_name].get(parts, client_time)
 
     def learn(self, class_name: str, parts: int, completed_at: float) -> None:
-        """Note that a query that was completed then has been written now."""
+        """Record that the answer to a query completed at `completed_at` has just been written."""
         with self._lock:
             self._reserves[class_name].learn(parts, time.monotonic() - completed_at)
 
     def dispatch(
         self, request: QueryRequest, client: Client | None, deadline: float | None = None
     ) -> DispatchResult:
-        """Submit a query and wait for its result, or raise `Rejected`, and then nothing was begun.
+        """Submit a query and wait for its result, or raise `Rejected` without having started any part of it.
 
-        `deadline`: when the result must be in; None: the client's time, less what merging and writing take.
+        `deadline`: when the result must be in; None: the client's deadline less the reserve for merging and writing.
         """
         class_name = request.class_name
         parts = tuple(request.parts)
--- a/gingervane/coordinator/driver.py
+++ b/gingervane/coordinator/driver.py
@@ -1,17 +1,17 @@
-"""Stands between the transport and the decision module. Free of I/O.
+"""Connects the transport to the decision module. Free of I/O.
 
-The driver is handed inputs and the time, gives the decision module one batch of events, and turns its actions into
-effects. Whatever comes, in whatever order:
+Each step takes inputs and the time, passes them to the decision module as one batch of events, and turns its actions
+into effects. For any inputs in any order the driver guarantees:
 
 - each query is completed exactly once, and nothing is sent for it afterwards;
-- each `Send` of the module gets exactly one `AttemptEnded`: of several ends (a reply, a cancellation, a time-out)
-  the first counts and the others are dropped;
-- a part's result is that of the first successful end, the same one that the module counts;
-- an answer is given only if its class permits it with the results received, and is marked complete only if they
-  reach what that takes (`decisions.completeness`).
-
-Owner: whoever calls `step` (the decision thread of `core.QueryCoordinator`, a test, an emulator); nothing here is
-shared.
+- each `Send` of the module gets exactly one `AttemptEnded`: if an attempt ends several times (a reply, a
+  cancellation, a timeout), the first end counts and the others are dropped;
+- the result of a part is that of its first successful attempt, the one that the module counts too;
+- a query is answered only if its class permits an answer with the results received, and the answer is marked complete
+  only if their coverage is sufficient (`decisions.completeness`).
+
+Ownership: only the caller of `step` uses the driver (the decision thread of `core.QueryCoordinator`, a test, an
+emulator); nothing here is shared between threads.
 """
 
 from __future__ import annotations
@@ -40,23 +40,23 @@
 
 
 class DecisionModule(Protocol):
-    """What the driver needs of the decision module."""
+    """The interface of the decision module that the driver uses."""
 
     def handle(self, now: float, events: Sequence[api.Event]) -> list[api.Action]:
-        """Take a batch of events and return what to do."""
+        """Handle a batch of events and return the actions to take."""
 
 
 @dataclass(slots=True)
 class _Turn:
-    """A step in progress."""
+    """State of the step in progress."""
 
     now: float
     effects: list[t.Effect] = field(default_factory=list)
-    completions: dict[int, Completion] = field(default_factory=dict)  # without an action, by id of the query
+    completions: dict[int, Completion] = field(default_factory=dict)  # not decided by the module; by query id
 
 
 def _ignore_attempt(outcome: api.AttemptOutcome, replica: int, seconds: float) -> None:
-    """Stand in where nobody observes attempts."""
+    """Do nothing: the default observer of attempts."""
 
 
 class Driver:
@@ -65,7 +65,7 @@
     def __init__(
         self, module: DecisionModule, settings: api.Settings, observe: AttemptObserver = _ignore_attempt
     ) -> None:
-        """`observe` is called for each attempt that ends, with its outcome, replica and seconds."""
+        """`observe` is called with the outcome, the replica and the seconds of each attempt that ends."""
         self._module = module
         self._settings = settings
         self.counts = Counts()
@@ -74,17 +74,17 @@
         self._attempts = AttemptTracker(self._open, self.counts, settings.cancellation_allowed, observe)
         self._batches = BatchAssembler(settings.max_parts_per_request, self._addresses, self.counts)
         self._timers = WheelTimers(settings.timer_granularity)
-        self._deferred_events: list[api.Event] = []  # caused by actions; for the next batch
+        self._deferred_events: list[api.Event] = []  # caused by actions; part of the next batch
         self._shutting_down = False
 
     @property
     def open_queries(self) -> int:
-        """Queries that have not been completed."""
+        """The number of queries that are not yet completed."""
         return len(self._open.queries)
 
     @property
     def attempts_in_flight(self) -> int:
-        """Attempts that have not ended."""
+        """The number of attempts that have not ended."""
         return self._open.attempts_in_flight
 
     @property
@@ -93,15 +93,15 @@
         return self._open.result_bytes
 
     def next_due(self) -> float:
-        """When `step` must be called next, at the latest; -infinity if events are already waiting."""
+        """Return the latest time of the next call of `step`; -infinity if deferred events are waiting."""
         return -inf if self._deferred_events else self._timers.next_due()
 
     def step(self, now: float, inputs: Sequence[t.Input]) -> list[t.Effect]:
-        """Give the module the inputs, in order, and the due timers as one batch; return what to do."""
+        """Pass the inputs, in order, and the due timers to the module as one batch; return the effects."""
         self.counts.batches += 1
         turn = _Turn(now)
-        # Endpoints first: guards against a part that goes to a replica of which the same batch says that it drains or
-        # is gone, because an ending before the list had the module send it again.
+        # Endpoint lists go first: the end of an attempt may make the module retry a part, which must not go to a
+        # replica that a list later in the same batch reports as draining or gone.
         events = self._take_endpoints(inputs, turn)
         events += self._take_deferred_events()
         events += self._take_inputs(inputs, turn)
@@ -113,13 +113,13 @@
         return _finish_effects(turn.effects)
 
     def abandon(self) -> list[t.ResultCallback]:
-        """Return the callbacks of all open queries after the module broke; the driver is of no further use."""
+        """Return the callbacks of all open queries after the module has failed; the driver is unusable afterwards."""
         return [query.submitted.on_result for query in self._open.remove_all()]
 
     # ---- from inputs to events
 
     def _take_endpoints(self, inputs: Sequence[t.Input], turn: _Turn) -> list[api.Event]:
-        """Take lists and what became of their watch, in the order in which that happened."""
+        """Take endpoint lists and interruptions of their watch, in order of arrival."""
         events: list[api.Event] = []
         for item in inputs:
             match item:
@@ -132,10 +132,10 @@
         return events
 
     def _withdraw_replicas(self, membership: api.MembershipChanged, turn: _Turn) -> list[api.Event]:
-        """Send nothing more to replicas that drain or are gone, also of what was decided before."""
+        """Send nothing more to replicas that are draining or gone, including attempts decided before."""
         unavailable = {r.id for r in membership.replicas if r.state is not api.ReplicaState.READY}
         gone = {r.id for r in membership.replicas if r.state is api.ReplicaState.GONE}
-        if membership.kind is api.MembershipUpdateKind.FULL:  # what a full list does not name is gone too
+        if membership.kind is api.MembershipUpdateKind.FULL:  # replicas missing from a full list are gone too
             gone |= self._addresses.keys() - {r.id for r in membership.replicas}
         unavailable |= gone
         if not unavailable:
@@ -195,7 +195,7 @@
         return self._open.begin_step(query, parts, first_index)
 
     def _take_due_timers(self, turn: _Turn) -> list[api.Event]:
-        """A label of the module is a number; one of an attempt that expires names its part and the attempt."""
+        """Take due timers: an int labels a timer of the module, a pair (part, attempt) the timeout of an attempt."""
         events: list[api.Event] = []
         for label in self._timers.pop_due(turn.now):
             if isinstance(label, int):
@@ -237,7 +237,7 @@
                     effects += self._other_effects(action)
 
     def _other_effects(self, action: api.Action) -> list[t.Effect]:
-        """Return the effect of an action that concerns no query."""
+        """Return the effects of an action that concerns no query."""
         match action:
             case api.CloseIdle(replica) if replica in self._addresses:
                 return [t.CloseIdleConnections(self._addresses[replica])]
@@ -277,7 +277,7 @@
         coverage = query.coverage
         query_class = self._settings.query_classes[query.submitted.plan.query_class]
         if violation := coverage_violation(query, query_class, coverage, complete):
-            # It cannot happen; were it to, no one gets a false answer.
+            # A fault of the decision module must not produce a wrongly marked answer.
             received = f"{coverage.parts_received} of {coverage.parts_requested} parts are in"
             completion = Completion(
                 t.QueryStatus.FAILED,
@@ -286,7 +286,7 @@
             )
             self._complete_query(turn.now, query_id, completion, turn.effects)
         elif query.submitted.plan.second_step is None or query.in_second_step:
-            # An answer that its class takes for complete says all the same what is missing.
+            # An answer that its class accepts as complete still reports missing parts.
             status = t.QueryStatus.COMPLETE if complete and coverage.complete else t.QueryStatus.PARTIAL
             self._complete_query(
                 turn.now, query_id, Completion(status, reason, complete=complete), turn.effects
@@ -309,7 +309,7 @@
     def _complete_query(
         self, now: float, query_id: int, completion: Completion, effects: list[t.Effect]
     ) -> None:
-        """Give a query its one result, and withhold what is left of it."""
+        """Complete an open query with its result, and withhold its unsent attempts."""
         query = self._open.remove(query_id)
         if query is None:
             return
@@ -323,14 +323,14 @@
 
 
 def _finish_effects(effects: list[t.Effect]) -> list[t.Effect]:
-    """Drop requests that were cancelled in the turn that made them, and put results last.
+    """Drop requests that were cancelled in the turn that created them, and put the results of queries last.
 
-    So nothing of a query is on its way any more when its result is given.
+    The attempts of a query are thereby cancelled before its result is passed on.
     """
     remaining = [e for e in effects if not isinstance(e, t.StartRequest) or e.request.open_attempts]
     for effect in remaining:
         if isinstance(effect, t.CompleteQuery):
-            # Its reader is another thread, and attempts that end later are added to the query's list.
+            # Another thread reads the result, while attempts that end later are appended to the query's own list.
             effect.result.attempts = list(effect.result.attempts)
     return sorted(remaining, key=_is_completion)
 
--- a/gingervane/coordinator/driver_counts.py
+++ b/gingervane/coordinator/driver_counts.py
@@ -7,7 +7,7 @@
 
 @dataclass
 class Counts:
-    """Running totals. The attributes are the names of metrics."""
+    """Running totals. The names of the attributes are the names of the metrics."""
 
     queries: int = 0
     parts: int = 0
@@ -15,17 +15,17 @@
     further: int = 0  # retries and hedged requests
     calls: int = 0  # batch requests
     late_endings: int = 0  # ends of attempts that had already ended
-    withheld: int = 0  # attempts that were not sent because the part had no executions left
+    withheld: int = 0  # attempts that were not sent because the part had reached its `max_executions`
     batches: int = 0  # batches of the decision module
-    verdicts: dict[str, int] = field(default_factory=dict)  # `QueryStatus` of completed queries
-    outcomes: dict[str, int] = field(default_factory=dict)  # `AttemptOutcome` of ended attempts
-    reasons: dict[str, int] = field(default_factory=dict)  # `QueryEndReason` of completed queries
+    verdicts: dict[str, int] = field(default_factory=dict)  # completed queries, by `QueryStatus`
+    outcomes: dict[str, int] = field(default_factory=dict)  # ended attempts, by `AttemptOutcome`
+    reasons: dict[str, int] = field(default_factory=dict)  # completed queries, by `QueryEndReason`
 
     def totals(self) -> dict[str, int]:
-        """Return the plain totals, by name."""
+        """Return the totals that are not broken down, by name."""
         return {name: value for name, value in vars(self).items() if isinstance(value, int)}
 
 
 def increment(counts: dict[str, int], name: str) -> None:
-    """Add one to the count of a name."""
+    """Add one to the count under `name`."""
     counts[name] = counts.get(name, 0) + 1
--- a/gingervane/coordinator/open_queries.py
+++ b/gingervane/coordinator/open_queries.py
@@ -1,6 +1,6 @@
-"""The state of queries that have not been completed: their parts, and the attempts in flight. Free of I/O.
+"""The state of queries that are not yet completed: their parts, and the attempts in flight. Free of I/O.
 
-A part outlives its query while an attempt of it is in flight, so that the end of the attempt can still be matched.
+A part is kept after its query while an attempt of it is in flight, so that the end of the attempt can be matched.
 """
 
 from __future__ import annotations
@@ -15,43 +15,43 @@
 
 @dataclass(slots=True)
 class OpenAttempt:
-    """An attempt that has been decided and has not ended."""
+    """An attempt that has been decided and has not yet ended."""
 
     number: int  # within its part, from 0
     replica: int
     sent_at: float
-    earlier_executions: int  # attempts of the part that had run or were in flight before it
-    request: t.AttemptRequest | None = None  # None: it is not handed to the transport
+    earlier_executions: int  # earlier attempts of the part that had run or were in flight
+    request: t.AttemptRequest | None = None  # None: not passed to the transport
     batch: t.BatchRequest | None = None
 
     def claim(self) -> bool:
-        """Keep it from being sent; false if a sender has claimed it first or it was not to be sent anyway."""
+        """Prevent it from being sent; false if a sender claimed it first or it was never passed to the transport."""
         return self.request is not None and self.request.claim()
 
 
 @dataclass(slots=True)
 class OpenQuery:
-    """A query that has been submitted and not completed, with the results of its present step."""
+    """A query that has been submitted and not yet completed, with the results of its current step."""
 
     id: int
     submitted: t.QuerySubmitted
     state: QueryState = QueryState.FIRST_STEP
-    step_parts: dict[int, t.PartPlan] = field(default_factory=dict)  # of the present step, by index
+    step_parts: dict[int, t.PartPlan] = field(default_factory=dict)  # of the current step, by index
     part_ids: list[int] = field(default_factory=list)  # of both steps
-    results: dict[int, Any] = field(default_factory=dict)  # of the present step, by index
+    results: dict[int, Any] = field(default_factory=dict)  # of the current step, by index
     result_bytes: int = 0  # of both steps
     attempts: list[t.AttemptRecord] = field(default_factory=list)
     detail: str = ""  # of the last failed attempt
-    first_step_complete: bool = True  # false once a first step has ended as partial
+    first_step_complete: bool = True  # false if the first step ended as partial
 
     @property
     def in_second_step(self) -> bool:
-        """Whether the first step has ended and the second has begun."""
+        """Whether the second step has begun."""
         return self.state is QueryState.SECOND_STEP
 
     @property
     def coverage(self) -> Coverage:
-        """The coverage of the present step by the results received."""
+        """The coverage of the current step by the results received."""
         weight_received = sum(self.step_parts[index].weight for index in self.results)
         weight_requested = sum(part.weight for part in self.step_parts.values())
         return Coverage(len(self.step_parts), len(self.results), weight_requested, weight_received)
@@ -59,7 +59,7 @@
 
 @dataclass(slots=True)
 class OpenPart:
-    """A part whose query is open, or of which an attempt is in flight."""
+    """A part whose query is open or that has an attempt in flight."""
 
     query: OpenQuery
     index: int  # in the plan
@@ -69,7 +69,7 @@
     in_flight: dict[int, OpenAttempt] = field(default_factory=dict)
 
     def begin_attempt(self, now: float, replica: int) -> OpenAttempt:
-        """Enter the next attempt."""
+        """Create the next attempt and register it as in flight."""
         earlier_executions = self.possible_executions + len(self.in_flight)
         attempt = OpenAttempt(self.attempts_made, replica, now, earlier_executions)
         self.attempts_made += 1
@@ -77,12 +77,12 @@
         return attempt
 
     def may_execute(self, attempt: OpenAttempt) -> bool:
-        """Whether the part's limit on executions admits the attempt."""
+        """Whether the part's `max_executions` permits the attempt."""
         limit = self.plan.max_executions
         return limit is None or attempt.earlier_executions < limit
 
     def content_of(self, attempt: OpenAttempt) -> Any:
-        """What the attempt asks its replica for."""
+        """Return the content of the attempt's request."""
         by_execution = self.plan.content_by_execution
         if attempt.earlier_executions < len(by_execution):
             return by_execution[attempt.earlier_executions]
@@ -90,7 +90,7 @@
 
 
 class OpenQueries:
-    """The queries and parts of one driver, by id. Ids of queries are the caller's, ids of parts are given here."""
+    """The queries and parts of one driver, by id. The caller assigns query ids; part ids are assigned here."""
 
     def __init__(self) -> None:
         self.queries: dict[int, OpenQuery] = {}
@@ -100,11 +100,11 @@
 
     @property
     def attempts_in_flight(self) -> int:
-        """Attempts that have not ended, of completed queries too."""
+        """The number of attempts that have not ended, including those of completed queries."""
         return sum(len(part.in_flight) for part in self.parts.values())
 
     def add(self, submitted: t.QuerySubmitted) -> OpenQuery:
-        """Enter a query, without its parts."""
+        """Register a query, without its parts."""
         query = OpenQuery(submitted.id, submitted)
         self.queries[submitted.id] = query
         return query
@@ -112,7 +112,7 @@
     def begin_step(
         self, query: OpenQuery, parts: tuple[t.PartPlan, ...], first_index: int
     ) -> list[api.Event]:
-        """Enter the parts of a step, whose indexes start at `first_index`, and return their arrivals."""
+        """Register the parts of a step, whose indexes start at `first_index`, and return an event for each."""
         events: list[api.Event] = []
         query.step_parts = dict(enumerate(parts, first_index))
         for index, plan in query.step_parts.items():
@@ -124,7 +124,7 @@
         return events
 
     def add_result(self, part: OpenPart, result: Any) -> None:
-        """Keep the first result of a part of the present step; drop any other."""
+        """Keep the first result of a part of the current step; drop all other results."""
         query = part.query
         if query.id not in self.queries or part.index not in query.step_parts or part.index in query.results:
             return
@@ -134,20 +134,20 @@
         self.result_bytes += size
 
     def remove(self, query_id: int) -> OpenQuery | None:
-        """Take a query out, if it is open; its parts stay until `forget_part`."""
+        """Remove and return a query if it is open; its parts stay until `forget_part`."""
         query = self.queries.pop(query_id, None)
         if query is not None:
             self.result_bytes -= query.result_bytes
         return query
 
     def remove_all(self) -> list[OpenQuery]:
-        """Take out every query, after a failure that leaves the rest of the state unusable."""
+        """Remove and return all queries, after a failure that leaves the rest of the state unusable."""
         removed = list(self.queries.values())
         self.queries = {}
         return removed
 
     def forget_part(self, part_id: int) -> None:
-        """Drop a part whose query is no longer open, unless an attempt of it is in flight."""
+        """Remove a part whose query is no longer open, unless an attempt of it is in flight."""
         part = self.parts.get(part_id)
         if part and not part.in_flight and part.query.id not in self.queries:
             del self.parts[part_id]
--- a/gingervane/coordinator/pending_queries.py
+++ b/gingervane/coordinator/pending_queries.py
@@ -1,4 +1,4 @@
-"""Queries that have been submitted, as their fronts see them."""
+"""Submitted queries, as seen by the fronts that wait for their results."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
 
 class ResultQueue(SimpleQueue[Any]):
-    """Takes a `CompletedQuery` for each query that is to be waited for in one place.
+    """Receives a `CompletedQuery` for each query that was submitted with this queue.
 
-    Its owner may put other items there, to wake itself, and tells them apart.
+    The owner may put other items into it, for example to wake its own thread, and must tell them apart.
     """
 
 
 class PendingQuery:
-    """A query that has been admitted. The decision thread completes it once; the front waits, replies, releases."""
+    """An admitted query. The decision thread completes it once; the front waits, replies and calls `release`."""
 
     def __init__(
         self,
@@ -38,7 +38,7 @@
         on_abandon: Callable[[int], None],
         results: ResultQueue | None,
     ) -> None:
-        """`results`: where its result goes; None: to a queue of its own."""
+        """`results`: the queue for its result; None: a queue of its own."""
         self.id = query_id
         self.plan = plan
         self._admission = admission
@@ -49,21 +49,21 @@
         self._result_bytes = 0
 
     def complete(self, result: t.QueryResult) -> None:
-        """Give the query its result; on the decision thread."""
+        """Complete the query with its result. Called on the decision thread."""
         self._result_bytes = result.result_bytes
         self._admission.reserve_results(result.result_bytes)
         self._observer.query_completed(self.id, self.plan, result, time.monotonic() - self._submitted_at)
         self._results.put(CompletedQuery(self, result))
 
     def wait(self) -> t.QueryResult:
-        """Wait for the result, for a query with a queue of its own; the decision module makes it come in time."""
+        """Wait for the result of a query with a queue of its own; the decision module ends it by its deadline."""
         completed: CompletedQuery = self._results.get()
         return completed.result
 
     def abandon(self) -> None:
-        """Say that the client has disconnected; the query is completed all the same."""
+        """Report that the client has disconnected; the query is still completed."""
         self._on_abandon(self.id)
 
     def release(self) -> None:
-        """Give back what was admitted: the reply has been written, or cannot be."""
+        """Release the admitted capacity, once the reply has been written or has failed."""
         self._admission.release(1 + len(self.plan.parts), self._result_bytes)
--- a/gingervane/coordinator/process_pause.py
+++ b/gingervane/coordinator/process_pause.py
@@ -1,10 +1,10 @@
-"""Detects that this process was paused, and dates requests that are read just after. Free of I/O.
+"""Detects pauses of this process, and estimates the arrival time of requests read just after one. Free of I/O.
 
-A request that is read as a pause ends may have come at any moment of it, and its client's time has been running
-since. To take it for fresh would answer it late by as much, so it is taken to have come as the pause began.
+A request that is read as a pause ends may have arrived at any time during it, and its client's timeout has been
+running since. It is taken to have arrived when the pause began: taking the time of reading would answer it too late.
 
-A ticker calls `tick` every `TICK_INTERVAL` seconds; if it comes late by more than `TICK_TOLERANCE`, the whole process
-was paused.
+A ticker calls `tick` every `TICK_INTERVAL` seconds; a call that is late by more than `TICK_TOLERANCE` shows that the
+whole process was paused.
 """
 
 from __future__ import annotations
@@ -12,40 +12,42 @@
 from math import inf
 
 TICK_INTERVAL = 0.05  # seconds between two ticks
-TICK_TOLERANCE = 0.1  # seconds by which a tick may be late without a pause
-BACKLOG_TIME = 0.1  # seconds after a pause in which requests that came during it are still being read
+TICK_TOLERANCE = 0.1  # seconds by which a tick may be late without indicating a pause
+BACKLOG_TIME = 0.1  # seconds after a pause during which requests that arrived in it may still be read
 
 
 class ProcessPauseDetector:
-    """Remembers the last pause. Written by the ticker; readers may see it a tick late, and make up for that."""
+    """Records the last pause. The ticker writes it; a reader that runs before the ticker detects the pause itself."""
 
     def __init__(self, now: float) -> None:
         self._last_tick = now
-        self._last_pause = (now, now)  # its start and its end
-        self.count = 0  # pauses
+        self._last_pause = (now, now)  # start and end
+        self.count = 0  # of pauses
 
     def tick(self, now: float) -> None:
-        """Note that the ticker's turn has come."""
+        """Record a tick, and a pause before it if it is late."""
         if now - self._last_tick > TICK_INTERVAL + TICK_TOLERANCE:
             self.record_pause(self._last_tick, now)
         self._last_tick = now
 
     def record_pause(self, start: float, end: float) -> None:
-        """Note that the process was paused."""
+        """Record a pause of the process."""
         self._last_pause = start, end
         self.count += 1
 
     def mark_running(self, now: float) -> None:
-        """Note that all pauses have been recorded, which simulated time knows without a ticker."""
+        """State that all pauses until `now` are recorded, for simulated time, which has no ticker."""
         self._last_tick = now
 
     def arrival_time(self, now: float, since: float = -inf) -> float:
-        """When a request whose first byte is read now may have come.
+        """Return the earliest time at which a request whose first byte is read now may have arrived.
 
-        Not before `since`, the end of the exchange before it on its connection.
+        `since`: the end of the previous exchange on its connection, before which it cannot have arrived.
         """
         start, end = self._last_pause
-        if now - self._last_tick > TICK_INTERVAL + TICK_TOLERANCE:  # woken before the ticker
+        if (
+            now - self._last_tick > TICK_INTERVAL + TICK_TOLERANCE
+        ):  # after a pause, the ticker has not run yet
             start, end = self._last_tick, now
         just_paused = now - end <= BACKLOG_TIME and end > start
         return max(min(start, now), min(since, now)) if just_paused else now
--- a/gingervane/coordinator/query_completion.py
+++ b/gingervane/coordinator/query_completion.py
@@ -1,7 +1,7 @@
-"""How queries end: what an answer may claim, the result of a query, and the ends at a shutdown. Free of I/O.
+"""Completes queries: checks coverage, builds results, and ends queries at a shutdown. Free of I/O.
 
-The decision module is not believed: what an answer may claim is asked of `decisions.completeness` again, from the
-results received.
+The coverage that the decision module claims for an answer is checked again, with `decisions.completeness`, against
+the results that were actually received.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class Completion(NamedTuple):
-    """How a query ends. `detail`: in place of the last failed attempt's; `complete`: marked as complete."""
+    """How a query ends. `detail`: replaces that of the last failed attempt; `complete`: the answer is so marked."""
 
     status: t.QueryStatus
     reason: api.QueryEndReason
@@ -30,14 +30,14 @@
 
 
 def shutdown_completion(status: t.QueryStatus) -> Completion:
-    """Return the completion of a query that a shutdown ends."""
+    """Return the completion of a query that ends because of a shutdown."""
     return Completion(status, api.QueryEndReason.SHUTDOWN, detail="shutting down")
 
 
 def coverage_violation(
     query: OpenQuery, query_class: api.QueryClass, coverage: Coverage, complete: bool
 ) -> str:
-    """Say what is wrong with an answer from the results received; empty if nothing is."""
+    """Return how an answer from the results received would violate the coverage rules; empty if it would not."""
     if not may_answer(query_class, query.state, coverage):
         return "an answer under its least share"
     if complete and not (query.first_step_complete and is_complete(query_class, query.state, coverage)):
@@ -46,7 +46,7 @@
 
 
 def result_of(query: OpenQuery, completion: Completion) -> t.QueryResult:
-    """Return the result of a query that ends so."""
+    """Return the result of a query for this completion."""
     coverage = query.coverage
     answered = completion.status in ANSWERED
     return t.QueryResult(
@@ -72,10 +72,10 @@
 
 
 def completions_at_shutdown(open_queries: OpenQueries, settings: api.Settings) -> dict[int, Completion]:
-    """How to end every open query at a shutdown, by id.
+    """Return the completion of every open query at a shutdown, by query id.
 
-    A query is rejected if the client may repeat it without harm, else failed. No event tells the decision module, and
-    none is needed: it follows from what may have run.
+    A query is rejected if its client may safely retry it, and fails otherwise. That depends only on the query class
+    and on whether any attempt may have run, so the decision module is not consulted.
     """
     completions: dict[int, Completion] = {}
     for query in open_queries.queries.values():
--- a/gingervane/coordinator/replica_start_times.py
+++ b/gingervane/coordinator/replica_start_times.py
@@ -1,17 +1,17 @@
-"""Places the starts of replicas on this process's monotonic clock, though the wall clock may be stepped.
+"""Converts start times of replicas from Unix time to this process's monotonic clock, despite wall-clock steps.
 
-Discovery gives starts in Unix time, and slow start depends on them: a start placed too early makes a cold replica
-pass for a warm one, which can overload it; one placed too late only spares it for a while. So the wall clock is
-trusted as far as the endpoint lists bear it out, and where it is in doubt the later place is taken.
+Discovery reports start times in Unix time, and slow start depends on them: a start time that is too early makes a
+cold replica look warm, which can overload it; one that is too late only gives it less load for a while. The wall
+clock is therefore used as far as the endpoint lists confirm it, and in doubt the later start time is taken.
 
-- No replica starts after it is listed. A start in the future shows that this clock is behind: the offset between the
-  clocks is corrected by it, for all replicas.
-- A replica that is new, or has a new start, was listed soon after: since the list before it, and `LISTING_LAG`. One
-  that seems older shows that the clock is ahead, and counts as started just now.
-- Where the wall clock has been stepped since the process began, the later of its two readings is taken.
-- The same start, listed again, keeps its place: one that seemed to move would pass for a restart.
+- No replica starts after it is listed. A start time in the future shows that this machine's clock is behind: the
+  offset between the clocks is corrected by it, for all replicas.
+- A replica that is new, or has a new start time, started after the previous list, or at most `LISTING_LAG` before it.
+  A start time earlier than that shows that the clock is ahead, and the replica counts as started just now.
+- If the wall clock has been stepped since the process began, the later of its two readings is taken.
+- A start time that is listed again unchanged keeps its converted value: a change would look like a restart.
 
-Not shown by any of this: a clock that was ahead before the process began, for what its first list holds.
+A clock that was ahead before the process began is not detected for the replicas of the first list.
 """
 
 from __future__ import annotations
@@ -19,20 +19,18 @@
 import time
 from collections.abc import Callable, Mapping
 
-LISTING_LAG = 3.0  # seconds by which discovery may list a start late
-STEP_THRESHOLD = (
-    0.1  # seconds of difference between the two clocks from which a step is taken to have happened
-)
-MAX_REMEMBERED_STARTS = 8192  # replicas; the oldest go first
+LISTING_LAG = 3.0  # longest time in seconds from a start until discovery lists it
+STEP_THRESHOLD = 0.1  # seconds of change in the offset between the two clocks that count as a step
+MAX_REMEMBERED_STARTS = 8192  # replicas; the least recently listed are dropped first
 
 
 def is_too_early(start: float, listed_at: float | None) -> bool:
-    """Whether a start that is new lies too long before the list before it came (None: there was no list)."""
+    """Whether a new start time is too long before the previous list (None: there was none) to be correct."""
     return listed_at is not None and start < listed_at - LISTING_LAG
 
 
 class ReplicaStartTimes:
-    """Places starts. Owner: the thread that reads endpoint lists."""
+    """Converts start times. Ownership: only the thread that reads endpoint lists uses it."""
 
     def __init__(
         self,
@@ -42,18 +40,17 @@
         self._monotonic = monotonic
         self._wall = wall
         self._initial_offset = monotonic() - wall()  # the monotonic clock less Unix time, seconds
-        self._offset = self._initial_offset  # the same, as corrected
-        self._last_listed: float | None = None  # when the list before this one came
-        self._known_starts: dict[
-            int, tuple[float, float]
-        ] = {}  # replica -> its start in Unix time, and its place
-        self.corrections = 0  # times that a list showed this clock to be off
+        self._offset = self._initial_offset  # the same, as corrected by the lists
+        self._last_listed: float | None = None  # when the previous list arrived
+        # replica -> its start in Unix and in monotonic time
+        self._known_starts: dict[int, tuple[float, float]] = {}
+        self.corrections = 0  # how often a list showed this machine's clock to be wrong
 
     def place(self, starts: Mapping[int, float], cached: bool = False) -> dict[int, float]:
-        """Place the starts that one list holds: replica -> Unix seconds, 0 for long ago.
+        """Return the monotonic start times for those of one list: replica -> Unix seconds, 0 for long ago.
 
-        To be called once for each list, full or not, as it comes. `cached`: a list that was stored before, which says
-        nothing of when the next one's changes came about.
+        Must be called once for each list, full or not, as it arrives. `cached`: a list that was stored earlier, which
+        does not limit when the changes in the next one happened.
         """
         now = self._monotonic()
         self._correct_offset(max(starts.values(), default=0.0), now)
@@ -68,7 +65,7 @@
         return placed
 
     def message_received(self) -> None:
-        """Note that discovery has sent something; before its first list that tells nothing of changes."""
+        """Record that discovery has sent a message; before its first list this has no effect."""
         if self._last_listed is not None:
             self._last_listed = self._monotonic()
 
@@ -80,13 +77,13 @@
             del self._known_starts[next(iter(self._known_starts))]
 
     def _correct_offset(self, latest_start: float, now: float) -> None:
-        """Make sure that the latest start of a list does not lie in the future."""
+        """Correct the offset so that the latest start time of a list is not in the future."""
         if latest_start and latest_start + self._offset > now:
             self.corrections += latest_start + self._offset > now + STEP_THRESHOLD
             self._offset = now - latest_start
 
     def _convert_one(self, replica: int, start: float, now: float, present_offset: float) -> float:
-        """`present_offset`: between the clocks as they read now."""
+        """Convert one start time; `present_offset`: between the clocks as they read now."""
         if not start:
             return 0.0
         known = self._known_starts.get(replica)
@@ -98,6 +95,6 @@
             place = start + present_offset
         if is_too_early(place, self._last_listed):
             self.corrections += 1
-            self._offset = now - start  # at most: what is listed next brings it down again
+            self._offset = now - start  # an upper bound, which later lists correct downwards
             return now
         return min(place, now)
--- a/gingervane/coordinator/request_senders.py
+++ b/gingervane/coordinator/request_senders.py
@@ -1,8 +1,8 @@
-"""Sends batch requests: threads that each do one blocking exchange at a time.
+"""Sends batch requests with threads that each run one blocking exchange at a time.
 
-Owners: a batch request belongs to the sender thread that took it, but for its lease, through which the decision
+Ownership: a batch request belongs to the sender thread that took it, except for its lease, through which the decision
 thread may shut its connection. The thread reports every attempt of the batch exactly once, whatever happens; the
-driver drops what comes too late. No decision is made here: every time-out comes with the batch or from the settings.
+driver drops reports that come too late. No decision is made here: timeouts come from the batch or from the settings.
 """
 
 from __future__ import annotations
@@ -26,21 +26,21 @@
 from gingervane.wire.pool import Connection, Lease, Pool, WriteError
 from gingervane.wire.socket_recorder import SOCKET_RECORDER
 
-MIN_CONNECT_TIMEOUT = 0.001  # seconds, where the batch's time is as good as up
+MIN_CONNECT_TIMEOUT = 0.001  # seconds, for a batch whose deadline has almost passed
 BODILESS_STATUSES = (204, 304)
 
 
 class SenderLimits(NamedTuple):
-    """How much is sent at once."""
+    """Limits on concurrent batch requests."""
 
     threads: int  # batch requests that are being sent
     waiting: int  # batch requests that wait for a thread
-    max_per_replica: int  # batch requests to one replica, and so connections in use to it
+    max_per_replica: int  # batch requests to one replica, which limits the connections in use to it
     connect_timeout: float  # seconds
 
 
 class _Failure(NamedTuple):
-    """Why an exchange brought no results."""
+    """Outcome and cause of an exchange without results."""
 
     outcome: AttemptOutcome
     detail: str
@@ -50,7 +50,7 @@
 
 
 class _Reply(NamedTuple):
-    """A reply that has been read as a whole."""
+    """A reply that has been read completely."""
 
     response: Response
     body: bytes
@@ -59,7 +59,7 @@
 
 @dataclass(slots=True)
 class _Exchange:
-    """One batch request on its connection, and how far it has come."""
+    """One batch request on its connection, and the progress of the exchange."""
 
     batch: t.BatchRequest
     lease: Lease
@@ -68,7 +68,7 @@
     bytes_written: int = 0
 
     def run(self, connection: Connection, attempts: list[t.AttemptRequest]) -> _Reply:
-        """Write the request of these attempts and read the reply."""
+        """Write the request for these attempts and read the reply."""
         batch = self.batch
         contents = [attempt.content for attempt in attempts]
         connection.deadline = batch.expires_at
@@ -84,7 +84,7 @@
         return _Reply(response, body, received_at)
 
     def transport_failure(self, error: OSError | ConnectionClosedError) -> _Failure:
-        """Say what an error of the transport proves, from how far the exchange had come."""
+        """Return the outcome of a transport error, which depends on the progress of the exchange."""
         cause: Exception = error
         written = self.bytes_written
         if isinstance(error, WriteError):
@@ -94,24 +94,24 @@
         return _Failure(outcome, f"{self.phase.value}: {cause}")
 
     def drop_connection(self) -> None:
-        """Close the connection, whose state is not known."""
+        """Close the connection, whose state is unknown."""
         self.lease.release()
         if self.connection:
             self.connection.close()
 
 
 class RequestSenders:
-    """A pool of sender threads that grows to its bound as batch requests come."""
+    """A pool of sender threads that grows with the batch requests in flight, up to its limit."""
 
     def __init__(
         self, pool: Pool, limits: SenderLimits, report: Callable[[list[t.AttemptFinished]], None]
     ) -> None:
-        """`report` takes the ends of attempts, on a sender thread."""
+        """`report` is called with ended attempts, on a sender thread."""
         self._pool = pool
         self._limits = limits
         self._report = report
-        self._batches: SimpleQueue[t.BatchRequest | None] = SimpleQueue()  # None: a thread is to end
-        self._lock = Lock()  # over the two counts
+        self._batches: SimpleQueue[t.BatchRequest | None] = SimpleQueue()  # None: one thread shall end
+        self._lock = Lock()  # guards the two counts
         self._in_flight = 0  # batch requests that wait or are being sent
         self._in_flight_by_replica = Counter[int]()
         self._threads: list[Thread] = []
@@ -122,7 +122,7 @@
         return self._in_flight
 
     def start(self, batch: t.BatchRequest) -> bool:
-        """Take a batch request; false if no more may wait. Never blocks; from the decision thread only."""
+        """Accept a batch request; false if the limits are reached. Never blocks; for the decision thread only."""
         limits = self._limits
         with self._lock:
             full = self._in_flight >= limits.threads + limits.waiting
@@ -140,24 +140,24 @@
         return True
 
     def cancel(self, batch: t.BatchRequest) -> None:
-        """Shut the connection of a batch request, or keep it from being used; does not block."""
+        """Shut the connection of a batch request, or prevent it from getting one; does not block."""
         if isinstance(batch.transport_token, Lease):
             batch.transport_token.cancel()
 
     def maintain(self) -> None:
-        """Do nothing: what waits here waits for a thread."""
+        """Do nothing: sender threads take waiting batch requests by themselves."""
 
     def abandon(
         self, batch: t.BatchRequest, attempt: t.AttemptRequest, notify_replica: bool, expired: bool
     ) -> None:
-        """Do nothing: HTTP/1.1 cannot take back a part of a request, which `cancel` drops as a whole."""
+        """Do nothing: HTTP/1.1 cannot cancel part of a request; `cancel` drops the whole request."""
 
     def close_idle(self, address: tuple[str, int]) -> None:
         """Close the idle connections to an address."""
         self._pool.close_idle(address)
 
     def close(self) -> None:
-        """Let the threads end once their present exchanges have."""
+        """Let each thread end after its current exchange."""
         for _ in self._threads:
             self._batches.put(None)
 
@@ -167,7 +167,7 @@
         while (batch := self._batches.get()) is not None:
             try:
                 finished = self._send_batch(batch)
-            except Exception as error:  # noqa: BLE001 - a bug must not leave an attempt without an end
+            except Exception as error:  # noqa: BLE001 - a bug must not leave an attempt unreported
                 detail = f"internal: {type(error).__name__}: {error}"
                 finished = _fail(batch.attempts, _Failure(AttemptOutcome.ERROR, detail))
             with self._lock:
@@ -176,7 +176,7 @@
             self._report(finished)
 
     def _send_batch(self, batch: t.BatchRequest) -> list[t.AttemptFinished]:
-        """Return the ends of the batch's attempts; those that waited too long are reported on the way."""
+        """Run the exchange and return the ends of the batch's attempts, except of overdue ones, already reported."""
         lease: Lease = batch.transport_token
         if lease.cancelled:
             return _fail(batch.attempts, _CANCELLED)
@@ -185,7 +185,7 @@
             connection = self._connect(exchange)
             attempts = self._claim(batch) if lease.acquire(connection) else []
             if not attempts:
-                # Not a byte has left: the connection is as good as before, unless it was shut.
+                # No byte was sent: the connection can be reused unless it was shut.
                 self._release_connection(exchange, connection, reusable=True)
                 return _fail(batch.attempts, _CANCELLED)
             reply = exchange.run(connection, attempts)
@@ -210,17 +210,17 @@
         return connection
 
     def _claim(self, batch: t.BatchRequest) -> list[t.AttemptRequest]:
-        """Claim the attempts that may be sent, which may run from here on; end those that waited too long.
+        """Return the attempts to send, which may run from now on; report the overdue ones as never sent.
 
-        What was ended before its claim is in neither.
+        Attempts that the driver has already ended are in neither group.
         """
         sendable, overdue = batch.claim_sendable(time.monotonic())
-        if overdue:  # ended here and now, whatever becomes of the others
+        if overdue:  # reported at once, independent of the other attempts
             self._report(_fail(overdue, _Failure(AttemptOutcome.NEVER_SENT, "waited too long")))
         return sendable
 
     def _release_connection(self, exchange: _Exchange, connection: Connection, reusable: bool) -> None:
-        """Put a connection into the pool, or close it if it is not reusable or was shut meanwhile."""
+        """Return a connection to the pool, or close it if it is not reusable or was shut meanwhile."""
         if exchange.lease.release() and reusable:
             self._pool.release(exchange.batch.address, connection)
         else:
@@ -230,7 +230,7 @@
 def _results(
     batch: t.BatchRequest, attempts: list[t.AttemptRequest], reply: _Reply
 ) -> list[t.AttemptFinished]:
-    """Return a result for each attempt that was sent, or the end of all where the reply does not count."""
+    """Return a result for each attempt sent, or a failure for every attempt if the reply holds no usable results."""
     codec = cast(t.HttpCodec, batch.codec)
     response = reply.response
     contents = [attempt.content for attempt in attempts]
@@ -254,7 +254,7 @@
 
 
 def _fail(attempts: Iterable[t.AttemptRequest], failure: _Failure) -> list[t.AttemptFinished]:
-    """Return the ends of attempts that failed alike, now."""
+    """Return the ends of attempts that all end now with the same failure."""
     now = time.monotonic()
     return [_finish(attempt, failure, now) for attempt in attempts]
 
--- a/gingervane/coordinator/response_time_reserve.py
+++ b/gingervane/coordinator/response_time_reserve.py
@@ -1,34 +1,35 @@
-"""How much of a client's time to reserve for merging and writing its answer. Free of I/O; its caller locks.
+"""How much of a client's time to reserve for merging and writing the answer. Free of I/O; the caller locks.
 
-The decision module answers just ahead of the deadline that it is given; what a front then still does (merge, encode,
-write) must fit into the rest. The reserve follows what that took lately for an answer of as many parts: the greatest
-of the last `SAMPLE_COUNT` with a safety factor, so that one long answer is not followed by others that come late.
+The decision module may answer just before the deadline that it is given; merging, encoding and writing the answer
+must still fit into the client's time. The reserve is derived from how long that took for recent answers with as many
+parts: the longest of the last `SAMPLE_COUNT` times a safety factor. The longest is used so that after one slow answer
+the following ones are in time.
 """
 
 from __future__ import annotations
 
 from collections import deque
 
-SAMPLE_COUNT = 100  # answers that are remembered
-SAFETY_FACTOR = 1.5  # times the greatest sample
+SAMPLE_COUNT = 100  # recent answers that are considered
+SAFETY_FACTOR = 1.5  # applied to the longest sample
 MIN_RESERVE = 0.005  # seconds
 MAX_RESERVE_SHARE = 0.25  # of the client's time
 
 
 class ResponseTimeReserve:
-    """The reserve of one class of queries."""
+    """The reserve of one query class."""
 
     def __init__(self) -> None:
-        self._total_times: deque[float] = deque(maxlen=SAMPLE_COUNT)  # seconds an answer
-        self._times_per_part: deque[float] = deque(maxlen=SAMPLE_COUNT)  # seconds a part
+        self._total_times: deque[float] = deque(maxlen=SAMPLE_COUNT)  # seconds per answer
+        self._times_per_part: deque[float] = deque(maxlen=SAMPLE_COUNT)  # seconds per part
 
     def learn(self, parts: int, seconds: float) -> None:
-        """Note that an answer of `parts` parts took `seconds` from its completion to its last byte."""
+        """Record that an answer of `parts` parts took `seconds` from the query's completion to its last byte."""
         self._total_times.append(seconds)
         self._times_per_part.append(seconds / max(parts, 1))
 
     def get(self, parts: int, client_time: float) -> float:
-        """Seconds to reserve of a client's time for an answer of `parts` parts."""
+        """Return the seconds of `client_time` to reserve for an answer of `parts` parts."""
         longest = max(self._total_times, default=0.0)
         longest_by_parts = max(self._times_per_part, default=0.0) * parts
         expected = min(longest, longest_by_parts)
--- a/gingervane/coordinator/retry_after.py
+++ b/gingervane/coordinator/retry_after.py
@@ -1,34 +1,35 @@
-"""Estimates when a rejected query may be retried. Free of I/O; its caller does the locking.
+"""Estimates when a rejected query may be retried. Free of I/O; the caller locks.
 
-Capacity comes free as queries are replied to. The rate at which it did lately says how long it takes until as much is
-free as the rejected query lacks; where nothing came free lately nothing is known, and the longest wait is given.
+Capacity is released as queries are answered. The recent release rate gives the time until the capacity that the
+rejected query lacks will be free. If none was released recently, the rate is unknown and the maximum Retry-After is
+used.
 """
 
 from __future__ import annotations
 
 from collections import deque
 
-RATE_WINDOW = 2.0  # seconds over which the rate is taken
-MIN_RETRY_AFTER = 0.02  # seconds; also the shortest time over which a rate is taken
+RATE_WINDOW = 2.0  # seconds over which the release rate is measured
+MIN_RETRY_AFTER = 0.02  # seconds; also the shortest time over which the rate is measured
 
 
 class RetryAfterEstimate:
-    """Learns how fast capacity comes free."""
+    """Measures the rate at which capacity is released."""
 
     def __init__(self, max_retry_after: float) -> None:
         """`max_retry_after`: seconds."""
         self._max_retry_after = max_retry_after
-        self._freed: deque[tuple[float, int]] = deque()  # when and how much, within the window
+        self._freed: deque[tuple[float, int]] = deque()  # times and amounts of the releases within the window
         self._freed_total = 0
 
     def record_release(self, now: float, size: int) -> None:
-        """Note that so much capacity came free."""
+        """Record that `size` of capacity was released."""
         self._freed.append((now, size))
         self._freed_total += size
         self._expire(now)
 
     def seconds_until_free(self, now: float, missing: int) -> float:
-        """Seconds until `missing` more should be free."""
+        """Return the estimated seconds until `missing` more capacity is free."""
         self._expire(now)
         if not self._freed_total:
             return self._max_retry_after
--- a/gingervane/coordinator/types.py
+++ b/gingervane/coordinator/types.py
@@ -1,4 +1,4 @@
-"""Inputs and effects of the coordinator's driver. Times are seconds on one monotonic clock."""
+"""Inputs and effects of the co-ordinator's driver. Times are seconds on one monotonic clock."""
 
 from __future__ import annotations
 
@@ -11,39 +11,40 @@
 
 from gingervane import interface as api
 
-# Seconds after its decision by which a retry or hedged request must have been sent, the last byte of its frame
-# included. The decision module knows it and keeps its budgets and windows tighter by as much, as they hold for what
-# leaves the sockets.
+# Seconds from the decision to send a retry or hedged request until the last byte of its frame must have been written.
+# Retry budgets and idempotency windows apply to what leaves the sockets, so the decision module tightens both by this
+# delay.
 MAX_SEND_DELAY = 0.05
 
 
 class Codec(Protocol):
-    """Encodes parts of one protocol as one request to a replica. Free of I/O; called from sending threads."""
+    """Encodes parts as one request to a replica, in one protocol. Free of I/O; called on sender threads."""
 
     def encode(self, contents: list[Any], seconds_left: list[float], address: tuple[str, int]) -> bytes:
-        """Return the whole request for these parts.
+        """Return the encoded request for these parts.
 
-        `seconds_left`: of each. Where a request has one time for all of them, it is the least, so that no replica is
-        told more time than a client has.
+        `seconds_left`: the remaining time of each part. A protocol with one timeout for the whole request sends the
+        smallest, so that no replica is given more time than a client has.
         """
 
     def result_size(self, result: Any) -> int:
-        """Return roughly the bytes that a result takes in memory."""
+        """Return the approximate size of a result in memory, in bytes."""
 
 
 class HttpCodec(Codec, Protocol):
-    """A codec whose batch is one request on a connection of its own, with a result for each part in the reply."""
+    """A codec for requests that have a connection to themselves and a reply with one result for each part."""
 
     def decode(
         self, contents: list[Any], status: int, header: Callable[[str], str], body: bytes
     ) -> list[Any]:
-        """Return a result for each part; raises `InvalidReply` for a reply that does not count."""
+        """Return one result for each part; raises `InvalidReply` if the reply holds no usable results."""
 
 
 class InvalidReply(Exception):
-    """A reply of a replica that does not count, and why.
+    """A replica's reply holds no usable results.
 
-    `proves_not_executed`: it says that nothing was begun. `overloaded`: the replica rejected it for want of capacity.
+    `proves_not_executed`: the reply states that nothing was executed. `overloaded`: the replica rejected the request
+    for lack of capacity.
     """
 
     def __init__(self, detail: str, proves_not_executed: bool = False, overloaded: bool = False) -> None:
@@ -52,10 +53,11 @@
 
 
 class PartPlan(NamedTuple):
-    """One part of a query: what to ask the replicas of a shard, and its share of the complete answer.
+    """One part of a query: the request content for the replicas of a shard, and the part's share of the answer.
 
-    `max_executions`: attempts that may run, for parts with a quota of attempts; the driver withholds any more.
-    `content_by_execution`: contents by how many attempts had run or were in flight before, in place of `content`.
+    `max_executions`: how many attempts may run; the driver withholds further ones. None: no limit.
+    `content_by_execution`: contents to use in place of `content`, indexed by the number of earlier attempts that have
+    run or are in flight.
     """
 
     shard: int
@@ -65,16 +67,17 @@
     content_by_execution: tuple[Any, ...] = ()
 
 
-# Makes the parts of a second step from the results of the first (by index in the plan) and whether it was complete.
+# Builds the parts of the second step from the results of the first (by index in the plan) and whether that was
+# complete.
 SecondStep = Callable[[dict[int, Any], bool], tuple[PartPlan, ...]]
 
 
 @dataclass(frozen=True)
 class QueryPlan:
-    """A query that a front has read. `deadline`: when the client's time is up. `tag`: for logs.
+    """A query that a front has parsed. `deadline`: of the client. `tag`: names the query in logs.
 
-    `is_client_retry`: the client says that it sent the query before. `predicted_cost`: seconds of work, 0 where it is
-    not known. `second_step`: for classes that have one; called on the decision thread as the first step ends.
+    `is_client_retry`: the client states that it has sent the query before. `predicted_cost`: seconds of work, 0 if
+    unknown. `second_step`: for classes with two steps; called on the decision thread when the first step ends.
     """
 
     query_class: int
@@ -88,33 +91,34 @@
 
 
 class QueryStatus(Enum):
-    """How a query ended."""
+    """Status of a completed query."""
 
     COMPLETE = "whole"
     PARTIAL = "short"
     REJECTED = "refused"
     FAILED = "failed"
-    CLIENT_DISCONNECTED = "left"  # nobody is there to answer
+    CLIENT_DISCONNECTED = "left"  # no reply is sent
 
 
 class AttemptRecord(NamedTuple):
-    """One ended attempt of a query, for logs, tables and the client's tool."""
+    """Summary of one ended attempt of a query, for logs, tables and the client's tool."""
 
     shard: int
     attempt: int
     replica: int
     outcome: str
     seconds: float
-    earlier_executions: int = 0  # attempts that had run or were in flight before it
+    earlier_executions: int = 0  # earlier attempts of the part that had run or were in flight
     never_ran: bool = False
 
 
 @dataclass
 class QueryResult:
-    """The one end of a query. `results`: of the parts that were received, by index in the plan.
+    """The result of a query; each query gets exactly one.
 
-    After a second step they are that step's, whose indexes go on after the plan's. `marked_complete`: as the decision
-    module has it, which a class's `complete_coverage` may permit with a part missing.
+    `results`: of the parts received, by index in the plan. After a second step they are the results of that step,
+    whose indexes continue those of the plan. `marked_complete`: set by the decision module; a class's
+    `complete_coverage` may permit it with parts missing.
     """
 
     status: QueryStatus
@@ -122,16 +126,16 @@
     retry_after: float = 0.0
     detail: str = ""
     attempts: list[AttemptRecord] = field(default_factory=list)
-    coverage: float = 0.0  # share of the weight that was received
+    coverage: float = 0.0  # received share of the total weight
     result_bytes: int = 0
     marked_complete: bool = False
     reason: api.QueryEndReason = api.QueryEndReason.UNSTATED
-    step: int = 1  # the step in which it ended
+    step: int = 1  # the step in which the query ended
     parts_requested: int = 0  # parts of that step
-    parts_received: int = 0  # of those, answered; also where the status gives no results
+    parts_received: int = 0  # answered parts of that step, also if the status carries no results
 
 
-# Takes the one result of a query. Called once, on the decision thread; must not block.
+# Receives the result of a query. Called exactly once, on the decision thread; must not block.
 ResultCallback = Callable[[QueryResult], None]
 
 
@@ -147,7 +151,7 @@
 
 
 class AttemptFinished(NamedTuple):
-    """An attempt has ended. `finished_at` is stamped where the end was seen, not where it is read."""
+    """An attempt has ended. `finished_at`: when the end was observed, not when the driver handles it."""
 
     part: int
     attempt: int
@@ -158,30 +162,30 @@
 
 
 class ClientDisconnected(NamedTuple):
-    """The client of a query has gone."""
+    """The client of a query has disconnected."""
 
     id: int
 
 
 class EndpointsUpdated(NamedTuple):
-    """A change of membership, and the addresses of its replicas."""
+    """Membership has changed; `addresses`: of the replicas in the change."""
 
     membership: api.MembershipChanged
     addresses: dict[int, tuple[str, int]]
 
 
 class WatchInterrupted(NamedTuple):
-    """The watch of the endpoint list has ended or fallen silent, so many seconds after its last line."""
+    """The watch of the endpoint list has ended or stalled, `silent_for` seconds after its last line."""
 
     silent_for: float
 
 
 class Shutdown(NamedTuple):
-    """End all open queries: rejected where a client may repeat them without harm, else failed."""
+    """Complete all open queries: reject those that a client may safely retry, fail the others."""
 
 
 class PeerMessageReceived(NamedTuple):
-    """A message from another coordinator, by its number in the settings."""
+    """A message from another co-ordinator; `sender`: its number in the settings."""
 
     sender: int
     payload: bytes
@@ -204,9 +208,9 @@
 class AttemptRequest:
     """One attempt in a batch request.
 
-    Whether it is sent is settled by `claim`, which is true for its first caller alone: the sender claims it just
-    before it writes, the driver when it ends the attempt itself. So what the driver ended first is never sent, and an
-    end that the driver makes can prove that nothing was sent.
+    `claim` decides whether the attempt is sent: it returns true to its first caller only. The sender claims the
+    attempt just before writing it, the driver when it ends the attempt itself. An attempt that the driver has claimed
+    is never sent, which lets the driver report that it did not run.
     """
 
     __slots__ = ("_unclaimed", "attempt", "content", "expires_at", "part", "retry_safety")
@@ -219,13 +223,13 @@
         retry_safety: api.RetrySafety,
         expires_at: float = inf,
     ) -> None:
-        """`expires_at`: when the time of its own client is up; the batch expires with the last of its attempts."""
+        """`expires_at`: the deadline of this attempt; the batch expires with the last of its attempts."""
         self.part, self.attempt, self.content, self.retry_safety = part, attempt, content, retry_safety
         self.expires_at = expires_at
         self._unclaimed = deque((True,))
 
     def claim(self) -> bool:
-        """Take the right to send it or to end it unsent; true for the first caller alone."""
+        """Claim the right to send the attempt or to end it unsent; true for the first caller only."""
         try:
             return self._unclaimed.pop()
         except IndexError:
@@ -236,7 +240,7 @@
 class BatchRequest:
     """Attempts that go to one replica in one request.
 
-    `transport_token` is the transport's own. `decided_at`: see `claim_sendable`.
+    `transport_token`: private to the transport. `decided_at`: when its attempts were decided, see `claim_sendable`.
     """
 
     id: int
@@ -250,11 +254,10 @@
     decided_at: float = 0.0
 
     def claim_sendable(self, now: float) -> tuple[list[AttemptRequest], list[AttemptRequest]]:
-        """Claim the attempts just before they are written: those to send, and those that are overdue.
+        """Claim the attempts just before they are written; return those to send and those that are overdue.
 
-        Budgets and windows were counted from the decision. A first attempt that waited for a sender is only late; a
-        retry or hedged request that waited longer than `MAX_SEND_DELAY` was allowed for another moment, and ends as
-        never sent.
+        Budgets and windows were checked at the decision. A first attempt is sent however long it waited for a sender;
+        a retry or hedged request that waited longer than `MAX_SEND_DELAY` might exceed them, and ends as never sent.
         """
         claimed = [request for request in self.attempts if request.claim()]
         overdue = self.is_send_overdue(now)
@@ -264,11 +267,11 @@
         )
 
     def seconds_left(self, attempts: list[AttemptRequest], now: float) -> list[float]:
-        """Return the time left of each attempt, which may be of different queries, for its replica to know."""
+        """Return the remaining time of each attempt, to be sent to the replica."""
         return [min(request.expires_at, self.expires_at) - now for request in attempts]
 
     def is_send_overdue(self, now: float) -> bool:
-        """Whether no byte of a retry or hedged request may be sent any more."""
+        """Whether it is too late to send any byte of a retry or hedged request."""
         return now - self.decided_at > MAX_SEND_DELAY
 
 
@@ -279,17 +282,17 @@
 
 
 class CancelRequest(NamedTuple):
-    """Cancel a batch request of which no attempt is waited for any more: shut its connection."""
+    """Cancel a batch request none of whose attempts is open any more: shut its connection."""
 
     request: BatchRequest
 
 
 class AbandonAttempt(NamedTuple):
-    """Abandon a claimed attempt; others of its batch may still be waited for.
+    """Abandon a claimed attempt; other attempts of its batch may still be open.
 
-    `notify_replica`: whether its replica may be notified. Where it may not, what was sent as a whole goes on there;
-    a frame of which only a part was sent must not be finished all the same. `expired`: its end is recorded already,
-    so that none is to be reported.
+    `notify_replica`: whether a cancellation may be sent to the replica. If not, an attempt whose frame was sent
+    completely runs on there, but a partly sent frame must still not be completed. `expired`: the end of the attempt
+    is already recorded, and the transport must not report another.
     """
 
     request: BatchRequest
@@ -305,7 +308,7 @@
 
 
 class CompleteQuery(NamedTuple):
-    """Give a query its result."""
+    """Pass a query's result to its callback."""
 
     on_result: ResultCallback
     result: QueryResult
@@ -325,11 +328,11 @@
 
 
 class WatchMembership(NamedTuple):
-    """Have membership changes pushed from now on."""
+    """Watch membership: have its changes pushed from now on."""
 
 
 class SendToPeers(NamedTuple):
-    """Send a message to every other coordinator."""
+    """Send a message to every other co-ordinator."""
 
     payload: bytes
 
--- a/gingervane/limits/__init__.py
+++ b/gingervane/limits/__init__.py
@@ -1,1 +1,1 @@
-"""Limits that keep one kind of work from taking another's share of the process."""
+"""Limits that prevent one traffic class from using another's share of the process."""
--- a/gingervane/limits/concurrency_limit.py
+++ b/gingervane/limits/concurrency_limit.py
@@ -1,8 +1,8 @@
-"""The slots in which front threads read, merge and write: a few at a time, shared fairly among fronts.
+"""Limits how many front threads read, merge and write at once, with the slots shared fairly between fronts.
 
-All of that is work of one interpreter. Without a limit a storm at one front fills it with threads that all hold each
-other up, and the other front's few requests wait behind all of them. Owner: `_lock` is over the queue; a waiter has
-an event of its own.
+All of that work competes for one interpreter. Without a limit, a burst of requests at one front would fill it with
+threads that slow each other down, and the few requests of another front would wait behind all of them. Locking:
+`_lock` guards the queue; each waiter has its own event.
 """
 
 from __future__ import annotations
@@ -16,28 +16,28 @@
 
 
 class ConcurrencyLimit:
-    """Bounds the work that runs at once. Shared by all fronts of a process."""
+    """Limits the work that runs concurrently. Shared by all fronts of a process."""
 
     def __init__(self, weights: Mapping[str, float], slots: int, max_waiting: int) -> None:
-        """`weights`: of the traffic classes, by name; `max_waiting`: of each class."""
+        """`weights`: of the traffic classes, by name; `max_waiting`: limit for each class."""
         self._queue: FairQueue[threading.Event] = FairQueue(weights, slots, max_waiting)
         self._lock = threading.Lock()
         self.names = tuple(weights)
-        self.rejected = 0  # requests that found the queue of their class full
+        self.rejected = 0  # requests rejected because the queue of their class was full
 
     def waiting(self, name: str) -> int:
-        """Count the requests of a class that wait for a slot."""
+        """Return the number of requests of a class that wait for a slot."""
         return self._queue.waiting(name)
 
     @contextmanager
     def slot(self, name: str, deadline: float, admit_always: bool = False) -> Iterator[None]:
-        """Work in a slot once one is granted, or at `deadline` at the latest: what is late is for others to see.
+        """Run the body in a slot, or without one if none is granted by `deadline`; the caller handles the timeout.
 
-        Raises QueueFull if too many wait; `admit_always`: not so, as the work has been begun.
+        Raises QueueFull if too many requests wait. `admit_always`: never raises, for work that has already begun.
         """
         granted = threading.Event()
         if not self._acquire(name, granted, admit_always) and not self._wait(name, granted, deadline):
-            yield  # without a slot: its time is up anyway, and somebody must say so
+            yield  # without a slot: the deadline has passed, and the body has to report that
             return
         began = time.monotonic()
         try:
@@ -46,7 +46,7 @@
             self._release(name, time.monotonic() - began)
 
     def _acquire(self, name: str, granted: threading.Event, admit_always: bool) -> bool:
-        """Whether there was a slot at once; else the request is queued."""
+        """Acquire a slot and return true, or queue the request and return false."""
         with self._lock:
             try:
                 return self._queue.acquire(name, granted, admit_always)
@@ -55,7 +55,7 @@
                 raise
 
     def _wait(self, name: str, granted: threading.Event, deadline: float) -> bool:
-        """Wait for a slot; False if none was granted before the deadline."""
+        """Wait for a slot; false if none was granted before the deadline."""
         if granted.wait(max(deadline - time.monotonic(), 0.0)):
             return True
         with self._lock:
--- a/gingervane/limits/fair_queue.py
+++ b/gingervane/limits/fair_queue.py
@@ -1,8 +1,9 @@
-"""Start-time fair queueing of a few slots that several traffic classes share. Free of I/O.
+"""Start-time fair queueing of a few slots between traffic classes. Free of I/O.
 
-Each class has a virtual time, which runs on by what its work took, over its weight. A free slot goes to the waiting
-class whose virtual time is least. A class that was idle begins at the least of those that are not, so that idleness
-is not saved up; one that keeps coming gets its share however many of the others wait.
+Each class has a virtual time, which advances by the duration of its work divided by its weight. A free slot goes to
+the waiting class with the smallest virtual time. A class that was idle starts at the smallest virtual time of the
+active classes, so that idle time earns no credit. Every class thus gets its share, however many requests of others
+wait.
 """
 
 from __future__ import annotations
@@ -14,12 +15,12 @@
 Waiter = TypeVar("Waiter")
 
 _INITIAL_SERVICE_TIME = 0.001  # seconds
-_SERVICE_TIME_SMOOTHING = 0.1  # weight of the newest piece of work
+_SERVICE_TIME_SMOOTHING = 0.1  # weight of the newest sample
 _MIN_SERVICE_TIME = 1e-6  # seconds
 
 
 class QueueFull(Exception):
-    """So many of this class wait that another would only wait for nothing. Nothing was begun."""
+    """Too many requests of this class wait already; the request was not started."""
 
     def __init__(self, name: str, waiting: int, retry_after: float) -> None:
         super().__init__(f"{waiting} requests wait for their turn to be read ({name})")
@@ -34,7 +35,7 @@
         self.virtual_time = 0.0
         self.running = 0
         self.waiting: deque[Waiter] = deque()
-        self.service_time = _INITIAL_SERVICE_TIME  # seconds of one piece of work, smoothed
+        self.service_time = _INITIAL_SERVICE_TIME  # seconds per request, smoothed
 
     @property
     def active(self) -> bool:
@@ -42,23 +43,23 @@
 
 
 class FairQueue(Generic[Waiter]):
-    """Grants slots to classes by weight; the caller sees to locking. A `Waiter` stands for whoever waits."""
+    """Grants slots to classes by weight; the caller locks. A `Waiter` identifies one waiting request."""
 
     def __init__(self, weights: Mapping[str, float], slots: int, max_waiting: int) -> None:
-        """`weights`: of the classes, by name; `max_waiting`: of each class."""
+        """`weights`: of the classes, by name; `max_waiting`: limit for each class."""
         self._classes = {name: _TrafficClass[Waiter](weight) for name, weight in weights.items()}
         self._free_slots = slots
         self._slots = slots
         self._max_waiting = max_waiting
 
     def waiting(self, name: str) -> int:
-        """Count who waits in a class."""
+        """Return the number of waiting requests of a class."""
         return len(self._classes[name].waiting)
 
     def acquire(self, name: str, waiter: Waiter, admit_always: bool = False) -> bool:
-        """Whether a slot was granted at once; else the waiter is queued.
+        """Grant a free slot and return true, or queue the waiter and return false.
 
-        Raises QueueFull if too many wait; `admit_always`: not so.
+        Raises QueueFull if too many wait; `admit_always`: never raises.
         """
         traffic = self._classes[name]
         if not traffic.active:
@@ -74,7 +75,7 @@
         return False
 
     def release(self, name: str, seconds: float) -> Waiter | None:
-        """Give back a slot after work that took `seconds`; return the waiter that is granted one, if any."""
+        """Release a slot after work that took `seconds`; return the waiter that is granted it, if any."""
         traffic = self._classes[name]
         traffic.running -= 1
         traffic.virtual_time += max(seconds, _MIN_SERVICE_TIME) / traffic.weight
@@ -83,7 +84,7 @@
         return self._grant_next()
 
     def cancel(self, name: str, waiter: Waiter) -> bool:
-        """Take a waiter from the queue; False if it has been granted a slot meanwhile."""
+        """Remove a waiter from the queue; false if it has already been granted a slot."""
         try:
             self._classes[name].waiting.remove(waiter)
         except ValueError:
@@ -91,7 +92,7 @@
         return True
 
     def _grant_next(self) -> Waiter | None:
-        """Grant a free slot to the class with the least virtual time."""
+        """Grant a free slot to the waiting class with the smallest virtual time."""
         candidates = [traffic for traffic in self._classes.values() if traffic.waiting]
         if not candidates or not self._free_slots:
             return None
@@ -101,7 +102,7 @@
         return traffic.waiting.popleft()
 
     def _retry_after(self, traffic: _TrafficClass[Waiter]) -> float:
-        """Seconds in which half of what waits in a class will have been granted a slot, at its share of them."""
+        """Return the seconds until half of a class's queue has been granted slots, at the class's share of them."""
         active_weight = sum(other.weight for other in self._classes.values() if other.active)
         share = self._slots * traffic.weight / max(active_weight, traffic.weight)
         rate = share / max(traffic.service_time, _MIN_SERVICE_TIME)
--- a/gingervane/merge/__init__.py
+++ b/gingervane/merge/__init__.py
@@ -1,1 +1,1 @@
-"""Merging the parts of an answer into one result."""
+"""Merges the results of parts into one answer."""
--- a/gingervane/merge/series.py
+++ b/gingervane/merge/series.py
@@ -1,8 +1,8 @@
-"""Merging of series that several parts of an answer hold.
+"""Merges series that occur in several parts of an answer.
 
-The rule for two samples of one series at one timestamp does not depend on the order in which parts came: a number
-wins over a NaN, the greater number wins over the lesser, and of two NaNs the one whose bits are greater. Of two
-histograms at one timestamp the one whose message is greater, byte by byte, stays.
+If a series has two samples at one timestamp, the one that is kept does not depend on the order in which the parts
+arrived: a number is preferred to a NaN, the greater number to the smaller, and of two NaNs the one with the greater
+bits. Of two histograms at one timestamp the one with the greater message, compared byte by byte, is kept.
 """
 
 from __future__ import annotations
@@ -25,13 +25,13 @@
 
 
 def _merge_group(group: list[Series]) -> Series:
-    """Merge series of the same labels."""
+    """Merge series that have the same labels."""
     first = group[0]
     if len(group) == 1 and (first.raw is not None or ordered(first)):
         return first
     times = np.concatenate([series.timestamps for series in group])
     values = np.concatenate([series.values for series in group])
-    # Sorted by time, then by rank: of the samples at one timestamp the last one stays.
+    # Sorted by time, then by preference: of the samples at one timestamp the last one is kept.
     order = np.lexsort(
         (values.view(np.uint64), np.where(np.isnan(values), -np.inf, values), ~np.isnan(values), times)
     )
@@ -51,11 +51,11 @@
 
 
 def ordered(series: Series) -> bool:
-    """Return whether its samples and histograms are in strict order of time."""
+    """Return whether the timestamps of its samples and of its histograms strictly increase."""
     times, histograms = series.timestamps, series.histograms
     return bool((times[1:] > times[:-1]).all()) and all(a[0] < b[0] for a, b in pairwise(histograms))
 
 
 def without_label(series: Series, name: str) -> Series:
-    """Return the same series without one label."""
+    """Return a copy of a series without one label."""
     return series._replace(labels=tuple(pair for pair in series.labels if pair[0] != name), raw=None)
