--- a/tests/hosts.py
+++ b/tests/hosts.py
@@ -1,4 +1,4 @@
-"""A tiny scripted host: feeds events, keeps the books that rules need, raises when an action breaks one."""
+"""A minimal host for the decision engine: feeds events by hand, and raises if an action breaks a rule."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from gingervane.decisions.engine import DecisionEngine
 from gingervane.decisions.membership_watch import DEFAULT_WATCH_TERMS, WatchTerms
 
-ANSWER_GRACE = 0.02  # seconds past the client's time in which an answer still counts
+ANSWER_GRACE = 0.02  # seconds after a query's deadline in which an answer is still accepted
 OK, READY = api.AttemptOutcome.OK, api.ReplicaState.READY
 
 
@@ -63,11 +63,11 @@
 
 
 class RuleViolationError(AssertionError):
-    """An action that no co-ordinator may take."""
+    """An action that breaks a rule of the co-ordinator."""
 
 
 class Host:
-    """Drives one co-ordinator; time only moves when a test says so."""
+    """Drives one decision engine; time advances only when a test advances it."""
 
     def __init__(
         self,
@@ -151,7 +151,7 @@
         return self.feed(api.AttemptEnded(part, attempt, where, outcome, took))
 
     def wait(self, seconds: float) -> list[api.Action]:
-        """Let timers fire, each in a batch of its own; cancelled attempts end in the next batch."""
+        """Advance time and fire due timers, each in its own batch; cancelled attempts end in the next batch."""
         until, seen = self.now + seconds, list[api.Action]()
         while True:
             for key in [k for k in self.cancelled if k in self.out]:
@@ -166,7 +166,7 @@
         return seen
 
     def stall(self, seconds: float) -> list[api.Action]:
-        """The co-ordinator stands still; then all timers that came due fire in one batch."""
+        """Pause the co-ordinator; all timers that became due meanwhile then fire in one batch."""
         self.now += seconds
         self.stalled_at = self.now
         due = sorted(t for t in self.timers if t[0] <= self.now)
@@ -174,7 +174,7 @@
         return self.feed(*(api.TimerFired(label) for _, label in due))
 
     def warm_up(self, count: int = 40, latency: float = 0.1) -> None:
-        """Answer enough queries for the percentiles to be learned."""
+        """Answer enough queries for the latency percentiles to be estimated."""
         for i in range(count):
             query = self.query(i % self.settings.cell_count)
             part = self.step_parts[query][0]
@@ -199,20 +199,20 @@
                     self._check_refusal(query)
             case api.Cancel(part, attempt):
                 if attempt >= len(self.sends[part]) or not self.settings.cancellation_allowed:
-                    raise RuleViolationError("cancelled an attempt that was never made, or may not cancel")
+                    raise RuleViolationError("cancelled an unknown attempt, or cancellation is not allowed")
                 self.cancelled.append((part, attempt))
             case api.SetTimer(delay, label):
                 self.timers.append((self.now + delay, label))
 
     def _end(self, query: int, action: api.Action) -> None:
         if query in self.ended:
-            raise RuleViolationError(f"query {query} ended twice")
+            raise RuleViolationError(f"query {query} completed twice")
         if self.now > self.expires[query] + ANSWER_GRACE and self.now != self.stalled_at:
-            raise RuleViolationError(f"query {query} ended late")
+            raise RuleViolationError(f"query {query} completed after its deadline")
         self.ended[query] = action
 
     def possible_run_times(self, part: int) -> list[float]:
-        """When the attempts that may have run were sent."""
+        """Send times of the attempts that may have run."""
         return [
             at
             for n, (at, _) in enumerate(self.sends[part])
@@ -220,7 +220,7 @@
         ]
 
     def attempts_possibly_sent(self, part: int) -> int:
-        """All attempts but those known never to have left: the platform counts what comes to a replica."""
+        """Number of attempts not known to be unsent: the platform counts the attempts that reach replicas."""
         never_sent = api.AttemptOutcome.NEVER_SENT
         return sum(self.results.get((part, n)) is not never_sent for n in range(len(self.sends[part])))
 
@@ -230,13 +230,13 @@
         if kind.retry_safety is api.RetrySafety.NOT_IDEMPOTENT and any(
             self.possible_run_times(p) for p in parts
         ):
-            raise RuleViolationError("refused though a part may have run")
+            raise RuleViolationError("rejected an unsafe query of which a part may have run")
 
     def _check_send(self, part: int, replica_id: int, expires_at: float) -> None:
         query, now = self.query_of[part], self.now
         kind = self.settings.query_classes[self.classes[query]]
         if query in self.ended or part in self.ok or part not in self.step_parts[query]:
-            raise RuleViolationError("sent a part that is over")
+            raise RuleViolationError("sent a part that is already completed")
         if self.states[replica_id].state is not READY:
             raise RuleViolationError("sent to a replica that is draining or gone")
         candidate_cells = {
@@ -246,20 +246,20 @@
             raise RuleViolationError("sent to a replica that does not hold the shard")
         run_times = self.possible_run_times(part)
         if kind.retry_safety is api.RetrySafety.NOT_IDEMPOTENT and run_times:
-            raise RuleViolationError("an unsafe part that may have run was sent again")
+            raise RuleViolationError("sent an unsafe part again that may have run")
         if (
             kind.retry_safety is api.RetrySafety.IDEMPOTENCY_KEY
             and run_times
             and now > run_times[0] + (kind.idempotency_window or 0.0)
         ):
-            raise RuleViolationError("a keyed part was sent again after its window")
+            raise RuleViolationError("sent a keyed part again after its idempotency window")
         if not self.settings.hedging_allowed and any(key[0] == part for key in self.out):
-            raise RuleViolationError("two attempts at once where copies are not allowed")
+            raise RuleViolationError("sent a hedged request although hedging is not allowed")
         if (
             self.attempts_possibly_sent(part) >= self.settings.max_attempts
             or expires_at > self.expires[query]
         ):
-            raise RuleViolationError("too many attempts, or a time-out past the client's time")
+            raise RuleViolationError("too many attempts, or a timeout after the query's deadline")
         if self.sends[part]:
             self.extras.append(now)
             span = self.settings.retry_budget_window
@@ -270,7 +270,7 @@
                     used
                     > (self.settings.retry_budget_free or 0) + (self.settings.retry_budget_share or 0) * took
                 ):
-                    raise RuleViolationError("over the attempt budget")
+                    raise RuleViolationError("exceeded the retry budget")
         self.out[part, len(self.sends[part])] = replica_id
         self.sends[part].append((now, replica_id))
 
@@ -279,10 +279,10 @@
         weight = sum(self.weight[p] for p in parts if p in self.ok)
         step = self.steps[query]
         if weight < min(kind.required_coverage, kind.complete_coverage) - 1e-4 and step == 1:
-            raise RuleViolationError("answered from under the least share")
+            raise RuleViolationError("answered below the required coverage")
         need = kind.complete_coverage if step == 1 else 1.0
         if whole and (weight < need - 1e-4 or not self.whole.get(query, True)):
-            raise RuleViolationError("marked whole what is not")
+            raise RuleViolationError("marked an incomplete answer as complete")
         if kind.second_step_parts and step == 1:
             self.steps[query], self.whole[query], self.step_parts[query] = 2, whole, []
         else:
--- a/tests/recordings/__init__.py
+++ b/tests/recordings/__init__.py
@@ -1,1 +1,1 @@
-"""Recorded inputs and outputs that pin behaviour across refactorings."""
+"""Recorded inputs and outputs, which detect changes of behaviour in refactorings."""
--- a/tests/recordings/driver_host.py
+++ b/tests/recordings/driver_host.py
@@ -1,4 +1,4 @@
-"""A simulated host of the query driver: clients, senders and replicas whose behaviour a scenario states."""
+"""A simulated host of the query driver: clients, senders and replicas that behave as a scenario specifies."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 from recordings.driver_codec import Operation, RecordedExchange, RecordedSettled, Session
 
 START = 1000.0  # the first time on the host's clock
-MIN_TURN_INTERVAL = 0.0003  # seconds between two turns, at least
-SENDER_DELAY = 0.0004  # seconds from a call's start until a sender takes it
-SENDER_WAIT = 0.08  # seconds that a call waits for a sender that is late
+MIN_TURN_INTERVAL = 0.0003  # seconds between two turns
+SENDER_DELAY = 0.0004  # seconds from the start of a batch request until a sender takes it
+SENDER_WAIT = 0.08  # the same, if no sender is free at first
 MAX_BATCHES = 310
 READY, DRAINING, GONE = api.ReplicaState.READY, api.ReplicaState.DRAINING, api.ReplicaState.GONE
 FULL, DELTA, CACHED, FAILED = (
@@ -41,7 +41,10 @@
 
 @dataclass
 class Scenario:
-    """What a run meets. Chances are of each query, call or attempt; `timed`: (seconds after the start, inputs)."""
+    """Load and faults of one run. Probabilities are per query, batch or attempt.
+
+    `timed`: (seconds after the start, inputs).
+    """
 
     name: str
     settings: api.Settings
@@ -51,30 +54,30 @@
     max_parts: int = 4
     client_times: tuple[float, ...] = (2.0,)
     latency: float = 0.02
-    slow_share: float = 0.05  # chance of a slow attempt
-    slow_seconds: float = 0.7
+    slow_share: float = 0.05  # probability of a slow attempt
+    slow_seconds: float = 0.7  # added to the latency of a slow attempt
     failures: dict[api.AttemptOutcome, float] = field(default_factory=dict)
-    slow_replicas: dict[int, float] = field(default_factory=dict)  # replica -> times the latency
+    slow_replicas: dict[int, float] = field(default_factory=dict)  # replica -> multiple of the latency
     broken_replicas: dict[int, api.AttemptOutcome] = field(default_factory=dict)
     unresponsive_replicas: frozenset[int] = frozenset()  # never reply
-    rejected_starts: float = 0.0  # every sender is taken
-    sender_waits: float = 0.0  # waits for a sender
-    partial_sends: float = 0.0  # only the first errand leaves
-    late_replies: float = 0.3  # a call that was called off is reported all the same
+    rejected_starts: float = 0.0  # no sender has capacity for a batch
+    sender_waits: float = 0.0  # a batch waits for a sender
+    partial_sends: float = 0.0  # only the first attempt of a batch is sent
+    late_replies: float = 0.3  # a cancelled attempt is reported all the same
     disconnects: float = 0.0
-    early_end_times: float = 0.0  # an ending stamped before its attempt was sent
-    lists_with_deferred_events: float = 0.0  # a list comes as the driver has endings of its own to tell
+    early_end_times: float = 0.0  # `finished_at` is before the attempt was sent
+    lists_with_deferred_events: float = 0.0  # a list arrives while the driver has deferred events
     client_retries: float = 0.1
-    limited_parts: float = 0.0  # parts with a bound on runs
+    limited_parts: float = 0.0  # parts with `max_executions`
     second_parts: int | None = None
     first_list: tuple[t.EndpointsUpdated, ...] = ()
     pauses: tuple[tuple[float, float], ...] = ()  # (seconds after the start, length)
     timed: tuple[tuple[float, tuple[t.Input, ...]], ...] = ()
-    stop_after: float = inf  # the run is cut here, with queries open
+    stop_after: float = inf  # seconds after which the run ends, with queries open
 
 
 def listed(kind: api.MembershipUpdateKind, *rows: api.Replica) -> t.EndpointsUpdated:
-    """A list whose replicas have addresses."""
+    """An endpoint update whose replicas have addresses."""
     addresses = {row.id: (f"~{row.id}", 1000 + row.id) for row in rows if row.state is not GONE}
     return t.EndpointsUpdated(api.MembershipChanged(kind, rows), addresses)
 
@@ -84,7 +87,7 @@
 
 
 class Host:
-    """Runs a scenario: carries out effects as senders, replicas and clients would, and records each batch."""
+    """Runs a scenario: acts on effects as senders, replicas and clients would, and records each batch."""
 
     def __init__(self, scenario: Scenario) -> None:
         self.scenario, self.random = scenario, random.Random(scenario.seed)
@@ -110,7 +113,7 @@
         self._inputs.append(codec.encode_input(item, second_parts))
 
     def run(self) -> list[Any]:
-        """The whole recording."""
+        """Run the scenario and return the recording."""
         self._schedule_scenario()
         while len(self.batches) < MAX_BATCHES:
             due = min(self._due[0][0] if self._due else inf, self.session.driver.next_due())
@@ -223,7 +226,7 @@
         return result
 
     def _send(self, number: int, batch: t.BatchRequest) -> None:
-        """A sender writes the call."""
+        """Claim and send the attempts of a batch, as a sender does."""
         if self.chance(self.scenario.partial_sends):
             first = self.session.errand_number(batch.attempts[0])
             sent = [first] if self._operate(Operation.CLAIM, first) else []
--- a/tests/recordings/driver_tools.py
+++ b/tests/recordings/driver_tools.py
@@ -1,6 +1,6 @@
-"""Recorded calls of the driver's small helpers: clocks of starts, endings, reserve, timers, holders and so on.
+"""Recorded calls of the driver's helper classes: start times, attempt outcomes, reserve, timers, shard placement etc.
 
-Each is named in one place, `TOOLS`, by how it is made and what is called on it; the fixture holds positions.
+`TOOLS` lists for each how it is constructed and which calls are recorded; the fixture refers to them by position.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 class Clock:
-    """Two clocks that are set by hand."""
+    """A monotonic clock and a wall clock that are set by hand."""
 
     def __init__(self) -> None:
         self.monotonic = self.wall = 0.0
@@ -34,7 +34,7 @@
 
 
 class StartTimesTool:
-    """The start clock, with both its clocks."""
+    """`ReplicaStartTimes` with its two clocks."""
 
     def __init__(self, monotonic: float, wall: float) -> None:
         self.clock = Clock()
@@ -46,7 +46,7 @@
 
 
 class AdmissionTool:
-    """Admission, with its clock."""
+    """`Admission` with its clock."""
 
     def __init__(self, open_queries: int, result_bytes: int, max_retry_after: float) -> None:
         self.clock = Clock()
@@ -55,7 +55,7 @@
         )
 
     def admit_query(self, size: int, open_result_bytes: int) -> tuple[bool, float]:
-        """Whether there was room, and the advice where there was none."""
+        """Return whether a query was admitted, and if not, the Retry-After."""
         try:
             self.admission.admit(size, open_result_bytes)
         except Rejected as rejected:
@@ -67,7 +67,7 @@
 
 
 class ShardPlacementTool:
-    """The holders of shards."""
+    """`ShardPlacement`, fed with endpoint updates."""
 
     def __init__(self, cells: int, width: int) -> None:
         self.placement = ShardPlacement(cells, width)
@@ -81,7 +81,7 @@
 
 
 class AttemptOutcomeTool:
-    """What the end of an exchange proves."""
+    """The functions of `attempt_outcome`."""
 
     def transport_error(
         self, phase: attempt_outcome.ExchangePhase, wrote: int, timed_out: bool
@@ -95,7 +95,7 @@
 
 
 class SendDeadlineTool(NamedTuple):
-    """A call that was decided at some time."""
+    """A batch request that was decided at a given time."""
 
     decided_at: float
 
@@ -106,7 +106,7 @@
 
 
 class Tool(NamedTuple):
-    """How a helper is made, and what is called on it; append only."""
+    """How a helper is constructed, and the calls that are recorded; append only."""
 
     make: Callable[..., Any]
     calls: tuple[Callable[..., Any], ...]
@@ -165,7 +165,7 @@
 
 
 class ToolUse:
-    """One helper in use: each call is given, and its result read, in the form of the recordings."""
+    """One instance of a helper; arguments and results of its calls are in the form of the recordings."""
 
     def __init__(self, tool: int, arguments: list[Any]) -> None:
         self._tool = TOOLS[tool]
@@ -175,7 +175,7 @@
         decoded = [decode(argument) for argument in arguments]
         try:
             result = self._tool.calls[index](self._object, *decoded)
-        except Exception:  # of any type: only that it broke is recorded
+        except Exception:  # the type is not recorded
             return [RAISED]
         return encode(result)
 
@@ -191,7 +191,7 @@
 
 
 def record_tools() -> list[Any]:
-    """All uses: `[tool, what it is made of, [call, arguments, result]...]` each."""
+    """All uses, each as `[tool, constructor arguments, [call, arguments, result]...]`."""
     return [
         *(
             _start_times(ahead, step)
@@ -210,7 +210,7 @@
 
 
 def _start_times(ahead: float, step: float) -> list[Any]:
-    """A wall clock that is `ahead` from the first, and is stepped by `step` on the way."""
+    """Use a wall clock that is `ahead` from the start and is stepped by `step` during the run."""
     use, draw, unix = _Recorder(START_TIMES, 1000.0, 1.7e9 + ahead), random.Random(3), 1.7e9 - 1000.0
     known = {number: unix + 500.0 + 60 * number for number in range(4)}
     use(2)
--- a/tests/recordings/record_decisions.py
+++ b/tests/recordings/record_decisions.py
@@ -1,6 +1,6 @@
-"""Write the recordings anew: `python -m tests.recordings.record_decisions [NAME ...]`, from the root.
+"""Writes the recordings: `python -m tests.recordings.record_decisions [NAME ...]`, from the root of the repository.
 
-To be run only when decisions are meant to change; never by a test. It says what it wrote.
+To be run only after decisions were changed on purpose; never by a test. It prints what it wrote.
 """
 
 from __future__ import annotations
@@ -8,7 +8,7 @@
 import sys
 from pathlib import Path
 
-sys.path.insert(0, str(Path(__file__).parents[1]))  # of the helpers that the scenarios import
+sys.path.insert(0, str(Path(__file__).parents[1]))  # for the test helpers that the scenarios import
 if __package__ in (None, ""):  # run by path
     sys.path.insert(0, str(Path(__file__).parents[2]))
     __package__ = "recordings"
@@ -19,7 +19,7 @@
 
 
 def main(chosen: list[str]) -> None:
-    """Record the scenarios that are named, or all; with all, what is no scenario any more goes."""
+    """Record the named scenarios, or all of them and then delete recordings that have no scenario any more."""
     made = set[str]()
     for name, scenario in scenarios():
         made.add(name)
--- a/tests/recordings/record_driver.py
+++ b/tests/recordings/record_driver.py
@@ -1,16 +1,16 @@
-"""Makes the fixtures `driver-*.json.gz`: runs of the query driver against a small simulated host.
+"""Writes the fixtures `driver-*.json.gz`: runs of the query driver against a simulated host.
 
-Run it only to record a behaviour that was changed on purpose; the test replays what is on disk:
+Run it only after a behaviour was changed on purpose; the test replays the fixtures on disk:
 
     PYTHONPATH=.:tests python -m recordings.record_driver            # write the fixtures
-    PYTHONPATH=.:tests python -m recordings.record_driver --lines    # print lines that the runs do not take
-
-Measured with `--lines` when the recordings were made, within functions: every line of driver.py (since split into
-open_queries.py, attempt_tracking.py, batch_assembly.py, query_completion.py and driver_counts.py, measured anew),
-timers.py, attempt_outcome.py, response_time_reserve.py, shard_placement.py, process_pause.py and retry_after.py is
-taken. Not taken: in replica_start_times.py the one that forgets the oldest of more than 8192 starts (it would need a
-large fixture), in types.py the body of `InvalidReply`, which the driver never sees. Of the package `decisions`, which
-has recordings of its own, the lines that keep counts short after a long time and a few others.
+    PYTHONPATH=.:tests python -m recordings.record_driver --lines    # print lines that the runs do not execute
+
+According to `--lines`, the runs execute every line within functions of driver.py, open_queries.py,
+attempt_tracking.py, batch_assembly.py, query_completion.py, driver_counts.py, timers.py, attempt_outcome.py,
+response_time_reserve.py, shard_placement.py, process_pause.py and retry_after.py. Not executed: in
+replica_start_times.py the line that drops the oldest of more than 8192 start times (it would need a large fixture),
+in types.py the body of `InvalidReply`, which the driver never sees; in the package `decisions`, which has recordings
+of its own, the lines that bound counts over a long time, and a few others.
 """
 
 from __future__ import annotations
@@ -76,7 +76,7 @@
 
 
 def scenarios() -> list[Scenario]:
-    """All runs of the real module."""
+    """All runs with the real decision module."""
     return [*_load(), *_classes(), *_membership(), *_completions()]
 
 
@@ -191,7 +191,7 @@
 
 
 def hedged(settings: api.Settings) -> tuple[api.QueryClass, ...]:
-    """The classes, and one that is safe to repeat."""
+    """The classes, and one whose queries are idempotent."""
     return (*settings.query_classes, query_class(aim=0.3, deadline=1.0))
 
 
@@ -291,11 +291,11 @@
     ]
 
 
-# ---- a scripted module: what the real one never does
+# ---- a scripted decision module, for behaviour that the real one never shows
 
 
 def scripted() -> dict[str, list[Any]]:
-    """Runs in which the module errs, or does what the real one does too seldom to meet."""
+    """Runs in which the module makes errors, or takes actions that are rare with the real one."""
     state = api.ReplicaEjected(1, 2.0, api.EjectionReason.NO_RESPONSE), api.ReplicaReinstated(1)
     everything: list[list[api.Action]] = [
         [api.WatchMembership(), api.CloseIdle(0), api.CloseIdle(99), api.LogMessage("a line"), *state],
@@ -339,7 +339,7 @@
 def _scripted(
     settings: api.Settings, actions: list[list[api.Action]], second_parts: int | None = None
 ) -> list[Any]:
-    """One query of two parts, of which the first is answered and then again."""
+    """Run one query of two parts, the first of which is answered twice."""
     encoded, script = codec.encode(settings), [codec.encode(batch) for batch in actions]
     session = Session(encoded, 0, script)
     parts = t.PartPlan(0, 0.5, 101), t.PartPlan(1, 0.5, 102)
@@ -383,7 +383,7 @@
 
 
 def run_all() -> None:
-    """All runs, of which nothing is written."""
+    """Execute all runs without writing fixtures."""
     for scenario in scenarios():
         Host(scenario).run()
     scripted()
--- a/tests/recordings/scenarios.py
+++ b/tests/recordings/scenarios.py
@@ -1,4 +1,4 @@
-"""The recorded scenarios: drawn ones that mix everything, and directed ones for what those seldom meet."""
+"""The recorded scenarios: random ones that mix all kinds of events, and directed ones for rare cases."""
 
 from __future__ import annotations
 
@@ -34,32 +34,32 @@
 
 
 def replica(number: int, cell: int = 0, zone: int = 0, started: float = 0.0) -> api.Replica:
-    """A replica that is ready."""
+    """A replica in state ready."""
     return api.Replica(FIRST_ID + number, cell, zone, 1.0, READY, started)
 
 
 def fleet(count: int, cells: int = 1, zones: int = 1) -> tuple[api.Replica, ...]:
-    """Replicas that started long ago, spread over cells and zones."""
+    """Warm replicas, spread over cells and zones."""
     return tuple(replica(i, i % cells, i // cells % zones) for i in range(count))
 
 
 def listed(
     at: float, kind: api.MembershipUpdateKind, *rows: api.Replica
 ) -> tuple[float, api.MembershipChanged]:
-    """A list event at a time of the scenario."""
+    """A membership change at a time of the scenario."""
     return at, api.MembershipChanged(kind, rows)
 
 
 def message(at: float, number: int, payload: bytes) -> tuple[float, api.PeerMessageReceived]:
-    """A peer's word on a replica."""
+    """A message of a peer about a replica."""
     return at, api.PeerMessageReceived(1, number.to_bytes(8, "big") + payload)
 
 
-# ---- drawn
+# ---- random scenarios
 
 
 def drawn_class(draw: random.Random) -> api.QueryClass:
-    """A class of queries; shares under 1, second steps and stretched aims are frequent."""
+    """A random query class; coverages below 1, second steps and stretched objectives are frequent."""
     aim = draw.choice((0.3, 0.5, 1.0))
     semantics = draw.choice((SAFE, SAFE, KEYED, UNSAFE))
     least, whole = draw.choice(((1.0, 1.0), (1.0, 1.0), (0.75, 0.75), (0.5, 1.0), (0.5, 0.9), (1.0, 0.8)))
@@ -78,7 +78,7 @@
 
 
 def drawn_settings(draw: random.Random) -> api.Settings:
-    """Settings of a site in which about everything may be permitted or not."""
+    """Random settings, in which nearly every permission may be on or off."""
     with_budget = draw.random() < 0.4
     cells = draw.choice((1, 2, 4, 6))
     return api.Settings(
@@ -112,7 +112,7 @@
 def drawn_lists(
     draw: random.Random, rows: tuple[api.Replica, ...]
 ) -> Iterator[tuple[float, api.MembershipChanged]]:
-    """Restarts, drains, replacements, and lists that are old, whole or failed."""
+    """Restarts, drains, replacements, and lists that are cached, full or failed."""
     current = {row.id: row for row in rows}
     yield listed(0.0, draw.choice((FULL, CACHED)), *rows)
     for _ in range(draw.randint(3, 8)):
@@ -138,7 +138,7 @@
 
 
 def drawn_fault(draw: random.Random, rows: tuple[api.Replica, ...]) -> Fault:
-    """Some replicas at fault for some seconds, at times all of them."""
+    """A fault of some or all replicas for some seconds."""
     begins = round(draw.uniform(1.0, 14.0), 1)
     affected = draw.sample(rows, draw.randint(0, max(1, len(rows) // 3)))
     return Fault(
@@ -151,7 +151,7 @@
 
 
 def drawn_others(draw: random.Random, rows: tuple[api.Replica, ...]) -> Iterator[tuple[float, api.Event]]:
-    """Peers' messages, true, false, garbled or of what nobody knows, and a probe's end."""
+    """Messages of peers (correct, false, malformed, or about unknown replicas), and the end of a health check."""
     for _ in range(draw.randint(0, 12)):
         at, number = round(draw.uniform(0.5, 19.0), 3), draw.choice((*(r.id for r in rows), UNKNOWN_ID))
         yield message(at, number, draw.choice(MESSAGES))
@@ -160,7 +160,7 @@
 
 
 def drawn_scenario(seed: int) -> Scenario:
-    """One scenario of the mixed kind."""
+    """A random scenario."""
     draw = random.Random(seed)
     settings = drawn_settings(draw)
     rows = fleet(settings.cell_count * draw.choice((2, 3, 4)), settings.cell_count, draw.choice((1, 2)))
@@ -185,16 +185,16 @@
     )
 
 
-# ---- directed
+# ---- directed scenarios
 
 
 def steady(rate: float = 10.0, ends: float = 20.0) -> Load:
-    """Narrow queries at an even rate."""
+    """Queries of one part each at a constant mean rate."""
     return Load(0.1, ends, rate, 1, 1)
 
 
 def directed() -> Iterator[tuple[str, Scenario]]:
-    """Scenarios made for one thing each."""
+    """Scenarios that each exercise one behaviour, by name."""
     three, six = fleet(3), fleet(6)
     yield (
         "silent-then-restarted",
@@ -618,7 +618,7 @@
 
 
 def scenarios() -> Iterator[tuple[str, Scenario]]:
-    """All that is recorded, by name of the recording."""
+    """All recorded scenarios, by name of the recording."""
     yield from directed()
     for seed in range(DRAWN_SCENARIOS):
         yield f"drawn-{seed:02}", drawn_scenario(seed)
--- a/tests/recordings/simulator.py
+++ b/tests/recordings/simulator.py
@@ -1,7 +1,7 @@
-"""A simulated host with replicas that fail as a scenario says; it keeps to what a host owes the module.
+"""A simulated host with replicas that fail as a scenario specifies. It fulfils the contract of a host.
 
-The parts of a query come in its batch, each send ends exactly once, a timer fires in the first batch at or
-after its time, and a second step's parts follow the answer to the first.
+The parts of a query arrive in the batch of the query, each send ends exactly once, a timer fires in the first batch
+at or after its time, and the parts of a second step follow the answer to the first.
 """
 
 from __future__ import annotations
@@ -19,13 +19,13 @@
 from .codec import Recorder, Recording
 
 START = 1000.0  # of the host's clock
-TICK = 0.005  # seconds between two batches, at least
-DIGITS = 4  # of drawn latencies: short numbers keep the fixtures small
-ABANDONED_AFTER = 0.5  # seconds past its time at which a host gives a query up by itself
+TICK = 0.005  # minimum seconds between two batches
+DIGITS = 4  # decimal places of random latencies: short numbers keep the fixtures small
+ABANDONED_AFTER = 0.5  # seconds after a query's deadline at which the host abandons it
 
 
 class FaultKind(Enum):
-    """What a replica does to a part while it is at fault."""
+    """Effect of a fault on the attempts at a replica."""
 
     SLOW = auto()
     UNRESPONSIVE = auto()
@@ -47,14 +47,14 @@
 
 @dataclass(frozen=True)
 class Fault:
-    """Some replicas (all, if none is named) fail a share of their parts for a while."""
+    """Some replicas (all, if none is named) fail a share of their attempts for a time."""
 
     kind: FaultKind
     begins: float
     ends: float
     replicas: frozenset[int] = frozenset()
     share: float = 1.0
-    slowness: float = 8.0  # times the usual latency
+    slowness: float = 8.0  # multiple of the usual latency
 
 
 @dataclass(frozen=True)
@@ -63,21 +63,21 @@
 
     begins: float
     ends: float
-    rate: float  # queries a second
-    min_parts: int = 1  # parts of a query
+    rate: float  # queries per second
+    min_parts: int = 1  # of a query
     max_parts: int = 3
     classes: tuple[int, ...] = (0,)
     tenants: int = 1
     repeat_share: float = 0.0
-    leaving_share: float = 0.0  # of clients that go before they have an answer
+    leaving_share: float = 0.0  # share of clients that disconnect before they have an answer
     even_weights: bool = True
     shards: tuple[int, ...] = ()  # all, if none is named
-    deadline_factor: float = 1.0  # of the class's deadline: when a query expires
+    deadline_factor: float = 1.0  # a query's deadline as a multiple of its class's
 
 
 @dataclass(frozen=True)
 class Scenario:
-    """What happens to one co-ordinator; times are seconds from the start of the recording."""
+    """Inputs and faults of one co-ordinator; times are seconds from the start of the recording."""
 
     settings: api.Settings
     loads: tuple[Load, ...]
@@ -85,14 +85,14 @@
     faults: tuple[Fault, ...] = ()
     other_events: tuple[
         tuple[float, api.Event], ...
-    ] = ()  # peers' messages, probes, and events out of the blue
-    pauses: tuple[tuple[float, float], ...] = ()  # from, for seconds
+    ] = ()  # messages of peers, health checks, unexpected events
+    pauses: tuple[tuple[float, float], ...] = ()  # start and length, in seconds
     duration: float = 20.0
-    latency: float = 0.08  # seconds, in the mean
-    capacity: float = inf  # calls at a replica at which its latency is doubled
+    latency: float = 0.08  # mean, in seconds
+    capacity: float = inf  # attempts in flight at a replica at which its latency is doubled
     failed_subscriptions: int = 0
-    late_cancels: float = 0.2  # share of cancelled attempts that end as they would have
-    lost_second_steps: float = 0.05  # share that never comes
+    late_cancels: float = 0.2  # share of cancelled attempts that end as if they had not been cancelled
+    lost_second_steps: float = 0.05  # share of second steps that never begin
     seed: int = 1
 
 
@@ -113,7 +113,7 @@
 
 
 class Simulator:
-    """Plays one scenario to a co-ordinator and records it."""
+    """Runs one scenario with a co-ordinator and records it."""
 
     def __init__(self, scenario: Scenario) -> None:
         self.scenario, self.settings = scenario, scenario.settings
@@ -129,7 +129,7 @@
         self.failed_subscriptions = scenario.failed_subscriptions
 
     def run(self) -> Recording:
-        """Play the scenario to its end."""
+        """Run the scenario to its end and return the recording."""
         for at, change in self.scenario.lists:
             self._at(START + at, lambda change=change: self._listed(change))  # type: ignore[misc]
         for at, event in self.scenario.other_events:
@@ -145,7 +145,7 @@
         heapq.heappush(self.due, (at, self.order, events))
 
     def _turn(self) -> None:
-        """One batch: all that is due at the next tick, or at the end of a standstill."""
+        """Handle one batch: the events due at the next tick, or at the end of a process pause."""
         at = max(self.due[0][0], self.now + TICK)
         for begins, seconds in self.scenario.pauses:
             if START + begins <= at < START + begins + seconds:
@@ -160,7 +160,7 @@
             for action in self.recorder.handle(self.now, events):
                 self._execute(action)
 
-    # ---- what comes
+    # ---- events
 
     def _listed(self, change: api.MembershipChanged) -> list[api.Event]:
         if change.kind is not api.MembershipUpdateKind.FAILED:
@@ -170,7 +170,7 @@
         return [change]
 
     def _arrive(self, load: Load) -> list[api.Event]:
-        """A query with its parts; the next one is already on its way."""
+        """Schedule the next query, and return the arrival of a query with its parts."""
         following = self.now + self.draw.expovariate(load.rate)
         if following < START + load.ends:
             self._at(following, lambda: self._arrive(load))
@@ -229,7 +229,7 @@
         self.next_id += 1
         return self.next_id
 
-    # ---- what the module asks for
+    # ---- actions of the module
 
     def _execute(self, action: api.Action) -> None:
         match action:
@@ -277,7 +277,7 @@
                     outcome, latency = FAST_OUTCOMES[fault.kind], min(latency, 0.01)
         ends_at = self.now + round(latency, DIGITS) if latency < inf else inf
         if ends_at >= expires_at:
-            # The module's own timer for a query is at times read before the time-outs of its parts.
+            # Sometimes the module's own timer of a query fires before the timeouts of its parts.
             ends_at, outcome = expires_at + TICK * self.draw.randrange(3), api.AttemptOutcome.TIMED_OUT
         self.open_attempts[key] = _Attempt(replica, self.now, outcome)
         self.in_flight[replica] += 1
--- a/tests/recordings/untaken.py
+++ b/tests/recordings/untaken.py
@@ -1,4 +1,4 @@
-"""Which lines of some files a run does not take."""
+"""Finds the lines of some files that a run does not execute."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def untaken_lines(watched: Sequence[Path], run: Callable[[], None]) -> dict[Path, list[int]]:
-    """Lines within functions of the watched files that `run` does not take."""
+    """Lines within functions of the watched files that `run` does not execute."""
     names = {str(path) for path in watched}
     taken: set[tuple[str, int]] = set()
 
@@ -31,7 +31,7 @@
 
 
 def _lines(path: Path) -> set[int]:
-    """Lines that functions of a file hold."""
+    """Lines within functions of a file."""
     found: set[int] = set()
 
     def walk(code: CodeType, inside: bool) -> None:
@@ -39,7 +39,7 @@
             found.update(line for _, _, line in code.co_lines() if line and line != code.co_firstlineno)
         for constant in code.co_consts:
             if isinstance(constant, CodeType):
-                # The body of a class runs as it is imported; only what its functions hold is of interest.
+                # A class body runs at import; only the functions in it are of interest.
                 walk(constant, bool(constant.co_flags & CO_NEWLOCALS))
 
     walk(compile(path.read_text(), str(path), "exec"), False)
--- a/tests/recordings/values.py
+++ b/tests/recordings/values.py
@@ -1,4 +1,4 @@
-"""What the two forms of recordings have in common: fields in order, and members of enumerations by position."""
+"""Shared by both recording formats: fields in order, and enumeration members by position."""
 
 from __future__ import annotations
 
@@ -22,5 +22,5 @@
 
 
 def member_at(enumerations: Sequence[type[Enum]], enumeration: int, position: int) -> Enum:
-    """Return the member that has this `member_position`."""
+    """Return the member at a `member_position`."""
     return list(enumerations[enumeration])[position]
--- a/tests/test_answers_property.py
+++ b/tests/test_answers_property.py
@@ -1,7 +1,7 @@
-"""Driver and module with drawn settings: whatever comes, in whatever order and batch, no answer is false.
+"""Driver and decision module with random settings: for any inputs in any order no answer is wrong or falsely marked.
 
-The machine keeps ledgers of its own of what has been answered, from what it handed to the driver, and checks
-each answer and each second step against them. On the code of the incident it finds the empty second step.
+The state machine keeps its own model of each query, from the inputs that it gave to the driver, and checks each
+answer and each second step against it. It guards against a fault in which a second step was begun without any parts.
 """
 
 from __future__ import annotations
@@ -19,20 +19,27 @@
 from gingervane.coordinator.driver import Driver
 from gingervane.decisions.engine import DecisionEngine
 
-# Time passes between two turns, as for a decision thread: where latencies are zero, hedge timers are due at
-# once, and with a clock that stands still they would be due for ever.
-TURN_SECONDS = 0.001  # seconds
+# Seconds that pass between two turns. With a clock that did not advance, hedge timers would be due again and again
+# when latencies are zero.
+TURN_SECONDS = 0.001
 OBJECTIVE = 0.5  # seconds, the latency objective
 DEADLINE = 2.0  # seconds
-WEIGHT_TOLERANCE = 1e-4  # of a sum of weights
-COVERAGES = ((1.0, 1.0), (0.75, 0.75), (0.5, 1.0), (0.5, 0.75), (1.0, 0.75), (0.7, 0.9))
+WEIGHT_TOLERANCE = 1e-4  # rounding error of a sum of weights
+COVERAGES = (  # required coverage and complete coverage
+    (1.0, 1.0),
+    (0.75, 0.75),
+    (0.5, 1.0),
+    (0.5, 0.75),
+    (1.0, 0.75),
+    (0.7, 0.9),
+)
 ROWS = tuple(replica(number, zone=number % 2) for number in range(4))
 ADDRESSES = {row.id: ("127.0.0.1", row.id + 1) for row in ROWS}
 FAILURES = [o for o in api.AttemptOutcome if o not in (api.AttemptOutcome.OK, api.AttemptOutcome.CANCELLED)]
 
 
 class Content(NamedTuple):
-    """What a part asks for, by which its ledger is found."""
+    """Content of a part, which identifies the part."""
 
     query: int
     step: int
@@ -50,7 +57,7 @@
 
 
 class QueryModel:
-    """One query, as its client and its replicas see it."""
+    """Model of one query: what the client requested, and which parts the replicas answered."""
 
     def __init__(self, kind: api.QueryClass, weights: dict[int, float], deadline: float) -> None:
         self.kind, self.weights, self.deadline = kind, weights, deadline
@@ -68,7 +75,7 @@
 
 
 class AnswersMachine(RuleBasedStateMachine):
-    """Settings are drawn once; then anything may come."""
+    """Draws settings once, then inputs in any order."""
 
     @initialize(
         shares=st.tuples(st.sampled_from(COVERAGES), st.sampled_from(COVERAGES)),
@@ -104,11 +111,11 @@
         )
         self.driver, self.now = Driver(DecisionEngine(config, 5), config), 100.0
         self.models: dict[int, QueryModel] = {}
-        self.in_flight: list[t.AttemptRequest] = []  # claimed and unanswered
+        self.in_flight: list[t.AttemptRequest] = []  # claimed and not ended
         self.pending: list[t.Input] = []
         self.update_endpoints({})
 
-    # ---- what comes
+    # ---- inputs
 
     @rule(
         kind=st.integers(0, 1),
@@ -154,7 +161,7 @@
 
     @rule(seconds=st.sampled_from([0.001, 0.02, 0.1, OBJECTIVE - 0.01, 1.0]))
     def wait(self, seconds: float) -> None:
-        """Timers fire in batches of their own."""
+        """Fire due timers, each in its own batch."""
         until = self.now + seconds
         while (due := self.driver.next_due()) <= until:
             self.now = max(self.now + TURN_SECONDS, due)
@@ -163,14 +170,14 @@
 
     @rule(seconds=st.sampled_from([0.005, 0.1, OBJECTIVE, 1.0]))
     def pause(self, seconds: float) -> None:
-        """Whatever is pending, and all timers due, come in one batch."""
+        """Pause the process; all pending inputs and due timers then form one batch."""
         self.now += seconds
         self.turn()
 
     @precondition(lambda self: any(model.objective_at > self.now for model in self.models.values()))
     @rule(pick=st.integers(0, 1 << 16), some=st.lists(st.integers(0, 1 << 16), max_size=6))
     def reply_at_an_objective(self, pick: int, some: list[int]) -> None:
-        """Answers come in the very batch in which the objective timer of a query is due."""
+        """Deliver replies in the batch in which the latency-objective timer of a query is due."""
         models = [model for model in self.models.values() if model.objective_at > self.now]
         objective_at = models[pick % len(models)].objective_at
         self.wait(objective_at - self.now - 3 * BASE.timer_granularity)
@@ -198,7 +205,7 @@
         self.pending.append(t.Shutdown())
         self.turn()
 
-    # ---- what is checked
+    # ---- checks
 
     def turn(self) -> None:
         inputs, self.pending = self.pending, []
@@ -207,7 +214,7 @@
             match effect:
                 case t.StartRequest(batch):
                     for attempt in batch.attempts:
-                        assert attempt.content.query not in before, "sent after its query's end"
+                        assert attempt.content.query not in before, "sent for a completed query"
                         if attempt.claim():
                             self.in_flight.append(attempt)
                 case t.CompleteQuery(on_result, result, _):
@@ -217,10 +224,10 @@
         def begin(results: dict[int, Any], whole: bool) -> tuple[t.PartPlan, ...]:
             model = self.models[number]
             received_shards = {content.shard for content in results.values()}
-            assert model.second_step_shards is None, "a second step twice"
+            assert model.second_step_shards is None, "the second step began twice"
             assert received_shards <= {
                 shard for step, shard in model.answered if step == 1
-            }, "names a shard not in"
+            }, "a result of a shard that has not answered"
             share = model.first_step_weight(received_shards)
             assert (
                 received_shards
@@ -229,7 +236,7 @@
             )
             assert (
                 not whole or share >= model.kind.complete_coverage - WEIGHT_TOLERANCE
-            ), "marked whole that is not"
+            ), "an incomplete first step marked as complete"
             chosen = tuple(sorted(received_shards)[: model.kind.second_step_parts])
             model.second_step_shards, model.first_step_complete = chosen, whole
             return tuple(t.PartPlan(s, 1 / len(chosen), Content(number, 2, s)) for s in chosen)
@@ -239,11 +246,11 @@
     @invariant()
     def answers_are_correct(self) -> None:
         for number, model in getattr(self, "models", {}).items():
-            assert len(model.results) <= 1, "two results"
+            assert len(model.results) <= 1, "completed twice"
             for result in model.results:
                 assert (
                     result.reason is not api.QueryEndReason.COVERAGE_CHECK_FAILED
-                ), "the module called a false answer"
+                ), "the module made an answer that fails the coverage check"
                 if result.status in (t.QueryStatus.COMPLETE, t.QueryStatus.PARTIAL):
                     self._check(number, model, result)
 
@@ -253,26 +260,28 @@
         assert all(content == Content(number, step, content.shard) for content in result.results.values())
         assert received_shards <= {
             shard for s, shard in model.answered if s == step
-        }, "a part that was not answered"
+        }, "a result of a part that was not answered"
         marked = result.status is t.QueryStatus.COMPLETE or result.marked_complete
         if step == 1:
             share = model.first_step_weight(received_shards)
             assert (
                 received_shards
                 and share >= min(kind.required_coverage, kind.complete_coverage) - WEIGHT_TOLERANCE
-            ), "under its least share"
+            ), "below the required coverage"
             assert (
                 not marked or share >= kind.complete_coverage - WEIGHT_TOLERANCE
-            ), "marked whole that is not"
+            ), "an incomplete answer marked as complete"
             return
-        assert model.second_step_shards, "no second step was asked"
+        assert model.second_step_shards, "answered without a second step"
         share = len(received_shards) / len(model.second_step_shards)
         least = kind.required_coverage if kind.required_coverage < kind.complete_coverage else 1.0
-        assert share >= least - WEIGHT_TOLERANCE, "under its least share"
-        assert not marked or (model.first_step_complete and share == 1.0), "marked whole that is not"
+        assert share >= least - WEIGHT_TOLERANCE, "below the required coverage"
+        assert not marked or (
+            model.first_step_complete and share == 1.0
+        ), "an incomplete answer marked as complete"
 
     def teardown(self) -> None:
-        """All timers run out: every query has its one result."""
+        """Fire all timers: every query has exactly one result."""
         if not hasattr(self, "models"):
             return
         self.turn()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,6 +1,6 @@
-"""Two events that cross at the node's sockets, each order forced: a hook or a stand-in holds one back.
+"""Races between two events at the node's sockets, each order forced by a hook or a fake that delays one of them.
 
-The table in docs/design/node.md names the place that each of these forces.
+The table in docs/design/node.md names the point in the code that each test forces.
 """
 
 from __future__ import annotations
@@ -47,7 +47,7 @@
 
 @pytest.fixture
 def completed_queries(monkeypatch: pytest.MonkeyPatch) -> Waiter:
-    """Ids and verdicts of queries as the decision thread settles them."""
+    """Collects the id and status of each query as the decision thread completes it."""
     seen, original = Waiter(), QueryLog.query_completed
 
     def record(self: QueryLog, number: int, plan: t.QueryPlan, final: t.QueryResult, seconds: float) -> None:
@@ -60,7 +60,7 @@
 
 @pytest.fixture
 def connects_allowed(monkeypatch: pytest.MonkeyPatch) -> Iterator[threading.Event]:
-    """No connection to a replica comes up before this is set."""
+    """No connection to a replica is established until this event is set."""
     allowed, finish_connect = threading.Event(), ReplicaConnection._finish_connect
 
     def blocked(self: ReplicaConnection) -> None:
@@ -79,7 +79,7 @@
 
 
 def partly_sent_parts(connection: ReplicaConnection) -> set[str]:
-    """Ids of the parts in a frame that has left in part."""
+    """Ids of the parts in the frame that is partly sent."""
     frame = connection._queue.partial
     return frame.parts if frame else set()
 
@@ -89,7 +89,7 @@
 
 
 def replica_not_reading(patch: pytest.MonkeyPatch) -> Replica:
-    """A replica that does not read yet, behind buffers so small that a long frame leaves in part."""
+    """A replica that does not read yet, with socket buffers so small that a long frame is only partly sent."""
     connect = ReplicaConnection.connect
 
     def connect_with_small_buffer(self: ReplicaConnection) -> None:
@@ -104,7 +104,7 @@
 
 
 def send(connections: ReplicaConnections, replica: Replica, number: int, name: str) -> t.BatchRequest:
-    """One part, in the place of the decision thread; back once its replica has it."""
+    """Send one part, as the decision thread would, and return once its replica has received it."""
     attempt_request, where = (
         t.AttemptRequest(number, 0, SubqueryRequest(name, 0, "", b"x"), RetrySafety.IDEMPOTENT),
         ("127.0.0.1", replica.port),
@@ -112,13 +112,16 @@
     batch = t.BatchRequest(number, 1, where, FrameCodec(), [attempt_request], time.monotonic())
     assert connections.start(batch)
     while len(replica.parts.items) < number:
-        until(lambda: connections._writable or len(replica.parts.items) == number, "the connection is up")
+        until(
+            lambda: connections._writable or len(replica.parts.items) == number,
+            "the connection is established",
+        )
         connections.maintain()
     return batch
 
 
 def test_reply_after_the_timeout_of_its_part_is_ignored() -> None:
-    """Its place on the connection has been given to another part by then, which ended with the connection."""
+    """Its stream slot is in use by another part by then, which used to fail together with the connection."""
     replica, reports = Replica(0, lambda wire, part: None), Waiter()
     connections = ReplicaConnections(
         ReplicaConnectionLimits(
@@ -142,7 +145,7 @@
     monkeypatch: pytest.MonkeyPatch,
     why: str,
 ) -> None:
-    """The reader has taken the answer off its books and not told of it yet: nothing is out on the link."""
+    """The reader has removed the part but not yet reported its result, so the connection looks unused."""
     replica, other, reports = Replica(0), Replica(0), Waiter()
     idle = 0.0 if why == "idle for too long" else PATIENCE
     connections = ReplicaConnections(
@@ -191,12 +194,12 @@
         reports.put,
     )
     send(connections, replica, 1, "a.0")
-    connections.close_idle(("127.0.0.1", replica.port))  # with a part out: it stays until that is answered
+    connections.close_idle(("127.0.0.1", replica.port))  # a part is in flight: it closes after the reply
     send(connections, replica, 2, "b.0")
     assert len(replica.wires) == 2
     for wire, part in zip(replica.wires, ("a.0", "b.0"), strict=True):
         wire.raw(answer(part))
-    until(lambda: sum(map(len, reports.items)) == 2, "both answers are told, in one report or in two")
+    until(lambda: sum(map(len, reports.items)) == 2, "both results are reported, in one report or in two")
     connections._sweep(time.monotonic())
     assert sum(not connection.broken for connection in connections._by_number.values()) == 1
     connections.close()
@@ -207,7 +210,7 @@
     tmp_path: Path,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The decision thread broke, and with it every query after."""
+    """The error used to end the decision thread, so that every later query failed."""
     platform = Platform(tmp_path, Replica(0))
 
     def none_left(self: ReplicaConnection, *args: object) -> None:
@@ -224,7 +227,7 @@
     tmp_path: Path,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Told as could-not-connect, which proves that it never ran: then it must not leave once that is up."""
+    """Its attempt ended as `connect failed`, which states that it did not run: it must not be sent afterwards."""
     late, finish_connect = list[ReplicaConnection](), ReplicaConnection._finish_connect
 
     def blocked(self: ReplicaConnection) -> None:
@@ -236,7 +239,7 @@
     platform = Platform(tmp_path, settings=with_limits(ConnectTimeoutS=0.1))
     assert platform.ask("q", {0: 1.0}, "/book")[0] == 200
     assert late[0].broken
-    late[0]._finish_connect()  # now it is up, so to speak
+    late[0]._finish_connect()  # as if the connection were established now
     connections_of(platform).maintain()
     for number in range(10):
         assert platform.ask(f"after{number}", {0: 1.0})[0] == 200
@@ -244,7 +247,7 @@
     platform.close()
 
 
-# ---- a part that waits, and the end of its query
+# ---- a waiting part, and the end of its query
 
 
 @pytest.mark.parametrize("cancelling", [True, False])
@@ -256,7 +259,7 @@
     cancelling: bool,
     path: str,
 ) -> None:
-    """Where attempts may not be cancelled the module cancels none: the part left later."""
+    """If cancellation is not allowed, the module cancels no attempt; the part used to be sent later."""
     replica = Replica(0)
     limits = with_limits(Cancelling=cancelling, ConnectTimeoutS=PATIENCE)
     platform = Platform(tmp_path, replica, settings=limits)
@@ -302,7 +305,7 @@
     connections = connections_of(platform)._by_number
     until(
         lambda: any(partly_sent_parts(connection) for connection in connections.values()),
-        "half of the frame has left",
+        "the frame is partly sent",
     )
     sock.close()
     assert completed_queries.wait() == [("gone", t.QueryStatus.CLIENT_DISCONNECTED)]
@@ -313,16 +316,16 @@
     platform.close()
 
 
-# ---- a further attempt, and the end of the time in which it may leave
+# ---- a further attempt, and the end of the time in which it may be sent
 
 
 def started_batches(driver: Driver, now: float, *inputs: t.Input) -> list[t.BatchRequest]:
-    """Calls that a batch at `now` starts."""
+    """Batch requests that the driver starts for these inputs."""
     return [effect.request for effect in driver.step(now, inputs) if isinstance(effect, t.StartRequest)]
 
 
 def keyed_settings(tmp_path: Path, **rules: object) -> api.Settings:
-    """What the module is told where a class is keyed, its window 1 s."""
+    """Settings in which a class is keyed, with an idempotency window of 1 s."""
     keyed = {"Semantics": "keyed", "WindowS": 1.0}
     classes = [SETTINGS["Classes"][0] | keyed, *SETTINGS["Classes"][1:]]
     made = SETTINGS | {"Classes": classes, "Rules": SETTINGS["Rules"] | rules}
@@ -344,7 +347,7 @@
 
 
 def test_retry_at_the_end_of_the_idempotency_window_is_sent_within_it(tmp_path: Path) -> None:
-    """It may leave by `HAND_OVER` later than it was decided, when the replicas had forgotten its key."""
+    """It may be sent up to `MAX_SEND_DELAY` after its decision; the replicas used to have dropped its key by then."""
     settings, retried_after = keyed_settings(tmp_path), []
     for after in (0.5, 0.9, 0.94, 0.95, 0.96, 0.98, 0.99, 0.994, 1.0, 1.2):
         driver = Driver(DecisionEngine(settings, 1), settings)
@@ -363,13 +366,13 @@
             latest = max(late for late in delays if not batch.is_send_overdue(now + late))
             assert (
                 after + latest <= 1.0 and batch.claim_sendable(now + latest)[0]
-            ), "it leaves, inside the window"
+            ), "it is sent, and within the window"
         retried_after += [after] * len(retries)
-    assert 0.9 in retried_after, "inside the window it is repeated"
+    assert 0.9 in retried_after, "it is retried within the window"
 
 
 def test_further_attempts_stay_within_the_retry_budget_window(tmp_path: Path) -> None:
-    """One leaves as late as it may, the next one at once: no more than the budget in any span of it."""
+    """One is sent as late as allowed, the next at once: any interval of the window's length stays in the budget."""
     settings, sent_after = keyed_settings(tmp_path, BudgetFree=1.0, ExtraRatio=0.0, ResendSpanS=2.0), []
     for after in (1.9, 1.95, 1.98, 2.0, 2.01, 2.04, 2.05, 2.06, 2.1, 3.0):
         driver = Driver(DecisionEngine(settings, 1), settings)
@@ -387,13 +390,13 @@
             times += [now + (t.MAX_SEND_DELAY if number == 1 else 0.0) for batch in retries]
         assert len(times) == 1 or times[1] - times[0] > 2.0
         sent_after += [after] * (len(times) - 1)
-    assert 2.1 in sent_after, "past the span there is budget again"
+    assert 2.1 in sent_after, "after the window the budget permits another attempt"
 
 
 def test_partly_sent_further_attempt_is_not_completed_late(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """An attempt counts from its frame's last byte: that came when its window or budget's span was over."""
+    """An attempt counts from the last byte of its frame, which came after its window or the budget's window."""
     replica, reports = replica_not_reading(monkeypatch), Waiter()
     connections = ReplicaConnections(
         ReplicaConnectionLimits(
@@ -415,19 +418,19 @@
         connections.maintain()
         return True
 
-    until(lambda: maintained() and partly_sent_parts(connection), "half of the frame has left")
-    batch.decided_at = now - PATIENCE  # so long ago, by now
+    until(lambda: maintained() and partly_sent_parts(connection), "the frame is partly sent")
+    batch.decided_at = now - PATIENCE  # longer ago than `MAX_SEND_DELAY`
     replica.reading.set()
-    until(lambda: maintained() and any(reports.items), "its ending is told")
+    until(lambda: maintained() and any(reports.items), "its end is reported")
     (ended,) = reports.wait(1, bool)[0]
-    assert ended.outcome is AttemptOutcome.CONNECT_FAILED, "a frame that is not whole never ran"
+    assert ended.outcome is AttemptOutcome.CONNECT_FAILED, "an incomplete frame does not run"
     replica.ended.wait()
     assert not received_parts(replica)
     connections.close()
     replica.close()
 
 
-# ---- where nothing may be cancelled
+# ---- cancellation not allowed
 
 
 @pytest.mark.parametrize("cancelling", [True, False])
@@ -435,17 +438,17 @@
     tmp_path: Path,
     cancelling: bool,
 ) -> None:
-    """It was at its time-out, whatever the settings said."""
+    """It used to be cancelled at its timeout whatever the settings were."""
     unresponsive = Replica(0, lambda wire, part: None)
     platform = Platform(tmp_path, unresponsive, settings=with_limits(Cancelling=cancelling))
     assert platform.ask("q", {0: 0.5, 1: 0.5}, wait=200)[0] == 503
-    until(lambda: connections_of(platform).in_flight == 0, "its parts are let go of")
+    until(lambda: connections_of(platform).in_flight == 0, "its parts have ended")
     sent = threading.Thread(target=platform.ask, args=("next", {2: 1.0}))
     sent.start()
-    unresponsive.parts.wait(1, lambda part: part.id == "next.2")  # its frame comes behind what was to be told
+    unresponsive.parts.wait(1, lambda part: part.id == "next.2")  # its frame follows any cancellations
     assert sorted(unresponsive.cancels.items) == (["q.0", "q.1"] if cancelling else [])
-    assert len(unresponsive.wires) == 1, "the connection that has their places goes on"
-    unresponsive.wires[0].raw(answer("q.0") + answer("q.1") + answer("next.2"))  # the late ones are nobody's
+    assert len(unresponsive.wires) == 1, "their connection stays open"
+    unresponsive.wires[0].raw(answer("q.0") + answer("q.1") + answer("next.2"))  # late replies are ignored
     sent.join(PATIENCE)
     assert not sent.is_alive() and len(unresponsive.wires) == 1
     platform.close()
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -1,4 +1,4 @@
-"""The driver's guarantees, whatever comes in whatever order: a state machine around the real module."""
+"""The driver's guarantees for any inputs in any order: a state machine around the real decision module."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
 
 
 class CheckedModule:
-    """The decision module, with its sends checked against the ends of attempts that it is notified of."""
+    """The decision module; checks that each of its sends is followed by exactly one end of an attempt."""
 
     def __init__(self, module: DecisionEngine) -> None:
         self.module = module
@@ -61,7 +61,7 @@
                 assert (
                     event.part,
                     event.attempt,
-                ) in self.in_flight, "an ending without a send, or a second one"
+                ) in self.in_flight, "an attempt ended that was not sent, or that had already ended"
                 self.in_flight.remove((event.part, event.attempt))
         actions = self.module.handle(now, events)
         for action in actions:
@@ -91,7 +91,7 @@
                     assert batch.open_attempts > 0
                     self.batches.append(batch)
                     for attempt in batch.attempts:
-                        assert attempt.content[0] not in completed, "sent for a query that was over"
+                        assert attempt.content[0] not in completed, "sent for a completed query"
                 case t.CompleteQuery(on_result, result, _):
                     on_result(result)
         self.pending = []
@@ -139,7 +139,7 @@
         again=st.booleans(),
     )
     def end(self, pick: int, outcome: api.AttemptOutcome, deferred: bool, again: bool) -> None:
-        """A batch ends, also one that was cancelled, at times twice, at times in one step with others."""
+        """End a batch, which may be cancelled; it may end twice, or in one step with other batches."""
         index = pick % len(self.batches)
         batch = self.batches[index] if again else self.batches.pop(index)
         self.pending += self.ended(batch, outcome)
@@ -178,7 +178,7 @@
     @invariant()
     def guarantees(self) -> None:
         for number, query_results in self.query_results.items():
-            assert len(query_results) <= 1, "settled twice"
+            assert len(query_results) <= 1, "completed twice"
             plan = self.plans[number]
             for final in query_results:
                 assert final.status is not t.QueryStatus.COMPLETE or len(final.results) == len(plan.parts)
@@ -188,7 +188,7 @@
                 assert not short or final.coverage >= CLASSES[plan.query_class].required_coverage - 1e-9
 
     def teardown(self) -> None:
-        """All timers run out: nothing stays open, and the module was notified of the end of each send."""
+        """Fire all timers: nothing stays open, and the module was notified of the end of each attempt."""
         self.step()
         for _ in range(2000):
             due = self.driver.next_due()
@@ -211,7 +211,7 @@
 
 
 class DriverHarness:
-    """One driver, with inputs given by hand."""
+    """A driver whose inputs and time a test sets by hand."""
 
     def __init__(self, kind: api.QueryClass, driver_settings: api.Settings | None = None) -> None:
         driver_settings = driver_settings or SETTINGS._replace(
@@ -267,7 +267,7 @@
 def test_reply_in_the_batch_in_which_its_query_expires() -> None:
     harness = DriverHarness(query_class(aim=1.0, deadline=3.0))
     (batch,) = harness.submit(0.2)
-    harness.now = 100.2  # its timer is due; the answer is in the same batch and comes first
+    harness.now = 100.2  # the query's timer is due; the reply goes before it in the same batch
     harness.step(succeed(batch, harness.now, "late but here"))
     harness.step()
     assert [f.status for f in harness.query_results] == [
@@ -278,7 +278,7 @@
 
 
 def test_non_idempotent_query_is_rejected_only_if_its_attempt_was_not_sent() -> None:
-    """A query that is not idempotent may be rejected if no sender had claimed its attempt, else not."""
+    """At its deadline it is rejected if no sender has claimed its attempt, and fails otherwise."""
     for is_sent, status in ((False, t.QueryStatus.REJECTED), (True, t.QueryStatus.FAILED)):
         harness = DriverHarness(query_class(aim=1.0, deadline=3.0, semantics=api.RetrySafety.NOT_IDEMPOTENT))
         (batch,) = harness.submit(0.5)
@@ -301,12 +301,12 @@
 
 def test_retry_after_follows_how_fast_capacity_comes_free() -> None:
     estimate = RetryAfterEstimate(1.0)
-    assert estimate.seconds_until_free(10.0, 5) == 1.0, "nothing is known"
+    assert estimate.seconds_until_free(10.0, 5) == 1.0, "the release rate is unknown"
     for tick in range(100):
-        estimate.record_release(10.0 + tick * 0.02, 2)  # a hundred a second
+        estimate.record_release(10.0 + tick * 0.02, 2)  # 100 per second
     assert 0.08 <= estimate.seconds_until_free(12.0, 10) <= 0.12
     assert estimate.seconds_until_free(12.0, 1) == 0.02 and estimate.seconds_until_free(12.0, 10_000) == 1.0
-    assert estimate.seconds_until_free(20.0, 10) == 1.0, "old rates are forgotten"
+    assert estimate.seconds_until_free(20.0, 10) == 1.0, "releases before the rate window do not count"
 
 
 def test_overdue_retries_are_not_sent() -> None:
@@ -325,7 +325,7 @@
     sendable, overdue = batch().claim_sendable(5.06)
     assert [e.part for e in sendable] == [1] and [e.part for e in overdue] == [2]
     made = batch()
-    made.attempts[1].claim()  # ended by the driver meanwhile
+    made.attempts[1].claim()  # the driver has ended this attempt
     assert [len(found) for found in made.claim_sendable(5.06)] == [1, 0]
 
 
@@ -334,17 +334,17 @@
     for n in range(20):
         detector.tick(100.0 + n * 0.05)
     assert detector.arrival_time(101.0) == 101.0 and detector.count == 0
-    assert detector.arrival_time(102.0) == 100.95, "woken before the ticker"
+    assert detector.arrival_time(102.0) == 100.95, "the pause is detected before the ticker runs"
     detector.tick(102.0)
     assert detector.count == 1 and detector.arrival_time(102.05) == 100.95
-    assert detector.arrival_time(102.05, since=101.5) == 101.5, "not before the exchange that went before it"
+    assert detector.arrival_time(102.05, since=101.5) == 101.5, "not before the end of the previous exchange"
     for n in range(5):
         detector.tick(102.0 + n * 0.05)
     assert detector.arrival_time(102.2) == 102.2 and detector.count == 1
 
 
 def test_unsent_attempts_are_withheld_where_cancelling_is_not_allowed() -> None:
-    """Its query is over, or the hedged request has answered: what no sender has claimed may be withheld."""
+    """After its query has completed, or its hedged request has succeeded, an unclaimed attempt is withheld."""
     driver_settings = SETTINGS._replace(
         query_classes=CLASSES[:1],
         cell_count=1,
@@ -366,8 +366,10 @@
 
 
 def test_an_endpoint_list_goes_before_the_end_of_an_attempt_in_the_same_batch() -> None:
-    """The ending has the part sent again: neither to a replica that the next list says drains, nor to one
-    that it says is gone, whose address the driver no longer has (which broke the decision thread)."""
+    """The failed attempt is retried, but not on a replica that the list reports as draining or gone.
+
+    The driver has no address for a replica that is gone; sending to one raised in the decision thread.
+    """
     for state, which in itertools.product((api.ReplicaState.DRAINING, api.ReplicaState.GONE), (1, 2)):
         harness = DriverHarness(query_class(aim=1.0, deadline=3.0))
         (batch,) = harness.submit(3.0)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Slots for a few requests at once: shared by weight, whoever comes how often, and bounded."""
+"""The concurrency limit and its fair queue: slots are limited, and shared by weight at any request rate."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     seconds: float,
     slots: int = 2,
 ) -> dict[str, float]:
-    """Seconds of slots that each kind gets, where all of them always want more."""
+    """Share of the slot time that each class gets while all classes have requests waiting."""
     queue: FairQueue[str] = FairQueue(weights, slots, 1000)
     now = 0.0
     used = dict.fromkeys(weights, 0.0)
@@ -45,7 +45,7 @@
 
 def test_slots_are_shared_by_weight_and_not_by_count() -> None:
     even = shares({"a": 1.0, "b": 1.0}, {"a": 0.001, "b": 0.05}, 50.0)
-    assert even["a"] == pytest.approx(0.5, abs=0.02), "long work gets fewer turns"
+    assert even["a"] == pytest.approx(0.5, abs=0.02), "longer requests get fewer slots"
     three = shares({"a": 3.0, "b": 1.0}, {"a": 0.01, "b": 0.01}, 20.0)
     assert three["a"] == pytest.approx(0.75, abs=0.02)
 
@@ -65,7 +65,7 @@
         granted = "b" if isinstance(granted, str) else "a"
         order.append(granted)
         queue.acquire("b", f"b{n + 1}")
-    assert order.count("b") == 3, "its share from now on, and not all that it did not take before"
+    assert order.count("b") == 3, "b gets its share from now on, without credit for its idle time"
 
 
 def test_too_many_are_rejected_with_a_retry_after() -> None:
@@ -92,7 +92,7 @@
 
 
 class FairQueueMachine(RuleBasedStateMachine):
-    """Any order of acquiring, releasing and cancelling: slots are neither lost nor made."""
+    """Acquires, releases and cancels in any order: no slot is lost, and no more slots are granted than exist."""
 
     def __init__(self) -> None:
         super().__init__()
--- a/tests/test_recorded_decisions.py
+++ b/tests/test_recorded_decisions.py
@@ -1,10 +1,10 @@
-"""The decision module decides, to the last bit, what it decided when `recordings/` was recorded.
+"""Replays `recordings/` against the decision module: its actions must equal the recorded ones bit by bit.
 
-Each recording holds the batches that a simulated host gave to one co-ordinator, the actions that came back,
-and how far its random numbers were consumed. What decisions do not depend on, names and texts, is in none.
+Each recording holds the batches that a simulated host gave to one co-ordinator, the actions that it returned, and the
+position of its random generator. Names and texts, on which decisions do not depend, are not recorded.
 
-Measured with coverage.py, by branch: the recordings take each line and branch of the package `decisions` but
-the body of `RankedSamples.extend`, which only tests call.
+By branch coverage (coverage.py) the recordings execute each line and branch of the package `decisions` except the
+body of `RankedSamples.extend`, which only tests call.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 NAMES = names()
 MIN_RECORDINGS, MIN_BATCHES, MIN_ACTIONS = 35, 20_000, 40_000
-# Of the host's words on endings, none is the module's to say.
+# Reasons that only the host gives, never the decision module.
 HOST_REASONS: set[Enum] = {
     api.QueryEndReason.SHUTDOWN,
     api.QueryEndReason.CLIENT_DISCONNECTED,
@@ -30,12 +30,12 @@
     api.QueryEndReason.INTERNAL,
     api.QueryEndReason.UNSTATED,
 }
-NEVER_EMITTED: set[type] = {api.LogMessage}  # by the decision module
+NEVER_EMITTED: set[type] = {api.LogMessage}  # actions that the decision module does not use
 
 
 @cache
 def recording(name: str) -> Recording:
-    """A recording, read once."""
+    """Read a recording; cached."""
     return read(name)
 
 
@@ -50,7 +50,7 @@
 
 
 def first_difference(expected: Any, got: Any) -> str:
-    """Where two batches part, for the one who reads the failure."""
+    """Describe the first difference between two batches."""
     for number, (a, b) in enumerate(zip(expected.actions, got.actions, strict=False)):
         if exact(a) != exact(b):
             return f"action {number}: expected {exact(a)}, got {exact(b)}"
@@ -61,7 +61,7 @@
 
 
 def encoded_records(value: Any) -> Iterator[list[Any]]:
-    """All encoded records, members and tuples within an encoded value, itself included."""
+    """All encoded records, enumeration members and tuples within an encoded value, including the value itself."""
     if isinstance(value, list):
         if value and isinstance(value[0], int):
             yield value
@@ -71,7 +71,7 @@
 
 @cache
 def count_occurrences() -> tuple[Counter[type], Counter[Enum]]:
-    """How often each type and each member of an enumeration occurs in the recordings."""
+    """Count the occurrences of each type and each enumeration member in the recordings."""
     kinds, members = Counter[type](), Counter[Enum]()
     for name in NAMES:
         found = recording(name)
--- a/tests/test_recorded_driver.py
+++ b/tests/test_recorded_driver.py
@@ -1,4 +1,4 @@
-"""The query driver gives, bit by bit, what was recorded (`recordings/record_driver.py`)."""
+"""Replays the recordings of `recordings/record_driver.py`: the query driver's outputs must be equal bit by bit."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 TOOLS_FIXTURE = codec.DIRECTORY / "driver-tools.json.gz"
 FIXTURES = sorted(set(codec.DIRECTORY.glob("driver-*.json.gz")) - {TOOLS_FIXTURE})
 
-# What the recordings hold at least; an emptied or missing fixture falls short of it.
+# Minimum content of the recordings; detects emptied or missing fixtures.
 MIN_RECORDINGS, MIN_BATCHES, MIN_TOOL_CALLS = 39, 8000, 2000
 MIN_INPUTS = {
     t.QuerySubmitted: 1200,
@@ -45,7 +45,7 @@
 
 
 def replay(session: Session, batch: Batch) -> list[Any]:
-    """What the driver gives for a batch: results of operations, effects, state, and what it told others."""
+    """Return the driver's outputs for a batch: results of operations, effects, state, and observed calls."""
     results = [session.operate(form) for form in batch.operations]
     _, effects, state, observed = session.step(batch.now, batch.inputs)
     return [results, effects, state, observed]
@@ -78,7 +78,7 @@
 
 
 def test_recordings_contain_every_input_effect_and_outcome() -> None:
-    """Every kind of input and effect, every verdict and outcome, in no fewer numbers than were recorded."""
+    """Each type of input and effect occurs often enough, and each query status, outcome and reason occurs."""
     inputs, effects, members, batches = Counter[int](), Counter[int](), Counter[tuple[int, int]](), 0
     for path in FIXTURES:
         recording = codec.read_recording(path)
@@ -95,13 +95,13 @@
         assert inputs[codec.type_index(kind)] >= minimum, kind
     for kind, minimum in MIN_EFFECTS.items():
         assert effects[codec.type_index(kind)] >= minimum, kind
-    assert effects[codec.RAISED], "a step that broke"
+    assert effects[codec.RAISED], "no step that raised an exception"
     for enumeration in (t.QueryStatus, api.AttemptOutcome):
         for member in enumeration:
             _, kind_index, ordinal = codec.encode_member(member)
             assert members[kind_index, ordinal], member
     reasons = {codec.encode_member(reason)[2] for reason in api.QueryEndReason}
-    never = {codec.encode_member(api.QueryEndReason.INTERNAL)[2]}  # given by `core` alone
+    never = {codec.encode_member(api.QueryEndReason.INTERNAL)[2]}  # used only by `coordinator.core`
     found = {ordinal for kind, ordinal in members if codec.ENUMERATIONS[kind] is api.QueryEndReason}
     assert found == reasons - never
 
@@ -115,7 +115,7 @@
 
 
 def count_members(form: Any, members: Counter[tuple[int, int]]) -> None:
-    """Count the members of enumerations in a form."""
+    """Count the enumeration members in an encoded value."""
     if isinstance(form, list):
         if len(form) == 3 and form[0] == codec.MEMBER:
             members[form[1], form[2]] += 1
