--- a/gingervane/coordinator/ports.py
+++ b/gingervane/coordinator/ports.py
@@ -58,12 +58,11 @@
         """Close the idle connections to an address."""
 
     def close(self) -> None:
-        """Start no further requests, and close the connections."""
+        """Start no further requests, and release the connections."""
 
 
-TransportFactory = Callable[
-    [Callable[[list[t.AttemptFinished]], None]], Transport
-]  # takes the report callback
+# Takes the callback to which the transport reports ended attempts.
+TransportFactory = Callable[[Callable[[list[t.AttemptFinished]], None]], Transport]
 
 
 def _ignore_watch() -> None:
--- a/tests/hosts.py
+++ b/tests/hosts.py
@@ -87,7 +87,7 @@
         self.shard: dict[int, int] = {}
         self.ended: dict[int, api.Action] = {}
         self.steps: dict[int, int] = defaultdict(lambda: 1)
-        self.whole: dict[int, bool] = {}
+        self.first_step_complete: dict[int, bool] = {}
         self.ok: set[int] = set()
         self.sends: dict[int, list[tuple[float, int]]] = defaultdict(list)
         self.results: dict[tuple[int, int], api.AttemptOutcome] = {}
@@ -143,15 +143,15 @@
         return events
 
     def finish(self, part: int, outcome: api.AttemptOutcome = OK, attempt: int = 0) -> list[api.Action]:
-        where = self.out.pop((part, attempt))
+        replica_id = self.out.pop((part, attempt))
         self.results[part, attempt] = outcome
         if outcome is OK:
             self.ok.add(part)
-        took = self.now - self.sends[part][attempt][0]
-        return self.feed(api.AttemptEnded(part, attempt, where, outcome, took))
+        latency = self.now - self.sends[part][attempt][0]
+        return self.feed(api.AttemptEnded(part, attempt, replica_id, outcome, latency))
 
     def wait(self, seconds: float) -> list[api.Action]:
-        """Advance time and fire due timers, each in its own batch; cancelled attempts end in the next batch."""
+        """Advance time and fire due timers, one per batch; cancelled attempts end in the next batch."""
         until, seen = self.now + seconds, list[api.Action]()
         while True:
             for key in [k for k in self.cancelled if k in self.out]:
@@ -191,8 +191,8 @@
         match action:
             case api.Send(part, replica_id, expires_at):
                 self._check_send(part, replica_id, expires_at)
-            case api.Answer(query, whole):
-                self._check_answer(query, whole)
+            case api.Answer(query, complete):
+                self._check_answer(query, complete)
             case api.Reject(query, _) | api.Fail(query):
                 self._end(query, action)
                 if isinstance(action, api.Reject):
@@ -262,28 +262,29 @@
             raise RuleViolationError("too many attempts, or a timeout after the query's deadline")
         if self.sends[part]:
             self.extras.append(now)
-            span = self.settings.retry_budget_window
-            if span is not None:
-                used = sum(at > now - span for at in self.extras)
-                took = sum(at > now - span for at in self.arrival_times)
+            window = self.settings.retry_budget_window
+            if window is not None:
+                sent = sum(at > now - window for at in self.extras)
+                arrived = sum(at > now - window for at in self.arrival_times)
                 if (
-                    used
-                    > (self.settings.retry_budget_free or 0) + (self.settings.retry_budget_share or 0) * took
+                    sent
+                    > (self.settings.retry_budget_free or 0)
+                    + (self.settings.retry_budget_share or 0) * arrived
                 ):
                     raise RuleViolationError("exceeded the retry budget")
         self.out[part, len(self.sends[part])] = replica_id
         self.sends[part].append((now, replica_id))
 
-    def _check_answer(self, query: int, whole: bool) -> None:
+    def _check_answer(self, query: int, complete: bool) -> None:
         kind, parts = self.settings.query_classes[self.classes[query]], self.step_parts[query]
         weight = sum(self.weight[p] for p in parts if p in self.ok)
         step = self.steps[query]
         if weight < min(kind.required_coverage, kind.complete_coverage) - 1e-4 and step == 1:
             raise RuleViolationError("answered below the required coverage")
-        need = kind.complete_coverage if step == 1 else 1.0
-        if whole and (weight < need - 1e-4 or not self.whole.get(query, True)):
+        required = kind.complete_coverage if step == 1 else 1.0
+        if complete and (weight < required - 1e-4 or not self.first_step_complete.get(query, True)):
             raise RuleViolationError("marked an incomplete answer as complete")
         if kind.second_step_parts and step == 1:
-            self.steps[query], self.whole[query], self.step_parts[query] = 2, whole, []
+            self.steps[query], self.first_step_complete[query], self.step_parts[query] = 2, complete, []
         else:
-            self._end(query, api.Answer(query, whole))
+            self._end(query, api.Answer(query, complete))
--- a/tests/recordings/driver_host.py
+++ b/tests/recordings/driver_host.py
@@ -210,10 +210,10 @@
     def _start(self, number: int, batch: t.BatchRequest) -> None:
         if self.chance(self.scenario.rejected_starts):
             for request in batch.attempts:
-                never = t.AttemptFinished(
+                unsent = t.AttemptFinished(
                     request.part, request.attempt, api.AttemptOutcome.NEVER_SENT, self.now, None, "~taken"
                 )
-                self.schedule(self.now, lambda never=never: self.put(never))  # type: ignore[misc]
+                self.schedule(self.now, lambda unsent=unsent: self.put(unsent))  # type: ignore[misc]
             return
         delay = SENDER_WAIT if self.chance(self.scenario.sender_waits) else SENDER_DELAY
         self.schedule(self.now + delay, lambda: self._send(number, batch))
@@ -237,9 +237,9 @@
         if not sent:
             return
         self._operate(Operation.SECONDS_LEFT, number, sent, self.now)
-        together = self._latency(batch.replica)
+        reply_seconds = self._latency(batch.replica)
         for request in sent:
-            self._reply(request, batch, together)
+            self._reply(request, batch, reply_seconds)
 
     def _latency(self, replica_id: int) -> float:
         scenario = self.scenario
@@ -258,8 +258,8 @@
             return
         when = self.now + seconds
         detail = "" if outcome is api.AttemptOutcome.OK else f"~{self.random.randrange(3)}"
-        stamp = round(when - 60.0 if self.chance(scenario.early_end_times) else when, 4)
-        self.schedule(when, lambda: self._end(request, outcome, stamp, detail))
+        finished_at = round(when - 60.0 if self.chance(scenario.early_end_times) else when, 4)
+        self.schedule(when, lambda: self._end(request, outcome, finished_at, detail))
 
     def _end(self, number: int, outcome: api.AttemptOutcome, ended_at: float, detail: str) -> None:
         if number in self._cancelled and not self.chance(self.scenario.late_replies):
--- a/tests/recordings/driver_tools.py
+++ b/tests/recordings/driver_tools.py
@@ -73,8 +73,8 @@
         self.placement = ShardPlacement(cells, width)
 
     def update(self, item: t.EndpointsUpdated) -> tuple[Any, ...]:
-        found = self.placement.endpoints_updated(item)
-        return found, tuple(sorted(self.placement.returned))
+        result = self.placement.endpoints_updated(item)
+        return result, tuple(sorted(self.placement.returned))
 
     def lookup(self, shard: int) -> tuple[Any, ...]:
         return tuple(tuple(holder) for holder in self.placement.replicas_of(shard))
@@ -84,14 +84,14 @@
     """The functions of `attempt_outcome`."""
 
     def transport_error(
-        self, phase: attempt_outcome.ExchangePhase, wrote: int, timed_out: bool
+        self, phase: attempt_outcome.ExchangePhase, bytes_written: int, timed_out: bool
     ) -> api.AttemptOutcome:
-        return attempt_outcome.outcome_of_transport_error(phase, wrote, timed_out)
+        return attempt_outcome.outcome_of_transport_error(phase, bytes_written, timed_out)
 
     def invalid_reply(
-        self, semantics: api.RetrySafety, proven_idle: bool, overloaded: bool
+        self, retry_safety: api.RetrySafety, proves_not_executed: bool, overloaded: bool
     ) -> api.AttemptOutcome:
-        return attempt_outcome.outcome_of_invalid_reply(semantics, proven_idle, overloaded)
+        return attempt_outcome.outcome_of_invalid_reply(retry_safety, proves_not_executed, overloaded)
 
 
 class SendDeadlineTool(NamedTuple):
@@ -143,8 +143,8 @@
             AdmissionTool.admit_query,
             lambda o, *a: o.admission.release(*a),
             lambda o, n: o.admission.reserve_results(n),
-            lambda o, why: o.admission.close(why),
-            lambda o, why: o.admission.reopen(why),
+            lambda o, reason: o.admission.close(reason),
+            lambda o, reason: o.admission.reopen(reason),
             AdmissionTool.in_use,
         ),
     ),
@@ -237,10 +237,10 @@
 
 def _attempt_outcomes() -> list[Any]:
     use = _Recorder(ATTEMPT_OUTCOMES)
-    for phase, wrote, timed_out in product(attempt_outcome.ExchangePhase, (0, 1, 900), (False, True)):
-        use(0, phase, wrote, timed_out)
-    for semantics, proven, overloaded in product(api.RetrySafety, (False, True), (False, True)):
-        use(1, semantics, proven, overloaded)
+    for phase, bytes_written, timed_out in product(attempt_outcome.ExchangePhase, (0, 1, 900), (False, True)):
+        use(0, phase, bytes_written, timed_out)
+    for retry_safety, proven, overloaded in product(api.RetrySafety, (False, True), (False, True)):
+        use(1, retry_safety, proven, overloaded)
     return use.form
 
 
@@ -327,10 +327,10 @@
             case 0 if in_use:
                 use(2, *in_use.pop(draw.randrange(len(in_use))))
             case 1 if in_use:
-                size, found = in_use.pop()
+                size, reserved_bytes = in_use.pop()
                 result_bytes = draw.randint(0, 200)
                 use(3, result_bytes)
-                in_use.append((size, found + result_bytes))
+                in_use.append((size, reserved_bytes + result_bytes))
             case _:
                 size = draw.randint(2, 5)
                 use(1, size, draw.choice((0, 0, 120)))
--- a/tests/recordings/scenarios.py
+++ b/tests/recordings/scenarios.py
@@ -60,17 +60,19 @@
 
 def drawn_class(draw: random.Random) -> api.QueryClass:
     """A random query class; coverages below 1, second steps and stretched objectives are frequent."""
-    aim = draw.choice((0.3, 0.5, 1.0))
+    objective = draw.choice((0.3, 0.5, 1.0))
     semantics = draw.choice((SAFE, SAFE, KEYED, UNSAFE))
-    least, whole = draw.choice(((1.0, 1.0), (1.0, 1.0), (0.75, 0.75), (0.5, 1.0), (0.5, 0.9), (1.0, 0.8)))
+    required, complete = draw.choice(
+        ((1.0, 1.0), (1.0, 1.0), (0.75, 0.75), (0.5, 1.0), (0.5, 0.9), (1.0, 0.8))
+    )
     return api.QueryClass(
-        latency_objective=aim,
-        deadline=aim * draw.choice((2, 3)),
+        latency_objective=objective,
+        deadline=objective * draw.choice((2, 3)),
         retry_safety=semantics,
         idempotency_window=draw.choice((0.2, 1.0)) if semantics is KEYED else None,
         second_step_parts=draw.choice((0, 0, 2)),
-        required_coverage=least,
-        complete_coverage=whole,
+        required_coverage=required,
+        complete_coverage=complete,
         objective_stretch=draw.choice((None, None, 0.5)),
         late_weight=draw.choice((0.0, 0.3, 1.0)),
         partial_weight=draw.choice((1.0, 0.5)),
--- a/tests/recordings/simulator.py
+++ b/tests/recordings/simulator.py
@@ -83,9 +83,8 @@
     loads: tuple[Load, ...]
     lists: tuple[tuple[float, api.MembershipChanged], ...]
     faults: tuple[Fault, ...] = ()
-    other_events: tuple[
-        tuple[float, api.Event], ...
-    ] = ()  # messages of peers, health checks, unexpected events
+    # Messages of peers, health checks, and events about unknown ids.
+    other_events: tuple[tuple[float, api.Event], ...] = ()
     pauses: tuple[tuple[float, float], ...] = ()  # start and length, in seconds
     duration: float = 20.0
     latency: float = 0.08  # mean, in seconds
--- a/tests/recordings/untaken.py
+++ b/tests/recordings/untaken.py
@@ -27,20 +27,20 @@
         run()
     finally:
         sys.settrace(None)
-    return {path: sorted(_lines(path) - {n for found, n in taken if found == str(path)}) for path in watched}
+    return {path: sorted(_lines(path) - {n for name, n in taken if name == str(path)}) for path in watched}
 
 
 def _lines(path: Path) -> set[int]:
     """Lines within functions of a file."""
-    found: set[int] = set()
+    lines: set[int] = set()
 
     def walk(code: CodeType, inside: bool) -> None:
         if inside:
-            found.update(line for _, _, line in code.co_lines() if line and line != code.co_firstlineno)
+            lines.update(line for _, _, line in code.co_lines() if line and line != code.co_firstlineno)
         for constant in code.co_consts:
             if isinstance(constant, CodeType):
                 # A class body runs at import; only the functions in it are of interest.
                 walk(constant, bool(constant.co_flags & CO_NEWLOCALS))
 
     walk(compile(path.read_text(), str(path), "exec"), False)
-    return found
+    return lines
--- a/tests/test_answers_property.py
+++ b/tests/test_answers_property.py
@@ -1,7 +1,8 @@
-"""Driver and decision module with random settings: for any inputs in any order no answer is wrong or falsely marked.
+"""Driver and decision module with random settings: for any inputs in any order all answers are correct.
 
-The state machine keeps its own model of each query, from the inputs that it gave to the driver, and checks each
-answer and each second step against it. It guards against a fault in which a second step was begun without any parts.
+The state machine keeps its own model of each query, from the inputs that it gave to the driver, and checks
+each answer and each second step against it. It guards against a fault in which a second step was begun
+without any parts.
 """
 
 from __future__ import annotations
@@ -19,8 +20,8 @@
 from gingervane.coordinator.driver import Driver
 from gingervane.decisions.engine import DecisionEngine
 
-# Seconds that pass between two turns. With a clock that did not advance, hedge timers would be due again and again
-# when latencies are zero.
+# Seconds that pass between two turns. With a clock that did not advance, hedge timers would be due again and
+# again when latencies are zero.
 TURN_SECONDS = 0.001
 OBJECTIVE = 0.5  # seconds, the latency objective
 DEADLINE = 2.0  # seconds
@@ -47,7 +48,7 @@
 
 
 class UnusedCodec:
-    """A codec that is never asked to encode."""
+    """A codec whose `encode` is never called."""
 
     def encode(self, contents: list[Any], seconds_left: list[float], address: tuple[str, int]) -> bytes:
         raise NotImplementedError
@@ -80,7 +81,7 @@
     @initialize(
         shares=st.tuples(st.sampled_from(COVERAGES), st.sampled_from(COVERAGES)),
         second=st.tuples(st.integers(0, 3), st.integers(0, 3)),
-        late=st.sampled_from([0.0, 0.3, 1.0]),
+        late_weight=st.sampled_from([0.0, 0.3, 1.0]),
         semantics=st.sampled_from(list(api.RetrySafety)),
         parts_per_request=st.sampled_from([1, 3, 8]),
         hedging=st.booleans(),
@@ -90,7 +91,7 @@
         self,
         shares: Any,
         second: Any,
-        late: float,
+        late_weight: float,
         semantics: api.RetrySafety,
         parts_per_request: int,
         hedging: bool,
@@ -99,8 +100,8 @@
         window = 1.0 if semantics is api.RetrySafety.IDEMPOTENCY_KEY else None
         drawn = zip(shares, second, (api.RetrySafety.IDEMPOTENT, semantics), strict=True)
         self.classes = tuple(
-            query_class(OBJECTIVE, DEADLINE, meaning, window, count, least, whole, late, 0.9)
-            for (least, whole), count, meaning in drawn
+            query_class(OBJECTIVE, DEADLINE, safety, window, count, required, complete, late_weight, 0.9)
+            for (required, complete), count, safety in drawn
         )
         config = BASE._replace(
             query_classes=self.classes,
@@ -175,14 +176,14 @@
         self.turn()
 
     @precondition(lambda self: any(model.objective_at > self.now for model in self.models.values()))
-    @rule(pick=st.integers(0, 1 << 16), some=st.lists(st.integers(0, 1 << 16), max_size=6))
-    def reply_at_an_objective(self, pick: int, some: list[int]) -> None:
+    @rule(pick=st.integers(0, 1 << 16), picks=st.lists(st.integers(0, 1 << 16), max_size=6))
+    def reply_at_an_objective(self, pick: int, picks: list[int]) -> None:
         """Deliver replies in the batch in which the latency-objective timer of a query is due."""
         models = [model for model in self.models.values() if model.objective_at > self.now]
         objective_at = models[pick % len(models)].objective_at
         self.wait(objective_at - self.now - 3 * BASE.timer_granularity)
         self.now = objective_at
-        self.end_attempts(some, api.AttemptOutcome.OK, deferred=True)
+        self.end_attempts(picks, api.AttemptOutcome.OK, deferred=True)
         self.turn()
 
     @precondition(lambda self: self.models)
@@ -221,7 +222,7 @@
                     on_result(result)
 
     def _second_step(self, number: int) -> Callable[[dict[int, Any], bool], tuple[t.PartPlan, ...]]:
-        def begin(results: dict[int, Any], whole: bool) -> tuple[t.PartPlan, ...]:
+        def begin(results: dict[int, Any], complete: bool) -> tuple[t.PartPlan, ...]:
             model = self.models[number]
             received_shards = {content.shard for content in results.values()}
             assert model.second_step_shards is None, "the second step began twice"
@@ -235,10 +236,10 @@
                 >= min(model.kind.required_coverage, model.kind.complete_coverage) - WEIGHT_TOLERANCE
             )
             assert (
-                not whole or share >= model.kind.complete_coverage - WEIGHT_TOLERANCE
+                not complete or share >= model.kind.complete_coverage - WEIGHT_TOLERANCE
             ), "an incomplete first step marked as complete"
             chosen = tuple(sorted(received_shards)[: model.kind.second_step_parts])
-            model.second_step_shards, model.first_step_complete = chosen, whole
+            model.second_step_shards, model.first_step_complete = chosen, complete
             return tuple(t.PartPlan(s, 1 / len(chosen), Content(number, 2, s)) for s in chosen)
 
         return begin
@@ -274,8 +275,8 @@
             return
         assert model.second_step_shards, "answered without a second step"
         share = len(received_shards) / len(model.second_step_shards)
-        least = kind.required_coverage if kind.required_coverage < kind.complete_coverage else 1.0
-        assert share >= least - WEIGHT_TOLERANCE, "below the required coverage"
+        required = kind.required_coverage if kind.required_coverage < kind.complete_coverage else 1.0
+        assert share >= required - WEIGHT_TOLERANCE, "below the required coverage"
         assert not marked or (
             model.first_step_complete and share == 1.0
         ), "an incomplete answer marked as complete"
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,4 +1,4 @@
-"""Races between two events at the node's sockets, each order forced by a hook or a fake that delays one of them.
+"""Races between two events at the node's sockets; a hook or a fake delays one event to force each order.
 
 The table in docs/design/node.md names the point in the code that each test forces.
 """
@@ -89,7 +89,7 @@
 
 
 def replica_not_reading(patch: pytest.MonkeyPatch) -> Replica:
-    """A replica that does not read yet, with socket buffers so small that a long frame is only partly sent."""
+    """A replica that does not read yet, with socket buffers that a long frame does not fit into."""
     connect = ReplicaConnection.connect
 
     def connect_with_small_buffer(self: ReplicaConnection) -> None:
@@ -105,11 +105,11 @@
 
 def send(connections: ReplicaConnections, replica: Replica, number: int, name: str) -> t.BatchRequest:
     """Send one part, as the decision thread would, and return once its replica has received it."""
-    attempt_request, where = (
+    attempt_request, replica_address = (
         t.AttemptRequest(number, 0, SubqueryRequest(name, 0, "", b"x"), RetrySafety.IDEMPOTENT),
         ("127.0.0.1", replica.port),
     )
-    batch = t.BatchRequest(number, 1, where, FrameCodec(), [attempt_request], time.monotonic())
+    batch = t.BatchRequest(number, 1, replica_address, FrameCodec(), [attempt_request], time.monotonic())
     assert connections.start(batch)
     while len(replica.parts.items) < number:
         until(
@@ -140,14 +140,14 @@
     replica.close()
 
 
-@pytest.mark.parametrize("why", ["told to retire", "makes room", "idle for too long"])
+@pytest.mark.parametrize("cause", ["told to retire", "makes room", "idle for too long"])
 def test_connection_closed_while_a_reply_is_read_loses_no_reply(
     monkeypatch: pytest.MonkeyPatch,
-    why: str,
+    cause: str,
 ) -> None:
     """The reader has removed the part but not yet reported its result, so the connection looks unused."""
     replica, other, reports = Replica(0), Replica(0), Waiter()
-    idle = 0.0 if why == "idle for too long" else PATIENCE
+    idle = 0.0 if cause == "idle for too long" else PATIENCE
     connections = ReplicaConnections(
         ReplicaConnectionLimits(streams=4, max_connections=1, idle_timeout=idle, connect_timeout=PATIENCE),
         reports.put,
@@ -163,15 +163,17 @@
     send(connections, replica, 1, "a.0")
     assert reads.wait(PATIENCE)
     (connection,) = connections._by_number.values()
-    if why == "told to retire":
+    if cause == "told to retire":
         connections.close_idle(connection.address)
-    elif why == "idle for too long":
+    elif cause == "idle for too long":
         connections._sweep(time.monotonic())
-    elif why == "makes room":
+    elif cause == "makes room":
         attempt_request = t.AttemptRequest(2, 0, SubqueryRequest("b.0", 0, "", b"x"), RetrySafety.IDEMPOTENT)
-        where = "127.0.0.1", other.port
+        replica_address = "127.0.0.1", other.port
         assert connections.start(
-            t.BatchRequest(2, 2, where, FrameCodec(), [attempt_request], time.monotonic() + PATIENCE)
+            t.BatchRequest(
+                2, 2, replica_address, FrameCodec(), [attempt_request], time.monotonic() + PATIENCE
+            )
         )
     assert connection.broken
     released.set()
@@ -227,7 +229,7 @@
     tmp_path: Path,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Its attempt ended as `connect failed`, which states that it did not run: it must not be sent afterwards."""
+    """Its attempt ended as `connect failed`, that is, it did not run: it must not be sent afterwards."""
     late, finish_connect = list[ReplicaConnection](), ReplicaConnection._finish_connect
 
     def blocked(self: ReplicaConnection) -> None:
@@ -347,7 +349,7 @@
 
 
 def test_retry_at_the_end_of_the_idempotency_window_is_sent_within_it(tmp_path: Path) -> None:
-    """It may be sent up to `MAX_SEND_DELAY` after its decision; the replicas used to have dropped its key by then."""
+    """It may be sent `MAX_SEND_DELAY` after its decision, when the replicas used to have dropped its key."""
     settings, retried_after = keyed_settings(tmp_path), []
     for after in (0.5, 0.9, 0.94, 0.95, 0.96, 0.98, 0.99, 0.994, 1.0, 1.2):
         driver = Driver(DecisionEngine(settings, 1), settings)
@@ -372,7 +374,7 @@
 
 
 def test_further_attempts_stay_within_the_retry_budget_window(tmp_path: Path) -> None:
-    """One is sent as late as allowed, the next at once: any interval of the window's length stays in the budget."""
+    """One is sent as late as allowed, the next at once: the budget holds over any interval of the window."""
     settings, sent_after = keyed_settings(tmp_path, BudgetFree=1.0, ExtraRatio=0.0, ResendSpanS=2.0), []
     for after in (1.9, 1.95, 1.98, 2.0, 2.01, 2.04, 2.05, 2.06, 2.1, 3.0):
         driver = Driver(DecisionEngine(settings, 1), settings)
@@ -396,7 +398,7 @@
 def test_partly_sent_further_attempt_is_not_completed_late(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """An attempt counts from the last byte of its frame, which came after its window or the budget's window."""
+    """An attempt counts from the last byte of its frame, which used to come after the end of its window."""
     replica, reports = replica_not_reading(monkeypatch), Waiter()
     connections = ReplicaConnections(
         ReplicaConnectionLimits(
@@ -404,12 +406,12 @@
         ),
         reports.put,
     )
-    now, where = time.monotonic(), ("127.0.0.1", replica.port)
+    now, replica_address = time.monotonic(), ("127.0.0.1", replica.port)
     attempt_request = t.AttemptRequest(
         1, 1, SubqueryRequest("a.0", 0, "", b"x" * 60000), RetrySafety.IDEMPOTENCY_KEY
     )
     batch = t.BatchRequest(
-        1, 1, where, FrameCodec(), [attempt_request], now + PATIENCE, decided_at=now + PATIENCE
+        1, 1, replica_address, FrameCodec(), [attempt_request], now + PATIENCE, decided_at=now + PATIENCE
     )
     assert connections.start(batch)
     (connection,) = connections._by_number.values()
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -33,7 +33,7 @@
 
 
 class UnusedCodec:
-    """A codec that is never asked to encode or decode."""
+    """A codec whose `encode` and `decode` are never called."""
 
     def encode(self, contents: list[Any], seconds_left: list[float], address: tuple[str, int]) -> bytes:
         raise NotImplementedError
@@ -84,7 +84,7 @@
         self.update_endpoints({})
 
     def step(self, *inputs: t.Input) -> None:
-        completed = {q for q, found in self.query_results.items() if found}
+        completed = {q for q, results in self.query_results.items() if results}
         for effect in self.driver.step(self.now, [*self.pending, *inputs]):
             match effect:
                 case t.StartRequest(batch):
@@ -326,7 +326,7 @@
     assert [e.part for e in sendable] == [1] and [e.part for e in overdue] == [2]
     made = batch()
     made.attempts[1].claim()  # the driver has ended this attempt
-    assert [len(found) for found in made.claim_sendable(5.06)] == [1, 0]
+    assert [len(group) for group in made.claim_sendable(5.06)] == [1, 0]
 
 
 def test_arrival_time_of_requests_read_after_a_process_pause() -> None:
@@ -344,7 +344,7 @@
 
 
 def test_unsent_attempts_are_withheld_where_cancelling_is_not_allowed() -> None:
-    """After its query has completed, or its hedged request has succeeded, an unclaimed attempt is withheld."""
+    """After its query has completed or its hedged request has succeeded, it is withheld if unclaimed."""
     driver_settings = SETTINGS._replace(
         query_classes=CLASSES[:1],
         cell_count=1,
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -92,7 +92,7 @@
 
 
 class FairQueueMachine(RuleBasedStateMachine):
-    """Acquires, releases and cancels in any order: no slot is lost, and no more slots are granted than exist."""
+    """Acquires, releases and cancels in any order: slots are neither lost nor granted in excess."""
 
     def __init__(self) -> None:
         super().__init__()
--- a/tests/test_recorded_decisions.py
+++ b/tests/test_recorded_decisions.py
@@ -1,10 +1,10 @@
 """Replays `recordings/` against the decision module: its actions must equal the recorded ones bit by bit.
 
-Each recording holds the batches that a simulated host gave to one co-ordinator, the actions that it returned, and the
-position of its random generator. Names and texts, on which decisions do not depend, are not recorded.
+Each recording holds the batches that a simulated host gave to one co-ordinator, the actions that it returned,
+and the position of its random generator. Names and texts, on which decisions do not depend, are not recorded.
 
-By branch coverage (coverage.py) the recordings execute each line and branch of the package `decisions` except the
-body of `RankedSamples.extend`, which only tests call.
+By branch coverage (coverage.py) the recordings execute each line and branch of the package `decisions` except
+the body of `RankedSamples.extend`, which only tests call.
 """
 
 from __future__ import annotations
@@ -61,7 +61,7 @@
 
 
 def encoded_records(value: Any) -> Iterator[list[Any]]:
-    """All encoded records, enumeration members and tuples within an encoded value, including the value itself."""
+    """All encoded records, enumeration members and tuples within an encoded value, itself included."""
     if isinstance(value, list):
         if value and isinstance(value[0], int):
             yield value
@@ -74,15 +74,15 @@
     """Count the occurrences of each type and each enumeration member in the recordings."""
     kinds, members = Counter[type](), Counter[Enum]()
     for name in NAMES:
-        found = recording(name)
-        for batch in found.batches:
+        recorded = recording(name)
+        for batch in recorded.batches:
             for value in (*batch.events, *batch.actions):
                 for record in encoded_records(value):
                     if record[0] >= 0:
                         kinds[TYPES[record[0]]] += 1
                     elif record[0] == MEMBER:
                         members[list(ENUMERATIONS[record[1]])[record[2]]] += 1
-        for record in encoded_records(found.settings):
+        for record in encoded_records(recorded.settings):
             if record[0] == MEMBER:
                 members[list(ENUMERATIONS[record[1]])[record[2]]] += 1
     return kinds, members
--- a/tests/test_recorded_driver.py
+++ b/tests/test_recorded_driver.py
@@ -1,4 +1,4 @@
-"""Replays the recordings of `recordings/record_driver.py`: the query driver's outputs must be equal bit by bit."""
+"""Replays the recordings of `recordings/record_driver.py`; the driver's outputs must be equal bit by bit."""
 
 from __future__ import annotations
 
@@ -57,13 +57,13 @@
     session = Session(recording.settings, recording.seed, recording.script)
     for number, batch in enumerate(recording.batches):
         expected = [batch.operation_results, batch.effects, batch.state, batch.observed]
-        for description, recorded, found in zip(
+        for description, recorded, actual in zip(
             ("operation results", "effects", "state", "observed"),
             expected,
             replay(session, batch),
             strict=True,
         ):
-            difference = codec.first_difference(recorded, found, description)
+            difference = codec.first_difference(recorded, actual, description)
             assert not difference, f"batch {number} at {batch.now}: {difference}"
     difference = codec.first_difference(recording.closing, session.closing(), "closing")
     assert not difference, difference
@@ -102,8 +102,8 @@
             assert members[kind_index, ordinal], member
     reasons = {codec.encode_member(reason)[2] for reason in api.QueryEndReason}
     never = {codec.encode_member(api.QueryEndReason.INTERNAL)[2]}  # used only by `coordinator.core`
-    found = {ordinal for kind, ordinal in members if codec.ENUMERATIONS[kind] is api.QueryEndReason}
-    assert found == reasons - never
+    actual = {ordinal for kind, ordinal in members if codec.ENUMERATIONS[kind] is api.QueryEndReason}
+    assert actual == reasons - never
 
 
 def test_every_helper_is_recorded() -> None:
@@ -124,7 +124,7 @@
 
 
 @pytest.mark.parametrize(
-    "recorded, found",
+    "recorded, actual",
     [
         (1, 1.0),
         (0.1 + 0.2, 0.3),
@@ -135,6 +135,6 @@
         ("a", "b"),
     ],
 )
-def test_forms_are_compared_bit_by_bit(recorded: Any, found: Any) -> None:
-    assert codec.first_difference(recorded, found)
+def test_forms_are_compared_bit_by_bit(recorded: Any, actual: Any) -> None:
+    assert codec.first_difference(recorded, actual)
     assert not codec.first_difference(recorded, recorded)
