--- a/tests/hosts.py
+++ b/tests/hosts.py
@@ -1,4 +1,4 @@
-"""A tiny scripted host: feeds events, keeps the books that rules need, raises when an action breaks one."""
+"""A minimal host for the decision engine: feeds events by hand, and raises if an action breaks a rule."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from gingervane.decisions.engine import DecisionEngine
 from gingervane.decisions.membership_watch import DEFAULT_WATCH_TERMS, WatchTerms
 
-ANSWER_GRACE = 0.02  # seconds past the client's time in which an answer still counts
+ANSWER_GRACE = 0.02  # seconds after a query's deadline in which an answer is still accepted
 OK, READY = api.AttemptOutcome.OK, api.ReplicaState.READY
 
 
@@ -63,11 +63,11 @@
 
 
 class RuleViolationError(AssertionError):
-    """An action that no co-ordinator may take."""
+    """An action that breaks a rule of the co-ordinator."""
 
 
 class Host:
-    """Drives one co-ordinator; time only moves when a test says so."""
+    """Drives one decision engine; time advances only when a test advances it."""
 
     def __init__(
         self,
@@ -87,14 +87,14 @@
         self.shard: dict[int, int] = {}
         self.ended: dict[int, api.Action] = {}
         self.steps: dict[int, int] = defaultdict(lambda: 1)
-        self.whole: dict[int, bool] = {}
+        self.first_step_complete: dict[int, bool] = {}
         self.ok: set[int] = set()
         self.sends: dict[int, list[tuple[float, int]]] = defaultdict(list)
         self.results: dict[tuple[int, int], api.AttemptOutcome] = {}
         self.out: dict[tuple[int, int], int] = {}
         self.cancelled: list[tuple[int, int]] = []
         self.extras: list[float] = []
-        self.taken: list[float] = []
+        self.arrival_times: list[float] = []
         self.states: dict[int, api.Replica] = {}
         self.log: list[api.Action] = []
         self.next_id, self.next_query = 1, 0
@@ -126,7 +126,7 @@
         kind = self.settings.query_classes[query_class]
         self.classes[query] = query_class
         self.expires[query] = self.now + (kind.deadline if time is None else time)
-        self.taken.append(self.now)
+        self.arrival_times.append(self.now)
         count, expires = len(shards), self.expires[query]
         arrived = api.QueryArrived(query, number, query_class, tenant, count, expires, False, 0.0)
         self.feed(arrived, *self.make_parts(query, number, shards))
@@ -138,20 +138,20 @@
             part, self.next_id = self.next_id, self.next_id + 1
             self.query_of[part], self.weight[part], self.shard[part] = query, 1 / len(shards), shard
             self.step_parts[query].append(part)
-            self.taken.append(self.now)
+            self.arrival_times.append(self.now)
             events.append(api.PartArrived(part, number, shard, 1 / len(shards)))
         return events
 
     def finish(self, part: int, outcome: api.AttemptOutcome = OK, attempt: int = 0) -> list[api.Action]:
-        where = self.out.pop((part, attempt))
+        replica_id = self.out.pop((part, attempt))
         self.results[part, attempt] = outcome
         if outcome is OK:
             self.ok.add(part)
-        took = self.now - self.sends[part][attempt][0]
-        return self.feed(api.AttemptEnded(part, attempt, where, outcome, took))
+        latency = self.now - self.sends[part][attempt][0]
+        return self.feed(api.AttemptEnded(part, attempt, replica_id, outcome, latency))
 
     def wait(self, seconds: float) -> list[api.Action]:
-        """Let timers fire, each in a batch of its own; cancelled attempts end in the next batch."""
+        """Advance time and fire due timers, one per batch; cancelled attempts end in the next batch."""
         until, seen = self.now + seconds, list[api.Action]()
         while True:
             for key in [k for k in self.cancelled if k in self.out]:
@@ -166,7 +166,7 @@
         return seen
 
     def stall(self, seconds: float) -> list[api.Action]:
-        """The co-ordinator stands still; then all timers that came due fire in one batch."""
+        """Pause the co-ordinator; all timers that became due meanwhile then fire in one batch."""
         self.now += seconds
         self.stalled_at = self.now
         due = sorted(t for t in self.timers if t[0] <= self.now)
@@ -174,7 +174,7 @@
         return self.feed(*(api.TimerFired(label) for _, label in due))
 
     def warm_up(self, count: int = 40, latency: float = 0.1) -> None:
-        """Answer enough queries for the percentiles to be learned."""
+        """Answer enough queries for the latency percentiles to be estimated."""
         for i in range(count):
             query = self.query(i % self.settings.cell_count)
             part = self.step_parts[query][0]
@@ -189,96 +189,102 @@
 
     def _check(self, action: api.Action) -> None:
         match action:
-            case api.Send(part, server, stop_at):
-                self._check_send(part, server, stop_at)
-            case api.Answer(query, whole):
-                self._check_answer(query, whole)
+            case api.Send(part, replica_id, expires_at):
+                self._check_send(part, replica_id, expires_at)
+            case api.Answer(query, complete):
+                self._check_answer(query, complete)
             case api.Reject(query, _) | api.Fail(query):
                 self._end(query, action)
                 if isinstance(action, api.Reject):
                     self._check_refusal(query)
             case api.Cancel(part, attempt):
                 if attempt >= len(self.sends[part]) or not self.settings.cancellation_allowed:
-                    raise RuleViolationError("cancelled an attempt that was never made, or may not cancel")
+                    raise RuleViolationError("cancelled an unknown attempt, or cancellation is not allowed")
                 self.cancelled.append((part, attempt))
             case api.SetTimer(delay, label):
                 self.timers.append((self.now + delay, label))
 
     def _end(self, query: int, action: api.Action) -> None:
         if query in self.ended:
-            raise RuleViolationError(f"query {query} ended twice")
+            raise RuleViolationError(f"query {query} completed twice")
         if self.now > self.expires[query] + ANSWER_GRACE and self.now != self.stalled_at:
-            raise RuleViolationError(f"query {query} ended late")
+            raise RuleViolationError(f"query {query} completed after its deadline")
         self.ended[query] = action
 
-    def maybe_ran(self, part: int) -> list[float]:
-        """When the attempts that may have run were sent."""
+    def possible_run_times(self, part: int) -> list[float]:
+        """Send times of the attempts that may have run."""
         return [
             at
             for n, (at, _) in enumerate(self.sends[part])
             if (part, n) not in self.results or not self.results[part, n].never_ran
         ]
 
-    def attempts_that_left(self, part: int) -> int:
-        """All attempts but those known never to have left: the platform counts what comes to a replica."""
+    def attempts_possibly_sent(self, part: int) -> int:
+        """Number of attempts not known to be unsent: the platform counts the attempts that reach replicas."""
         never_sent = api.AttemptOutcome.NEVER_SENT
         return sum(self.results.get((part, n)) is not never_sent for n in range(len(self.sends[part])))
 
     def _check_refusal(self, query: int) -> None:
         kind = self.settings.query_classes[self.classes[query]]
         parts = [p for p, q in self.query_of.items() if q == query]
-        if kind.retry_safety is api.RetrySafety.NOT_IDEMPOTENT and any(self.maybe_ran(p) for p in parts):
-            raise RuleViolationError("refused though a part may have run")
+        if kind.retry_safety is api.RetrySafety.NOT_IDEMPOTENT and any(
+            self.possible_run_times(p) for p in parts
+        ):
+            raise RuleViolationError("rejected an unsafe query of which a part may have run")
 
-    def _check_send(self, part: int, server: int, stop_at: float) -> None:
+    def _check_send(self, part: int, replica_id: int, expires_at: float) -> None:
         query, now = self.query_of[part], self.now
         kind = self.settings.query_classes[self.classes[query]]
         if query in self.ended or part in self.ok or part not in self.step_parts[query]:
-            raise RuleViolationError("sent a part that is over")
-        if self.states[server].state is not READY:
+            raise RuleViolationError("sent a part that is already completed")
+        if self.states[replica_id].state is not READY:
             raise RuleViolationError("sent to a replica that is draining or gone")
-        reach = {
+        candidate_cells = {
             (self.shard[part] + j) % self.settings.cell_count for j in range(self.settings.cells_per_replica)
         }
-        if self.states[server].cell not in reach:
+        if self.states[replica_id].cell not in candidate_cells:
             raise RuleViolationError("sent to a replica that does not hold the shard")
-        ran = self.maybe_ran(part)
-        if kind.retry_safety is api.RetrySafety.NOT_IDEMPOTENT and ran:
-            raise RuleViolationError("an unsafe part that may have run was sent again")
+        run_times = self.possible_run_times(part)
+        if kind.retry_safety is api.RetrySafety.NOT_IDEMPOTENT and run_times:
+            raise RuleViolationError("sent an unsafe part again that may have run")
         if (
             kind.retry_safety is api.RetrySafety.IDEMPOTENCY_KEY
-            and ran
-            and now > ran[0] + (kind.idempotency_window or 0.0)
+            and run_times
+            and now > run_times[0] + (kind.idempotency_window or 0.0)
         ):
-            raise RuleViolationError("a keyed part was sent again after its window")
+            raise RuleViolationError("sent a keyed part again after its idempotency window")
         if not self.settings.hedging_allowed and any(key[0] == part for key in self.out):
-            raise RuleViolationError("two attempts at once where copies are not allowed")
-        if self.attempts_that_left(part) >= self.settings.max_attempts or stop_at > self.expires[query]:
-            raise RuleViolationError("too many attempts, or a time-out past the client's time")
+            raise RuleViolationError("sent a hedged request although hedging is not allowed")
+        if (
+            self.attempts_possibly_sent(part) >= self.settings.max_attempts
+            or expires_at > self.expires[query]
+        ):
+            raise RuleViolationError("too many attempts, or a timeout after the query's deadline")
         if self.sends[part]:
             self.extras.append(now)
-            span = self.settings.retry_budget_window
-            if span is not None:
-                used = sum(at > now - span for at in self.extras)
-                took = sum(at > now - span for at in self.taken)
+            window = self.settings.retry_budget_window
+            if window is not None:
+                sent = sum(at > now - window for at in self.extras)
+                arrived = sum(at > now - window for at in self.arrival_times)
                 if (
-                    used
-                    > (self.settings.retry_budget_free or 0) + (self.settings.retry_budget_share or 0) * took
+                    sent
+                    > (self.settings.retry_budget_free or 0)
+                    + (self.settings.retry_budget_share or 0) * arrived
                 ):
-                    raise RuleViolationError("over the attempt budget")
-        self.out[part, len(self.sends[part])] = server
-        self.sends[part].append((now, server))
+                    raise RuleViolationError("exceeded the retry budget")
+        self.out[part, len(self.sends[part])] = replica_id
+        self.sends[part].append((now, replica_id))
 
-    def _check_answer(self, query: int, whole: bool) -> None:
+    def _check_answer(self, query: int, complete: bool) -> None:
         kind, parts = self.settings.query_classes[self.classes[query]], self.step_parts[query]
         weight = sum(self.weight[p] for p in parts if p in self.ok)
         step = self.steps[query]
         if weight < min(kind.required_coverage, kind.complete_coverage) - 1e-4 and step == 1:
-            raise RuleViolationError("answered from under the least share")
-        need = kind.complete_coverage if step == 1 else 1.0
-        if whole and (weight < need - 1e-4 or not self.whole.get(query, True)):
-            raise RuleViolationError("marked whole what is not")
+            raise RuleViolationError("answered below the required coverage")
+        required = kind.complete_coverage if step == 1 else 1.0
+        if complete and (weight < required - 1e-4 or not self.first_step_complete.get(query, True)):
+            raise RuleViolationError("marked an incomplete answer as complete")
         if kind.second_step_parts and step == 1:
-            self.steps[query], self.whole[query], self.step_parts[query] = 2, whole, []
+            self.steps[query], self.first_step_complete[query], self.step_parts[query] = 2, complete, []
         else:
-            self._end(query, api.Answer(query, whole))
+            self._end(query, api.Answer(query, complete))
--- a/tests/recordings/scenarios.py
+++ b/tests/recordings/scenarios.py
@@ -1,4 +1,4 @@
-"""The recorded scenarios: drawn ones that mix everything, and directed ones for what those seldom meet."""
+"""The recorded scenarios: random ones that mix all kinds of events, and directed ones for rare cases."""
 
 from __future__ import annotations
 
@@ -24,53 +24,55 @@
     api.RetrySafety.IDEMPOTENCY_KEY,
     api.RetrySafety.NOT_IDEMPOTENT,
 )
-DRAWN = 10
+DRAWN_SCENARIOS = 10
 FIRST_ID = 10
 MESSAGES = (b"", b"\1", b"\2", b"\3", b"\2\2")
-UNKNOWN = 999_999
+UNKNOWN_ID = 999_999
 
 CLASS = api.QueryClass(1.0, 3.0, SAFE, None, 0, 1.0, 1.0, None, 0.0, 1.0)
 SETTINGS = BASE._replace(query_classes=(CLASS,), gossip_allowed=True)
 
 
 def replica(number: int, cell: int = 0, zone: int = 0, started: float = 0.0) -> api.Replica:
-    """A replica that is ready."""
+    """A replica in state ready."""
     return api.Replica(FIRST_ID + number, cell, zone, 1.0, READY, started)
 
 
 def fleet(count: int, cells: int = 1, zones: int = 1) -> tuple[api.Replica, ...]:
-    """Replicas that started long ago, spread over cells and zones."""
+    """Warm replicas, spread over cells and zones."""
     return tuple(replica(i, i % cells, i // cells % zones) for i in range(count))
 
 
 def listed(
     at: float, kind: api.MembershipUpdateKind, *rows: api.Replica
 ) -> tuple[float, api.MembershipChanged]:
-    """A list event at a time of the scenario."""
+    """A membership change at a time of the scenario."""
     return at, api.MembershipChanged(kind, rows)
 
 
-def message(at: float, number: int, word: bytes) -> tuple[float, api.PeerMessageReceived]:
-    """A peer's word on a replica."""
-    return at, api.PeerMessageReceived(1, number.to_bytes(8, "big") + word)
+def message(at: float, number: int, payload: bytes) -> tuple[float, api.PeerMessageReceived]:
+    """A message of a peer about a replica."""
+    return at, api.PeerMessageReceived(1, number.to_bytes(8, "big") + payload)
 
 
-# ---- drawn
+# ---- random scenarios
 
 
 def drawn_class(draw: random.Random) -> api.QueryClass:
-    """A class of queries; shares under 1, second steps and stretched aims are frequent."""
-    aim = draw.choice((0.3, 0.5, 1.0))
+    """A random query class; coverages below 1, second steps and stretched objectives are frequent."""
+    objective = draw.choice((0.3, 0.5, 1.0))
     semantics = draw.choice((SAFE, SAFE, KEYED, UNSAFE))
-    least, whole = draw.choice(((1.0, 1.0), (1.0, 1.0), (0.75, 0.75), (0.5, 1.0), (0.5, 0.9), (1.0, 0.8)))
+    required, complete = draw.choice(
+        ((1.0, 1.0), (1.0, 1.0), (0.75, 0.75), (0.5, 1.0), (0.5, 0.9), (1.0, 0.8))
+    )
     return api.QueryClass(
-        latency_objective=aim,
-        deadline=aim * draw.choice((2, 3)),
+        latency_objective=objective,
+        deadline=objective * draw.choice((2, 3)),
         retry_safety=semantics,
         idempotency_window=draw.choice((0.2, 1.0)) if semantics is KEYED else None,
         second_step_parts=draw.choice((0, 0, 2)),
-        required_coverage=least,
-        complete_coverage=whole,
+        required_coverage=required,
+        complete_coverage=complete,
         objective_stretch=draw.choice((None, None, 0.5)),
         late_weight=draw.choice((0.0, 0.3, 1.0)),
         partial_weight=draw.choice((1.0, 0.5)),
@@ -78,7 +80,7 @@
 
 
 def drawn_settings(draw: random.Random) -> api.Settings:
-    """Settings of a site in which about everything may be permitted or not."""
+    """Random settings, in which nearly every permission may be on or off."""
     with_budget = draw.random() < 0.4
     cells = draw.choice((1, 2, 4, 6))
     return api.Settings(
@@ -112,7 +114,7 @@
 def drawn_lists(
     draw: random.Random, rows: tuple[api.Replica, ...]
 ) -> Iterator[tuple[float, api.MembershipChanged]]:
-    """Restarts, drains, replacements, and lists that are old, whole or failed."""
+    """Restarts, drains, replacements, and lists that are cached, full or failed."""
     current = {row.id: row for row in rows}
     yield listed(0.0, draw.choice((FULL, CACHED)), *rows)
     for _ in range(draw.randint(3, 8)):
@@ -138,29 +140,29 @@
 
 
 def drawn_fault(draw: random.Random, rows: tuple[api.Replica, ...]) -> Fault:
-    """Some replicas at fault for some seconds, at times all of them."""
+    """A fault of some or all replicas for some seconds."""
     begins = round(draw.uniform(1.0, 14.0), 1)
-    struck = draw.sample(rows, draw.randint(0, max(1, len(rows) // 3)))
+    affected = draw.sample(rows, draw.randint(0, max(1, len(rows) // 3)))
     return Fault(
         draw.choice(list(FaultKind)),
         begins,
         begins + draw.choice((1.0, 3.0, 6.0)),
-        frozenset(row.id for row in struck),
+        frozenset(row.id for row in affected),
         share=draw.choice((1.0, 1.0, 0.4)),
     )
 
 
 def drawn_others(draw: random.Random, rows: tuple[api.Replica, ...]) -> Iterator[tuple[float, api.Event]]:
-    """Peers' messages, true, false, garbled or of what nobody knows, and a probe's end."""
+    """Messages of peers (correct, false, malformed, or about unknown replicas), and the end of a health check."""
     for _ in range(draw.randint(0, 12)):
-        at, number = round(draw.uniform(0.5, 19.0), 3), draw.choice((*(r.id for r in rows), UNKNOWN))
+        at, number = round(draw.uniform(0.5, 19.0), 3), draw.choice((*(r.id for r in rows), UNKNOWN_ID))
         yield message(at, number, draw.choice(MESSAGES))
     yield 3.0, api.PeerMessageReceived(2, draw.randbytes(5))
     yield 4.0, api.HealthCheckEnded(rows[0].id, api.AttemptOutcome.OK, 0.01, (0.5, inf))
 
 
 def drawn_scenario(seed: int) -> Scenario:
-    """One scenario of the mixed kind."""
+    """A random scenario."""
     draw = random.Random(seed)
     settings = drawn_settings(draw)
     rows = fleet(settings.cell_count * draw.choice((2, 3, 4)), settings.cell_count, draw.choice((1, 2)))
@@ -177,24 +179,24 @@
         ),
         lists=tuple(drawn_lists(draw, rows)),
         faults=tuple(drawn_fault(draw, rows) for _ in range(draw.randint(1, 5))),
-        others=tuple(drawn_others(draw, rows)),
-        stalls=((round(draw.uniform(2.0, 16.0), 2), draw.choice((0.05, 0.4, 1.5))),),
+        other_events=tuple(drawn_others(draw, rows)),
+        pauses=((round(draw.uniform(2.0, 16.0), 2), draw.choice((0.05, 0.4, 1.5))),),
         capacity=draw.choice((2.0, 6.0, inf)),
         failed_subscriptions=draw.choice((0, 2, 6)),
         seed=seed,
     )
 
 
-# ---- directed
+# ---- directed scenarios
 
 
 def steady(rate: float = 10.0, ends: float = 20.0) -> Load:
-    """Narrow queries at an even rate."""
+    """Queries of one part each at a constant mean rate."""
     return Load(0.1, ends, rate, 1, 1)
 
 
 def directed() -> Iterator[tuple[str, Scenario]]:
-    """Scenarios made for one thing each."""
+    """Scenarios that each exercise one behaviour, by name."""
     three, six = fleet(3), fleet(6)
     yield (
         "silent-then-restarted",
@@ -202,7 +204,7 @@
             SETTINGS,
             (steady(12.0, 24.0),),
             (listed(0.0, FULL, *six),),
-            (Fault(FaultKind.SILENT, 3.0, 10.0, frozenset({10, 11})),),
+            (Fault(FaultKind.UNRESPONSIVE, 3.0, 10.0, frozenset({10, 11})),),
             duration=24.0,
         ),
     )
@@ -212,7 +214,7 @@
             SETTINGS._replace(coordinator_count=1),
             (steady(4.0),),
             (listed(0.0, FULL, *six),),
-            others=(
+            other_events=(
                 *(message(2.0 + 0.01 * i, 10, b"\1") for i in range(8)),
                 *(message(3.0 + 0.01 * i, 10, b"") for i in range(8)),
                 *(message(3.3 + 0.01 * i, 10, b"\2") for i in range(8)),
@@ -243,7 +245,7 @@
             (listed(0.0, FULL, *fleet(18, 6, 3)),),
             (
                 Fault(FaultKind.SLOW, 3.0, 5.0, frozenset({12, 17})),
-                Fault(FaultKind.SILENT, 6.0, 8.0, frozenset({13})),
+                Fault(FaultKind.UNRESPONSIVE, 6.0, 8.0, frozenset({13})),
             ),
             duration=14.0,
         ),
@@ -263,7 +265,7 @@
             SETTINGS,
             (steady(10.0, 4.0), Load(22.0, 26.0, 4.0, 1, 1), Load(45.0, 48.0, 4.0, 1, 1)),
             (listed(0.0, FULL, *three),),
-            (Fault(FaultKind.SILENT, 22.0, 23.5), Fault(FaultKind.SILENT, 45.0, 45.5)),
+            (Fault(FaultKind.UNRESPONSIVE, 22.0, 23.5), Fault(FaultKind.UNRESPONSIVE, 45.0, 45.5)),
             duration=50.0,
         ),
     )
@@ -303,7 +305,7 @@
             (listed(0.0, FULL, *six),),
             (
                 Fault(FaultKind.RESET, 3.0, 6.0, share=0.4),
-                Fault(FaultKind.SILENT, 8.0, 10.0, frozenset({10})),
+                Fault(FaultKind.UNRESPONSIVE, 8.0, 10.0, frozenset({10})),
                 Fault(FaultKind.UNREACHABLE, 12.0, 15.0, share=0.5),
                 Fault(FaultKind.NEVER_SENT, 17.0, 19.0, share=0.5),
             ),
@@ -327,7 +329,7 @@
                 listed(15.0, DELTA, *(row._replace(state=GONE) for row in fleet(8, 4) if row.cell == 1)),
             ),
             (
-                Fault(FaultKind.SILENT, 3.0, 8.0, frozenset({11, 15})),
+                Fault(FaultKind.UNRESPONSIVE, 3.0, 8.0, frozenset({11, 15})),
                 Fault(FaultKind.ERROR, 10.0, 12.0, frozenset({12, 16})),
             ),
         ),
@@ -338,11 +340,11 @@
             SETTINGS,
             (steady(4.0, 8.0),),
             (listed(0.0, FULL),),
-            others=(
-                (0.5, api.AttemptEnded(UNKNOWN, 0, 10, api.AttemptOutcome.OK, 0.1)),
-                (0.6, api.QueryAbandoned(UNKNOWN)),
-                (0.7, api.TimerFired(UNKNOWN)),
-                (0.8, api.PartArrived(UNKNOWN, UNKNOWN, 0, 1.0)),
+            other_events=(
+                (0.5, api.AttemptEnded(UNKNOWN_ID, 0, 10, api.AttemptOutcome.OK, 0.1)),
+                (0.6, api.QueryAbandoned(UNKNOWN_ID)),
+                (0.7, api.TimerFired(UNKNOWN_ID)),
+                (0.8, api.PartArrived(UNKNOWN_ID, UNKNOWN_ID, 0, 1.0)),
                 (1.0, api.MembershipChanged(DELTA, three)),
                 (4.0, api.MembershipChanged(FULL, ())),
                 (6.0, api.MembershipChanged(CACHED, three[:1])),
@@ -400,7 +402,7 @@
             (steady(1.0, 29.0),),
             (listed(0.0, CACHED, *three),),
             (Fault(FaultKind.FULL, 6.0, 28.0, replicas=frozenset({10})),),
-            others=((5.0, api.WatchInterrupted(2.5)), (20.0, api.WatchInterrupted(0.0))),
+            other_events=((5.0, api.WatchInterrupted(2.5)), (20.0, api.WatchInterrupted(0.0))),
             duration=30.0,
             failed_subscriptions=24,
         ),
@@ -442,7 +444,7 @@
                 Fault(FaultKind.ERROR, 3.0, 8.0, frozenset({10})),
                 Fault(FaultKind.ERROR, 6.0, 8.0, frozenset({13})),
             ),
-            others=(
+            other_events=(
                 *(message(2.0 + 0.02 * i, 11, b"") for i in range(14)),
                 *(message(6.5 + 0.1 * i, 10, b"\1") for i in range(4)),
                 *(message(9.0 + 0.02 * i, 12, b"\1") for i in range(40)),
@@ -497,9 +499,9 @@
             (listed(0.0, FULL, *three),),
             (
                 Fault(FaultKind.SLOW, 4.0, 8.0, frozenset({10, 11}), slowness=10.0),
-                Fault(FaultKind.SILENT, 12.0, 14.0, frozenset({11, 12})),
+                Fault(FaultKind.UNRESPONSIVE, 12.0, 14.0, frozenset({11, 12})),
             ),
-            stalls=((6.0, 0.3), (13.0, 0.2)),
+            pauses=((6.0, 0.3), (13.0, 0.2)),
             duration=24.0,
         ),
     )
@@ -557,7 +559,7 @@
             (steady(1.0, 30.0),),
             (listed(0.0, FULL, *six),),
             (Fault(FaultKind.ERROR, 2.0, 20.0, frozenset({10, 11, 12})),),
-            others=tuple(
+            other_events=tuple(
                 message(8.0 + 2.0 * i + 0.01 * j, 10 + i % 3, b"") for i in range(8) for j in range(4)
             ),
             duration=32.0,
@@ -618,7 +620,7 @@
 
 
 def scenarios() -> Iterator[tuple[str, Scenario]]:
-    """All that is recorded, by name of the recording."""
+    """All recorded scenarios, by name of the recording."""
     yield from directed()
-    for seed in range(DRAWN):
+    for seed in range(DRAWN_SCENARIOS):
         yield f"drawn-{seed:02}", drawn_scenario(seed)
--- a/tests/test_recorded_decisions.py
+++ b/tests/test_recorded_decisions.py
@@ -1,9 +1,9 @@
-"""The decision module decides, to the last bit, what it decided when `recordings/` was recorded.
+"""Replays `recordings/` against the decision module: its actions must equal the recorded ones bit by bit.
 
-Each recording holds the batches that a simulated host gave to one co-ordinator, the actions that came back,
-and how far its random numbers were consumed. What decisions do not depend on, names and texts, is in none.
+Each recording holds the batches that a simulated host gave to one co-ordinator, the actions that it returned,
+and the position of its random generator. Names and texts, on which decisions do not depend, are not recorded.
 
-Measured with coverage.py, by branch: the recordings take each line and branch of the package `decisions` but
+By branch coverage (coverage.py) the recordings execute each line and branch of the package `decisions` except
 the body of `RankedSamples.extend`, which only tests call.
 """
 
@@ -21,8 +21,8 @@
 from gingervane import interface as api
 
 NAMES = names()
-FEWEST_RECORDINGS, FEWEST_BATCHES, FEWEST_ACTIONS = 35, 20_000, 40_000
-# Of the host's words on endings, none is the module's to say.
+MIN_RECORDINGS, MIN_BATCHES, MIN_ACTIONS = 35, 20_000, 40_000
+# Reasons that only the host gives, never the decision module.
 HOST_REASONS: set[Enum] = {
     api.QueryEndReason.SHUTDOWN,
     api.QueryEndReason.CLIENT_DISCONNECTED,
@@ -30,12 +30,12 @@
     api.QueryEndReason.INTERNAL,
     api.QueryEndReason.UNSTATED,
 }
-NEVER_SAID: set[type] = {api.LogMessage}  # by the decision module
+NEVER_EMITTED: set[type] = {api.LogMessage}  # actions that the decision module does not use
 
 
 @cache
 def recording(name: str) -> Recording:
-    """A recording, read once."""
+    """Read a recording; cached."""
     return read(name)
 
 
@@ -50,7 +50,7 @@
 
 
 def first_difference(expected: Any, got: Any) -> str:
-    """Where two batches part, for the one who reads the failure."""
+    """Describe the first difference between two batches."""
     for number, (a, b) in enumerate(zip(expected.actions, got.actions, strict=False)):
         if exact(a) != exact(b):
             return f"action {number}: expected {exact(a)}, got {exact(b)}"
@@ -60,59 +60,59 @@
     return f"expected {exact(expected)}, got {exact(got)}"
 
 
-def records(value: Any) -> Iterator[list[Any]]:
-    """All encoded records, members and tuples within an encoded value, itself included."""
+def encoded_records(value: Any) -> Iterator[list[Any]]:
+    """All encoded records, enumeration members and tuples within an encoded value, itself included."""
     if isinstance(value, list):
         if value and isinstance(value[0], int):
             yield value
         for inner in value:
-            yield from records(inner)
+            yield from encoded_records(inner)
 
 
 @cache
-def census() -> tuple[Counter[type], Counter[Enum]]:
-    """How often each type and each member of an enumeration occurs in the recordings."""
+def count_occurrences() -> tuple[Counter[type], Counter[Enum]]:
+    """Count the occurrences of each type and each enumeration member in the recordings."""
     kinds, members = Counter[type](), Counter[Enum]()
     for name in NAMES:
-        found = recording(name)
-        for batch in found.batches:
+        recorded = recording(name)
+        for batch in recorded.batches:
             for value in (*batch.events, *batch.actions):
-                for record in records(value):
+                for record in encoded_records(value):
                     if record[0] >= 0:
                         kinds[TYPES[record[0]]] += 1
                     elif record[0] == MEMBER:
                         members[list(ENUMERATIONS[record[1]])[record[2]]] += 1
-        for record in records(found.settings):
+        for record in encoded_records(recorded.settings):
             if record[0] == MEMBER:
                 members[list(ENUMERATIONS[record[1]])[record[2]]] += 1
     return kinds, members
 
 
-def test_there_is_much_to_compare() -> None:
+def test_recordings_are_large_enough() -> None:
     batches = [batch for name in NAMES for batch in recording(name).batches]
-    assert len(NAMES) >= FEWEST_RECORDINGS
-    assert len(batches) >= FEWEST_BATCHES
-    assert sum(len(batch.actions) for batch in batches) >= FEWEST_ACTIONS
+    assert len(NAMES) >= MIN_RECORDINGS
+    assert len(batches) >= MIN_BATCHES
+    assert sum(len(batch.actions) for batch in batches) >= MIN_ACTIONS
     assert any(sum(e[0] == TYPES.index(api.PartArrived) for e in b.events) >= 100 for b in batches)
 
 
-def test_each_recording_has_decisions_and_ends() -> None:
-    ends = {TYPES.index(kind) for kind in (api.Answer, api.Reject, api.Fail)}
+def test_each_recording_sends_parts_and_completes_queries() -> None:
+    completion_types = {TYPES.index(kind) for kind in (api.Answer, api.Reject, api.Fail)}
     for name in NAMES:
-        said = {action[0] for batch in recording(name).batches for action in batch.actions}
-        assert TYPES.index(api.Send) in said and said & ends, name
+        action_types = {action[0] for batch in recording(name).batches for action in batch.actions}
+        assert TYPES.index(api.Send) in action_types and action_types & completion_types, name
 
 
 def test_each_event_and_action_occurs() -> None:
-    kinds, _ = census()
+    kinds, _ = count_occurrences()
     in_settings_only = {api.Settings, api.QueryClass}
-    assert set(TYPES) - set(kinds) == NEVER_SAID | in_settings_only
+    assert set(TYPES) - set(kinds) == NEVER_EMITTED | in_settings_only
 
 
 def test_each_outcome_list_state_and_reason_occurs() -> None:
-    _, members = census()
-    wanted: set[Enum] = {member for enumeration in ENUMERATIONS for member in enumeration}
-    assert wanted - set(members) == HOST_REASONS
+    _, members = count_occurrences()
+    expected_members: set[Enum] = {member for enumeration in ENUMERATIONS for member in enumeration}
+    assert expected_members - set(members) == HOST_REASONS
 
 
 def test_random_numbers_are_consumed() -> None:
--- a/tests/test_recorded_driver.py
+++ b/tests/test_recorded_driver.py
@@ -1,4 +1,4 @@
-"""The query driver gives, bit by bit, what was recorded (`recordings/record_driver.py`)."""
+"""Replays the recordings of `recordings/record_driver.py`; the driver's outputs must be equal bit by bit."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import pytest
 from recordings import driver_codec as codec
 from recordings.driver_codec import Batch, Session
-from recordings.driver_tools import TOOLS, Use
+from recordings.driver_tools import TOOLS, ToolUse
 
 from gingervane import interface as api
 from gingervane.coordinator import types as t
@@ -17,9 +17,9 @@
 TOOLS_FIXTURE = codec.DIRECTORY / "driver-tools.json.gz"
 FIXTURES = sorted(set(codec.DIRECTORY.glob("driver-*.json.gz")) - {TOOLS_FIXTURE})
 
-# What the recordings hold at least; an emptied or missing fixture falls short of it.
-LEAST_RECORDINGS, LEAST_BATCHES, LEAST_TOOL_CALLS = 39, 8000, 2000
-LEAST_INPUTS = {
+# Minimum content of the recordings; detects emptied or missing fixtures.
+MIN_RECORDINGS, MIN_BATCHES, MIN_TOOL_CALLS = 39, 8000, 2000
+MIN_INPUTS = {
     t.QuerySubmitted: 1200,
     t.AttemptFinished: 2000,
     t.ClientDisconnected: 40,
@@ -27,7 +27,7 @@
     t.Shutdown: 4,
     t.PeerMessageReceived: 24,
 }
-LEAST_EFFECTS = {
+MIN_EFFECTS = {
     t.StartRequest: 2000,
     t.CancelRequest: 2000,
     t.AbandonAttempt: 250,
@@ -45,7 +45,7 @@
 
 
 def replay(session: Session, batch: Batch) -> list[Any]:
-    """What the driver gives for a batch: results of operations, effects, state, and what it told others."""
+    """Return the driver's outputs for a batch: results of operations, effects, state, and observed calls."""
     results = [session.operate(form) for form in batch.operations]
     _, effects, state, observed = session.step(batch.now, batch.inputs)
     return [results, effects, state, observed]
@@ -57,13 +57,13 @@
     session = Session(recording.settings, recording.seed, recording.script)
     for number, batch in enumerate(recording.batches):
         expected = [batch.operation_results, batch.effects, batch.state, batch.observed]
-        for what, recorded, found in zip(
+        for description, recorded, actual in zip(
             ("operation results", "effects", "state", "observed"),
             expected,
             replay(session, batch),
             strict=True,
         ):
-            difference = codec.first_difference(recorded, found, what)
+            difference = codec.first_difference(recorded, actual, description)
             assert not difference, f"batch {number} at {batch.now}: {difference}"
     difference = codec.first_difference(recording.closing, session.closing(), "closing")
     assert not difference, difference
@@ -71,14 +71,14 @@
 
 def test_the_helpers_of_the_driver_do_what_was_recorded() -> None:
     for number, (tool, arguments, calls) in enumerate(codec.read_fixture(TOOLS_FIXTURE)):
-        use = Use(tool, arguments)
+        use = ToolUse(tool, arguments)
         for position, (call, given, recorded) in enumerate(calls):
             difference = codec.first_difference(recorded, use.call(call, given))
             assert not difference, f"use {number} of tool {tool}, call {position}: {difference}"
 
 
-def test_the_recordings_hold_what_they_claim() -> None:
-    """Every kind of input and effect, every verdict and outcome, in no fewer numbers than were recorded."""
+def test_recordings_contain_every_input_effect_and_outcome() -> None:
+    """Each type of input and effect occurs often enough, and each query status, outcome and reason occurs."""
     inputs, effects, members, batches = Counter[int](), Counter[int](), Counter[tuple[int, int]](), 0
     for path in FIXTURES:
         recording = codec.read_recording(path)
@@ -89,21 +89,21 @@
             effects.update(form[0] for form in batch.effects)
             count_members(batch.effects, members)
             count_members(batch.observed, members)
-    assert len(FIXTURES) >= LEAST_RECORDINGS and batches >= LEAST_BATCHES
-    assert {*LEAST_INPUTS} == {*codec.INPUTS} and {*LEAST_EFFECTS} == {*codec.EFFECTS}
-    for kind, least in LEAST_INPUTS.items():
-        assert inputs[codec.type_index(kind)] >= least, kind
-    for kind, least in LEAST_EFFECTS.items():
-        assert effects[codec.type_index(kind)] >= least, kind
-    assert effects[codec.RAISED], "a step that broke"
+    assert len(FIXTURES) >= MIN_RECORDINGS and batches >= MIN_BATCHES
+    assert {*MIN_INPUTS} == {*codec.INPUTS} and {*MIN_EFFECTS} == {*codec.EFFECTS}
+    for kind, minimum in MIN_INPUTS.items():
+        assert inputs[codec.type_index(kind)] >= minimum, kind
+    for kind, minimum in MIN_EFFECTS.items():
+        assert effects[codec.type_index(kind)] >= minimum, kind
+    assert effects[codec.RAISED], "no step that raised an exception"
     for enumeration in (t.QueryStatus, api.AttemptOutcome):
         for member in enumeration:
             _, kind_index, ordinal = codec.encode_member(member)
             assert members[kind_index, ordinal], member
     reasons = {codec.encode_member(reason)[2] for reason in api.QueryEndReason}
-    never = {codec.encode_member(api.QueryEndReason.INTERNAL)[2]}  # given by `core` alone
-    found = {ordinal for kind, ordinal in members if codec.ENUMERATIONS[kind] is api.QueryEndReason}
-    assert found == reasons - never
+    never = {codec.encode_member(api.QueryEndReason.INTERNAL)[2]}  # used only by `coordinator.core`
+    actual = {ordinal for kind, ordinal in members if codec.ENUMERATIONS[kind] is api.QueryEndReason}
+    assert actual == reasons - never
 
 
 def test_every_helper_is_recorded() -> None:
@@ -111,11 +111,11 @@
     for tool, _, calls in codec.read_fixture(TOOLS_FIXTURE):
         used.update((tool, call) for call, _, _ in calls)
     assert set(used) == {(n, call) for n, tool in enumerate(TOOLS) for call in range(len(tool.calls))}
-    assert used.total() >= LEAST_TOOL_CALLS
+    assert used.total() >= MIN_TOOL_CALLS
 
 
 def count_members(form: Any, members: Counter[tuple[int, int]]) -> None:
-    """Count the members of enumerations in a form."""
+    """Count the enumeration members in an encoded value."""
     if isinstance(form, list):
         if len(form) == 3 and form[0] == codec.MEMBER:
             members[form[1], form[2]] += 1
@@ -124,7 +124,7 @@
 
 
 @pytest.mark.parametrize(
-    "recorded, found",
+    "recorded, actual",
     [
         (1, 1.0),
         (0.1 + 0.2, 0.3),
@@ -135,6 +135,6 @@
         ("a", "b"),
     ],
 )
-def test_forms_are_compared_bit_by_bit(recorded: Any, found: Any) -> None:
-    assert codec.first_difference(recorded, found)
+def test_forms_are_compared_bit_by_bit(recorded: Any, actual: Any) -> None:
+    assert codec.first_difference(recorded, actual)
     assert not codec.first_difference(recorded, recorded)
