--- a/tests/test_stored_files.py
+++ b/tests/test_stored_files.py
@@ -1,7 +1,7 @@
-"""Files that an earlier version left behind (`tests/stored/`) are read to the values that it had written.
+"""Files written by an earlier version (`tests/stored/`) are read to the values that it wrote.
 
-Each test works on a copy. Values are compared by position: a field may be renamed but not moved. Where the
-program goes on writing to what it has read, that is done too, and all of it is read once more.
+Each test works on a copy. Values are compared by position: a field may be renamed but not moved. If the program
+appends to or replaces a file after reading it, the test does so too and reads the result again.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
 
 STORED = Path(__file__).parent / "stored"
 
-# As the fixtures were written; see `make_fixtures.py`.
+# Constants that the fixtures were written with; see `make_fixtures.py`.
 BOOT = "0d6f3a52-8a1c-4a53-9b1e-fixture00001"
 UNIX = 1_764_600_000.0
 BOOT_SECONDS = 5_000.0
@@ -58,7 +58,7 @@
 
 @pytest.fixture
 def same_boot(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The machine has not been restarted since the fixtures were written: 90 s ago by the boot's clock."""
+    """The fixtures were written in the same boot, 90 s ago by its clock."""
     monkeypatch.setattr(boot_clock, "boot_id", lambda: BOOT)
     monkeypatch.setattr(boot_clock, "seconds", lambda: BOOT_SECONDS + 90.0)
 
@@ -168,12 +168,12 @@
 
 
 def plain(members: tuple[Member, ...]) -> list[tuple[Any, ...]]:
-    """Members by position, states as they are stored."""
+    """Return the members as tuples, with states as they are stored."""
     return [(*member[:5], member[5].value, *member[6:]) for member in members]
 
 
 def made(rows: list[tuple[Any, ...]]) -> tuple[Member, ...]:
-    """Members of such rows."""
+    """Return the members of such tuples."""
     return tuple(Member._make((*row[:5], api.ReplicaState(row[5]), *row[6:])) for row in rows)
 
 
@@ -203,7 +203,7 @@
 def test_snapshots_of_older_versions_are_read(
     stored: Path, monkeypatch: pytest.MonkeyPatch, version: int
 ) -> None:
-    """They have no index of an entry, no boot, and the first of them no state of the merge."""
+    """Neither has create indexes or a boot ID, and version 1 has no state of the reconciliation."""
     monkeypatch.setattr(time, "time", lambda: UNIX + 30.0)
     path = stored / "membership" / f"snapshot-v{version}"
     snapshot = Snapshot(path, OFFSET, 3, 4)
@@ -252,7 +252,7 @@
 
 
 def as_json(state: Any) -> Any:
-    """With tuples as the lists that they are read back as."""
+    """Replace tuples by lists, as JSON reads them back."""
     if isinstance(state, dict):
         return {key: as_json(value) for key, value in state.items()}
     return [as_json(value) for value in state] if isinstance(state, list | tuple) else state
@@ -314,7 +314,7 @@
 
 
 def opened(folder: Path) -> Iterator[tuple[WriteAheadLog, Any]]:
-    """The log and what its start has read; closed afterwards."""
+    """Yield the log and the result of its recovery; close it afterwards."""
     log = WriteAheadLog(folder, 3600.0, lambda: 4_100.0)
     yield log, log.recover()
     log.close()
@@ -348,7 +348,7 @@
 def test_a_torn_end_of_the_intent_log_is_cut_off(stored: Path, same_boot: None) -> None:
     folder = stored / "intents-torn"
     whole = {key: value for key, value in INTENTS.items() if value[1] != "44bb"}
-    for _ in range(2):  # the second time there is nothing to cut
+    for _ in range(2):  # the second time there is nothing to cut off
         for _, (entries, faults, count) in opened(folder):
             assert by_position(entries) == whole and faults == [] and count == 5
 
@@ -365,7 +365,7 @@
 
 
 def test_what_a_restart_makes_of_the_kept_intents(stored: Path, same_boot: None) -> None:
-    """Done: the same answer again. Idle: as new, its version kept. Open or unknown: may have run."""
+    """Done: the result is replayed. Idle: sent as new with its version. Open or unknown: may have been executed."""
     known = IdempotencyRecords(IdempotencyLimits(window=10.0, safety_margin=0.5, retention=3600.0))
     for _, (entries, _, _) in opened(stored / "intents"):
         for key, entry in entries.items():
@@ -391,7 +391,7 @@
     assert written == (stored / "intents" / "intents-00000002.log").read_bytes()
 
 
-# ---- the runs of the lab
+# ---- the runs of experiments
 
 LATENCY = {"look": {"count": 3, "p50": 2.0, "p99": 300.0}, "scan": {"count": 1, "p50": 6.0, "p99": 20.0}}
 REPORT = {"kept": True, "attempts": 12, "parts": 8, "latency_ms": LATENCY}
@@ -406,7 +406,7 @@
 
 @pytest.fixture
 def kept_runs(stored: Path) -> Path:
-    """A file of runs with the table of an earlier version, made by its own SQL."""
+    """A database of runs with the table of an earlier version, created by its SQL."""
     path = stored / "runs.duckdb"
     database = duckdb.connect(str(path))
     database.execute((stored / "runs.sql").read_text())
@@ -417,7 +417,7 @@
 def test_kept_runs_are_read_and_added_to(kept_runs: Path) -> None:
     store = RunStore(kept_runs)
     assert [tuple(run) for run in store.runs("one", version="v1")] == RUNS[:2]
-    assert [tuple(run) for run in store.runs("one")] == RUNS[2:3], "of the version that was put last"
+    assert [tuple(run) for run in store.runs("one")] == RUNS[2:3], "runs of the version stored last"
     assert [tuple(run) for run in store.runs("one", "sockets")] == RUNS[1:2]
     assert [tuple(run) for run in store.runs("two")] == RUNS[3:]
     assert store.done("one", "emulator", "v1") == {('{"a": 1}', 1)}
@@ -433,7 +433,7 @@
 
 
 def test_the_table_of_runs_is_made_as_it_was(tmp_path: Path, kept_runs: Path) -> None:
-    """An earlier version that is put back finds its own table and columns."""
+    """After a rollback, the earlier version finds its own table and columns."""
     RunStore(tmp_path / "new.duckdb").close()
     found = []
     for path in (tmp_path / "new.duckdb", kept_runs):
@@ -453,7 +453,7 @@
     assert attempts[1:4] == (2, 1.5, 1.5) and median[1:4] == (2, 3.0, 3.0) and tail[1:4] == (2, 230.0, 230.0)
 
 
-# ---- the records of a day
+# ---- the records of a scenario run
 
 START_MS = 1_764_600_000_000
 
@@ -481,12 +481,12 @@
 
 
 def rule(tested: int, nearest: object = 0.0) -> dict[str, Any]:
-    """One that was kept."""
+    """Return the verdict of a rule that was kept."""
     return {"kept": True, "tested": tested, "nearest": nearest, "breaches": 0, "what": []}
 
 
 def test_the_records_of_a_day_are_judged_to_the_same_report(stored: Path) -> None:
-    """Which is kept too, as `report.json` and with the runs of the lab."""
+    """The report is stored too, as `report.json` and with the runs of experiments."""
     assert json.loads(json.dumps(rules.judge(stored / "day"))) == {
         "name": "small",
         "kept": True,
