--- a/gingervane/daemon/app.py
+++ b/gingervane/daemon/app.py
@@ -30,7 +30,7 @@
 from gingervane.wire.http1 import Request
 
 _NO_ENDPOINTS = "no server list has come yet"  # why queries are rejected until there is a list
-_BROKEN_POLL = 0.2  # seconds between two checks for a core whose decision thread failed
+_BROKEN_CORE_POLL_INTERVAL = 0.2  # seconds between two checks for a core whose decision thread failed
 
 
 class App:
@@ -51,7 +51,7 @@
         classes = assembly.make_query_classes(config)
         self.children = ChildCoordinators(config, config.tree, cores, self.metrics) if config.tree else None
         self.concurrency_limit = assembly.make_concurrency_limit(config)
-        tree = self.children.setting if self.children else None
+        tree = self.children.tree_config if self.children else None
         self._front = assembly.make_remote_read_front(
             config, self.core, classes, self.concurrency_limit, tree
         )
@@ -98,15 +98,15 @@
         pages = StatusPages(self.metrics.text, self._is_ready)
         return Router([*pages.routes(), *(route for front in fronts for route in front.routes())])
 
-    def _endpoints_updated(self, listed: t.EndpointsUpdated) -> None:
+    def _endpoints_updated(self, update: t.EndpointsUpdated) -> None:
         """Apply an update of the replicas; from the first on, queries are admitted."""
-        self.core.endpoints_updated(listed)
+        self.core.endpoints_updated(update)
         self.core.admission.reopen(_NO_ENDPOINTS)
 
-    def _coordinators_updated(self, listed: t.EndpointsUpdated) -> None:
+    def _coordinators_updated(self, update: t.EndpointsUpdated) -> None:
         """Apply an update of the co-ordinators."""
         if self.children:
-            self.children.endpoints_updated(listed, self.membership.peers.members)
+            self.children.endpoints_updated(update, self.membership.peers.members)
 
     @property
     def address(self) -> tuple[str, int]:
@@ -160,7 +160,7 @@
             signal.signal(number, lambda *_: stop.set())
         self.start()
         print(f"listening on {self.address[0]}:{self.address[1]}", flush=True)
-        while not stop.wait(_BROKEN_POLL) and not self._is_broken():
+        while not stop.wait(_BROKEN_CORE_POLL_INTERVAL) and not self._is_broken():
             pass
         self._log.info(LogEvent.SHUTDOWN_STARTED, open_queries=self.core.admission.open)
         self.stop()
@@ -177,7 +177,7 @@
         return any(core.broken.is_set() for core in self.cores)
 
     def _is_ready(self) -> bool:
-        return self._serving and self.membership.known and not self.core.broken.is_set()
+        return self._serving and self.membership.has_server_list and not self.core.broken.is_set()
 
     def _gauges(self) -> dict[str, float]:
         """Return the present value of each gauge by its metric name."""
--- a/gingervane/daemon/child_coordinators.py
+++ b/gingervane/daemon/child_coordinators.py
@@ -25,16 +25,16 @@
         self._own_name = tree.name
         self.peers = plan.PeerCoordinators({}, frozenset())  # replaced as a whole with each list
         self.core: QueryCoordinator = cores.make(
-            config.branch_settings(), SubtreeObserver(metrics), _SEED_OFFSET
+            config.subtree_settings(), SubtreeObserver(metrics), _SEED_OFFSET
         )
         limits = plan.TreeLimits(tree.fan_out, tree.levels, tree.ring, tree.width, tree.leaf_attempts)
-        self.setting = TreeConfig(self.core, tree.name, limits, lambda: self.peers)
+        self.tree_config = TreeConfig(self.core, tree.name, limits, lambda: self.peers)
 
-    def endpoints_updated(self, listed: t.EndpointsUpdated, members: Mapping[int, Member]) -> None:
+    def endpoints_updated(self, update: t.EndpointsUpdated, members: Mapping[int, Member]) -> None:
         """Apply an update of the co-ordinators. This co-ordinator itself counts as gone, so it gets no subtrees."""
         replicas = tuple(
             row._replace(state=api.ReplicaState.GONE) if self._is_own(members.get(row.id)) else row
-            for row in listed.membership.replicas
+            for row in update.membership.replicas
         )
         ready = frozenset(
             member.name
@@ -42,8 +42,8 @@
             if member.state is api.ReplicaState.READY and not self._is_own(member)
         )
         self.peers = plan.PeerCoordinators({member.name: member.cell for member in members.values()}, ready)
-        membership = listed.membership._replace(replicas=replicas)
-        self.core.endpoints_updated(listed._replace(membership=membership))
+        membership = update.membership._replace(replicas=replicas)
+        self.core.endpoints_updated(update._replace(membership=membership))
 
     def _is_own(self, member: Member | None) -> bool:
         return member is not None and member.name == self._own_name
--- a/gingervane/daemon/observers.py
+++ b/gingervane/daemon/observers.py
@@ -13,8 +13,8 @@
 
 _DURATION_DIGITS = 4  # decimal places of logged seconds and coverage
 _CORE_CLASSES_PER_CLASS = 3  # a core's variants of each class in the settings: strict, lenient and collecting
-_FAILED_SUBTREE_IGNORED = frozenset({t.QueryStatus.COMPLETE, t.QueryStatus.CLIENT_DISCONNECTED})
-_LOGGED_OF_VECTORS = frozenset({t.QueryStatus.REJECTED, t.QueryStatus.FAILED})
+_UNLOGGED_SUBTREE_STATUSES = frozenset({t.QueryStatus.COMPLETE, t.QueryStatus.CLIENT_DISCONNECTED})
+_LOGGED_VECTOR_STATUSES = frozenset({t.QueryStatus.REJECTED, t.QueryStatus.FAILED})
 
 
 class CoreObserver:
@@ -107,7 +107,7 @@
         """Measure a subtree; log it if it failed."""
         status = final.status
         self._metrics.subtree_seconds.add((plan.tag, status.value), seconds)
-        if status not in _FAILED_SUBTREE_IGNORED:
+        if status not in _UNLOGGED_SUBTREE_STATUSES:
             self._log.info(
                 LogEvent.SUBTREE_FAILED,
                 query_class=plan.tag,
@@ -147,7 +147,7 @@
         """Measure a query; log it if it was rejected or failed."""
         status = final.status
         self._metrics.vector_seconds.add((self._core, plan.tag, status.value), seconds)
-        if status in _LOGGED_OF_VECTORS:
+        if status in _LOGGED_VECTOR_STATUSES:
             self._log.info(
                 LogEvent.QUERY_COMPLETED,
                 query_class=plan.tag,
--- a/gingervane/membership/atomic_file.py
+++ b/gingervane/membership/atomic_file.py
@@ -31,8 +31,8 @@
 class NewerVersionError(StoreError):
     """The file was written by a later version of this program."""
 
-    def __init__(self, path: Path, version: int, own: int) -> None:
-        super().__init__(f"{path}: version {version}, this program reads up to {own}")
+    def __init__(self, path: Path, version: int, supported_version: int) -> None:
+        super().__init__(f"{path}: version {version}, this program reads up to {supported_version}")
         self.version = version
 
 
@@ -117,12 +117,12 @@
         if len(data) > MAX_BYTES:
             raise StoreError(f"{self.path}: {len(data)} bytes, over the limit of {MAX_BYTES}")
         disk = self._disk
-        part = self.path.with_name(self.path.name + ".part")
-        self._write(part, data)
+        temporary = self.path.with_name(self.path.name + ".part")
+        self._write(temporary, data)
         if self._newer_version:
             disk.rename(self.path, self.path.with_name(f"{self.path.name}.v{self._newer_version}"))
             self._newer_version = 0
-        disk.rename(part, self.path)
+        disk.rename(temporary, self.path)
         disk.fsync_directory(self.path.parent)
 
     def _write(self, path: Path, data: bytes) -> None:
@@ -148,17 +148,17 @@
     return b"%s %d %d %08x\n" % (MAGIC, version, len(content), zlib.crc32(content)) + content
 
 
-def parse(data: bytes, path: Path, own: int) -> tuple[int, bytes]:
+def parse(data: bytes, path: Path, supported_version: int) -> tuple[int, bytes]:
     """Return version and content of a file's bytes. `supported_version`: newest readable one. Raises StoreError."""
-    head, line, content = data[:_MAX_HEAD_BYTES].partition(b"\n")
+    head, newline, content = data[:_MAX_HEAD_BYTES].partition(b"\n")
     fields = head.split(b" ")
-    if not line or len(fields) != 4 or fields[0] != MAGIC or not all(f.isdigit() for f in fields[1:3]):
+    if not newline or len(fields) != 4 or fields[0] != MAGIC or not all(f.isdigit() for f in fields[1:3]):
         raise StoreError(f"{path}: torn, or not a file of this program")
     content = data[len(head) + 1 :]
     version = int(fields[1])
     length = int(fields[2])
-    if version > own:
-        raise NewerVersionError(path, version, own)
+    if version > supported_version:
+        raise NewerVersionError(path, version, supported_version)
     if length != len(content):
         raise StoreError(f"{path}: torn: {len(content)} bytes of {length}")
     if fields[3] != b"%08x" % zlib.crc32(content):
--- a/gingervane/membership/consul.py
+++ b/gingervane/membership/consul.py
@@ -121,37 +121,37 @@
     service = entry["Service"]
     node = entry["Node"]
     meta = {**(node.get("Meta") or {}), **(service.get("Meta") or {})}
-    name = _text(service["ID"], "Service.ID")
-    host = _text(service.get("Address") or node["Address"], "Service.Address")
+    name = _checked_text(service["ID"], "Service.ID")
+    host = _checked_text(service.get("Address") or node["Address"], "Service.Address")
     port = service["Port"]
     if type(port) is not int or not 0 < port < 65536:
         raise ValueError(f"Service.Port: {port!r}")
-    cell = int(_text(meta[names.cell], f"Meta.{names.cell}"))
+    cell = int(_checked_text(meta[names.cell], f"Meta.{names.cell}"))
     if not 0 <= cell < cells:
         raise ValueError(f"Meta.{names.cell}: {cell} is not from 0 to {cells - 1}")
     zone = meta.get(names.zone)
     if zone not in zones:
         raise ValueError(f"Meta.{names.zone}: {zone!r} is not one of {', '.join(zones)}")
-    number = int(meta[names.id]) if names.id in meta else zlib.crc32(name.encode())
-    if not 0 <= number < 1 << 63:
-        raise ValueError(f"Meta.{names.id}: {number}")
+    member_id = int(meta[names.id]) if names.id in meta else zlib.crc32(name.encode())
+    if not 0 <= member_id < 1 << 63:
+        raise ValueError(f"Meta.{names.id}: {member_id}")
     started = float(meta[names.started]) + offset if names.started in meta else None
     if started is not None and not isfinite(started):
         raise ValueError(f"Meta.{names.started}: {meta[names.started]!r}")
     created = service.get("CreateIndex", 0)
     if type(created) is not int or created < 0:
         raise ValueError(f"Service.CreateIndex: {created!r}")
-    state = _state(entry, meta, names)
-    return Member(number, name, (host, port), zones.index(zone), cell, state, started, created)
+    state = _replica_state(entry, meta, names)
+    return Member(member_id, name, (host, port), zones.index(zone), cell, state, started, created)
 
 
-def _text(value: Any, where: str) -> str:
+def _checked_text(value: Any, where: str) -> str:
     if not isinstance(value, str) or not 0 < len(value) <= MAX_TEXT_LENGTH:
         raise ValueError(f"{where}: {value!r:.60} is not a string of 1 to {MAX_TEXT_LENGTH} characters")
     return value
 
 
-def _state(entry: dict[str, Any], meta: dict[str, str], names: EntryFieldNames) -> api.ReplicaState:
+def _replica_state(entry: dict[str, Any], meta: dict[str, str], names: EntryFieldNames) -> api.ReplicaState:
     """Return draining for an entry with a drain mark in meta or tags, or in maintenance; gone if a check is critical.
 
     An entry whose checks warn is ready.
@@ -179,4 +179,4 @@
     """Parse the answer of /v1/catalog/datacenters. Raises ConsulError."""
     if not isinstance(body, list) or len(body) > _MAX_DATACENTERS:
         raise ConsulError(f"datacenters: not a list of at most {_MAX_DATACENTERS}")
-    return tuple(_text(name, f"datacenters[{index}]") for index, name in enumerate(body))
+    return tuple(_checked_text(name, f"datacenters[{index}]") for index, name in enumerate(body))
--- a/gingervane/membership/consul_polling.py
+++ b/gingervane/membership/consul_polling.py
@@ -12,7 +12,7 @@
 
 WAIT_JITTER_DIVISOR = 16  # Consul adds up to wait/16 to a blocking query's wait
 _MAX_DOUBLINGS = 16  # limit on the exponent of a backoff, against overflow
-_LAGGING_ANSWERS_TO_DOUBT = 2  # successive stale answers after which a consistent query is sent
+_STALE_ANSWERS_BEFORE_CONFIRMATION = 2  # successive stale answers after which a consistent query is sent
 _ROUND_TRIP_ALLOWANCE = 2.0  # seconds of network time added to a blocking query's wait
 _LONG_AGO = -1e18  # seconds on the monotonic clock; before any reading of it
 
@@ -30,10 +30,10 @@
     initial_delay: float = 0.5
     max_delay: float = 15.0
     blocking_wait: float = 30.0
-    lag_wait: float = 2.0
+    stale_answer_wait: float = 2.0
 
     @property
-    def max_silence(self) -> float:
+    def max_response_time(self) -> float:
         """Longest time until a healthy agent answers: the wait, Consul's jitter on it, and the round trip."""
         return self.blocking_wait * (1 + 1 / WAIT_JITTER_DIVISOR) + _ROUND_TRIP_ALLOWANCE
 
@@ -73,17 +73,17 @@
         self._requested_at = _LONG_AGO
         self._unchanged_answers = 0  # successive answers that came early and changed nothing
         self._entry_count = 0  # of the last answer
-        self._lagging_answers = 0  # successive
-        self._failed_vouchings = 0  # successive consistent requests that failed
+        self._stale_answers = 0  # successive
+        self._failed_confirmations = 0  # successive consistent requests that failed
 
     @property
     def wait(self) -> float:
         """Seconds for which the next blocking query waits for a change."""
         backoff = self._backoff
-        if not self._lagging_answers:
+        if not self._stale_answers:
             return backoff.blocking_wait
-        doublings = min(self._failed_vouchings, _MAX_DOUBLINGS)
-        return min(backoff.lag_wait * 2.0**doublings, backoff.blocking_wait)
+        doublings = min(self._failed_confirmations, _MAX_DOUBLINGS)
+        return min(backoff.stale_answer_wait * 2.0**doublings, backoff.blocking_wait)
 
     @property
     def is_blocking(self) -> bool:
@@ -93,7 +93,7 @@
     @property
     def response_timeout(self) -> float:
         """Seconds after which the next request counts as failed."""
-        return self._backoff.max_silence if self.is_blocking else self._backoff.max_delay
+        return self._backoff.max_response_time if self.is_blocking else self._backoff.max_delay
 
     def record_request(self, now: float) -> None:
         """Record that a request is sent now."""
@@ -110,15 +110,17 @@
         self._failures = 0
         is_early = now - self._requested_at < self._backoff.blocking_wait / 2
         was_consistent = self.consistent
-        went_back = index < self._highest_index and not was_consistent
-        shrank = entry_count < self._entry_count / 2 and not was_consistent
+        index_decreased = index < self._highest_index and not was_consistent
+        list_halved = entry_count < self._entry_count / 2 and not was_consistent
         self._entry_count = entry_count
         self._highest_index = index if was_consistent else max(index, self._highest_index)
-        self._note_lag(index < known_index and not was_consistent)
+        self._count_stale_answer(index < known_index and not was_consistent)
         # A doubtful answer is confirmed by a consistent request before it counts. One stale answer is not doubtful:
         # agents catch up with each other in moments, so the leader is asked only if it is still stale after a wait.
-        self.consistent = went_back or shrank or self._lagging_answers >= _LAGGING_ANSWERS_TO_DOUBT
-        if went_back:  # a stale agent, a catalogue restored from a snapshot, or another cluster
+        self.consistent = (
+            index_decreased or list_halved or self._stale_answers >= _STALE_ANSWERS_BEFORE_CONFIRMATION
+        )
+        if index_decreased:  # a stale agent, a catalogue restored from a snapshot, or another cluster
             self.index = 0
             self._unchanged_answers = 0
             self.index_resets += 1
@@ -131,11 +133,11 @@
         self._unchanged_answers = self._unchanged_answers + 1 if is_unchanged else 0
         return self._pause_after_answer(leader_known, now)
 
-    def _note_lag(self, is_lagging: bool) -> None:
+    def _count_stale_answer(self, is_stale: bool) -> None:
         """Count successive stale answers, that is, with an index below the known one."""
         if self.consistent:
-            self._failed_vouchings = 0
-        self._lagging_answers = self._lagging_answers + 1 if is_lagging else 0
+            self._failed_confirmations = 0
+        self._stale_answers = self._stale_answers + 1 if is_stale else 0
 
     def _pause_after_answer(self, leader_known: bool, now: float) -> float:
         backoff = self._backoff
@@ -158,8 +160,8 @@
         # A failed consistent request confirms nothing; it is repeated, less and less often, while there is doubt.
         if self.consistent:
             self._highest_index = 0
-            self._lagging_answers = 0
-            self._failed_vouchings += 1
+            self._stale_answers = 0
+            self._failed_confirmations += 1
         if self._agent_count > 1:
             self.index = 0
         self.consistent = False
--- a/gingervane/membership/consul_watcher.py
+++ b/gingervane/membership/consul_watcher.py
@@ -35,7 +35,7 @@
 _MAX_LOGGED_FAULTS = 3  # invalid entries of one answer that are logged
 
 
-def _nothing_known() -> int:
+def _no_known_index() -> int:
     return 0
 
 
@@ -72,7 +72,7 @@
         report: ReportCallback,
         log_warning: Callable[[str], None],
         rng: random.Random,
-        known_index: Callable[[], int] = _nothing_known,
+        known_index: Callable[[], int] = _no_known_index,
     ) -> None:
         """`agents`: indexes into `service.agents`. `offset`: seconds to add to Unix time to get the members' clock.
 
@@ -164,7 +164,7 @@
     report: ReportCallback,
     log_warning: Callable[[str], None],
     rng: random.Random,
-    known_index: Callable[[], int] = _nothing_known,
+    known_index: Callable[[], int] = _no_known_index,
 ) -> list[ConsulWatcher]:
     """Return the watchers of one service, not yet started. No two share an agent."""
     shares = assign_agents(len(service.agents), WATCHERS_PER_SERVICE, rng)
--- a/gingervane/membership/endpoint_file.py
+++ b/gingervane/membership/endpoint_file.py
@@ -78,10 +78,10 @@
         return ()
     for index, row in enumerate(rows):
         where = f"{table}[{index}]"
-        found = _parse_member(row, where, zones, cells, offset)
-        faults += found if isinstance(found, list) else []
-        if isinstance(found, Member):
-            members.append(found)
+        parsed = _parse_member(row, where, zones, cells, offset)
+        faults += parsed if isinstance(parsed, list) else []
+        if isinstance(parsed, Member):
+            members.append(parsed)
             places.append(index)
     faults += _duplicates(members, places, table)
     return tuple(members)
@@ -104,17 +104,17 @@
 ) -> Member | list[str]:
     faults = [f"{where}.{key}: not a known key" for key in row if key not in _KEYS]
 
-    def check(key: str, ok: bool, what: str) -> None:
-        if not ok:
-            faults.append(f"{where}.{key}: {what}")
+    def check(key: str, is_valid: bool, description: str) -> None:
+        if not is_valid:
+            faults.append(f"{where}.{key}: {description}")
 
-    number = row.get("id")
+    member_id = row.get("id")
     cell = row.get("cell")
     started = row.get("started")
-    name = row.get("name", str(number))
+    name = row.get("name", str(member_id))
     zone = row.get("zone")
     state = row.get("state", "ready")
-    check("id", type(number) is int and 0 <= number < 1 << 63, "must be a whole number from 0")
+    check("id", type(member_id) is int and 0 <= member_id < 1 << 63, "must be a whole number from 0")
     check("cell", type(cell) is int and 0 <= cell < cells, f"must be a whole number from 0 to {cells - 1}")
     check("name", isinstance(name, str) and bool(name), "must be a string")
     check("zone", zone in zones, f"must be one of {', '.join(zones)}")
@@ -191,10 +191,10 @@
                 return
             lists = parse(self._path.read_text(), self._zones, self._cells, self._offset, self._ring)
         except (EndpointFileError, OSError, UnicodeDecodeError) as error:
-            what = error.strerror or str(error) if isinstance(error, OSError) else str(error)
-            if what != self.error:
-                self.error = what
-                self._log_warning(f"{self._path}: {what}; the last valid list stays in use")
+            description = error.strerror or str(error) if isinstance(error, OSError) else str(error)
+            if description != self.error:
+                self.error = description
+                self._log_warning(f"{self._path}: {description}; the last valid list stays in use")
             return
         self._last_stat = fingerprint
         self.error = ""
--- a/gingervane/membership/mass_removal_guard.py
+++ b/gingervane/membership/mass_removal_guard.py
@@ -14,8 +14,8 @@
     """
 
     max_removed_share: float = 0.34
-    hold_time: float = 10.0
-    max_hold_time: float = 300.0
+    retention_time: float = 10.0
+    max_retention_time: float = 300.0
     response_window: float = 5.0
     # A server that recovers counts as ready after this delay, which doubles with each recovery within `flap_window`.
     readmission_delay: float = 1.0
--- a/gingervane/membership/reconciliation.py
+++ b/gingervane/membership/reconciliation.py
@@ -29,7 +29,7 @@
 from gingervane.membership import reconciliation_state
 from gingervane.membership.mass_removal_guard import MassRemovalGuard
 from gingervane.membership.server_record import ServerEntry, ServerRecord
-from gingervane.membership.source_ordering import IndexDoubt, SourceReport, SourceState
+from gingervane.membership.source_ordering import SourceReport, SourceState, UnconfirmedIndex
 from gingervane.membership.view import Member
 
 
@@ -62,13 +62,13 @@
         self._unevaluated: set[int] = set()  # IDs of servers to evaluate again
         self._time_dependent: set[int] = set()  # IDs of servers whose state changes with time alone
         self._changed: dict[int, Member | None] = {}  # since the last `refresh`; None: removed
-        self._doubts: list[IndexDoubt] = []  # since the last `take_unconfirmed_indexes`
+        self._unconfirmed_indexes: list[UnconfirmedIndex] = []  # since the last `take_unconfirmed_indexes`
         self.index_resets = 0
 
     def record_response(self, server: int, now: float) -> None:
         """Record the time of a server's successful response to this co-ordinator."""
-        if found := self._servers.get(server):
-            found.last_response_at = max(found.last_response_at, now)
+        if record := self._servers.get(server):
+            record.last_response_at = max(record.last_response_at, now)
 
     def apply_report(self, report: SourceReport, now: float) -> None:
         """Apply a complete list. Raises KeyError if the source is unknown."""
@@ -88,7 +88,7 @@
             if not source.pending or now < source.reset_due(self._guard):
                 continue
             if not source.pending_consistent:
-                self._doubts.append(source.report_doubt())
+                self._unconfirmed_indexes.append(source.report_unconfirmed_index())
                 continue
             self.index_resets += 1
             for report in source.accept_reset():
@@ -98,17 +98,17 @@
         self._changed = {}
         return changed
 
-    def take_doubts(self) -> list[IndexDoubt]:
+    def take_unconfirmed_indexes(self) -> list[UnconfirmedIndex]:
         """Return the unconfirmed lower indexes that have become worth a warning since the last call."""
-        doubts, self._doubts = self._doubts, []
-        return doubts
+        unconfirmed_indexes, self._unconfirmed_indexes = self._unconfirmed_indexes, []
+        return unconfirmed_indexes
 
     def known_indexes(self) -> dict[str, int]:
         """Return for each source the index below which a report must be confirmed by the source's leader.
 
         That is the newest index, or one more while a superseded index has reappeared and is not yet confirmed.
         """
-        return {name: source.index + source.awaits_leader for name, source in self._sources.items()}
+        return {name: source.index + source.awaits_confirmation for name, source in self._sources.items()}
 
     def view(self, now: float) -> ReconciledView:
         """Refresh, and return the view."""
@@ -123,8 +123,8 @@
     def next_due(self, now: float) -> float:
         """Return the earliest time at which the view may change without a report; infinite if it cannot."""
         due = min((s.reset_due(self._guard) for s in self._sources.values() if s.pending), default=inf)
-        for number in self._time_dependent:
-            due = min([due, *self._servers[number].next_changes(self._guard, now)])
+        for server_id in self._time_dependent:
+            due = min([due, *self._servers[server_id].next_changes(self._guard, now)])
         return due
 
     def dump(self, now: float) -> dict[str, Any]:
@@ -154,9 +154,9 @@
         listed: set[int] = set()
         recreated: list[ServerEntry] = []
         for member in report.members:
-            number = member.id
-            listed.add(number)
-            server = servers.get(number)
+            server_id = member.id
+            listed.add(server_id)
+            server = servers.get(server_id)
             entry = server.entries.get(source) if server else None
             if entry is not None and entry.member == member and entry.missing_since == inf:
                 continue
@@ -193,49 +193,49 @@
         """Mark the servers that the source listed before and no longer lists."""
         listed_before = 0
         missing: list[tuple[int, ServerEntry]] = []
-        for number, server in self._servers.items():
+        for server_id, server in self._servers.items():
             entry = server.entries.get(source)
             if entry is None or entry.missing_since < inf:
                 continue
             listed_before += 1
-            if number not in listed:
-                missing.append((number, entry))
+            if server_id not in listed:
+                missing.append((server_id, entry))
         is_mass_removal = source not in self._authoritative and self._guard.is_mass_change(
             len(missing), listed_before
         )
-        for number, entry in missing:
+        for server_id, entry in missing:
             entry.missing_since = now
             # Only a server that was ready is retained.
             entry.retained = is_mass_removal and entry.member.state is api.ReplicaState.READY
-            self._unevaluated.add(number)
+            self._unevaluated.add(server_id)
 
-    def _evaluate_all(self, numbers: set[int], now: float) -> None:
-        for number in list(numbers):
-            before = self._reconciled.get(number)
-            after = self._evaluate(number, now)
+    def _evaluate_all(self, server_ids: set[int], now: float) -> None:
+        for server_id in list(server_ids):
+            before = self._reconciled.get(server_id)
+            after = self._evaluate(server_id, now)
             if after == before:
                 continue
             if after is None:
-                del self._reconciled[number]
+                del self._reconciled[server_id]
             else:
-                self._reconciled[number] = after
+                self._reconciled[server_id] = after
             if before is None or after is None or before.member != after.member:
-                self._changed[number] = after.member if after else None
+                self._changed[server_id] = after.member if after else None
         self._unevaluated.clear()
 
-    def _evaluate(self, number: int, now: float) -> ReconciledServer | None:
+    def _evaluate(self, server_id: int, now: float) -> ReconciledServer | None:
         """Return the state that follows from a server's entries; None if it is removed."""
-        server = self._servers[number]
+        server = self._servers[server_id]
         status = server.worst_status(self._guard, now)
         server.record_availability(status, self._guard, now)
         if server.is_time_dependent(now):
-            self._time_dependent.add(number)
+            self._time_dependent.add(server_id)
         else:
-            self._time_dependent.discard(number)
+            self._time_dependent.discard(server_id)
         if status is None:
             if server.is_expired(self._guard, now):
-                del self._servers[number]
-                self._time_dependent.discard(number)
+                del self._servers[server_id]
+                self._time_dependent.discard(server_id)
             return None
         return ReconciledServer(server.reconciled_member(status, now), status.retained)
 
--- a/gingervane/membership/reconciliation_state.py
+++ b/gingervane/membership/reconciliation_state.py
@@ -28,7 +28,7 @@
     sources: Mapping[str, SourceState], servers: Mapping[int, ServerRecord], now: float
 ) -> dict[str, Any]:
     """Return the state as JSON-compatible data."""
-    rows = {str(number): _encode_server(server, now) for number, server in servers.items()}
+    rows = {str(server_id): _encode_server(server, now) for server_id, server in servers.items()}
     return {
         "now": now,
         "last": {name: _age(now, source.latest_valid_from) for name, source in sources.items()},
@@ -51,12 +51,12 @@
         }
         index = {name: int(at) for name, at in stored.get("index", {}).items() if name in sources}
         servers = {
-            int(number): _decode_server(row, sources, stored_at, clock_shift)
-            for number, row in stored["servers"].items()
+            int(server_id): _decode_server(row, sources, stored_at, clock_shift)
+            for server_id, row in stored["servers"].items()
         }
     except (KeyError, TypeError, ValueError, AttributeError, IndexError) as error:
         raise ValueError(f"malformed reconciliation state: {error!r}") from None
-    listed = {number: server for number, server in servers.items() if server.entries}
+    listed = {server_id: server for server_id, server in servers.items() if server.entries}
     return RestoredState(latest_valid_from, index, listed)
 
 
@@ -98,12 +98,12 @@
     fields: list[Any], stored_at: float, clock_shift: float, configured: bool
 ) -> ServerEntry | None:
     """Decode an entry; None for a well-formed one whose source is no longer configured."""
-    number, name, address, zone, cell, state, started, age, missing_for, retained, *more = fields
+    server_id, name, address, zone, cell, state, started, age, missing_for, retained, *more = fields
     create_index, recreated_for = more or (0, None)  # older versions do not store these
     if not configured:
         return None
     member = Member(
-        number,
+        server_id,
         name,
         (address[0], address[1]),
         zone,
--- a/gingervane/membership/server_record.py
+++ b/gingervane/membership/server_record.py
@@ -40,10 +40,10 @@
         if not self.retained:
             return None
         missing_for = now - self.missing_since
-        if missing_for < guard.hold_time:
+        if missing_for < guard.retention_time:
             return EntryStatus(self.member.state, self, True)
         responds = now - last_response_at <= guard.response_window
-        if responds and missing_for < guard.max_hold_time:
+        if responds and missing_for < guard.max_retention_time:
             return EntryStatus(self.member.state, self, True)
         return None
 
@@ -103,14 +103,14 @@
         for entry in self.entries.values():
             if entry.missing_since == inf:
                 continue
-            ends = [entry.missing_since + guard.flap_window]
+            change_times = [entry.missing_since + guard.flap_window]
             if entry.retained:
-                ends += (
-                    entry.missing_since + guard.hold_time,
-                    entry.missing_since + guard.max_hold_time,
+                change_times += (
+                    entry.missing_since + guard.retention_time,
+                    entry.missing_since + guard.max_retention_time,
                     self.last_response_at + guard.response_window,
                 )
-            yield from (end for end in ends if end > now)
+            yield from (change_time for change_time in change_times if change_time > now)
 
     def reconciled_member(self, status: EntryStatus, now: float) -> Member:
         """Return the entry's member with the given state, and with a start time if the process may have restarted.
--- a/gingervane/membership/service.py
+++ b/gingervane/membership/service.py
@@ -119,7 +119,7 @@
             Backoff(blocking_wait=consul.wait),
             self._log_warning,
             self._rng,
-            lambda: self.known,
+            lambda: self.has_server_list,
         )
 
     def _node_source_names(self, consul: ConsulTable | None) -> tuple[str, ...]:
@@ -174,9 +174,9 @@
         self.peers.report("file", lists.coordinators)
 
     @property
-    def known(self) -> bool:
+    def has_server_list(self) -> bool:
         """Whether a list of replicas has been received, or read from the snapshot."""
-        return self.nodes.known
+        return self.nodes.has_server_list
 
     @property
     def registered(self) -> bool:
@@ -243,5 +243,5 @@
 
 def mass_removal_guard(consul: ConsulTable) -> MassRemovalGuard:
     """Return the limits for Consul; a lower index is logged after longer than a healthy agent takes to answer."""
-    max_silence = Backoff(blocking_wait=consul.wait).max_silence
-    return MassRemovalGuard(index_reset_delay=max_silence + _INDEX_RESET_MARGIN)
+    max_response_time = Backoff(blocking_wait=consul.wait).max_response_time
+    return MassRemovalGuard(index_reset_delay=max_response_time + _INDEX_RESET_MARGIN)
--- a/gingervane/membership/snapshot.py
+++ b/gingervane/membership/snapshot.py
@@ -69,10 +69,10 @@
         """Read the snapshot; None if there is none. Raises StoreError or OSError."""
         path = self._file.path
         try:
-            found = self._file.load()
-            if found is None:
+            loaded = self._file.load()
+            if loaded is None:
                 return None
-            body = json.loads(found[1])
+            body = json.loads(loaded[1])
         except NewerVersionError:
             raise
         except StoreError:
@@ -99,14 +99,14 @@
                 )
                 for number, name, host, port, zone, cell, state, started, *created in body["rows"]
             )
-            kept = StoredState(members, age, offset, body.get("merge"), body.get("view"))
+            stored = StoredState(members, age, offset, body.get("merge"), body.get("view"))
         except (ValueError, TypeError, KeyError, AttributeError) as error:
             raise StoreError(f"{path}: malformed content: {error}") from None
         if not members or any(
             not 0 <= m.zone < self._zones or not 0 <= m.cell < self._cells for m in members
         ):
             raise StoreError(f"{path}: empty, or written with other settings of zones or cells")
-        return kept
+        return stored
 
     def _age(self, body: Any) -> tuple[float, float]:
         """Return the age of a stored list in seconds, and the offset of its times.
@@ -151,8 +151,8 @@
         return None
     if version not in (1, 2):
         raise StoreError(f"{path}: version {version!r}, this program reads versions 1 to {VERSION}")
-    kept = rows if version == 1 else [rows, body.get("merge")]
-    if zlib.crc32(json.dumps(kept, separators=(",", ":")).encode()) != crc:
+    stored = rows if version == 1 else [rows, body.get("merge")]
+    if zlib.crc32(json.dumps(stored, separators=(",", ":")).encode()) != crc:
         raise StoreError(f"{path}: checksum mismatch in the rows")
     assert isinstance(body, dict)
     return body
--- a/gingervane/membership/source_ordering.py
+++ b/gingervane/membership/source_ordering.py
@@ -34,7 +34,7 @@
     consistent: bool = False
 
 
-class IndexDoubt(NamedTuple):
+class UnconfirmedIndex(NamedTuple):
     """An index below the newest that a source has shown for long and its leader has not confirmed."""
 
     source: str
@@ -54,21 +54,21 @@
     pending_successor: SourceReport | None = None
     pending_since: float = inf  # when the first report with a lower index was received
     pending_consistent: bool = False  # the leader has confirmed `pending`
-    doubt_reported: bool = False  # the warning that `pending` is unconfirmed has been given
-    abandoned_index: int = 0  # the index that was replaced by a lower one
+    unconfirmed_reported: bool = False  # the warning that `pending` is unconfirmed has been given
+    superseded_index: int = 0  # the index that was replaced by a lower one
     failed_resets: int = 0  # how often a superseded index reappeared
-    awaits_leader: bool = False  # a superseded index reappeared, and the leader has not confirmed it since
+    awaits_confirmation: bool = False  # a superseded index reappeared and is not confirmed yet
 
     def accept_by_index(self, report: SourceReport, now: float) -> bool:
         """Return whether a report is the newest and may revoke earlier ones; a lower index becomes pending."""
         if report.source_index >= self.index:
-            if self.abandoned_index and report.source_index >= self.abandoned_index:
+            if self.superseded_index and report.source_index >= self.superseded_index:
                 self.failed_resets = min(self.failed_resets + 1, MAX_RESET_DOUBLINGS)
-                self.abandoned_index = 0
-                self.awaits_leader = True
-            self.awaits_leader = self.awaits_leader and not report.consistent
+                self.superseded_index = 0
+                self.awaits_confirmation = True
+            self.awaits_confirmation = self.awaits_confirmation and not report.consistent
             self._set_index(report.source_index)
-            return not self.awaits_leader
+            return not self.awaits_confirmation
         self.pending_since = min(self.pending_since, now)
         if report.consistent or not self.pending_consistent:
             self.pending = report
@@ -87,21 +87,21 @@
         """Return when the pending report is to be accepted or reported as unconfirmed; infinite if neither."""
         if self.pending_consistent:
             return self.pending_since + guard.consistent_index_reset_delay * 2.0**self.failed_resets
-        return inf if self.doubt_reported else self.pending_since + guard.index_reset_delay
+        return inf if self.unconfirmed_reported else self.pending_since + guard.index_reset_delay
 
     def accept_reset(self) -> list[SourceReport]:
         """Make the pending report's lower index the current one; return the reports to apply, in order."""
         reports = [report for report in (self.pending, self.pending_successor) if report]
-        self.abandoned_index = self.index
-        self.awaits_leader = False
+        self.superseded_index = self.index
+        self.awaits_confirmation = False
         self._set_index(reports[-1].source_index)
         return reports
 
-    def report_doubt(self) -> IndexDoubt:
+    def report_unconfirmed_index(self) -> UnconfirmedIndex:
         """Return the pending report's unconfirmed index, and mark it as reported."""
         assert self.pending is not None
-        self.doubt_reported = True
-        return IndexDoubt(self.pending.source, self.pending.source_index, self.index)
+        self.unconfirmed_reported = True
+        return UnconfirmedIndex(self.pending.source, self.pending.source_index, self.index)
 
     def _set_index(self, index: int) -> None:
         self.index = index
@@ -109,4 +109,4 @@
         self.pending_successor = None
         self.pending_since = inf
         self.pending_consistent = False
-        self.doubt_reported = False
+        self.unconfirmed_reported = False
--- a/gingervane/membership/source_owner.py
+++ b/gingervane/membership/source_owner.py
@@ -54,7 +54,7 @@
         self._writer = SnapshotWriter(snapshot, log_warning) if snapshot else None
         self._queue: SimpleQueue[SourceReport | None] = SimpleQueue()
         self._response_times: dict[int, float] = {}
-        self._known = threading.Event()
+        self._list_published = threading.Event()
         self._serving_cached = False  # the last update came from the snapshot
         self._pending_changes: dict[int, Member | None] = {}  # not published yet
         self._lock = threading.Lock()  # held to call `on_update`, as both `start` and the owner may do so
@@ -66,9 +66,9 @@
         self._thread = threading.Thread(target=self._run, name="sources", daemon=True)
 
     @property
-    def known(self) -> bool:
+    def has_server_list(self) -> bool:
         """Whether a server list has been published, from a source or from the snapshot."""
-        return self._known.is_set()
+        return self._list_published.is_set()
 
     @property
     def members(self) -> dict[int, Member]:
@@ -107,9 +107,9 @@
         if self._writer:
             self._writer.start()
         self._thread.start()
-        if not self._known.wait(timeout) and self._stored is not None:
+        if not self._list_published.wait(timeout) and self._stored is not None:
             self._serve_stored(self._stored)
-        return self._known.is_set()
+        return self._list_published.is_set()
 
     def load(self) -> None:
         """Load the snapshot if that has not been done yet.
@@ -124,12 +124,12 @@
 
     def _serve_stored(self, stored: StoredState) -> None:
         with self._lock:
-            if self._known.is_set():
+            if self._list_published.is_set():
                 return
             self._log_warning(f"no source has answered; using the snapshot of {stored.age:.0f} s ago")
             self._serving_cached = True
             self._on_update(self._view.full_update(api.MembershipUpdateKind.CACHED))
-            self._known.set()
+            self._list_published.set()
 
     def _load_snapshot(self) -> StoredState | None:
         """Read the snapshot and restore its state, before the owner's thread starts.
@@ -181,9 +181,9 @@
         if report is not None:
             self._reconciliation.apply_report(report, now)
         self._publish(now, report is not None)
-        for doubt in self._reconciliation.take_doubts():
+        for lower in self._reconciliation.take_unconfirmed_indexes():
             self._log_warning(
-                f"{doubt.source}: index {doubt.shown_index} is below {doubt.newest_index} and not confirmed by the"
+                f"{lower.source}: index {lower.shown_index} is below {lower.newest_index} and not confirmed by the"
                 " leader; it does not make drained or removed servers ready"
             )
         if self._writer and self._writer.is_write_due(now):
@@ -199,12 +199,12 @@
         self.latest_valid_from = {name: now - age for name, age in ages.items()}
         self._known_indexes = self._reconciliation.known_indexes()
         with self._lock:
-            if not self._known.is_set() and not has_report:
+            if not self._list_published.is_set() and not has_report:
                 return  # the list comes from the snapshot, which `start` publishes when its timeout has passed
             changes = self._pending_changes
             self._pending_changes = {}
             update = self._view.apply_delta(changes, now) if changes else None
-            if not self._known.is_set() and self._view.members:
+            if not self._list_published.is_set() and self._view.members:
                 update = self._view.full_update()
             elif has_report and self._serving_cached:
                 self._serving_cached = False
@@ -214,4 +214,4 @@
                 if self._writer:
                     self._writer.mark_changed()
             if self._view.members:
-                self._known.set()
+                self._list_published.set()
--- a/gingervane/membership/view.py
+++ b/gingervane/membership/view.py
@@ -52,15 +52,15 @@
         self, members: tuple[Member, ...], now: float, cached: bool = False
     ) -> EndpointsUpdated | None:
         """Apply a complete list received at `now`; return the update, None if nothing has changed."""
-        named = {member.id: member for member in members}
-        if named == self._members and (not self._awaiting_first_list or not named):
+        members_by_id = {member.id: member for member in members}
+        if members_by_id == self._members and (not self._awaiting_first_list or not members_by_id):
             return None
         for member in members:
             self._record_start(member, now)
         self._removed = (self._removed | set(self._members)) - {
             m.id for m in members if m.state is not api.ReplicaState.GONE
         }
-        self._members, self._awaiting_first_list = named, False
+        self._members, self._awaiting_first_list = members_by_id, False
         self._last_update_at = self._last_update_at if cached else now
         kind = api.MembershipUpdateKind.CACHED if cached else api.MembershipUpdateKind.FULL
         return self._as_update(kind, members)
@@ -70,19 +70,19 @@
         if self._awaiting_first_list:
             return self.apply_full_list(tuple(m for _, m in sorted(changes.items()) if m is not None), now)
         rows: list[Member] = []
-        for number, member in changes.items():
-            was = self._members.get(number)
-            if member == was:
+        for member_id, member in changes.items():
+            previous = self._members.get(member_id)
+            if member == previous:
                 continue
             if member is None:
-                assert was is not None
-                del self._members[number]
-                rows.append(was._replace(state=api.ReplicaState.GONE))
-                self._removed.add(number)
+                assert previous is not None
+                del self._members[member_id]
+                rows.append(previous._replace(state=api.ReplicaState.GONE))
+                self._removed.add(member_id)
                 continue
             self._record_start(member, now)
-            self._members[number] = member
-            (self._removed.add if member.state is api.ReplicaState.GONE else self._removed.discard)(number)
+            self._members[member_id] = member
+            (self._removed.add if member.state is api.ReplicaState.GONE else self._removed.discard)(member_id)
             rows.append(member)
         self._last_update_at = now
         return self._as_update(api.MembershipUpdateKind.DELTA, tuple(rows)) if rows else None
@@ -99,11 +99,11 @@
         started = {str(n): at - offset for n, at in self._start_times.items() if at > 0.0}
         return {"started": started, "gone": sorted(self._removed)}
 
-    def restore(self, kept: dict[str, Any], members: tuple[Member, ...], offset: float) -> None:
+    def restore(self, stored: dict[str, Any], members: tuple[Member, ...], offset: float) -> None:
         """Restore what `dump` returned and the list of that time; call it before any list. Raises ValueError."""
         try:
-            started = {int(n): float(at) + offset for n, at in kept["started"].items()}
-            gone = {int(n) for n in kept["gone"]}
+            started = {int(n): float(at) + offset for n, at in stored["started"].items()}
+            gone = {int(n) for n in stored["gone"]}
         except (KeyError, TypeError, ValueError, AttributeError) as error:
             raise ValueError(f"malformed view state: {error!r}") from None
         self._members = {member.id: member for member in members}
@@ -114,15 +114,19 @@
 
     def _record_start(self, member: Member, now: float) -> None:
         """Record when a replica counts as started, from its stated start time or else from how its entry changed."""
-        was = self._members.get(member.id)
-        back = member.id in self._removed and member.state is not api.ReplicaState.GONE
-        moved = was is not None and was.address != member.address
+        previous = self._members.get(member.id)
+        has_returned = member.id in self._removed and member.state is not api.ReplicaState.GONE
+        has_moved = previous is not None and previous.address != member.address
         if member.started_at is not None:
-            if was is None or was.started_at != member.started_at or member.id not in self._start_times:
+            if (
+                previous is None
+                or previous.started_at != member.started_at
+                or member.id not in self._start_times
+            ):
                 self._start_times[member.id] = self._bounded_start(
-                    member.started_at, now, restarted=was is not None
+                    member.started_at, now, restarted=previous is not None
                 )
-        elif not self._awaiting_first_list and (back or moved or was is None):
+        elif not self._awaiting_first_list and (has_returned or has_moved or previous is None):
             self._start_times[member.id] = now
 
     def _bounded_start(self, started: float, now: float, restarted: bool) -> float:
--- a/gingervane/settings/daemon_settings.py
+++ b/gingervane/settings/daemon_settings.py
@@ -54,18 +54,20 @@
     shutdown: Shutdown = Shutdown()
 
     @model_validator(mode="after")
-    def _names(self) -> Config:
+    def _check_names(self) -> Config:
         names = [c.name for c in self.classes]
         if len(set(names)) != len(names):
             raise ValueError("class: duplicate name")
         if self.default_class is not None and self.default_class not in names:
             raise ValueError(f"default_class: {self.default_class!r} is not one of {', '.join(names)}")
-        for key, kind in _VECTOR_CLASSES:
-            wanted = getattr(self.vectors, key, None)
-            if wanted is not None and not any(
-                c.name == wanted and c.semantics.value == kind for c in self.classes
+        for key, required_semantics in _VECTOR_CLASSES:
+            class_name = getattr(self.vectors, key, None)
+            if class_name is not None and not any(
+                c.name == class_name and c.semantics.value == required_semantics for c in self.classes
             ):
-                raise ValueError(f"vectors.{key}: {wanted!r} is not a class with semantics {kind}")
+                raise ValueError(
+                    f"vectors.{key}: {class_name!r} is not a class with semantics {required_semantics}"
+                )
         return self
 
     def module_settings(self) -> api.Settings:
@@ -80,10 +82,12 @@
             has_tree=self.tree is not None,
         )
 
-    def branch_settings(self) -> api.Settings:
+    def subtree_settings(self) -> api.Settings:
         """Return the settings of the decision engine that selects child co-ordinators. Requires `tree`."""
         assert self.tree is not None
-        return decision_settings.branch_settings(self.module_settings(), self.classes, self.tree, self.budget)
+        return decision_settings.subtree_settings(
+            self.module_settings(), self.classes, self.tree, self.budget
+        )
 
 
 def load(path: Path) -> Config:
@@ -102,19 +106,21 @@
     config = validate(Config, table, path)
     update: dict[str, Any] = {"membership": _with_absolute_paths(config.membership, path.parent)}
     if config.vectors:
-        own: dict[str, Any] = {"membership": _with_absolute_paths(config.vectors.membership, path.parent)}
+        vectors_update: dict[str, Any] = {
+            "membership": _with_absolute_paths(config.vectors.membership, path.parent)
+        }
         if config.vectors.intents:
-            own["intents"] = path.parent / config.vectors.intents
-        update["vectors"] = config.vectors.model_copy(update=own)
+            vectors_update["intents"] = path.parent / config.vectors.intents
+        update["vectors"] = config.vectors.model_copy(update=vectors_update)
     return config.model_copy(update=update)
 
 
-def _with_absolute_paths(lists: Membership, directory: Path) -> Membership:
+def _with_absolute_paths(table: Membership, directory: Path) -> Membership:
     """Return the table with its paths resolved against the directory of the settings file."""
     update: dict[str, Any] = {
-        key: directory / value for key in ("file", "kept") if (value := getattr(lists, key)) is not None
+        key: directory / value for key in ("file", "kept") if (value := getattr(table, key)) is not None
     }
-    if lists.consul and lists.consul.token_file:
-        token = directory / lists.consul.token_file
-        update["consul"] = lists.consul.model_copy(update={"token_file": token})
-    return lists.model_copy(update=update)
+    if table.consul and table.consul.token_file:
+        token = directory / table.consul.token_file
+        update["consul"] = table.consul.model_copy(update={"token_file": token})
+    return table.model_copy(update=update)
--- a/gingervane/settings/decision_settings.py
+++ b/gingervane/settings/decision_settings.py
@@ -9,7 +9,7 @@
 from gingervane.settings.tables import Budget, Class, Fleet, Limits, Replicas, Shards, Tree
 
 # Share of the free retries that a co-ordinator with a tree spends on subtrees; the rest is for its own replicas.
-BRANCH_SHARE = 0.25
+SUBTREE_BUDGET_SHARE = 0.25
 _TIMER_GRANULARITY = 0.005  # seconds
 _COLLECTING_COVERAGE = 1e-6  # least share of the parts; so small that a single part suffices
 
@@ -24,7 +24,7 @@
     has_tree: bool,
 ) -> api.Settings:
     """Return the settings of the decision engine that selects replicas."""
-    free = budget.free * (1.0 - BRANCH_SHARE if has_tree else 1.0) if budget else None
+    free = budget.free * (1.0 - SUBTREE_BUDGET_SHARE if has_tree else 1.0) if budget else None
     return api.Settings(
         coordinator_count=fleet.coordinators,
         zone=fleet.zones.index(fleet.zone),
@@ -52,7 +52,7 @@
     )
 
 
-def branch_settings(
+def subtree_settings(
     settings: api.Settings, classes: Sequence[Class], tree: Tree, budget: Budget | None
 ) -> api.Settings:
     """Return the settings of the decision engine that selects child co-ordinators; its parts are subtrees."""
@@ -62,7 +62,7 @@
         cells_per_replica=min(tree.width, tree.ring),
         max_parts_per_request=1,
         slow_start_duration=tree.ramp_time,
-        retry_budget_free=budget.free * BRANCH_SHARE if budget else None,
+        retry_budget_free=budget.free * SUBTREE_BUDGET_SHARE if budget else None,
     )
 
 
--- a/gingervane/settings/tables.py
+++ b/gingervane/settings/tables.py
@@ -53,7 +53,7 @@
     keep_label: bool = True
 
     @model_validator(mode="after")
-    def _fits(self) -> Shards:
+    def _check_consistency(self) -> Shards:
         if len(set(self.names)) != len(self.names):
             raise ValueError("names: duplicate shard")
         if self.width > self.cells:
@@ -69,7 +69,7 @@
     zone: Name
 
     @model_validator(mode="after")
-    def _own(self) -> Fleet:
+    def _check_zone(self) -> Fleet:
         if self.zone not in self.zones:
             raise ValueError(f"zone: {self.zone!r} is not one of {', '.join(self.zones)}")
         return self
@@ -96,7 +96,7 @@
     start_patience: Annotated[float, Field(ge=0, le=600)] = 1.0
 
     @model_validator(mode="after")
-    def _once(self) -> ConsulTable:
+    def _check_duplicates(self) -> ConsulTable:
         for key in ("agents", "datacenters"):
             if len(set(getattr(self, key))) != len(getattr(self, key)):
                 raise ValueError(f"{key}: duplicate value")
@@ -121,7 +121,7 @@
     interval: Annotated[float, Field(gt=0, le=60)] = 0.1
 
     @model_validator(mode="after")
-    def _some(self) -> Membership:
+    def _check_source(self) -> Membership:
         if self.file is None and self.consul is None:
             raise ValueError("file: either file or [membership.consul] is required")
         return self
@@ -147,7 +147,7 @@
     whole_share: Share = 1.0  # share of the parts that is complete to clients that accept partial answers
 
     @model_validator(mode="after")
-    def _fits(self) -> Class:
+    def _check_consistency(self) -> Class:
         if self.aim > self.deadline:
             raise ValueError(f"aim: {self.aim:g} s is past the deadline of {self.deadline:g} s")
         if self.whole_share < self.least_share:
@@ -275,7 +275,7 @@
     repair_sweep: Seconds = 600.0  # time in which every shard is compared once
 
     @model_validator(mode="after")
-    def _fits(self) -> Vectors:
+    def _check_consistency(self) -> Vectors:
         if self.width > self.cells:
             raise ValueError(f"width: {self.width} is more than the {self.cells} cells")
         if self.quorum > self.width:
--- a/gingervane/settings/validation.py
+++ b/gingervane/settings/validation.py
@@ -20,29 +20,29 @@
     try:
         return model.model_validate(table)
     except ValidationError as error:
-        found = error.errors()
+        all_errors = error.errors()
         # pydantic drops invalid items before it counts an array: "too short" is then a consequence, not a fault.
-        real = [
+        reported_errors = [
             e
-            for e in found
+            for e in all_errors
             if e["type"] != "too_short"
-            or not any(other is not e and other["loc"][: len(e["loc"])] == e["loc"] for other in found)
+            or not any(other is not e and other["loc"][: len(e["loc"])] == e["loc"] for other in all_errors)
         ]
-        raise SettingsError("\n".join(f"{path}: {_fault_line(model, e)}" for e in real)) from None
+        raise SettingsError("\n".join(f"{path}: {_fault_line(model, e)}" for e in reported_errors)) from None
 
 
 def _fault_line(model: type[BaseModel], error: Any) -> str:
     where = "".join(f"[{p}]" if isinstance(p, int) else f".{p}" for p in error["loc"]).lstrip(".")
     if error["type"] == "extra_forbidden":
-        near = difflib.get_close_matches(str(error["loc"][-1]), _known_keys(model, error["loc"][:-1]), 1)
-        return f"{where}: not a known key" + (f"; is {near[0]} meant?" if near else "")
+        similar = difflib.get_close_matches(str(error["loc"][-1]), _known_keys(model, error["loc"][:-1]), 1)
+        return f"{where}: not a known key" + (f"; is {similar[0]} meant?" if similar else "")
     if error["type"] == "missing":
         return f"{where}: missing"
-    what = str(error["msg"]).removeprefix("Value error, ")
-    if error["type"] == "value_error" and ": " in what:  # from a validator of a table, which names the key
-        key, _, what = what.partition(": ")
-        return f"{where}.{key}: {what}".lstrip(".")
-    return f"{where}: {what[:1].lower()}{what[1:]}, not {error['input']!r}"
+    description = str(error["msg"]).removeprefix("Value error, ")
+    if error["type"] == "value_error" and ": " in description:  # the validator of a table names the key
+        key, _, description = description.partition(": ")
+        return f"{where}.{key}: {description}".lstrip(".")
+    return f"{where}: {description[:1].lower()}{description[1:]}, not {error['input']!r}"
 
 
 def _known_keys(model: type[BaseModel], loc: tuple[str | int, ...]) -> list[str]:
--- a/tests/test_consul.py
+++ b/tests/test_consul.py
@@ -52,7 +52,7 @@
         pause = Backoff(0.01, 0.05, 0.3, 0.5)
         place = ConsulService(tuple(a.address for a in self.agents), "grid", backoff=pause)
         fence = MassRemovalGuard(
-            hold_time=0.5,
+            retention_time=0.5,
             response_window=0.3,
             readmission_delay=0.05,
             index_reset_delay=0.6,
@@ -338,7 +338,7 @@
     fleet = Embedded(overrides=where)
     try:
         grid_of.append(fleet)
-        assert ask(fleet).status == 503 and not fleet.app.membership.known, "running, but not ready"
+        assert ask(fleet).status == 503 and not fleet.app.membership.has_server_list, "running, but not ready"
         for number in range(6):
             register(number, started="1.0")
         eventually(lambda: ask(fleet).status == 200)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -98,7 +98,7 @@
         for _ in range(2):
             for source in SOURCES:
                 self.merge.apply_report(SourceReport(source, tuple(member(n) for n in range(4))), self.now)
-            self.now += FENCE.max_hold_time + FENCE.max_readmission_delay
+            self.now += FENCE.max_retention_time + FENCE.max_readmission_delay
         view = self.merge.view(self.now)
         assert {n: k.member.state for n, k in view.servers.items()} == dict.fromkeys(range(4), READY)
 
--- a/tests/test_reconciliation_model.py
+++ b/tests/test_reconciliation_model.py
@@ -29,8 +29,8 @@
 READY, DRAINING = api.ReplicaState.READY, api.ReplicaState.DRAINING
 # Times are in whole ticks.
 FENCE = MassRemovalGuard(
-    hold_time=1,
-    max_hold_time=2,
+    retention_time=1,
+    max_retention_time=2,
     response_window=1,
     readmission_delay=1,
     max_readmission_delay=2,
@@ -112,10 +112,10 @@
         waiting,
         age(source.pending_since),
         source.pending_consistent,
-        source.doubt_reported,
-        source.abandoned_index,
+        source.unconfirmed_reported,
+        source.superseded_index,
         source.failed_resets,
-        source.awaits_leader,
+        source.awaits_confirmation,
     )
     return order, servers, state.watch
 
