--- a/tests/test_consul.py
+++ b/tests/test_consul.py
@@ -34,24 +34,24 @@
         time.sleep(0.005)
 
 
-class Watch:
+class ConsulHarness:
     """Two fake agents of one catalogue, watched as by a co-ordinator."""
 
     def __init__(self, folder: Path) -> None:
         self.catalogue = Catalogue()
         self.agents = [Agent(self.catalogue), Agent(self.catalogue)]
-        self.told: list[EndpointsUpdated] = []
-        self.said: list[str] = []
-        self.kept = folder / "kept"
-        self.sources, self.watchers = self.make()
+        self.updates: list[EndpointsUpdated] = []
+        self.warnings: list[str] = []
+        self.snapshot_path = folder / "kept"
+        self.sources, self.watchers = self.make_sources()
         for number in range(6):
             self.register(number)
 
-    def make(self) -> tuple[EndpointSources, list[ConsulWatcher]]:
+    def make_sources(self) -> tuple[EndpointSources, list[ConsulWatcher]]:
         """Return sources and watchers as in a co-ordinator, with shorter times."""
-        pause = Backoff(0.01, 0.05, 0.3, 0.5)
-        place = ConsulService(tuple(a.address for a in self.agents), "grid", backoff=pause)
-        fence = MassRemovalGuard(
+        backoff = Backoff(0.01, 0.05, 0.3, 0.5)
+        consul_service = ConsulService(tuple(a.address for a in self.agents), "grid", backoff=backoff)
+        guard = MassRemovalGuard(
             retention_time=0.5,
             response_window=0.3,
             readmission_delay=0.05,
@@ -59,28 +59,32 @@
             consistent_index_reset_delay=0.1,
         )
         sources = EndpointSources(
-            ("consul",), fence, self.told.append, self.said.append, Snapshot(self.kept, 0.0, 1, 8)
+            ("consul",),
+            guard,
+            self.updates.append,
+            self.warnings.append,
+            Snapshot(self.snapshot_path, 0.0, 1, 8),
         )
         made = watchers_of(
-            place,
+            consul_service,
             ("x",),
             8,
             0.0,
-            lambda m, age, index, sure: sources.report("consul", m, age, index, sure),
-            self.said.append,
+            lambda m, age, index, consistent: sources.report("consul", m, age, index, consistent),
+            self.warnings.append,
             random.Random(1),
         )
         return sources, made
 
-    def start(self, patience: float = 30.0) -> bool:
+    def start(self, timeout: float = 30.0) -> bool:
         for watcher in self.watchers:
             watcher.start()
-        return self.sources.start(patience)
+        return self.sources.start(timeout)
 
     def restart(self) -> bool:
         self.stop()
-        self.told.clear()
-        self.sources, self.watchers = self.make()
+        self.updates.clear()
+        self.sources, self.watchers = self.make_sources()
         return self.start(0.2)
 
     def stop(self) -> None:
@@ -115,10 +119,10 @@
     def rows(self) -> dict[int, api.Replica]:
         """The replicas as the decision engine knows them."""
         out: dict[int, api.Replica] = {}
-        for listed in list(self.told):
-            if listed.membership.kind is not api.MembershipUpdateKind.DELTA:
+        for update in list(self.updates):
+            if update.membership.kind is not api.MembershipUpdateKind.DELTA:
                 out = {}
-            out |= {row.id: row for row in listed.membership.replicas}
+            out |= {row.id: row for row in update.membership.replicas}
         return out
 
     def states(self) -> dict[int, api.ReplicaState]:
@@ -126,153 +130,159 @@
 
 
 @pytest.fixture
-def watch(tmp_path: Path) -> Iterator[Watch]:
-    made = Watch(tmp_path)
+def harness(tmp_path: Path) -> Iterator[ConsulHarness]:
+    made = ConsulHarness(tmp_path)
     assert made.start()
     eventually(lambda: len(made.states()) == 6)
     yield made
     made.close()
 
 
-def client(watch: Watch, agent: int = 0) -> Any:
-    host, port = watch.agents[agent].address
+def client(harness: ConsulHarness, agent: int = 0) -> Any:
+    host, port = harness.agents[agent].address
     return published.Consul(host, port)
 
 
-def test_drains_and_maintenance_are_followed(watch: Watch) -> None:
-    watch.register(1, drain="true")
-    eventually(lambda: watch.states()[1] is DRAINING)
-    assert client(watch, 1).agent.service.maintenance("n2", "true", "stopping")
-    eventually(lambda: watch.states()[2] is DRAINING)
-    watch.catalogue.check("n3", "service:n3", "critical")
-    eventually(lambda: watch.states()[3] is GONE)
-    watch.catalogue.check("n3", "service:n3", "passing")
-    eventually(lambda: watch.states()[3] is READY)
-    assert watch.rows()[3].started_at > 0, "cold after its recovery"
-    watch.catalogue.deregister("n4")
-    eventually(lambda: watch.states()[4] is GONE)
-    whole = [listed for listed in watch.told if listed.membership.kind is api.MembershipUpdateKind.FULL]
+def test_drains_and_maintenance_are_followed(harness: ConsulHarness) -> None:
+    harness.register(1, drain="true")
+    eventually(lambda: harness.states()[1] is DRAINING)
+    assert client(harness, 1).agent.service.maintenance("n2", "true", "stopping")
+    eventually(lambda: harness.states()[2] is DRAINING)
+    harness.catalogue.check("n3", "service:n3", "critical")
+    eventually(lambda: harness.states()[3] is GONE)
+    harness.catalogue.check("n3", "service:n3", "passing")
+    eventually(lambda: harness.states()[3] is READY)
+    assert harness.rows()[3].started_at > 0, "cold after its recovery"
+    harness.catalogue.deregister("n4")
+    eventually(lambda: harness.states()[4] is GONE)
+    full_updates = [
+        update for update in harness.updates if update.membership.kind is api.MembershipUpdateKind.FULL
+    ]
     assert (
-        len(whole) == 1 and max(len(update.membership.replicas) for update in watch.told[1:]) < 6
+        len(full_updates) == 1 and max(len(update.membership.replicas) for update in harness.updates[1:]) < 6
     ), "changes are reported as deltas"
 
 
-def test_a_process_that_was_replaced_is_cold(watch: Watch) -> None:
-    with watch.catalogue.changed:  # in one step, so that no answer shows it as gone
-        watch.catalogue._services.pop("n5")
-        watch.register(5)
-    eventually(lambda: watch.rows()[5].started_at > 0)
-    assert {n for n, row in watch.rows().items() if row.started_at == 0} == set(range(5))
-    watch.catalogue.restore()  # re-creates all entries at once: does not mean that the nodes restarted
-    watch.register(0, drain="true")
-    eventually(lambda: watch.states()[0] is DRAINING)
-    assert {n for n, row in watch.rows().items() if row.started_at == 0} >= {1, 2, 3, 4}
+def test_a_process_that_was_replaced_is_cold(harness: ConsulHarness) -> None:
+    with harness.catalogue.changed:  # in one step, so that no answer shows it as gone
+        harness.catalogue._services.pop("n5")
+        harness.register(5)
+    eventually(lambda: harness.rows()[5].started_at > 0)
+    assert {n for n, row in harness.rows().items() if row.started_at == 0} == set(range(5))
+    harness.catalogue.restore()  # re-creates all entries at once: does not mean that the nodes restarted
+    harness.register(0, drain="true")
+    eventually(lambda: harness.states()[0] is DRAINING)
+    assert {n for n, row in harness.rows().items() if row.started_at == 0} >= {1, 2, 3, 4}
 
 
 OUTAGES = ("hang", "late", "500", "429", "garbage", "half", "cut", "empty", "no_leader", "stale")
 
 
 @pytest.mark.parametrize("fault", OUTAGES)
-def test_service_outlives_its_catalogue(watch: Watch, fault: str) -> None:
-    calls = watch.calls
-    watch.fault(fault)
+def test_service_continues_through_a_catalogue_outage(harness: ConsulHarness, fault: str) -> None:
+    calls = harness.calls
+    harness.fault(fault)
     began = time.monotonic()
     while time.monotonic() < began + 1.2:  # longer than the retention time; the servers still respond
         for number in range(6):
-            watch.sources.record_response(number)
+            harness.sources.record_response(number)
         time.sleep(0.02)
-    assert set(watch.states()) == set(range(6)) and set(watch.states().values()) == {READY}
-    assert watch.calls - calls < 120, "no busy loop"
-    watch.fault("")
-    watch.register(5, drain="true")
-    eventually(lambda: watch.states()[5] is DRAINING)
+    assert set(harness.states()) == set(range(6)) and set(harness.states().values()) == {READY}
+    assert harness.calls - calls < 120, "no busy loop"
+    harness.fault("")
+    harness.register(5, drain="true")
+    eventually(lambda: harness.states()[5] is DRAINING)
 
 
 @pytest.mark.parametrize("fault", ["hang", "lag", "stale"])
 @pytest.mark.parametrize("which", [0, 1])
-def test_one_agent_fails_while_nodes_drain_through_the_other(watch: Watch, fault: str, which: int) -> None:
-    watch.agents[which].set_fault(fault)
+def test_one_agent_fails_while_nodes_drain_through_the_other(
+    harness: ConsulHarness, fault: str, which: int
+) -> None:
+    harness.agents[which].set_fault(fault)
     for number in range(3):
-        watch.register(number, drain="yes")
-        eventually(lambda n=number: watch.states()[n] is DRAINING)  # type: ignore[misc]
-    calls = watch.calls
-    eventually(lambda: watch.calls > calls + 6)  # the stale agent has answered several times
-    assert [watch.states()[n] for n in range(4)] == [DRAINING, DRAINING, DRAINING, READY]
-    watch.register(1)
-    eventually(lambda: watch.states()[1] is READY)
-
-
-def test_every_index_lower(watch: Watch) -> None:
-    watch.catalogue.restore()
-    watch.register(2, drain="1")
-    eventually(lambda: watch.states()[2] is DRAINING)
-    eventually(lambda: sum(watcher.query_state.index_resets for watcher in watch.watchers) >= 1)
-    watch.register(2)
-    eventually(lambda: watch.states()[2] is READY)
-    assert watch.sources._reconciliation.index_resets == 1, "the lower index has been accepted"
-
-
-def test_the_whole_service_taken_out_by_mistake(watch: Watch) -> None:
+        harness.register(number, drain="yes")
+        eventually(lambda n=number: harness.states()[n] is DRAINING)  # type: ignore[misc]
+    calls = harness.calls
+    eventually(lambda: harness.calls > calls + 6)  # the stale agent has answered several times
+    assert [harness.states()[n] for n in range(4)] == [DRAINING, DRAINING, DRAINING, READY]
+    harness.register(1)
+    eventually(lambda: harness.states()[1] is READY)
+
+
+def test_a_restored_catalogue_with_lower_indexes(harness: ConsulHarness) -> None:
+    harness.catalogue.restore()
+    harness.register(2, drain="1")
+    eventually(lambda: harness.states()[2] is DRAINING)
+    eventually(lambda: sum(watcher.query_state.index_resets for watcher in harness.watchers) >= 1)
+    harness.register(2)
+    eventually(lambda: harness.states()[2] is READY)
+    assert harness.sources._reconciliation.index_resets == 1, "the lower index has been accepted"
+
+
+def test_a_whole_service_deregistered_by_mistake_is_retained(harness: ConsulHarness) -> None:
     for number in range(6):
-        watch.sources.record_response(number)
-    with watch.catalogue.changed:
+        harness.sources.record_response(number)
+    with harness.catalogue.changed:
         for number in range(6):
-            watch.catalogue.deregister(f"n{number}")
-    calls = watch.calls
-    eventually(lambda: watch.calls > calls + 1)
-    assert set(watch.states().values()) == {READY}, "retained"
+            harness.catalogue.deregister(f"n{number}")
+    calls = harness.calls
+    eventually(lambda: harness.calls > calls + 1)
+    assert set(harness.states().values()) == {READY}, "retained"
     for number in (0, 1):
-        watch.register(number)
-    watch.register(2, drain="true")
-    eventually(lambda: watch.states()[2] is DRAINING)
-    assert watch.states()[3] is READY
-    eventually(lambda: watch.states()[3] is GONE)  # no longer retained, as it does not respond any more
-    assert [watch.states()[n] for n in (0, 1)] == [READY, READY]
+        harness.register(number)
+    harness.register(2, drain="true")
+    eventually(lambda: harness.states()[2] is DRAINING)
+    assert harness.states()[3] is READY
+    eventually(lambda: harness.states()[3] is GONE)  # no longer retained, as it does not respond any more
+    assert [harness.states()[n] for n in (0, 1)] == [READY, READY]
 
 
-def test_a_node_that_flaps_each_second_is_let_in_ever_later(watch: Watch) -> None:
+def test_a_flapping_node_is_readmitted_ever_later(harness: ConsulHarness) -> None:
     waits = []
     for _ in range(4):
-        watch.catalogue.check("n1", "service:n1", "critical")
-        eventually(lambda: watch.states()[1] is GONE)
+        harness.catalogue.check("n1", "service:n1", "critical")
+        eventually(lambda: harness.states()[1] is GONE)
         since = time.monotonic()
-        watch.catalogue.check("n1", "service:n1", "passing")
-        eventually(lambda: watch.states()[1] is READY)
+        harness.catalogue.check("n1", "service:n1", "passing")
+        eventually(lambda: harness.states()[1] is READY)
         waits.append(time.monotonic() - since)
     assert waits[3] > 0.4 > 0.05 < waits[0], "0.05 s, doubled each time"
-    assert watch.states()[2] is READY
-
-
-def test_a_restart_inside_an_outage(watch: Watch) -> None:
-    watch.register(1, drain="true")
-    watch.catalogue.check("n3", "service:n3", "critical")
-    eventually(lambda: (watch.states()[1], watch.states()[3]) == (DRAINING, GONE))
-    watch.catalogue.check("n3", "service:n3", "passing")
-    eventually(lambda: watch.states()[3] is READY)
-    cold = watch.rows()[3].started_at
-    watch.fault("500")
-    assert watch.restart()
-    assert watch.told[0].membership.kind is api.MembershipUpdateKind.CACHED
-    assert watch.states()[1] is DRAINING and watch.rows()[3].started_at == pytest.approx(cold, abs=0.5)
-    watch.fault("")
-    eventually(lambda: any(listed.membership.kind is api.MembershipUpdateKind.FULL for listed in watch.told))
-    assert watch.states()[1] is DRAINING and watch.rows()[3].started_at == pytest.approx(cold, abs=0.5)
-
-
-def test_a_restart_meets_an_agent_that_lags(watch: Watch) -> None:
-    watch.fault("lag")
-    watch.agents[1].set_fault("")
-    watch.register(1, drain="true")
-    eventually(lambda: watch.states()[1] is DRAINING)
-    watch.agents[1].set_fault("hang")
-    assert watch.restart()
-    calls = watch.agents[0].calls
-    eventually(lambda: watch.agents[0].calls > calls + 1)
-    assert watch.states()[1] is DRAINING, "a stale list does not revoke the saved drain"
-
-
-def test_the_stand_in_by_a_published_client(watch: Watch, tmp_path: Path) -> None:
-    agent = client(watch)
+    assert harness.states()[2] is READY
+
+
+def test_a_restart_during_an_outage_keeps_the_states(harness: ConsulHarness) -> None:
+    harness.register(1, drain="true")
+    harness.catalogue.check("n3", "service:n3", "critical")
+    eventually(lambda: (harness.states()[1], harness.states()[3]) == (DRAINING, GONE))
+    harness.catalogue.check("n3", "service:n3", "passing")
+    eventually(lambda: harness.states()[3] is READY)
+    cold = harness.rows()[3].started_at
+    harness.fault("500")
+    assert harness.restart()
+    assert harness.updates[0].membership.kind is api.MembershipUpdateKind.CACHED
+    assert harness.states()[1] is DRAINING and harness.rows()[3].started_at == pytest.approx(cold, abs=0.5)
+    harness.fault("")
+    eventually(
+        lambda: any(update.membership.kind is api.MembershipUpdateKind.FULL for update in harness.updates)
+    )
+    assert harness.states()[1] is DRAINING and harness.rows()[3].started_at == pytest.approx(cold, abs=0.5)
+
+
+def test_a_restart_with_a_stale_agent_keeps_a_drain(harness: ConsulHarness) -> None:
+    harness.fault("lag")
+    harness.agents[1].set_fault("")
+    harness.register(1, drain="true")
+    eventually(lambda: harness.states()[1] is DRAINING)
+    harness.agents[1].set_fault("hang")
+    assert harness.restart()
+    calls = harness.agents[0].calls
+    eventually(lambda: harness.agents[0].calls > calls + 1)
+    assert harness.states()[1] is DRAINING, "a stale list does not revoke the saved drain"
+
+
+def test_the_fake_agent_serves_a_published_client(harness: ConsulHarness, tmp_path: Path) -> None:
+    agent = client(harness)
     index, found = agent.health.service("grid")
     assert len(found) == 6 and {e["Service"]["Service"] for e in found} == {"grid"}
     again, found = agent.health.service("grid", index=index, wait="50ms")
@@ -290,12 +300,12 @@
     assert agent.agent.service.deregister("w1") and agent.catalog.service("web")[1] == []
     assert len(agent.catalog.service("grid")[1]) == 6 and agent.catalog.datacenters() == ["dc1"]
     with pytest.raises(published.ACLPermissionDenied):
-        watch.agents[0].token = "secret"
+        harness.agents[0].token = "secret"
         agent.health.service("grid")
     token = tmp_path / "token"
     token.write_text("wrong\n")
-    place = ConsulService(
-        (watch.agents[0].address,),
+    consul_service = ConsulService(
+        (harness.agents[0].address,),
         "grid",
         token_file=token,
         filter_by='Service.Meta.cell == "3"',
@@ -303,28 +313,28 @@
     )
     seen: list[int] = []
     (watcher,) = watchers_of(
-        place,
+        consul_service,
         ("x",),
         8,
         0.0,
-        lambda m, age, index, sure: seen.append(len(m)),
-        watch.said.append,
+        lambda m, age, index, consistent: seen.append(len(m)),
+        harness.warnings.append,
         random.Random(1),
     )
     watcher.start()
-    eventually(lambda: any("status 403" in said for said in watch.said))
+    eventually(lambda: any("status 403" in warning for warning in harness.warnings))
     token.write_text("secret\n")
     eventually(lambda: seen == [1])
     watcher.stop()
 
 
-def test_a_co_ordinator_lives_by_consul() -> None:
+def test_a_co_ordinator_with_consul_as_its_only_source() -> None:
     """On sockets: a drain reported by the catalogue stays, and an outage of the catalogue fails no query."""
     catalogue = Catalogue()
     agent = Agent(catalogue)
     host, port = agent.address
     table = {"agents": [f"{host}:{port}"], "service": "grid", "wait": 1.0}
-    where = {"membership": {"file": None, "consul": table}}
+    overrides = {"membership": {"file": None, "consul": table}}
     grid_of: list[Embedded] = []
 
     def register(number: int, **meta: str) -> None:
@@ -335,7 +345,7 @@
             {"ID": f"n{number}", "Name": "grid", "Port": address[1], "Address": address[0], "Meta": marks}
         )
 
-    fleet = Embedded(overrides=where)
+    fleet = Embedded(overrides=overrides)
     try:
         grid_of.append(fleet)
         assert ask(fleet).status == 503 and not fleet.app.membership.has_server_list, "running, but not ready"
@@ -359,12 +369,14 @@
     catalogue = Catalogue()
     agent = Agent(catalogue)
     host, port = agent.address
-    where = {"consul": {"agents": [f"{host}:{port}"], "service": "grid", "coordinators": "vane", "wait": 1.0}}
+    membership = {
+        "consul": {"agents": [f"{host}:{port}"], "service": "grid", "coordinators": "vane", "wait": 1.0}
+    }
     fleet = Embedded(
         nodes=6,
         tiles=24,
         coordinators=4,
-        overrides={"membership": where},
+        overrides={"membership": membership},
         tree={"fan_out": 4, "levels": 1, "width": 4},
         list_coordinators=False,
     )
--- a/tests/test_membership_vouching.py
+++ b/tests/test_membership_vouching.py
@@ -21,8 +21,8 @@
 from pathlib import Path
 
 import pytest
-from test_consul import Watch, eventually
-from test_membership import DRAINING, FENCE, GONE, READY, consul, member, ready
+from test_consul import ConsulHarness, eventually
+from test_membership import DRAINING, GONE, GUARD, READY, consul, member, ready
 
 from gingervane.fake_servers.consul import Agent
 from gingervane.membership.consul_polling import Backoff, BlockingQueryState
@@ -30,12 +30,12 @@
 from gingervane.membership.reconciliation import Reconciliation
 from gingervane.membership.source_owner import EndpointSources
 
-LONG = 20 * FENCE.index_reset_delay
+LONG_SECONDS = 20 * GUARD.index_reset_delay
 
 
-def reconciliation() -> Reconciliation:
+def make_reconciliation() -> Reconciliation:
     """Servers 0 to 3 at index 100: 0 is draining, 1 is critical, 2 has been removed and 3 is ready."""
-    made = Reconciliation(("consul",), FENCE)
+    made = Reconciliation(("consul",), GUARD)
     consul(made, 0.0, 90, *(member(n) for n in range(4)))
     consul(made, 1.0, 100, member(0, DRAINING), member(1, GONE), member(3))
     return made
@@ -43,23 +43,21 @@
 
 @pytest.mark.parametrize("restarted", [False, True])
 @pytest.mark.parametrize("first_index", [0, 5, 60])
-def test_a_lower_index_takes_nothing_back_however_long_it_is_all_that_comes(
-    restarted: bool, first_index: int
-) -> None:
+def test_an_unconfirmed_lower_index_never_revokes_anything(restarted: bool, first_index: int) -> None:
     """Also if the lower index increases, and if the answer has no index (0)."""
-    merge, now = reconciliation(), 2.0
+    reconciliation, now = make_reconciliation(), 2.0
     for step in range(200):
         if restarted and step in (0, 100):
-            again = Reconciliation(("consul",), FENCE)
-            again.restore(json.loads(json.dumps(merge.dump(now))), now, 0.0)
-            merge = again
+            restored = Reconciliation(("consul",), GUARD)
+            restored.restore(json.loads(json.dumps(reconciliation.dump(now))), now, 0.0)
+            reconciliation = restored
         index = first_index and first_index + step // 10
-        consul(merge, now, index, *(member(n) for n in range(4)))
-        now += LONG / 200
-        assert ready(merge, now) == {3}, (step, now)
-    assert merge.index_resets == 0
-    consul(merge, now, 101, *(member(n) for n in range(4)))
-    assert ready(merge, now + 2 * FENCE.readmission_delay) == {
+        consul(reconciliation, now, index, *(member(n) for n in range(4)))
+        now += LONG_SECONDS / 200
+        assert ready(reconciliation, now) == {3}, (step, now)
+    assert reconciliation.index_resets == 0
+    consul(reconciliation, now, 101, *(member(n) for n in range(4)))
+    assert ready(reconciliation, now + 2 * GUARD.readmission_delay) == {
         0,
         1,
         2,
@@ -68,82 +66,83 @@
 
 
 def test_a_drain_in_a_lower_index_counts_at_once() -> None:
-    merge = reconciliation()
-    consul(merge, 2.0, 5, *(member(n) for n in range(3)), member(3, DRAINING))
-    assert ready(merge, 2.0) == set()
+    reconciliation = make_reconciliation()
+    consul(reconciliation, 2.0, 5, *(member(n) for n in range(3)), member(3, DRAINING))
+    assert ready(reconciliation, 2.0) == set()
 
 
-def test_a_restored_catalogue_comes_through_by_the_word_of_its_leader() -> None:
-    merge = reconciliation()
+def test_a_restored_catalogue_is_accepted_when_its_leader_confirms_it() -> None:
+    reconciliation = make_reconciliation()
     restored = [member(n) for n in range(5)]
-    consul(merge, 2.0, 5, *restored)
-    assert ready(merge, 2.0 + LONG) == {3}
-    began = 3.0 + LONG
-    consul(merge, began, 6, *restored, sure=True)
-    consul(merge, began + 0.1, 7, *restored)
-    wait = FENCE.consistent_index_reset_delay
-    assert merge.next_due(began + 0.1) <= began + wait
-    ready(merge, began + wait)
-    assert merge.index_resets == 1
-    assert ready(merge, began + wait + 2 * FENCE.readmission_delay) == {0, 1, 2, 3, 4}
-
-
-def test_what_the_abandoned_index_says_takes_nothing_back_until_it_is_vouched_for() -> None:
+    consul(reconciliation, 2.0, 5, *restored)
+    assert ready(reconciliation, 2.0 + LONG_SECONDS) == {3}
+    began = 3.0 + LONG_SECONDS
+    consul(reconciliation, began, 6, *restored, consistent=True)
+    consul(reconciliation, began + 0.1, 7, *restored)
+    wait = GUARD.consistent_index_reset_delay
+    assert reconciliation.next_due(began + 0.1) <= began + wait
+    ready(reconciliation, began + wait)
+    assert reconciliation.index_resets == 1
+    assert ready(reconciliation, began + wait + 2 * GUARD.readmission_delay) == {0, 1, 2, 3, 4}
+
+
+def test_a_superseded_index_revokes_nothing_until_the_leader_confirms_it() -> None:
     """A Consul server that was partitioned from the restored catalogue goes on with the old indexes."""
-    merge = reconciliation()
-    consul(merge, 2.0, 5, member(0), member(1), member(2), member(3, DRAINING), sure=True)
-    assert 3 not in ready(merge, 60.0) and merge.index_resets == 1
+    reconciliation = make_reconciliation()
+    consul(reconciliation, 2.0, 5, member(0), member(1), member(2), member(3, DRAINING), consistent=True)
+    assert 3 not in ready(reconciliation, 60.0) and reconciliation.index_resets == 1
     for step in range(40):
-        consul(merge, 60.0 + step, 101 + step, *(member(n) for n in range(4)))
-        assert 3 not in ready(merge, 60.5 + step)
-    consul(merge, 101.0, 141, *(member(n) for n in range(4)), sure=True)
-    assert 3 in ready(merge, 110.0)
+        consul(reconciliation, 60.0 + step, 101 + step, *(member(n) for n in range(4)))
+        assert 3 not in ready(reconciliation, 60.5 + step)
+    consul(reconciliation, 101.0, 141, *(member(n) for n in range(4)), consistent=True)
+    assert 3 in ready(reconciliation, 110.0)
 
 
-def test_an_answer_behind_what_is_known_has_the_leader_asked_less_and_less_often() -> None:
-    pauses = Backoff(min_interval=0.1, initial_delay=0.5, max_delay=8.0, blocking_wait=30.0)
-    asking = BlockingQueryState(1, pauses, random.Random(1))
+def test_stale_answers_have_the_leader_asked_less_and_less_often() -> None:
+    backoff = Backoff(min_interval=0.1, initial_delay=0.5, max_delay=8.0, blocking_wait=30.0)
+    query_state = BlockingQueryState(1, backoff, random.Random(1))
     now, calls, asked = 0.0, 0, list[float]()
     while now < 600.0:
-        asking.record_request(now)
+        query_state.record_request(now)
         calls += 1
-        if asking.consistent:
+        if query_state.consistent:
             asked.append(now)
-            now += asking.record_failure()
+            now += query_state.record_failure()
         else:
-            now += asking.wait if asking.is_blocking else 0.0
-            now += asking.record_success(5, False, now, known_index=100)
+            now += query_state.wait if query_state.is_blocking else 0.0
+            now += query_state.record_success(5, False, now, known_index=100)
     assert asked[0] < 10.0 and 10 < len(asked) < 30, asked
     assert calls < 80
     assert max(later - first for first, later in pairwise(asked)) < 80.0, "requests never stop"
 
 
-def test_agents_that_follow_each_other_within_a_moment_have_no_leader_asked() -> None:
-    asking = BlockingQueryState(1, Backoff(), random.Random(1))
+def test_briefly_stale_agents_do_not_have_the_leader_asked() -> None:
+    query_state = BlockingQueryState(1, Backoff(), random.Random(1))
     for index in range(10, 200):
-        asking.record_request(float(index))
-        asking.record_success(index, True, index + 0.01, known_index=index + 1)  # another agent was ahead
-        asking.record_request(index + 0.02)
-        asking.record_success(index + 1, True, index + 0.03, known_index=index + 1)
-        assert not asking.consistent
+        query_state.record_request(float(index))
+        # Another agent was ahead.
+        query_state.record_success(index, True, index + 0.01, known_index=index + 1)
+        query_state.record_request(index + 0.02)
+        query_state.record_success(index + 1, True, index + 0.03, known_index=index + 1)
+        assert not query_state.consistent
 
 
-class VouchedWatch(Watch):
+class ConfirmingHarness(ConsulHarness):
     """With watchers that know the newest index, as in a co-ordinator."""
 
-    def make(self) -> tuple[EndpointSources, list[ConsulWatcher]]:
-        sources, _ = super().make()
+    def make_sources(self) -> tuple[EndpointSources, list[ConsulWatcher]]:
+        sources, _ = super().make_sources()
         sources.load()
-        place = ConsulService(
+        consul_service = ConsulService(
             tuple(agent.address for agent in self.agents), "grid", backoff=Backoff(0.01, 0.05, 0.3, 0.5)
         )
         made = create_watchers(
-            place,
+            consul_service,
             ("x",),
             8,
             0.0,
-            lambda m, age, index, sure: sources.report("consul", m, age, index, sure),
-            self.said.append,
+            lambda m, age, index, consistent: sources.report("consul", m, age, index, consistent),
+            self.warnings.append,
             random.Random(1),
             lambda: sources.known_index("consul"),
         )
@@ -151,47 +150,47 @@
 
 
 @pytest.fixture
-def vouched(tmp_path: Path) -> Iterator[VouchedWatch]:
-    made = VouchedWatch(tmp_path)
+def harness(tmp_path: Path) -> Iterator[ConfirmingHarness]:
+    made = ConfirmingHarness(tmp_path)
     assert made.start()
     eventually(lambda: len(made.states()) == 6)
     yield made
     made.close()
 
 
-def lagging_alone(watch: VouchedWatch, fault: str) -> Agent:
+def stale_agent_alone(harness: ConfirmingHarness, fault: str) -> Agent:
     """A drain is saved; then one agent is stale, the other does not answer, and the co-ordinator restarts."""
-    behind, other = watch.agents
-    behind.set_fault(fault)
-    watch.register(1, drain="true")
-    eventually(lambda: watch.states()[1] is DRAINING)
+    stale_agent, other = harness.agents
+    stale_agent.set_fault(fault)
+    harness.register(1, drain="true")
+    eventually(lambda: harness.states()[1] is DRAINING)
     other.set_fault("hang")
-    assert watch.restart()
-    return behind
+    assert harness.restart()
+    return stale_agent
 
 
 # With "lag" the leader can be asked, with "stale" it cannot.
 @pytest.mark.parametrize("fault", ["lag", "stale"])
-def test_a_drain_outlasts_many_reset_delays(vouched: VouchedWatch, fault: str) -> None:
-    behind = lagging_alone(vouched, fault)
-    calls = behind.calls
+def test_a_drain_outlasts_many_reset_delays(harness: ConfirmingHarness, fault: str) -> None:
+    stale_agent = stale_agent_alone(harness, fault)
+    calls = stale_agent.calls
     # A blocking query takes 0.5 s; the reset delay is 0.6 s.
-    eventually(lambda: behind.calls > calls + 14)
-    assert vouched.states()[1] is DRAINING
-    assert any("not confirmed by the leader" in line for line in vouched.said) == (fault == "stale")
-    behind.set_fault("")
-    vouched.register(1)
-    eventually(lambda: vouched.states()[1] is READY)
-
-
-def test_a_catalogue_restored_while_this_process_was_down_comes_through(vouched: VouchedWatch) -> None:
-    vouched.register(1, drain="true")
-    eventually(lambda: vouched.states()[1] is DRAINING)
-    vouched.stop()
-    vouched.told.clear()
-    vouched.register(1)
-    vouched.catalogue.restore()
-    vouched.agents[1].set_fault("hang")
-    vouched.sources, vouched.watchers = vouched.make()
-    assert vouched.start(0.2)
-    eventually(lambda: vouched.states()[1] is READY)
+    eventually(lambda: stale_agent.calls > calls + 14)
+    assert harness.states()[1] is DRAINING
+    assert any("not confirmed by the leader" in line for line in harness.warnings) == (fault == "stale")
+    stale_agent.set_fault("")
+    harness.register(1)
+    eventually(lambda: harness.states()[1] is READY)
+
+
+def test_a_catalogue_restored_while_this_process_was_down_is_accepted(harness: ConfirmingHarness) -> None:
+    harness.register(1, drain="true")
+    eventually(lambda: harness.states()[1] is DRAINING)
+    harness.stop()
+    harness.updates.clear()
+    harness.register(1)
+    harness.catalogue.restore()
+    harness.agents[1].set_fault("hang")
+    harness.sources, harness.watchers = harness.make_sources()
+    assert harness.start(0.2)
+    eventually(lambda: harness.states()[1] is READY)
--- a/tests/test_reconciliation_model.py
+++ b/tests/test_reconciliation_model.py
@@ -28,7 +28,7 @@
 
 READY, DRAINING = api.ReplicaState.READY, api.ReplicaState.DRAINING
 # Times are in whole ticks.
-FENCE = MassRemovalGuard(
+GUARD = MassRemovalGuard(
     retention_time=1,
     max_retention_time=2,
     response_window=1,
@@ -38,7 +38,7 @@
     index_reset_delay=2,
     consistent_index_reset_delay=1,
 )
-ORDERS, SERVERS = (1, 2), (0, 1)
+INDEXES, SERVERS = (1, 2), (0, 1)
 
 
 def member(number: int, state: api.ReplicaState) -> Member:
@@ -50,48 +50,49 @@
     for states in itertools.product((None, READY, DRAINING), repeat=2)
 ]
 GOOD = tuple(member(n, READY) for n in SERVERS)
-VOUCHED = [(1, LISTS[1]), (1, GOOD), (1, LISTS[-1]), (2, GOOD)]  # index 1: the catalogue was restored
+# Index and list of reports that the leader has confirmed; index 1 as of a restored catalogue.
+CONFIRMED_REPORTS = [(1, LISTS[1]), (1, GOOD), (1, LISTS[-1]), (2, GOOD)]
 
 
-class Watch(NamedTuple):
+class ReportHistory(NamedTuple):
     """The servers listed so far, and for each server the index of the newest drain still in force, 0 for none.
 
     Computed independently of the reconciliation: a report revokes a drain if it has the drain's index or a later one,
     or is confirmed by the leader."""
 
-    named: frozenset[int] = frozenset()
+    listed: frozenset[int] = frozenset()
     drained: tuple[int, ...] = (0, 0)
 
-    def report(self, order: int, members: Iterable[Member], vouched: bool = False) -> Watch:
-        told = {m.id: m.state for m in members}
+    def report(self, index: int, members: Iterable[Member], confirmed: bool = False) -> ReportHistory:
+        reported = {m.id: m.state for m in members}
         drained = list(self.drained)
         for n in SERVERS:
-            if told.get(n) is DRAINING:
+            if reported.get(n) is DRAINING:
                 # From a confirmed report on, only the leader's index counts.
-                drained[n] = order if vouched else max(order, drained[n])
-            elif vouched or order >= drained[n]:
+                drained[n] = index if confirmed else max(index, drained[n])
+            elif confirmed or index >= drained[n]:
                 drained[n] = 0
-        return Watch(self.named | set(told), tuple(drained))
+        return ReportHistory(self.listed | set(reported), tuple(drained))
 
-    def binds(self, number: int) -> bool:
+    def must_drain(self, number: int) -> bool:
         """Return whether a drain of the server is in force."""
         return self.drained[number] > 0
 
 
 class State(NamedTuple):
-    merge: Reconciliation
+    reconciliation: Reconciliation
     now: int
-    watch: Watch
+    history: ReportHistory
 
 
-def key(state: State) -> Any:
+def state_key(state: State) -> Any:
     """Return everything that the future of a state depends on, with ages capped where they no longer matter."""
-    merge, now = state.merge, state.now
+    reconciliation, now = state.reconciliation, state.now
 
     def age(at: float) -> Any:
         return None if at in (inf, -inf) else min(now - at, 4)
 
-    source = merge._sources["s"]
+    source = reconciliation._sources["s"]
     waiting = tuple(
         report and (report.source_index, report.members)
         for report in (source.pending, source.pending_successor)
@@ -105,9 +106,9 @@
             min(age(server.last_response_at) or 0, 2) if server.last_response_at > -inf else None,
             tuple((e.member, age(e.missing_since), e.retained) for e in server.entries.values()),
         )
-        for n, server in sorted(merge._servers.items())
+        for n, server in sorted(reconciliation._servers.items())
     )
-    order = (
+    ordering = (
         source.index,
         waiting,
         age(source.pending_since),
@@ -117,49 +118,52 @@
         source.failed_resets,
         source.awaits_confirmation,
     )
-    return order, servers, state.watch
+    return ordering, servers, state.history
 
 
-def copy(merge: Reconciliation) -> Reconciliation:
-    made: Reconciliation = pickle.loads(pickle.dumps(merge))
+def copy(reconciliation: Reconciliation) -> Reconciliation:
+    made: Reconciliation = pickle.loads(pickle.dumps(reconciliation))
     return made
 
 
-def steps(state: State) -> Iterable[tuple[str, State]]:
-    for order, members in itertools.product(ORDERS, LISTS):
-        merge = copy(state.merge)
-        merge.apply_report(SourceReport("s", members, 0.0, order), state.now)
-        merge.refresh(state.now)
-        yield "report", State(merge, state.now, state.watch.report(order, members))
-    for order, members in VOUCHED:
-        merge = copy(state.merge)
-        merge.apply_report(SourceReport("s", members, 0.0, order, consistent=True), state.now)
-        merge.refresh(state.now)
-        yield "vouched report", State(merge, state.now, state.watch.report(order, members, vouched=True))
-    merge = copy(state.merge)
-    merge.record_response(0, state.now)
-    yield "answered", State(merge, state.now, state.watch)
-    merge = copy(state.merge)
-    merge.refresh(state.now + 1)
-    yield "tick", State(merge, state.now + 1, state.watch)
-
-
-def well(state: State) -> State:
+def successors(state: State) -> Iterable[tuple[str, State]]:
+    for index, members in itertools.product(INDEXES, LISTS):
+        reconciliation = copy(state.reconciliation)
+        reconciliation.apply_report(SourceReport("s", members, 0.0, index), state.now)
+        reconciliation.refresh(state.now)
+        yield "report", State(reconciliation, state.now, state.history.report(index, members))
+    for index, members in CONFIRMED_REPORTS:
+        reconciliation = copy(state.reconciliation)
+        reconciliation.apply_report(SourceReport("s", members, 0.0, index, consistent=True), state.now)
+        reconciliation.refresh(state.now)
+        yield (
+            "confirmed report",
+            State(reconciliation, state.now, state.history.report(index, members, confirmed=True)),
+        )
+    reconciliation = copy(state.reconciliation)
+    reconciliation.record_response(0, state.now)
+    yield "answered", State(reconciliation, state.now, state.history)
+    reconciliation = copy(state.reconciliation)
+    reconciliation.refresh(state.now + 1)
+    yield "tick", State(reconciliation, state.now + 1, state.history)
+
+
+def recovered(state: State) -> State:
     """Return the state once faults have ended: after a tick and a confirmed report of all servers as ready."""
-    merge = copy(state.merge)
-    merge.refresh(state.now + 1)
-    merge.apply_report(SourceReport("s", GOOD, 0.0, max(ORDERS), consistent=True), state.now + 1)
-    merge.refresh(state.now + 1)
-    return State(merge, state.now + 1, state.watch.report(max(ORDERS), GOOD, vouched=True))
+    reconciliation = copy(state.reconciliation)
+    reconciliation.refresh(state.now + 1)
+    reconciliation.apply_report(SourceReport("s", GOOD, 0.0, max(INDEXES), consistent=True), state.now + 1)
+    reconciliation.refresh(state.now + 1)
+    return State(reconciliation, state.now + 1, state.history.report(max(INDEXES), GOOD, confirmed=True))
 
 
 def labels(state: State) -> set[str]:
-    believed = state.merge.latest_view(state.now).servers
-    ready = {n for n, known in believed.items() if known.member.state is READY}
+    reconciled = state.reconciliation.latest_view(state.now).servers
+    ready = {n for n, known in reconciled.items() if known.member.state is READY}
     out = set()
-    if set(believed) - state.watch.named:
+    if set(reconciled) - state.history.listed:
         out.add("unnamed")
-    if any(state.watch.binds(n) for n in ready):
+    if any(state.history.must_drain(n) for n in ready):
         out.add("undone")
     if ready == set(SERVERS):
         out.add("settled")
@@ -168,46 +172,46 @@
 
 def explore(make: Callable[[], Reconciliation], depth: int) -> tuple[Kripke, Kripke]:
     """Return the graph of all states within `depth` steps, and the graph from each of them once faults have ended."""
-    first = State(make(), 0, Watch())
-    numbers: dict[Any, int] = {key(first): 0}
-    names: list[set[str]] = [labels(first)]
+    first = State(make(), 0, ReportHistory())
+    numbers: dict[Any, int] = {state_key(first): 0}
+    state_labels: list[set[str]] = [labels(first)]
     edges: set[tuple[int, int]] = set()
     after: dict[int, int] = {}
-    found = deque([(0, first, 0)])
-
-    def number(state: State, far: int) -> int:
-        where = numbers.setdefault(key(state), len(numbers))
-        if where == len(names):
-            names.append(labels(state))
-            found.append((where, state, far))
-        return where
-
-    while found:
-        here, state, far = found.popleft()
-        if far < depth:
-            for _, later in steps(state):
-                edges.add((here, number(later, far + 1)))
+    queue = deque([(0, first, 0)])
+
+    def number_of(state: State, depth_reached: int) -> int:
+        position = numbers.setdefault(state_key(state), len(numbers))
+        if position == len(state_labels):
+            state_labels.append(labels(state))
+            queue.append((position, state, depth_reached))
+        return position
+
+    while queue:
+        current, state, depth_reached = queue.popleft()
+        if depth_reached < depth:
+            for _, later in successors(state):
+                edges.add((current, number_of(later, depth_reached + 1)))
         else:
-            edges.add((here, here))
-        after[here] = number(well(state), max(far, depth))
-    states = range(len(names))
-    labelling = dict(enumerate(names))
+            edges.add((current, current))
+        after[current] = number_of(recovered(state), max(depth_reached, depth))
+    states = range(len(state_labels))
+    labelling = dict(enumerate(state_labels))
     return (
         Kripke(S=list(states), S0=[0], R=sorted(edges), L=labelling),
         Kripke(S=list(states), S0=list(states), R=list(after.items()), L=labelling),
     )
 
 
-def holds(graph: Kripke, formula: str) -> bool:
+def is_satisfied(graph: Kripke, formula: str) -> bool:
     return set(graph.states()) == set(CTL.modelcheck(graph, formula))
 
 
 def check(make: Callable[[], Reconciliation], depth: int) -> dict[str, bool]:
     faults, after = explore(make, depth)
     return {
-        "a drain is never undone by a stale report": holds(faults, "A G (not undone)"),
-        "no server is in the view that no source named": holds(faults, "A G (not unnamed)"),
-        "once the faults have ended, the view becomes right": holds(after, "A F (settled)"),
+        "a drain is never undone by a stale report": is_satisfied(faults, "A G (not undone)"),
+        "no server is in the view that no source named": is_satisfied(faults, "A G (not unnamed)"),
+        "once the faults have ended, the view becomes right": is_satisfied(after, "A F (settled)"),
     }
 
 
@@ -237,7 +241,7 @@
 
 
 def make(kind: type[Reconciliation]) -> Callable[[], Reconciliation]:
-    return lambda: kind(("s",), FENCE)
+    return lambda: kind(("s",), GUARD)
 
 
 @pytest.fixture(autouse=True)
@@ -245,16 +249,16 @@
     monkeypatch.setattr(source_ordering, "MAX_RESET_DOUBLINGS", 1)
 
 
-def test_the_merge_keeps_its_promises_in_every_state() -> None:
+def test_the_properties_hold_in_every_state() -> None:
     faults, _ = explore(make(Reconciliation), 4)
     assert len(faults.states()) > 2000
     assert all(check(make(Reconciliation), 4).values())
 
 
 @pytest.mark.parametrize(("kind", "broken"), [(Newest, "undone"), (Inventive, "named"), (Stubborn, "right")])
-def test_the_check_sees_a_merge_that_breaks_one(kind: type[Reconciliation], broken: str) -> None:
-    assert {what: kept for what, kept in check(make(kind), 3).items() if not kept}.keys() == {
-        what for what in check(make(Reconciliation), 1) if broken in what
+def test_the_check_detects_a_broken_reconciliation(kind: type[Reconciliation], broken: str) -> None:
+    assert {text: holds for text, holds in check(make(kind), 3).items() if not holds}.keys() == {
+        text for text in check(make(Reconciliation), 1) if broken in text
     }
 
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -44,9 +44,9 @@
     path.write_text(GOOD)
     config = daemon_settings.load(path)
     assert config.membership.file == tmp_path / "servers.toml"
-    told = config.module_settings()
-    assert told.zone == 1 and [c.required_coverage for c in told.query_classes] == [1.0, 0.5, 1e-6]
-    assert all(c.complete_coverage == 1.0 for c in told.query_classes)
+    settings = config.module_settings()
+    assert settings.zone == 1 and [c.required_coverage for c in settings.query_classes] == [1.0, 0.5, 1e-6]
+    assert all(c.complete_coverage == 1.0 for c in settings.query_classes)
 
 
 def test_all_faults_at_once(tmp_path: Path) -> None:
@@ -83,7 +83,7 @@
     assert "line 1" in faults("x = = 1", tmp_path)[0]
 
 
-def test_check_config_says_so(tmp_path: Path) -> None:
+def test_check_config_reports_the_result(tmp_path: Path) -> None:
     path = tmp_path / "c.toml"
     cases = ((GOOD, 0, "1 classes, 2 shards"), (GOOD + "x = 1\n", 2, "class[0].x: not a known"))
     for text, status, out in cases:
@@ -122,7 +122,7 @@
     return Member(number, f"n{number}", ("h", port), 0, 0, state, started)
 
 
-def test_what_came_back_is_cold() -> None:
+def test_a_replica_that_returns_is_cold() -> None:
     view = EndpointView()
 
     def started(now: float, *members: Member) -> dict[int, float]:
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -42,7 +42,7 @@
 OPS = ("create", "write", "write", "write", "write", "fsync", "close", "rename", "fsync_directory")
 
 
-class Counting(Disk):
+class ObservedDisk(Disk):
     """Calls `at` before each operation, with its number, its name and the bytes to be written."""
 
     def __init__(self, at: Callable[[int, str, bytes], None]) -> None:
@@ -90,7 +90,7 @@
 
 @pytest.mark.parametrize("cut", range(len(OPS) + 1))
 @pytest.mark.parametrize("half", [False, True])
-def test_killed_at_any_point_of_a_writing(tmp_path: Path, cut: int, half: bool) -> None:
+def test_killed_at_any_point_of_a_save(tmp_path: Path, cut: int, half: bool) -> None:
     path = tmp_path / "kept"
     first = AtomicFile(path, 3)
     first.save(OLD)
@@ -104,7 +104,7 @@
             os.kill(os.getpid(), signal.SIGKILL)
 
     def write() -> None:
-        AtomicFile(path, 3, Counting(kill)).save(NEW)
+        AtomicFile(path, 3, ObservedDisk(kill)).save(NEW)
 
     status = in_child(write)
     assert (os.WTERMSIG(status) == signal.SIGKILL) if cut < len(OPS) else status == 0
@@ -116,30 +116,30 @@
     again.close()
 
 
-class Unplugged:
+class PowerLossModel:
     """A disk in memory that loses unsynced data on a power loss: any tail of a file's bytes, and the latest changes
     of the directory's entries. Descriptors are inode numbers."""
 
-    def __init__(self, kept: Path, content: bytes) -> None:
+    def __init__(self, path: Path, content: bytes) -> None:
         self.inodes = {0: (content, content)}  # inode -> synced bytes, all bytes
-        self.forced = {kept.name: 0}
+        self.synced = {path.name: 0}
         self.changes: list[dict[str, int]] = []  # the directory's entries after each change not synced yet
 
     @property
     def names(self) -> dict[str, int]:
-        return self.changes[-1] if self.changes else self.forced
+        return self.changes[-1] if self.changes else self.synced
 
-    def outcomes(self, kept: Path) -> Iterator[bytes]:
+    def possible_contents(self, path: Path) -> Iterator[bytes]:
         """Yield every content that the file may have after a power loss."""
-        for names in (self.forced, *self.changes):
-            forced, written = self.inodes[names[kept.name]]
-            for length in {len(forced), (len(forced) + len(written)) // 2, len(written)}:
+        for names in (self.synced, *self.changes):
+            synced, written = self.inodes[names[path.name]]
+            for length in {len(synced), (len(synced) + len(written)) // 2, len(written)}:
                 yield written[:length]
 
 
-class Power(Disk):
-    def __init__(self, unplugged: Unplugged, check: Callable[[], None]) -> None:
-        self.disk, self.check = unplugged, check
+class PowerLossDisk(Disk):
+    def __init__(self, model: PowerLossModel, check: Callable[[], None]) -> None:
+        self.disk, self.check = model, check
 
     def create(self, path: Path) -> int:
         number = len(self.disk.inodes)
@@ -149,9 +149,9 @@
         return number
 
     def write(self, file: int, data: bytes) -> int:
-        forced, written = self.disk.inodes[file]
+        synced, written = self.disk.inodes[file]
         data = data[: max(len(data) * 2 // 3, 1)]  # a short write
-        self.disk.inodes[file] = forced, written + data
+        self.disk.inodes[file] = synced, written + data
         self.check()
         return len(data)
 
@@ -169,29 +169,29 @@
         self.check()
 
     def fsync_directory(self, path: Path) -> None:
-        self.disk.forced, self.disk.changes = self.disk.names, []
+        self.disk.synced, self.disk.changes = self.disk.names, []
         self.check()
 
 
-def test_power_lost_at_any_point(tmp_path: Path) -> None:
+def test_power_loss_at_any_point(tmp_path: Path) -> None:
     path = tmp_path / "kept"
-    disk, checks = Unplugged(path, frame(OLD, 3)), [0]
+    disk, checks = PowerLossModel(path, frame(OLD, 3)), [0]
 
     def check() -> None:
         checks[0] += 1
-        for content in disk.outcomes(path):
+        for content in disk.possible_contents(path):
             assert parse(content, path, 3)[1] in (OLD, NEW)
 
-    store = AtomicFile(path, 3, Power(disk, check))
+    store = AtomicFile(path, 3, PowerLossDisk(disk, check))
     store.save(NEW)
     store.close()
-    assert checks[0] > 8 and {parse(c, path, 3)[1] for c in disk.outcomes(path)} == {NEW}
+    assert checks[0] > 8 and {parse(c, path, 3)[1] for c in disk.possible_contents(path)} == {NEW}
 
-    class Hasty(Power):
+    class UnsyncedDisk(PowerLossDisk):
         def fsync(self, file: int) -> None:
             pass
 
-    bad = AtomicFile(path, 3, Hasty(Unplugged(path, frame(OLD, 3)), check))
+    bad = AtomicFile(path, 3, UnsyncedDisk(PowerLossModel(path, frame(OLD, 3)), check))
     disk = bad._disk.disk  # type: ignore[attr-defined]
     with pytest.raises(StoreError, match="torn"):  # the model detects a file that is not synced
         bad.save(NEW)
@@ -210,7 +210,7 @@
 
     store = AtomicFile(path, 3)
     store.save(OLD)
-    store._disk = Counting(fail)
+    store._disk = ObservedDisk(fail)
     with pytest.raises(OSError, match=r"\[Errno"):
         store.save(NEW)
     after = store.load()
@@ -242,7 +242,7 @@
     store.close()
 
 
-def test_one_keeper_at_a_time_and_bounds(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_lock_and_the_size_limit(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     path = tmp_path / "kept"
     store = AtomicFile(path, 3)
     with pytest.raises(StoreError, match="locked by another process"):
@@ -270,15 +270,15 @@
 def test_other_versions(tmp_path: Path) -> None:
     path = tmp_path / "kept"
     snapshot = Snapshot(path, 0.0, 1, 1)
-    merge = Reconciliation(("consul",), MassRemovalGuard())
-    merge.apply_report(SourceReport("consul", members(), 0.0, 7), 50.0)
-    snapshot.save(members(), merge.dump(51.0), EndpointView().dump(0.0))
-    kept = snapshot.load()
+    reconciliation = Reconciliation(("consul",), MassRemovalGuard())
+    reconciliation.apply_report(SourceReport("consul", members(), 0.0, 7), 50.0)
+    snapshot.save(members(), reconciliation.dump(51.0), EndpointView().dump(0.0))
+    loaded = snapshot.load()
     assert (
-        kept
-        and kept.members == members()
-        and kept.reconciliation
-        and kept.reconciliation["index"] == {"consul": 7}
+        loaded
+        and loaded.members == members()
+        and loaded.reconciliation
+        and loaded.reconciliation["index"] == {"consul": 7}
     )
     rows = [[1, "n1", "h", 1, 0, 0, "ready", None], [2, "n2", "h", 1, 0, 0, "gone", 5.5]]
     for version, content in ((1, rows), (2, [rows, None])):  # as earlier versions of the program wrote them
@@ -313,14 +313,14 @@
         Snapshot(path, 0.0, 0, 1).load()
 
 
-def test_writing_is_paced() -> None:
-    pace, now, writes = WriteSchedule(1.0, 8.0), 0.0, list[float]()
-    assert not pace.is_due(0.0) and pace.next_attempt_at() == float("inf")
+def test_writes_are_rate_limited() -> None:
+    schedule, now, writes = WriteSchedule(1.0, 8.0), 0.0, list[float]()
+    assert not schedule.is_due(0.0) and schedule.next_attempt_at() == float("inf")
     while now < 40.0:
-        pace.mark_changed()
-        if pace.is_due(now):
+        schedule.mark_changed()
+        if schedule.is_due(now):
             writes.append(now)
-            pace.record_result(now, succeeded=now < 10.0)
+            schedule.record_result(now, succeeded=now < 10.0)
         now += 0.125
     assert writes == [
         *range(11),
@@ -331,50 +331,50 @@
     ], "once a second; after failures the interval doubles up to 8 s"
 
 
-def test_service_goes_on_when_nothing_can_be_kept(tmp_path: Path) -> None:
-    told, said = list[EndpointsUpdated](), list[str]()
+def test_service_continues_when_no_snapshot_can_be_written(tmp_path: Path) -> None:
+    updates, warnings = list[EndpointsUpdated](), list[str]()
 
     def fail(number: int, name: str, data: bytes) -> None:
         raise OSError(errno.ENOSPC, "No space left on device")
 
-    snapshot = Snapshot(tmp_path / "kept", 0.0, 1, 1, Counting(fail))
-    sources = EndpointSources(("consul",), MassRemovalGuard(), told.append, said.append, snapshot)
+    snapshot = Snapshot(tmp_path / "kept", 0.0, 1, 1, ObservedDisk(fail))
+    sources = EndpointSources(("consul",), MassRemovalGuard(), updates.append, warnings.append, snapshot)
     sources.report("consul", members(), 0.0, 5)
     assert sources.start(30.0)
-    eventually(lambda: any("No space left" in what for what in said))
+    eventually(lambda: any("No space left" in text for text in warnings))
     sources.report("consul", members()[:2], 0.0, 6)
-    eventually(lambda: len(told) == 2)
+    eventually(lambda: len(updates) == 2)
     sources.stop()
 
 
-def test_a_disk_that_takes_its_time_holds_up_no_drain(tmp_path: Path) -> None:
-    told, free = list[EndpointsUpdated](), threading.Event()
+def test_a_slow_disk_does_not_delay_a_drain(tmp_path: Path) -> None:
+    updates, release = list[EndpointsUpdated](), threading.Event()
 
     class Slow(Disk):
         def fsync(self, file: int) -> None:
-            free.wait(60.0)
+            release.wait(60.0)
             super().fsync(file)
 
     snapshot = Snapshot(tmp_path / "kept", 0.0, 1, 1, Slow())
-    sources = EndpointSources(("consul",), MassRemovalGuard(), told.append, lambda what: None, snapshot)
+    sources = EndpointSources(("consul",), MassRemovalGuard(), updates.append, lambda text: None, snapshot)
     sources.report("consul", (member(1), member(2)), 0.0, 5)
     assert sources.start(30.0)
     eventually(lambda: (tmp_path / "kept.part").exists())
     sources.report("consul", (member(1), member(2, api.ReplicaState.DRAINING)), 0.0, 6)
-    eventually(lambda: len(told) == 2)
+    eventually(lambda: len(updates) == 2)
     assert not (tmp_path / "kept").exists()
-    free.set()
+    release.set()
     sources.stop()
     again = Snapshot(tmp_path / "kept", 0.0, 1, 1)
-    kept = again.load()
-    assert kept and [m.state.value for m in kept.members] == ["ready", "draining"], "written at the stop"
+    loaded = again.load()
+    assert loaded and [m.state.value for m in loaded.members] == ["ready", "draining"], "written at the stop"
 
 
-def test_a_start_without_its_list_takes_the_kept_one(tmp_path: Path) -> None:
+def test_a_start_without_its_list_file_uses_the_snapshot(tmp_path: Path) -> None:
     from gingervane.experiments.embedded import Embedded
 
-    kept = str(tmp_path / "kept")
-    first = Embedded(overrides={"membership": {"kept": kept}})
+    snapshot_path = str(tmp_path / "kept")
+    first = Embedded(overrides={"membership": {"kept": snapshot_path}})
     first.write_list({2: "draining"})
     nodes = first.app.membership.nodes
     try:
@@ -393,7 +393,7 @@
             eventually(lambda: second.membership.nodes.members[2].state is api.ReplicaState.READY)
         finally:
             second.stop()
-        Path(kept).unlink()
+        Path(snapshot_path).unlink()
         first.list_file.unlink()
         with pytest.raises(EndpointFileError, match="No such file"):
             App(first.config).start()
--- a/tests/test_stored_files.py
+++ b/tests/test_stored_files.py
@@ -179,9 +179,9 @@
 
 def test_the_snapshot_of_version_3_is_read_whole(stored: Path, same_boot: None) -> None:
     snapshot = Snapshot(stored / "membership" / "snapshot-v3", 77.0, 3, 4)
-    kept = snapshot.load()
-    assert kept is not None
-    members, age, offset, merge, view = kept
+    loaded = snapshot.load()
+    assert loaded is not None
+    members, age, offset, merge, view = loaded
     assert plain(members) == MEMBERS and (age, offset) == (90.0, OFFSET)
     assert merge == MERGE_STATE and view == VIEW_STATE
     snapshot.close()
@@ -193,9 +193,9 @@
     monkeypatch.setattr(boot_clock, "boot_id", lambda: "another boot")
     monkeypatch.setattr(time, "time", lambda: UNIX + 30.0)
     snapshot = Snapshot(stored / "membership" / "snapshot-v3", OFFSET + 2.0, 3, 4)
-    kept = snapshot.load()
-    assert kept is not None and kept[1:3] == (30.0, OFFSET + 2.0)
-    assert [member[6] for member in kept[0]] == [514.5, 642.0, None, None]
+    loaded = snapshot.load()
+    assert loaded is not None and loaded[1:3] == (30.0, OFFSET + 2.0)
+    assert [member[6] for member in loaded[0]] == [514.5, 642.0, None, None]
     snapshot.close()
 
 
@@ -207,9 +207,9 @@
     monkeypatch.setattr(time, "time", lambda: UNIX + 30.0)
     path = stored / "membership" / f"snapshot-v{version}"
     snapshot = Snapshot(path, OFFSET, 3, 4)
-    kept = snapshot.load()
-    assert kept is not None
-    members, age, offset, merge, view = kept
+    loaded = snapshot.load()
+    assert loaded is not None
+    members, age, offset, merge, view = loaded
     assert plain(members) == [(*row[:7], 0) for row in MEMBERS] and (age, offset) == (30.0, OFFSET)
     assert view is None and (merge is None) == (version == 1)
     if merge is not None:
@@ -227,27 +227,27 @@
     snapshot.close()
 
 
-def test_states_of_the_snapshot_are_taken_up_and_go_on(stored: Path, same_boot: None) -> None:
+def test_states_of_the_snapshot_are_restored_and_saved_again(stored: Path, same_boot: None) -> None:
     snapshot = Snapshot(stored / "membership" / "snapshot-v3", 77.0, 3, 4)
-    kept = snapshot.load()
-    assert kept is not None and kept[3] is not None and kept[4] is not None
+    loaded = snapshot.load()
+    assert loaded is not None and loaded[3] is not None and loaded[4] is not None
     merge, view = Reconciliation(("consul", "file"), MassRemovalGuard()), EndpointView()
-    merge.restore(kept[3], 1000.0, 0.0)
-    view.restore(kept[4], kept[0], OFFSET)
+    merge.restore(loaded[3], 1000.0, 0.0)
+    view.restore(loaded[4], loaded[0], OFFSET)
     assert as_json(merge.dump(1000.0)) == MERGE_STATE and view.dump(OFFSET) == VIEW_STATE
-    merge.restore(kept[3], 1000.0, 16.0)
+    merge.restore(loaded[3], 1000.0, 16.0)
     later = merge.dump(1000.0)
     assert later["last"] == {"consul": 56.5, "file": 112.0}
-    believed = merge.view(1000.0).servers
-    assert {n: known[0][5].value for n, known in believed.items()} == {
+    servers = merge.view(1000.0).servers
+    assert {n: known[0][5].value for n, known in servers.items()} == {
         1: "ready",
         2: "draining",
         3: "gone",
         4: "ready",
     }
-    snapshot.save(kept[0], later, kept[4])
+    snapshot.save(loaded[0], later, loaded[4])
     again = snapshot.load()
-    assert again is not None and plain(again[0]) == MEMBERS and again[3:] == (as_json(later), kept[4])
+    assert again is not None and plain(again[0]) == MEMBERS and again[3:] == (as_json(later), loaded[4])
     snapshot.close()
 
 
@@ -364,7 +364,7 @@
         }
 
 
-def test_what_a_restart_makes_of_the_kept_intents(stored: Path, same_boot: None) -> None:
+def test_intents_are_restored_after_a_restart(stored: Path, same_boot: None) -> None:
     """Done: the result is replayed. Idle: sent as new with its version. Open or unknown: may have been executed."""
     known = IdempotencyRecords(IdempotencyLimits(window=10.0, safety_margin=0.5, retention=3600.0))
     for _, (entries, _, _) in opened(stored / "intents"):
@@ -473,15 +473,15 @@
     assert (tried["read"], tried["tap"], tried["replies"]) == (10.15, "tap-0.jsonl", [10.45])
     assert [demand["names"] for demand in day.demands] == [["t001"]]
     assert day.catalogue is not None
-    changes, told = day.catalogue
+    changes, reports = day.catalogue
     assert {node: [tuple(change) for change in found] for node, found in changes.items()} == {
         0: [(9.1, 5, False), (10.7, 6, True)]
     }
-    assert dict(told) == {"tap-0.jsonl": [(10.8, 6)]}
+    assert dict(reports) == {"tap-0.jsonl": [(10.8, 6)]}
 
 
 def rule(tested: int, nearest: object = 0.0) -> dict[str, Any]:
-    """Return the verdict of a rule that was kept."""
+    """Return the verdict of a rule that has not been broken."""
     return {"kept": True, "tested": tested, "nearest": nearest, "breaches": 0, "what": []}
 
 
