--- a/gingervane/daemon/app.py
+++ b/gingervane/daemon/app.py
@@ -203,8 +203,8 @@
         }
 
     def _handle(self, request: Request, body: bytes, arrived: float, client: Exchange) -> Reply:
-        found = self._router.find(request.method, request.target.partition("?")[0])
-        if isinstance(found, Reply):
-            return found
-        route, words = found
-        return route.handle(request, body, arrived, client, words)
+        resolved = self._router.find(request.method, request.target.partition("?")[0])
+        if isinstance(resolved, Reply):
+            return resolved
+        route, parameters = resolved
+        return route.handle(request, body, arrived, client, parameters)
--- a/gingervane/daemon/observers.py
+++ b/gingervane/daemon/observers.py
@@ -12,7 +12,7 @@
 from gingervane.telemetry.events import LogEvent
 
 _DURATION_DIGITS = 4  # decimal places of logged seconds and coverage
-_CORE_CLASSES_PER_CLASS = 3  # a core's variants of each class in the settings: strict, lenient and collecting
+_VARIANTS_PER_CLASS = 3  # a core's variants of each class in the settings: strict, lenient and collecting
 _UNLOGGED_SUBTREE_STATUSES = frozenset({t.QueryStatus.COMPLETE, t.QueryStatus.CLIENT_DISCONNECTED})
 _LOGGED_VECTOR_STATUSES = frozenset({t.QueryStatus.REJECTED, t.QueryStatus.FAILED})
 
@@ -50,7 +50,7 @@
 
     def __init__(self, config: Config, metrics: Metrics) -> None:
         super().__init__(daemon_log.get("coordinator"), metrics)
-        self._class_names = [c.name for c in config.classes for _ in range(_CORE_CLASSES_PER_CLASS)]
+        self._class_names = [c.name for c in config.classes for _ in range(_VARIANTS_PER_CLASS)]
         self._debug = config.log.level == "debug"
         # Called with the ID of the replica after each successful attempt.
         self.on_replica_answered: Callable[[int], None] | None = None
--- a/gingervane/membership/atomic_file.py
+++ b/gingervane/membership/atomic_file.py
@@ -109,9 +109,9 @@
             raise
 
     def save(self, content: bytes) -> None:
-        """Replace the content. Raises StoreError or OSError; unless only the last sync failed, the old content stays.
+        """Replace the content. A file of a newer version is renamed to `PATH.vVERSION` first.
 
-        A file of a newer version is renamed to `PATH.vVERSION` first.
+        Raises StoreError or OSError. The old content then stays, unless only the sync of the directory failed.
         """
         data = frame(content, self._version)
         if len(data) > MAX_BYTES:
--- a/gingervane/membership/consul_polling.py
+++ b/gingervane/membership/consul_polling.py
@@ -1,8 +1,8 @@
 """Schedule of one watcher's blocking queries: time, index, consistency mode and agent of the next one. Free of I/O.
 
 Follows the public documentation (https://developer.hashicorp.com/consul/api-docs/features/blocking): the index is
-reset when it decreases, a query never has index 0 once a positive one is known, and answers that come at once without
-a change must not cause a busy loop.
+reset when it decreases, an answer's index counts as at least 1, as 0 would not block, and answers that come at once
+without a change must not cause a busy loop.
 """
 
 from __future__ import annotations
--- a/gingervane/membership/service.py
+++ b/gingervane/membership/service.py
@@ -135,7 +135,7 @@
         try:
             return Snapshot(self._table.kept, self._offset, len(self._zones), self._ring_sizes.cells)
         except (OSError, StoreError) as error:
-            self._log_warning(f"no snapshots of the server list will be written: {error}")
+            self._log_warning(f"snapshots of the server list are disabled: {error}")
             return None
 
     def _watch(
--- a/gingervane/settings/tables.py
+++ b/gingervane/settings/tables.py
@@ -201,7 +201,7 @@
 class Budget(Table):
     """The retry budget, which covers retries and hedged requests.
 
-    In any `span` seconds at most `free` plus `share` times the queries and parts admitted in them are sent.
+    In any `span` seconds, at most `free` plus `share` times the number of queries and parts admitted in them.
     """
 
     free: Annotated[float, Field(ge=0)]
@@ -210,7 +210,7 @@
 
 
 class Log(Table):
-    """Form and level of the log."""
+    """Format and level of the log."""
 
     format: Literal["json", "console"] = "json"
     level: Literal["debug", "info", "warning", "error"] = "info"
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -310,9 +310,7 @@
         ready(reconciliation, 30.0) == set()
     ), "a stale critical check counts; a stale list restores no removed server"
     consul(reconciliation, 31.0, 12, member(0, DRAINING), member(1))
-    assert ready(reconciliation, 31.0) == set() and ready(reconciliation, 70.0) == {
-        1
-    }, "ready after the readmission delay"
+    assert ready(reconciliation, 31.0) == set() and ready(reconciliation, 70.0) == {1}, "readmitted"
     assert reconciliation.index_resets == 0
 
 
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -322,13 +322,7 @@
             writes.append(now)
             schedule.record_result(now, succeeded=now < 10.0)
         now += 0.125
-    assert writes == [
-        *range(11),
-        12,
-        16,
-        24,
-        32,
-    ], "once a second; after failures the interval doubles up to 8 s"
+    assert writes == [*range(11), 12, 16, 24, 32], "one per second; failures double the interval up to 8 s"
 
 
 def test_service_continues_when_no_snapshot_can_be_written(tmp_path: Path) -> None:
