--- a/gingervane/membership/view.py
+++ b/gingervane/membership/view.py
@@ -1,8 +1,8 @@
-"""Turns successive server lists into membership updates for the decision module. Free of I/O.
+"""Turns successive server lists into membership updates for the decision engine. Free of I/O.
 
-A list may leave out when a replica started. One that was gone and is listed again without that may just have
-started: its slow start begins at the moment it came back. One that the first list names without a
-start is taken to have run for long.
+A list may leave out when a replica started. A replica that was gone and is listed again without a start time may have
+just started, so its slow start begins when it is listed again. One that the first list names without a start time
+counts as warm.
 
 A list in which three of a thousand replicas changed becomes a delta of three rows.
 """
@@ -18,9 +18,9 @@
 
 
 class Member(NamedTuple):
-    """One entry of a server list. `started_at`: on the caller's monotonic clock, None if the list does not say.
+    """One entry of a server list. `started_at`: on the caller's monotonic clock, None if the list does not state it.
 
-    `created`: what changes when the entry is made anew (Consul's CreateIndex), 0 if the source has no such thing.
+    `create_index` changes when the entry is re-created (Consul's CreateIndex); 0 if the source has none.
     """
 
     id: int
@@ -34,55 +34,55 @@
 
 
 class EndpointView:
-    """The last list, and what follows from how lists changed."""
+    """The current list, and the start times of replicas derived from its changes."""
 
     def __init__(self) -> None:
         self._members: dict[int, Member] = {}
         self._start_times: dict[int, float] = {}
         self._removed: set[int] = set()
         self._awaiting_first_list = True
-        self._last_update_at: float | None = None  # when the last list came that was not a cached one
+        self._last_update_at: float | None = None  # when the last list was applied that was not a cached one
 
     @property
     def members(self) -> dict[int, Member]:
-        """The current list, by id."""
+        """The current list, by ID."""
         return self._members
 
     def apply_full_list(
         self, members: tuple[Member, ...], now: float, cached: bool = False
     ) -> EndpointsUpdated | None:
-        """Take a complete list as it stands at `now`; return the update, None if nothing is new."""
-        named = {member.id: member for member in members}
-        if named == self._members and (not self._awaiting_first_list or not named):
+        """Apply a complete list received at `now`; return the update, None if nothing has changed."""
+        members_by_id = {member.id: member for member in members}
+        if members_by_id == self._members and (not self._awaiting_first_list or not members_by_id):
             return None
         for member in members:
             self._record_start(member, now)
         self._removed = (self._removed | set(self._members)) - {
             m.id for m in members if m.state is not api.ReplicaState.GONE
         }
-        self._members, self._awaiting_first_list = named, False
+        self._members, self._awaiting_first_list = members_by_id, False
         self._last_update_at = self._last_update_at if cached else now
         kind = api.MembershipUpdateKind.CACHED if cached else api.MembershipUpdateKind.FULL
         return self._as_update(kind, members)
 
     def apply_delta(self, changes: Mapping[int, Member | None], now: float) -> EndpointsUpdated | None:
-        """Take changed members, None for those that are removed; the first time this is a complete list."""
+        """Apply changed members by ID, None for removed ones. Before any other list, they are a complete list."""
         if self._awaiting_first_list:
             return self.apply_full_list(tuple(m for _, m in sorted(changes.items()) if m is not None), now)
         rows: list[Member] = []
-        for number, member in changes.items():
-            was = self._members.get(number)
-            if member == was:
+        for member_id, member in changes.items():
+            previous = self._members.get(member_id)
+            if member == previous:
                 continue
             if member is None:
-                assert was is not None
-                del self._members[number]
-                rows.append(was._replace(state=api.ReplicaState.GONE))
-                self._removed.add(number)
+                assert previous is not None
+                del self._members[member_id]
+                rows.append(previous._replace(state=api.ReplicaState.GONE))
+                self._removed.add(member_id)
                 continue
             self._record_start(member, now)
-            self._members[number] = member
-            (self._removed.add if member.state is api.ReplicaState.GONE else self._removed.discard)(number)
+            self._members[member_id] = member
+            (self._removed.add if member.state is api.ReplicaState.GONE else self._removed.discard)(member_id)
             rows.append(member)
         self._last_update_at = now
         return self._as_update(api.MembershipUpdateKind.DELTA, tuple(rows)) if rows else None
@@ -92,17 +92,20 @@
         return self._as_update(kind, tuple(self._members.values()))
 
     def dump(self, offset: float) -> dict[str, Any]:
-        """Return what slow start needs, as JSON can hold it. `offset` turns Unix time into the members' clock."""
+        """Return the state that slow start needs as JSON-compatible data.
+
+        `offset`: seconds to add to Unix time to get the members' clock.
+        """
         started = {str(n): at - offset for n, at in self._start_times.items() if at > 0.0}
         return {"started": started, "gone": sorted(self._removed)}
 
-    def restore(self, kept: dict[str, Any], members: tuple[Member, ...], offset: float) -> None:
-        """Take up `dump` and the list of its moment, before any list. Raises ValueError if malformed."""
+    def restore(self, stored: dict[str, Any], members: tuple[Member, ...], offset: float) -> None:
+        """Restore what `dump` returned and the list of that time; call it before any list. Raises ValueError."""
         try:
-            started = {int(n): float(at) + offset for n, at in kept["started"].items()}
-            gone = {int(n) for n in kept["gone"]}
+            started = {int(n): float(at) + offset for n, at in stored["started"].items()}
+            gone = {int(n) for n in stored["gone"]}
         except (KeyError, TypeError, ValueError, AttributeError) as error:
-            raise ValueError(f"no state of a view: {error!r}") from None
+            raise ValueError(f"malformed view state: {error!r}") from None
         self._members = {member.id: member for member in members}
         self._start_times, self._removed, self._awaiting_first_list = started, gone, False
         for member in members:
@@ -110,24 +113,27 @@
                 self._start_times[member.id] = member.started_at
 
     def _record_start(self, member: Member, now: float) -> None:
-        """Note when a replica counts as started, by what of it has changed."""
-        was = self._members.get(member.id)
-        back = member.id in self._removed and member.state is not api.ReplicaState.GONE
-        moved = was is not None and was.address != member.address
+        """Record when a replica counts as started, from its stated start time or else from how its entry changed."""
+        previous = self._members.get(member.id)
+        has_returned = member.id in self._removed and member.state is not api.ReplicaState.GONE
+        has_moved = previous is not None and previous.address != member.address
         if member.started_at is not None:
-            if was is None or was.started_at != member.started_at or member.id not in self._start_times:
+            if (
+                previous is None
+                or previous.started_at != member.started_at
+                or member.id not in self._start_times
+            ):
                 self._start_times[member.id] = self._bounded_start(
-                    member.started_at, now, restarted=was is not None
+                    member.started_at, now, restarted=previous is not None
                 )
-        elif not self._awaiting_first_list and (back or moved or was is None):
+        elif not self._awaiting_first_list and (has_returned or has_moved or previous is None):
             self._start_times[member.id] = now
 
     def _bounded_start(self, started: float, now: float, restarted: bool) -> float:
-        """Return a start within bounds: not in the future, and of a restarted member not long before the last list.
-
-        So a wall clock that is off makes no cold replica pass for a warm one.
+        """Return the start time, limited to the present, and to `now` if a restart seems to precede the last list.
 
-        A member that is listed for the first time may have run for long: lists are written by people too.
+        A wall clock that is off thus does not make a cold replica look warm. The second limit does not apply to a
+        member listed for the first time: it may have run for long, as list files are edited by hand.
         """
         if restarted and is_too_early(started, self._last_update_at):
             return now
