--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -23,24 +23,24 @@
 @pytest.fixture
 def platform(tmp_path: Path) -> Iterator[Platform]:
     """A node in this process, two replicas of all shards, and discovery."""
-    made = Platform(tmp_path)
-    yield made
-    made.close()
+    instance = Platform(tmp_path)
+    yield instance
+    instance.close()
 
 
 @pytest.fixture
 def looking(monkeypatch: pytest.MonkeyPatch) -> Iterator[Held]:
     """The thread that handles events on client connections: the test can block it."""
-    held = Held(monkeypatch, ConnectionManager, "_handle_event")
-    yield held
-    held.let_go()
+    handler = Held(monkeypatch, ConnectionManager, "_handle_event")
+    yield handler
+    handler.let_go()
 
 
 KNOWN_RED = Path(__file__).parents[1] / "KNOWN-RED.txt"
 _ISSUE = re.compile(r"issue \d+")
 
 
-class Known(NamedTuple):
+class KnownFailure(NamedTuple):
     """A line of the list: one test case, the command that makes it fail, the failure seen, and its open issue.
 
     `test`: the id as pytest prints it, including the parameters of a parametrised test.
@@ -48,43 +48,43 @@
 
     test: str
     command: str
-    seen: str
+    failure: str
     issue: str
 
 
-def read_known(text: str) -> list[Known]:
+def parse_known_failures(text: str) -> list[KnownFailure]:
     """Parse the list. Raises pytest.UsageError for a malformed line, or a test case that is listed twice."""
-    found: dict[str, Known] = {}
+    failures: dict[str, KnownFailure] = {}
     for line in text.splitlines():
         if not line.strip() or line.startswith("#"):
             continue
-        words = [word.strip() for word in line.split("|")]
-        if len(words) != len(Known._fields) or not all(words) or not _ISSUE.fullmatch(words[-1]):
+        columns = [word.strip() for word in line.split("|")]
+        if len(columns) != len(KnownFailure._fields) or not all(columns) or not _ISSUE.fullmatch(columns[-1]):
             raise pytest.UsageError(
                 f"{KNOWN_RED.name}: line is not TEST | COMMAND | SEEN | issue N: {line!r}"
             )
-        if words[0] in found:
-            raise pytest.UsageError(f"{KNOWN_RED.name}: test is listed twice: {words[0]}")
-        found[words[0]] = Known(*words)
-    return list(found.values())
+        if columns[0] in failures:
+            raise pytest.UsageError(f"{KNOWN_RED.name}: test is listed twice: {columns[0]}")
+        failures[columns[0]] = KnownFailure(*columns)
+    return list(failures.values())
 
 
-def known() -> list[Known]:
-    return read_known(KNOWN_RED.read_text()) if KNOWN_RED.exists() else []
+def known_failures() -> list[KnownFailure]:
+    return parse_known_failures(KNOWN_RED.read_text()) if KNOWN_RED.exists() else []
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
     if config.getoption("--known-red"):
         return
-    listed = {line.test for line in known()}
-    red = [item for item in items if item.nodeid in listed]
+    listed = {line.test for line in known_failures()}
+    deselected = [item for item in items if item.nodeid in listed]
     files = {item.nodeid.partition("::")[0] for item in items}
-    unknown = {t for t in listed if t.partition("::")[0] in files} - {item.nodeid for item in red}
+    unknown = {t for t in listed if t.partition("::")[0] in files} - {item.nodeid for item in deselected}
     if unknown and not config.getoption("keyword") and not any("::" in arg for arg in config.args):
         raise pytest.UsageError(f"{KNOWN_RED.name} lists tests that do not exist: {sorted(unknown)}")
-    if red:
-        config.hook.pytest_deselected(items=red)
-        items[:] = [item for item in items if item not in red]
+    if deselected:
+        config.hook.pytest_deselected(items=deselected)
+        items[:] = [item for item in items if item not in deselected]
 
 
 def pytest_addoption(parser: pytest.Parser) -> None:
@@ -92,6 +92,6 @@
 
 
 def pytest_terminal_summary(terminalreporter: TerminalReporter) -> None:
-    for line in known():
-        terminalreporter.write_line(f"known failure, deselected: {line.test}: {line.seen} ({line.issue})")
+    for line in known_failures():
+        terminalreporter.write_line(f"known failure, deselected: {line.test}: {line.failure} ({line.issue})")
         terminalreporter.write_line(f"  to reproduce: {line.command}")
--- a/tests/connection_tools.py
+++ b/tests/connection_tools.py
@@ -26,23 +26,23 @@
 
     def __init__(self, patch: pytest.MonkeyPatch, owner: type, name: str, after: bool = False) -> None:
         self.entered, self.go = threading.Event(), threading.Event()
-        self.armed = False
+        self.blocking = False
         function: Callable[..., Any] = getattr(owner, name)
 
-        def held(*args: Any, **kwargs: Any) -> Any:
-            found = function(*args, **kwargs) if after else None
-            if self.armed:
+        def blocked(*args: Any, **kwargs: Any) -> Any:
+            result = function(*args, **kwargs) if after else None
+            if self.blocking:
                 self.entered.set()
                 self.go.wait(PATIENCE)
-            return found if after else function(*args, **kwargs)
+            return result if after else function(*args, **kwargs)
 
-        patch.setattr(owner, name, held)
+        patch.setattr(owner, name, blocked)
 
     def hold(self) -> None:
-        self.armed = True
+        self.blocking = True
 
     def let_go(self) -> None:
-        self.armed = False
+        self.blocking = False
         self.go.set()
 
 
@@ -74,7 +74,7 @@
     assert sock.recv(1) == b""
 
 
-def in_background(work: Callable[[], object]) -> threading.Thread:
-    thread = threading.Thread(target=work)
+def in_background(function: Callable[[], object]) -> threading.Thread:
+    thread = threading.Thread(target=function)
     thread.start()
     return thread
--- a/tests/faults/campaign.py
+++ b/tests/faults/campaign.py
@@ -28,11 +28,11 @@
     ) -> Result: ...
 
 
-def shim(seed: int, words: str) -> dict[str, str]:
+def shim(seed: int, parameters: str) -> dict[str, str]:
     """Return the environment that makes system calls of a node fail; `words` is RATE:STEP, or empty."""
-    if not words:
+    if not parameters:
         return {}
-    return {"PYTHONPATH": str(Path(__file__).parent / "shim"), "RIG_SHIM": f"{seed}:{words}"}
+    return {"PYTHONPATH": str(Path(__file__).parent / "shim"), "RIG_SHIM": f"{seed}:{parameters}"}
 
 
 def _seeds(text: str) -> list[int]:
@@ -40,7 +40,7 @@
     return list(range(int(first), int(last or first) + 1))
 
 
-def _options(description: str, seconds: float) -> argparse.Namespace:
+def _parse_options(description: str, seconds: float) -> argparse.Namespace:
     parser = argparse.ArgumentParser(description=description)
     parser.add_argument("--seeds", default="1-20")
     parser.add_argument("--plays", type=int, default=1, help="how often each seed is played")
@@ -60,9 +60,9 @@
 
 def run_campaign(description: str, draw: Callable[[int, float], Plan], play: PlayPlan, seconds: float) -> int:
     """Play the seeds given on the command line; return the exit status: 0 only if no run broke a rule."""
-    options = _options(description, seconds)
+    options = _parse_options(description, seconds)
     totals, rules, statuses, faults = Counter[str](), Counter[str](), Counter[int](), Counter[str]()
-    owed = Counter[str]()
+    expected_answers = Counter[str]()
 
     seeds = [seed for seed in _seeds(options.seeds) for _ in range(options.plays)]
     # Each run has its own process: threads of several runs in one process would delay each other's time stamps.
@@ -72,20 +72,20 @@
             rules.update(violation.rule for violation in run.violations)
             statuses.update(run.statuses)
             faults.update(run.faults)
-            owed.update(run.owed)
+            expected_answers.update(run.expected_answers)
             _print_run(run, options.show)
     titles = (
         ("total", totals),
         ("broken", rules),
         ("statuses", statuses),
-        ("owed, by status", owed),
+        ("owed, by status", expected_answers),
         ("faults", faults),
     )
     for title, counts in titles:
         print(title, dict(sorted(counts.items(), key=str)))
-    bad = totals["runs_broken"]
-    print(f"{totals['runs']} runs, {bad} with a broken rule")
-    return 1 if bad else 0
+    broken_runs = totals["runs_broken"]
+    print(f"{totals['runs']} runs, {broken_runs} with a broken rule")
+    return 1 if broken_runs else 0
 
 
 def _play_seed(
@@ -109,17 +109,17 @@
     }
 
 
-def _print_run(run: Result, most: int) -> None:
+def _print_run(run: Result, max_shown: int) -> None:
     answered = run.statuses[200]
     print(
-        f"seed {run.seed}: {run.requests} requests, {answered} answered, owed {run.owed.total()} and given "
-        f"{run.owed['200']}, {len(run.violations)} violations, "
+        f"seed {run.seed}: {run.requests} requests, {answered} answered, owed {run.expected_answers.total()} "
+        f"and given {run.expected_answers['200']}, {len(run.violations)} violations, "
         f"{len(run.doubtful_violations)} doubtful, rig stood still for {run.longest_stall:.3f} s",
         flush=True,
     )
-    if run.kept:
-        print(f"  kept in {run.kept}", flush=True)
-    for violation in run.violations[:most]:
+    if run.saved_to:
+        print(f"  kept in {run.saved_to}", flush=True)
+    for violation in run.violations[:max_shown]:
         print(f"  {violation.rule}: {violation.what}", flush=True)
     for name in run.ended_early:
         print(f"  {name} ended by itself", flush=True)
--- a/tests/faults/clients.py
+++ b/tests/faults/clients.py
@@ -12,33 +12,34 @@
 from faults.node_process import Node
 from faults.plans import Plan
 from faults.proxy import reset
-from faults.timed_frames import receive, stamp
+from faults.timed_frames import enable_timestamps, receive
 
-CLIENTS = 12
-EXTRA_WAIT = 1.5  # time past its deadline that a client waits, to tell a late answer from a missing one
+CLIENTS_PER_NODE = 12
+# A client waits this long past its deadline, to tell a late answer from a missing one.
+EXTRA_WAIT_SECONDS = 1.5
 
 
 class Client:
     """A client that sends a request, reads the answer, pauses, and repeats; it reuses its connection."""
 
-    def __init__(self, plan: Plan, node: Node, number: int, ledger: Ledger, until: float) -> None:
-        self._plan, self._node, self._ledger, self._until = plan, node, ledger, until
+    def __init__(self, plan: Plan, node: Node, number: int, ledger: Ledger, stop_at: float) -> None:
+        self._plan, self._node, self._ledger, self._stop_at = plan, node, ledger, stop_at
         self._chance = random.Random(f"{plan.seed}/client/{node.number}/{number}")
         self._name = f"{plan.seed}-{node.number}-{number}"
         self._sock: socket.socket | None = None
         self._connected_at = 0.0
 
     def run(self) -> None:
-        mean = self._plan.nodes * CLIENTS / self._plan.rate
+        mean_pause = self._plan.nodes * CLIENTS_PER_NODE / self._plan.rate
         count = 0
-        while time.monotonic() < self._until:
-            time.sleep(min(self._chance.expovariate(1 / mean), 1.0))
+        while time.monotonic() < self._stop_at:
+            time.sleep(min(self._chance.expovariate(1 / mean_pause), 1.0))
             count += 1
             if not self._send_query(f"{self._name}-{count}"):
-                self._drop()
-        self._drop()
+                self._disconnect()
+        self._disconnect()
 
-    def _drop(self) -> None:
+    def _disconnect(self) -> None:
         if self._sock:
             self._sock.close()
         self._sock = None
@@ -47,24 +48,24 @@
         """Send one request and read its answer; return whether the connection can be used again."""
         chance, plan = self._chance, self._plan
         number = chance.randrange(len(plan.classes))
-        kind = plan.classes[number]
+        class_plan = plan.classes[number]
         shards = sorted(chance.sample(range(plan.shards), chance.randint(1, plan.shards)))
-        raw = [chance.choice((1.0, 1.0, 3.0)) for _ in shards]
-        weights = {s: round(r / sum(raw), 6) for s, r in zip(shards, raw, strict=True)}
-        timeout = round(kind.deadline * chance.uniform(0.4, 1.0), 3)
+        unscaled = [chance.choice((1.0, 1.0, 3.0)) for _ in shards]
+        weights = {s: round(r / sum(unscaled), 6) for s, r in zip(shards, unscaled, strict=True)}
+        timeout = round(class_plan.deadline * chance.uniform(0.4, 1.0), 3)
         request = Request(name, self._node.number, number, weights, timeout)
         tablets = [{"tablet": s, "fraction": w} for s, w in weights.items()]
         body = json.dumps({"tablets": tablets, "statement": "c41e"}).encode()
         head = (
-            f"POST /{kind.name} HTTP/1.1\r\nHost: x\r\nX-Request-ID: {name}\r\n"
+            f"POST /{class_plan.name} HTTP/1.1\r\nHost: x\r\nX-Request-ID: {name}\r\n"
             f"X-Timeout-Ms: {int(timeout * 1000)}\r\nContent-Length: {len(body)}\r\n\r\n"
         )
         try:
             if self._sock is None:
                 self._sock = socket.create_connection(self._node.address, 2.0)
-                stamp(self._sock)
+                enable_timestamps(self._sock)
                 self._connected_at = time.monotonic()
-            self._sock.settimeout(timeout + EXTRA_WAIT)
+            self._sock.settimeout(timeout + EXTRA_WAIT_SECONDS)
             self._sock.sendall(head.encode() + body)
         except OSError:
             return False  # the node did not accept the request, so no answer is expected
@@ -85,18 +86,18 @@
         data = b""
         try:
             while b"\r\n\r\n" not in data:
-                got, at = receive(sock)
-                if not got:
+                chunk, at = receive(sock)
+                if not chunk:
                     raise ConnectionError("closed")
-                data += got
+                data += chunk
             head, _, body = data.partition(b"\r\n\r\n")
             lines = head.decode().split("\r\n")
             fields = {k.lower(): v for k, _, v in (line.partition(": ") for line in lines[1:])}
             while len(body) < int(fields["content-length"]):
-                got, at = receive(sock)
-                if not got:
+                chunk, at = receive(sock)
+                if not chunk:
                     raise ConnectionError("closed inside a body")
-                body += got
+                body += chunk
         except OSError as error:
             request.answered_at, request.ended = time.monotonic(), f"{type(error).__name__} {error}"
             return False
@@ -109,15 +110,15 @@
         return fields.get("connection") != "close"
 
 
-def crowd(node: Node, connections: int, lasts: float, ledger: Ledger) -> None:
+def hold_idle_connections(node: Node, connections: int, lasts: float, ledger: Ledger) -> None:
     """Open idle connections to a node and hold them for `lasts` seconds. The node may close some of them earlier."""
-    until = time.monotonic() + lasts
-    kept: list[socket.socket] = []
+    stop_at = time.monotonic() + lasts
+    sockets: list[socket.socket] = []
     for _ in range(connections):
         with contextlib.suppress(OSError):
             sock = socket.create_connection(node.address, 0.5)
-            kept.append(sock)
+            sockets.append(sock)
             ledger.count_fault("idle client")
-    time.sleep(max(until - time.monotonic(), 0.0))
-    for sock in kept:
+    time.sleep(max(stop_at - time.monotonic(), 0.0))
+    for sock in sockets:
         sock.close()
--- a/tests/faults/discovery.py
+++ b/tests/faults/discovery.py
@@ -19,11 +19,11 @@
 from faults.discovery_faults import DiscoveryFaults
 from faults.ledger import EndpointChange, Ledger, ListWritten
 from faults.proxy import close_all, reset
-from faults.timed_frames import receive, stamp
+from faults.timed_frames import enable_timestamps, receive
 
-LINE_INTERVAL = 2.0  # a watch without changes gets an empty line this often
-BUSY = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
-HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+EMPTY_LINE_INTERVAL_SECONDS = 2.0  # a watch without changes gets an empty line this often
+BUSY_RESPONSE = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
+RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 PORTS_PER_NODE = 2  # a node can be moved from one to the other
 
 
@@ -46,29 +46,29 @@
     def __init__(self, faults: DiscoveryFaults, seed: int, ledger: Ledger) -> None:
         self._faults, self._seed, self._ledger = faults, seed, ledger
         self._start = time.monotonic()
-        self._dials: dict[int, list[str]] = {}
+        self._replica_addresses: dict[int, list[str]] = {}
         self._health: list[str] = []
         self._changed_at: list[int] = []  # version of each replica's last change
         self._change = threading.Condition()
         self._version = 1
         self._queue: SimpleQueue[_Watch | None] = SimpleQueue()
-        self._waiting = 0
+        self._queued_calls = 0
         self._watches: list[_Watch] = []
         self._sockets: list[socket.socket] = []
         self._listeners: list[socket.socket] = []
         self._closed = False
         self._calls = 0
-        threading.Thread(target=self._serve, daemon=True).start()
+        threading.Thread(target=self._serve_queue, daemon=True).start()
 
-    def add_node(self, node: int, dials: list[str]) -> list[str]:
+    def add_node(self, node: int, replica_addresses: list[str]) -> list[str]:
         """Listen for one node, which is sent these replica addresses; return the addresses of the service."""
-        self._dials[node] = dials
-        self._health = self._health or ["SERVING"] * len(dials)
-        self._changed_at = self._changed_at or [1] * len(dials)
+        self._replica_addresses[node] = replica_addresses
+        self._health = self._health or ["SERVING"] * len(replica_addresses)
+        self._changed_at = self._changed_at or [1] * len(replica_addresses)
         addresses: list[str] = []
         for _ in range(PORTS_PER_NODE):
             listener = socket.create_server(("127.0.0.1", 0), backlog=128)
-            stamp(listener)  # accepted sockets inherit the option
+            enable_timestamps(listener)  # accepted sockets inherit the option
             self._listeners.append(listener)
             addresses.append("{}:{}".format(*listener.getsockname()))
             threading.Thread(target=self._accept, args=(listener, node), daemon=True).start()
@@ -79,9 +79,9 @@
         self._start = time.monotonic()
         self._ledger.discovery_began_at = self._start
         for second in self._faults.breaks:
-            self._at(second, "all watches broken", self._break_watches)
+            self._schedule_fault(second, "all watches broken", self._break_watches)
         for outage in self._faults.outages:
-            self._at(outage.begins, "discovery down", self._break_watches)
+            self._schedule_fault(outage.begins, "discovery down", self._break_watches)
 
     def publish(self, replica: int, health: str) -> None:
         """Change a replica's health in the list."""
@@ -94,7 +94,7 @@
             )
             self._change.notify_all()
 
-    def known(self, node: int) -> dict[str, Any]:
+    def full_list(self, node: int) -> dict[str, Any]:
         """Return the full current list, for the configuration of a node."""
         with self._change:
             return self._list(node, since=0, whole=True)
@@ -113,16 +113,16 @@
 
     # ---- scheduled faults
 
-    def _second(self) -> float:
+    def _elapsed(self) -> float:
         return time.monotonic() - self._start
 
-    def _at(self, second: float, kind: str, call: Any) -> None:
+    def _schedule_fault(self, second: float, kind: str, action: Any) -> None:
         def run() -> None:
             if not self._closed:
                 self._ledger.count_fault(kind)
-                call()
+                action()
 
-        timer = threading.Timer(max(second - self._second(), 0.0), run)
+        timer = threading.Timer(max(second - self._elapsed(), 0.0), run)
         timer.daemon = True
         timer.start()
 
@@ -130,9 +130,9 @@
         with self._change:
             watches, self._watches = self._watches, []
         for watch in watches:
-            self._end(watch)
+            self._reset_watch(watch)
 
-    def _end(self, watch: _Watch) -> None:
+    def _reset_watch(self, watch: _Watch) -> None:
         watch.ended = True
         with watch.lock:
             reset(watch.sock)
@@ -145,9 +145,9 @@
                 sock, _ = listener.accept()
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
                 self._sockets.append(sock)
-                threading.Thread(target=self._take, args=(sock, node), daemon=True).start()
+                threading.Thread(target=self._handle_call, args=(sock, node), daemon=True).start()
 
-    def _take(self, sock: socket.socket, node: int) -> None:
+    def _handle_call(self, sock: socket.socket, node: int) -> None:
         """Read one call, and refuse it, leave it unanswered or queue it."""
         with contextlib.suppress(OSError, IndexError, ValueError):
             head, called_at = b"", 0.0
@@ -162,7 +162,7 @@
             chance = random.Random(f"{self._seed}/discovery/{node}/{self._calls}")
             watch = _Watch(sock, node, chance, since, called_at)
             self._ledger.count_fault("discovery call")
-            if self._faults.is_down(self._second()):
+            if self._faults.is_down(self._elapsed()):
                 self._ledger.count_fault("call while down")
                 self._refuse(watch, resets=chance.random() < 0.5)
             elif chance.random() < self._faults.hung:
@@ -172,52 +172,54 @@
                 self._refuse(watch, resets=False)
             else:
                 with self._change:
-                    self._waiting += 1
+                    self._queued_calls += 1
                 self._queue.put(watch)
 
     def _has_room(self) -> bool:
-        openings, now = self._faults.openings, self._second()
+        openings, now = self._faults.openings, self._elapsed()
         if openings and now >= 0 and not any(first <= now < last for first, last in openings):
             return False
-        return self._waiting < self._faults.queue_length
+        return self._queued_calls < self._faults.queue_length
 
     @staticmethod
     def _refuse(watch: _Watch, resets: bool) -> None:
         if resets:
             reset(watch.sock)
             return
-        watch.sock.sendall(BUSY)
+        watch.sock.sendall(BUSY_RESPONSE)
         watch.sock.close()
 
-    def _serve(self) -> None:
+    def _serve_queue(self) -> None:
         """Handle the queued calls one after another."""
         while (watch := self._queue.get()) is not None:
             time.sleep(self._faults.service_time)
             with self._change:
-                self._waiting -= 1
-            threading.Thread(target=self._follow, args=(watch,), daemon=True).start()
+                self._queued_calls -= 1
+            threading.Thread(target=self._serve_watch, args=(watch,), daemon=True).start()
 
     # ---- watches
 
-    def _follow(self, watch: _Watch) -> None:
+    def _serve_watch(self, watch: _Watch) -> None:
         """Answer one call and serve its watch, until the drawn time at which it ends or stops sending."""
         faults, chance = self._faults, watch.chance
         if chance.random() < faults.slow:
             self._ledger.count_fault("call answered late")
             time.sleep(chance.uniform(0.0, faults.longest_delay))
         cut = chance.random() < faults.cut
-        end_at = self._drawn_end(chance, faults.ended)
-        silent_at = self._drawn_end(chance, faults.silent)
+        end_at = self._draw_end_time(chance, faults.ended)
+        silent_at = self._draw_end_time(chance, faults.silent)
         with contextlib.suppress(OSError):
             with self._change:
                 self._watches.append(watch)
-            self._send(watch, HEAD)
+            self._send(watch, RESPONSE_HEAD)
             self._write_changes(watch, first=True, cut=cut)
             while not watch.ended and not self._closed and not cut:
                 with self._change:
-                    until = min(LINE_INTERVAL, end_at - time.monotonic(), silent_at - time.monotonic())
+                    timeout = min(
+                        EMPTY_LINE_INTERVAL_SECONDS, end_at - time.monotonic(), silent_at - time.monotonic()
+                    )
                     self._change.wait_for(
-                        lambda: self._version > watch.version or self._closed, max(until, 0)
+                        lambda: self._version > watch.version or self._closed, max(timeout, 0)
                     )
                 now = time.monotonic()
                 if now >= silent_at:
@@ -234,19 +236,19 @@
             self._ledger.count_fault("list cut")
         with contextlib.suppress(ValueError), self._change:
             self._watches.remove(watch)
-        self._end(watch)
+        self._reset_watch(watch)
 
-    def _drawn_end(self, chance: random.Random, share: float) -> float:
-        happens = chance.random() < share
+    def _draw_end_time(self, chance: random.Random, probability: float) -> float:
+        happens = chance.random() < probability
         after = chance.uniform(0.0, self._faults.longest_watch)
-        return time.monotonic() + after if happens and self._second() >= 0 else float("inf")
+        return time.monotonic() + after if happens and self._elapsed() >= 0 else float("inf")
 
     def _list(self, node: int, since: int, whole: bool) -> dict[str, Any]:
         """Return the full list, or the changes after a version. The caller holds the lock."""
         hosts = [
             {
                 "host": f"s-{i}",
-                "dial": self._dials[node][i],
+                "dial": self._replica_addresses[node][i],
                 "site": "ab"[i % 2],
                 "class": "m",
                 "block": 0,
--- a/tests/faults/node_process.py
+++ b/tests/faults/node_process.py
@@ -18,8 +18,8 @@
 from faults.plans import Plan
 from faults.proxy import Proxy
 
-READY = 20.0
-SOCKETS = 256  # limit of file descriptors in a node's configuration
+READY_TIMEOUT_SECONDS = 20.0
+MAX_SOCKETS = 256  # limit of file descriptors in a node's configuration
 
 
 class Program:
@@ -53,7 +53,7 @@
         program: Program,
     ) -> None:
         self.number = number
-        self.ending = False  # SIGTERM or SIGKILL was sent
+        self.termination_requested = False  # SIGTERM or SIGKILL was sent
         self.log = folder / f"n{number}.log"
         self._plan, self._ledger, self._discovery, self._program = plan, ledger, discovery, program
         self._config = folder / f"n{number}.json"
@@ -66,19 +66,19 @@
         )
         self._reserved_port = ReservedPort()
         self.address = self._reserved_port.address
-        self._known = discovery.known(number)
+        self._initial_list = discovery.full_list(number)
         self.start()
 
     def start(self) -> None:
         """Start a process whose configuration has the saved endpoint list."""
         self._configure()
-        self.ending = False
-        self._ledger.runs.append(NodeRun(self.number, time.monotonic(), self._known["seq"]))
+        self.termination_requested = False
+        self._ledger.runs.append(NodeRun(self.number, time.monotonic(), self._initial_list["seq"]))
         self.process = self._program.start(self._config, self.log)
 
-    def keep_list(self) -> None:
+    def save_list(self) -> None:
         """Save the current endpoint list for the configuration of the next process."""
-        self._known = self._discovery.known(self.number)
+        self._initial_list = self._discovery.full_list(self.number)
 
     def move_discovery(self) -> None:
         """Write discovery's other address to the configuration, and make the process reload it."""
@@ -92,15 +92,15 @@
         now = time.monotonic()
         run = self._ledger.run_of(self.number, now)
         if number == signal.SIGTERM:
-            self.ending, run.terminated_at = True, now
+            self.termination_requested, run.terminated_at = True, now
         elif number == signal.SIGKILL:
-            self.ending, run.killed_at = True, now
+            self.termination_requested, run.killed_at = True, now
         with contextlib.suppress(ProcessLookupError):
             self.process.send_signal(number)
 
     def wait_ready(self) -> None:
-        until = time.monotonic() + READY
-        while time.monotonic() < until:
+        deadline = time.monotonic() + READY_TIMEOUT_SECONDS
+        while time.monotonic() < deadline:
             with contextlib.suppress(OSError), socket.create_connection(self.address, 1.0) as sock:
                 sock.settimeout(1.0)
                 sock.sendall(b"GET /ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
@@ -124,8 +124,8 @@
             "listen": "{}:{}".format(*self.address),
             "discovery": self._discovery_addresses[0],
             "seed": f"{self._plan.seed:x}",
-            "limits": {"cores": 1.0, "memory_mb": 128, "sockets": SOCKETS},
-            "known": self._known,
+            "limits": {"cores": 1.0, "memory_mb": 128, "sockets": MAX_SOCKETS},
+            "known": self._initial_list,
             "settings": self._plan.settings(self.number),
         }
         new = self._config.with_suffix(".new")
--- a/tests/faults/owed_answers.py
+++ b/tests/faults/owed_answers.py
@@ -16,13 +16,13 @@
 from faults.ledger import Ledger, NodeRun, Request
 from faults.plans import Plan
 
-BEFORE = 0.5  # a fault this long before a request may still affect it
-SETTLED = 6.0  # after which a node counts as notified of a change
-LEAST_SHARE = 0.5  # of the expected answers; the platform requires half of what can be served
+FAULT_EFFECT_SECONDS = 0.5  # a fault this long before a request may still affect it
+CHANGE_PROPAGATION_SECONDS = 6.0  # after which a node counts as notified of a change
+MIN_ANSWERED_SHARE = 0.5  # of the expected answers; the platform requires half of what can be served
 
 
-class OwedAnswers:
-    """Counts for one run. `owed` has the number of such requests by HTTP status, or `none` for no answer."""
+class ExpectedAnswers:
+    """Counts for one run. `by_outcome`: requests with an expected answer by HTTP status, or `none` for no answer."""
 
     def __init__(self, plan: Plan, ledger: Ledger) -> None:
         self._plan, self._ledger = plan, ledger
@@ -31,22 +31,22 @@
             self._faults[fault.node, fault.replica].append(fault.at)
         for times in self._faults.values():
             times.sort()
-        self.owed = Counter[str]()
+        self.by_outcome = Counter[str]()
         for request in ledger.requests:
-            if self._is_owed(request):
-                self.owed[str(request.status or "none")] += 1
+            if self._is_expected(request):
+                self.by_outcome[str(request.status or "none")] += 1
 
     @property
     def share(self) -> float:
         """The share of the expected answers that were given; 1 if none was expected."""
-        count = sum(self.owed.values())
-        return self.owed["200"] / count if count else 1.0
+        count = sum(self.by_outcome.values())
+        return self.by_outcome["200"] / count if count else 1.0
 
-    def _is_owed(self, request: Request) -> bool:
-        kind = self._plan.classes[request.query_class]
-        if kind.retry_safety != "safe" or request.disconnected_at is not None or self._plan.crowds:
+    def _is_expected(self, request: Request) -> bool:
+        class_plan = self._plan.classes[request.query_class]
+        if class_plan.retry_safety != "safe" or request.disconnected_at is not None or self._plan.crowds:
             return False
-        since, until = request.sent_at - BEFORE, request.sent_at + request.timeout
+        since, until = request.sent_at - FAULT_EFFECT_SECONDS, request.sent_at + request.timeout
         run = self._ledger.run_of(request.node, request.sent_at)
         if request.connected_at < run.started_at or not _runs_through(run, since, until):
             return False
@@ -60,7 +60,7 @@
 
     def _is_in_service(self, replica: int, since: float, until: float) -> bool:
         """Return whether a replica was in service throughout, and every process had been notified of that."""
-        before = "SERVING"
+        last_health = "SERVING"
         changed_at = -inf
         for change in self._ledger.endpoint_changes:
             if change.replica != replica:
@@ -69,8 +69,8 @@
                 break
             if change.at > since:
                 return False
-            before, changed_at = change.health, change.at
-        return before == "SERVING" and changed_at + SETTLED < since
+            last_health, changed_at = change.health, change.at
+        return last_health == "SERVING" and changed_at + CHANGE_PROPAGATION_SECONDS < since
 
     def _has_fault(self, request: Request, replica: int, since: float, until: float) -> bool:
         for node in (None, request.node):
--- a/tests/faults/plans.py
+++ b/tests/faults/plans.py
@@ -8,8 +8,8 @@
 
 from faults.discovery_faults import NO_FAULTS, DiscoveryFaults
 
-KILL_DELAY = 0.7  # least time from SIGTERM to SIGKILL, in addition to the longest deadline
-MAX_COUNTED_DEADLINE = 3.0  # a longer deadline counts as this in the time from SIGTERM to SIGKILL
+KILL_DELAY_SECONDS = 0.7  # least time from SIGTERM to SIGKILL, in addition to the longest deadline
+MAX_COUNTED_DEADLINE_SECONDS = 3.0  # a longer deadline counts as this in the time from SIGTERM to SIGKILL
 
 
 @dataclass(frozen=True)
@@ -100,7 +100,10 @@
     @property
     def seconds_to_kill(self) -> float:
         """The shortest time that the platform leaves from SIGTERM to SIGKILL."""
-        return min(max(kind.deadline for kind in self.classes), MAX_COUNTED_DEADLINE) + KILL_DELAY
+        return (
+            min(max(class_plan.deadline for class_plan in self.classes), MAX_COUNTED_DEADLINE_SECONDS)
+            + KILL_DELAY_SECONDS
+        )
 
     def settings(self, number: int) -> dict[str, Any]:
         """Return the settings as the platform passes them to the `number`-th node."""
@@ -155,25 +158,26 @@
 
 
 # Required and complete coverage: both 1, both the same below 1, only the complete one 1, both below 1 and different.
-_SHARES = ((1.0, 1.0), (0.75, 0.75), (0.5, 1.0), (0.5, 0.75), (0.7, 1.0), (0.6, 0.9))
+_COVERAGES = ((1.0, 1.0), (0.75, 0.75), (0.5, 1.0), (0.5, 0.75), (0.7, 1.0), (0.6, 0.9))
 
 
 def draw(seed: int, seconds: float = 3.0) -> Plan:
     """Draw the plan of a seed; a seed always gives the same plan."""
     chance = random.Random(seed)
     nodes, replicas = chance.randint(1, 3), chance.randint(3, 6)
-    aim = chance.choice((0.15, 0.25, 0.4))
+    objective = chance.choice((0.15, 0.25, 0.4))
     classes = tuple(
-        _class(chance, name, aim * chance.choice((0.7, 1.0, 1.5))) for name in ("report", "look", "book")
+        _draw_class(chance, name, objective * chance.choice((0.7, 1.0, 1.5)))
+        for name in ("report", "look", "book")
     )
-    level = chance.choice((0.01, 0.05, 0.15))
-    faults = tuple(_replica(chance, level) for _ in range(replicas))
+    fault_level = chance.choice((0.01, 0.05, 0.15))
+    faults = tuple(_draw_replica(chance, fault_level) for _ in range(replicas))
     proxies = ProxyFaults(
-        reset=level * chance.choice((0, 0.5, 1)),
+        reset=fault_level * chance.choice((0, 0.5, 1)),
         split=chance.choice((0, 0.2, 0.8)),
-        delay=level,
-        longest_delay=aim / 2,
-        stuck=level / 20,
+        delay=fault_level,
+        longest_delay=objective / 2,
+        stuck=fault_level / 20,
     )
     return Plan(
         seed,
@@ -196,39 +200,47 @@
                 for _ in range(chance.choice((0, 3, 10)))
             )
         ),
-        changes=_changes(chance, replicas, seconds),
+        changes=_draw_changes(chance, replicas, seconds),
         terminate=((chance.uniform(0.5, seconds), 0),) if chance.random() < 0.2 else (),
         kill=((chance.uniform(0.5, seconds), nodes - 1),) if nodes > 1 and chance.random() < 0.15 else (),
     )
 
 
-def _class(chance: random.Random, name: str, aim: float) -> ClassPlan:
-    semantics = "unsafe" if name == "book" else "safe"
-    least, whole = chance.choice(_SHARES) if name != "book" else (1.0, 1.0)
-    second = 0 if name == "book" or chance.random() < 0.4 else chance.randint(1, 5)
-    return ClassPlan(name, semantics, aim, aim * chance.choice((1.5, 3.0, 5.0)), second, least, whole)
+def _draw_class(chance: random.Random, name: str, objective: float) -> ClassPlan:
+    retry_safety = "unsafe" if name == "book" else "safe"
+    required, complete = chance.choice(_COVERAGES) if name != "book" else (1.0, 1.0)
+    second_step_parts = 0 if name == "book" or chance.random() < 0.4 else chance.randint(1, 5)
+    return ClassPlan(
+        name,
+        retry_safety,
+        objective,
+        objective * chance.choice((1.5, 3.0, 5.0)),
+        second_step_parts,
+        required,
+        complete,
+    )
 
 
-def _replica(chance: random.Random, level: float) -> ReplicaFaults:
-    bad = level * chance.choice((0, 0.3, 1))
+def _draw_replica(chance: random.Random, fault_level: float) -> ReplicaFaults:
+    fault_chance = fault_level * chance.choice((0, 0.3, 1))
     return ReplicaFaults(
         latency=chance.choice((0.005, 0.02, 0.05)),
         slow=chance.choice((0.0, 0.1, 0.4)),
-        broke=bad,
-        skipped=bad / 2,
-        silent=bad / 2,
-        spoilt=bad / 2,
-        closes=bad,
-        doubled=bad / 4,
+        broke=fault_chance,
+        skipped=fault_chance / 2,
+        silent=fault_chance / 2,
+        spoilt=fault_chance / 2,
+        closes=fault_chance,
+        doubled=fault_chance / 4,
     )
 
 
-def _changes(chance: random.Random, replicas: int, seconds: float) -> tuple[tuple[float, int, str], ...]:
+def _draw_changes(chance: random.Random, replicas: int, seconds: float) -> tuple[tuple[float, int, str], ...]:
     """Draw replicas that drain or are gone for a while; at least two always serve."""
-    found: list[tuple[float, int, str]] = []
+    changes: list[tuple[float, int, str]] = []
     for replica in range(replicas - 2):
         if chance.random() < 0.3:
             at = chance.uniform(0.2, seconds * 0.6)
-            found += [(at, replica, chance.choice(("DRAINING", "DELETED")))]
-            found += [(at + chance.uniform(0.2, seconds * 0.4), replica, "SERVING")]
-    return tuple(sorted(found))
+            changes += [(at, replica, chance.choice(("DRAINING", "DELETED")))]
+            changes += [(at + chance.uniform(0.2, seconds * 0.4), replica, "SERVING")]
+    return tuple(sorted(changes))
--- a/tests/faults/processor_time.py
+++ b/tests/faults/processor_time.py
@@ -6,7 +6,7 @@
 import time
 from pathlib import Path
 
-_STALL_INTERVAL = 0.002  # between two readings of the clock
+_STALL_INTERVAL_SECONDS = 0.002  # between two readings of the clock
 
 
 def processor_times() -> tuple[int, int]:
@@ -40,6 +40,6 @@
 
     def _run(self) -> None:
         while not self._stop.is_set():
-            due = time.monotonic() + _STALL_INTERVAL
-            time.sleep(_STALL_INTERVAL)
+            due = time.monotonic() + _STALL_INTERVAL_SECONDS
+            time.sleep(_STALL_INTERVAL_SECONDS)
             self.longest = max(self.longest, time.monotonic() - due)
--- a/tests/faults/proxy.py
+++ b/tests/faults/proxy.py
@@ -17,19 +17,26 @@
 
 from faults.ledger import AnswerForwarded, Ledger, PartReceived
 from faults.plans import ProxyFaults
-from faults.timed_frames import Arrival, FrameParser, TimedFrame, TimedFrameParser, TimedReceiver, stamp
+from faults.timed_frames import (
+    Arrival,
+    FrameParser,
+    TimedFrame,
+    TimedFrameParser,
+    TimedReceiver,
+    enable_timestamps,
+)
 
 
-def parse_call(rest: bytes) -> list[tuple[str, int, dict[str, str], bytes]]:
+def parse_batch(payload: bytes) -> list[tuple[str, int, dict[str, str], bytes]]:
     """Return the id, shard, fields and text of each part of a batch request."""
-    found = []
-    while rest:
-        line, _, rest = rest.partition(b"\n")
-        part, shard, words, size = line.decode().split(" ")
-        text, rest = rest[: int(size)], rest[int(size) :]
-        pairs = dict(word.split("=", 1) for word in words.split(","))
-        found.append((part, int(shard), pairs, text))
-    return found
+    parts = []
+    while payload:
+        line, _, payload = payload.partition(b"\n")
+        part, shard, fields, size = line.decode().split(" ")
+        text, payload = payload[: int(size)], payload[int(size) :]
+        pairs = dict(word.split("=", 1) for word in fields.split(","))
+        parts.append((part, int(shard), pairs, text))
+    return parts
 
 
 def reset(sock: socket.socket) -> None:
@@ -62,65 +69,65 @@
     ) -> None:
         self._target, self._node, self._replica = target, node, replica
         self._faults, self._seed, self._ledger = faults, seed, ledger
-        self._open: list[socket.socket] = []
+        self._sockets: list[socket.socket] = []
         self._listener = socket.create_server(("127.0.0.1", 0), backlog=128)
-        stamp(self._listener)  # accepted sockets inherit the option
+        enable_timestamps(self._listener)  # accepted sockets inherit the option
         self.port: int = self._listener.getsockname()[1]
         threading.Thread(target=self._accept, daemon=True).start()
 
     def _accept(self) -> None:
         with contextlib.suppress(OSError):
             for number in range(1 << 30):
-                near, _ = self._listener.accept()
-                far = socket.create_connection(self._target, 5.0)
-                far.settimeout(None)
-                for sock in (near, far):
+                node_sock, _ = self._listener.accept()
+                replica_sock = socket.create_connection(self._target, 5.0)
+                replica_sock.settimeout(None)
+                for sock in (node_sock, replica_sock):
                     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-                self._open += [near, far]
-                answers = FrameParser(self._answer)
-                for name, source, sink, read, written in (
-                    ("up", near, far, self._part_recorder(), _nothing),
-                    ("down", far, near, _nothing_read, answers.feed),
+                self._sockets += [node_sock, replica_sock]
+                answers = FrameParser(self._record_answer)
+                for direction, source, sink, on_read, on_written in (
+                    ("up", node_sock, replica_sock, self._part_recorder(), _ignore_written),
+                    ("down", replica_sock, node_sock, _ignore_read, answers.feed),
                 ):
-                    chance = random.Random(f"{self._seed}/{number}/{name}")
+                    chance = random.Random(f"{self._seed}/{number}/{direction}")
                     threading.Thread(
-                        target=self._pump, args=(source, sink, read, written, chance), daemon=True
+                        target=self._pump, args=(source, sink, on_read, on_written, chance), daemon=True
                     ).start()
 
     def _pump(
         self,
         source: socket.socket,
         sink: socket.socket,
-        read: Callable[[Arrival], None],
-        written: Callable[[bytes], None],
+        on_read: Callable[[Arrival], None],
+        on_written: Callable[[bytes], None],
         chance: random.Random,
     ) -> None:
         """Read and record bytes as they arrive; another thread forwards them, perhaps with delays."""
-        waiting: SimpleQueue[bytes] = SimpleQueue()
+        pending: SimpleQueue[bytes] = SimpleQueue()
         threading.Thread(
-            target=self._carry, args=(waiting, source, sink, written, chance), daemon=True
+            target=self._forward, args=(pending, source, sink, on_written, chance), daemon=True
         ).start()
         with contextlib.suppress(OSError):
             receiver = TimedReceiver(source)
             while (arrival := receiver.receive()).data:
-                read(arrival)
-                waiting.put(arrival.data)
-        waiting.put(b"")
+                on_read(arrival)
+                pending.put(arrival.data)
+        pending.put(b"")
 
-    def _carry(
+    def _forward(
         self,
-        waiting: SimpleQueue[bytes],
+        pending: SimpleQueue[bytes],
         source: socket.socket,
         sink: socket.socket,
-        written: Callable[[bytes], None],
+        on_written: Callable[[bytes], None],
         chance: random.Random,
     ) -> None:
         faults = self._faults
         try:
-            while data := waiting.get():
+            while data := pending.get():
                 if chance.random() < faults.stuck:
                     self._ledger.record_fault("proxy stuck", self._replica, self._node)
-                    while waiting.get():
+                    while pending.get():
                         pass
                     break
                 if chance.random() < faults.delay:
@@ -128,13 +135,13 @@
                     time.sleep(chance.uniform(0, faults.longest_delay))
                 if chance.random() < faults.reset:
                     self._ledger.record_fault("proxy reset", self._replica, self._node)
-                    kept = data[: chance.randint(0, len(data))]
-                    written(kept)  # before it is sent, as in `_pass_on`
-                    sink.sendall(kept)
+                    prefix = data[: chance.randint(0, len(data))]
+                    on_written(prefix)  # before it is sent, as in `_write_pieces`
+                    sink.sendall(prefix)
                     reset(source)
                     reset(sink)
                     return
-                self._pass_on(sink, data, written, chance)
+                self._write_pieces(sink, data, on_written, chance)
         except OSError:
             pass
         for sock in (source, sink):
@@ -142,11 +149,11 @@
                 sock.shutdown(socket.SHUT_RDWR)
             sock.close()
 
-    def _pass_on(
+    def _write_pieces(
         self,
         sink: socket.socket,
         data: bytes,
-        written: Callable[[bytes], None],
+        on_written: Callable[[bytes], None],
         chance: random.Random,
     ) -> None:
         pieces = [data]
@@ -157,17 +164,17 @@
         for number, piece in enumerate(pieces):
             if number:
                 time.sleep(chance.uniform(0, 0.01))
-            written(piece)  # before it is sent: its consequences at the node must not be recorded first
+            on_written(piece)  # before it is sent: its consequences at the node must not be recorded first
             sink.sendall(piece)
 
     def _part_recorder(self) -> Callable[[Arrival], None]:
         """Return a function that is fed the bytes of one connection and records their parts."""
 
-        def call(frame: TimedFrame) -> None:
-            if frame.letter != b"q":
+        def record_parts(frame: TimedFrame) -> None:
+            if frame.frame_type != b"q":
                 return
-            for part, shard, words, _ in parse_call(frame.rest):
-                wait = int(words["d"]) / 1000
+            for part, shard, fields, _ in parse_batch(frame.payload):
+                timeout = int(fields["d"]) / 1000
                 part_received = PartReceived(
                     frame.at,
                     frame.earliest,
@@ -176,28 +183,30 @@
                     self._replica,
                     part,
                     shard,
-                    wait,
-                    words,
+                    timeout,
+                    fields,
                 )
                 self._ledger.record(part_received)
 
-        return TimedFrameParser(call).feed
+        return TimedFrameParser(record_parts).feed
 
-    def _answer(self, letter: bytes, rest: bytes) -> None:
-        line, _, value = rest.partition(b"\n")
-        words = line.decode("latin-1").split(" ")
-        if letter == b"a" and len(words) == 4:
+    def _record_answer(self, frame_type: bytes, payload: bytes) -> None:
+        line, _, value = payload.partition(b"\n")
+        fields = line.decode("latin-1").split(" ")
+        if frame_type == b"a" and len(fields) == 4:
             self._ledger.record(
-                AnswerForwarded(time.monotonic(), self._replica, words[0], words[1], value.decode("latin-1"))
+                AnswerForwarded(
+                    time.monotonic(), self._replica, fields[0], fields[1], value.decode("latin-1")
+                )
             )
 
     def close(self) -> None:
-        close_all(self._listener, self._open)
+        close_all(self._listener, self._sockets)
 
 
-def _nothing(data: bytes) -> None:
+def _ignore_written(data: bytes) -> None:
     """Ignore bytes sent to the replica."""
 
 
-def _nothing_read(arrival: Arrival) -> None:
+def _ignore_read(arrival: Arrival) -> None:
     """Ignore bytes received from the replica."""
--- a/tests/faults/replicas.py
+++ b/tests/faults/replicas.py
@@ -15,11 +15,11 @@
 
 from faults.ledger import Ledger
 from faults.plans import ReplicaFaults
-from faults.proxy import close_all, parse_call, reset
+from faults.proxy import close_all, parse_batch, reset
 from faults.timed_frames import FrameParser
 
 
-def cell_of(part: str) -> str:
+def value_of(part: str) -> str:
     """Return the value of a part, which is the same at every replica."""
     return hashlib.blake2b(part.encode(), digest_size=8).hexdigest()
 
@@ -30,16 +30,16 @@
 
 
 def good_answer(part: str) -> bytes:
-    return _frame(b"a", f"{part} served {score_of(part)} -\n{cell_of(part)}".encode())
+    return _frame(b"a", f"{part} served {score_of(part)} -\n{value_of(part)}".encode())
 
 
-def _frame(letter: bytes, rest: bytes) -> bytes:
-    return struct.pack("<I", 1 + len(rest)) + letter + rest
+def _frame(frame_type: bytes, payload: bytes) -> bytes:
+    return struct.pack("<I", 1 + len(payload)) + frame_type + payload
 
 
-def _spoilt(part: str, chance: random.Random) -> bytes:
+def _malformed_answer(part: str, chance: random.Random) -> bytes:
     """Return a malformed answer."""
-    good = f"{part} served {score_of(part)} -\n{cell_of(part)}".encode()
+    good = f"{part} served {score_of(part)} -\n{value_of(part)}".encode()
     return chance.choice(
         (
             _frame(b"z", good),
@@ -48,7 +48,7 @@
             _frame(b"a", good.upper()),
             struct.pack("<I", 3 << 30) + b"a" + good,
             struct.pack("<I", 40000) + b"a" + good,
-            _frame(b"a", b"nobody.77 served 1 -\n" + cell_of(part).encode()),
+            _frame(b"a", b"nobody.77 served 1 -\n" + value_of(part).encode()),
             _frame(b"a", good.replace(b" served ", b" served-ish ")),
             _frame(b"a", good.replace(b"\n", b" ")),
             chance.randbytes(40),
@@ -57,7 +57,7 @@
     )
 
 
-class Alarm:
+class EventScheduler:
     """Calls functions at given times, on one thread."""
 
     def __init__(self) -> None:
@@ -67,9 +67,9 @@
         self._stopped = False
         threading.Thread(target=self._run, daemon=True).start()
 
-    def at(self, moment: float, call: Callable[[], None]) -> None:
+    def at(self, moment: float, callback: Callable[[], None]) -> None:
         with self._change:
-            heapq.heappush(self._heap, (moment, next(self._numbers), call))
+            heapq.heappush(self._heap, (moment, next(self._numbers), callback))
             self._change.notify()
 
     def stop(self) -> None:
@@ -85,8 +85,8 @@
                     self._change.wait(wait)
                 if self._stopped:
                     return
-                call = heapq.heappop(self._heap)[2]
-            call()
+                callback = heapq.heappop(self._heap)[2]
+            callback()
 
 
 class Replica:
@@ -98,15 +98,15 @@
         faults: ReplicaFaults,
         slow_times: tuple[float, float],
         seed: int,
-        alarm: Alarm,
+        scheduler: EventScheduler,
         ledger: Ledger,
     ) -> None:
         self._number = number
-        self._faults, self._slow, self._alarm, self._ledger = faults, slow_times, alarm, ledger
+        self._faults, self._slow_times, self._scheduler, self._ledger = faults, slow_times, scheduler, ledger
         self._chance = random.Random(f"{seed}/replica/{number}")
         self._listener = socket.create_server(("127.0.0.1", 0), backlog=128)
         self.address: tuple[str, int] = self._listener.getsockname()[:2]
-        self._open: list[socket.socket] = []
+        self._sockets: list[socket.socket] = []
         self.takes_parts = True  # False while it drains or is gone
         threading.Thread(target=self._accept, daemon=True).start()
 
@@ -114,31 +114,33 @@
         with contextlib.suppress(OSError):
             while True:
                 sock, _ = self._listener.accept()
-                self._open.append(sock)
+                self._sockets.append(sock)
                 threading.Thread(target=self._serve, args=(sock,), daemon=True).start()
 
     def _serve(self, sock: socket.socket) -> None:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        tap = FrameParser(lambda letter, rest: self._call(sock, rest) if letter == b"q" else None)
+        parser = FrameParser(
+            lambda frame_type, payload: self._serve_batch(sock, payload) if frame_type == b"q" else None
+        )
         with contextlib.suppress(OSError):
             while data := sock.recv(65536):
-                tap.feed(data)
+                parser.feed(data)
         sock.close()
 
-    def _call(self, sock: socket.socket, rest: bytes) -> None:
-        for part, *_ in parse_call(rest):
+    def _serve_batch(self, sock: socket.socket, payload: bytes) -> None:
+        for part, *_ in parse_batch(payload):
             if self.takes_parts:
-                self._part(sock, part)
+                self._answer_part(sock, part)
             else:
                 _send(sock, _frame(b"a", f"{part} skipped - -\n".encode()))
 
-    def _part(self, sock: socket.socket, part: str) -> None:
+    def _answer_part(self, sock: socket.socket, part: str) -> None:
         faults, draw, chance = self._faults, self._chance.random(), self._chance
-        took = faults.latency * chance.uniform(0.5, 2.0)
+        service_time = faults.latency * chance.uniform(0.5, 2.0)
         if chance.random() < faults.slow:
-            took = chance.uniform(*self._slow)
+            service_time = chance.uniform(*self._slow_times)
             self._ledger.record_fault("replica slow", self._number)
-        due = time.monotonic() + took
+        due = time.monotonic() + service_time
         kinds = (
             ("silent", faults.silent),
             ("broke", faults.broke),
@@ -160,11 +162,11 @@
             "broke": _frame(b"a", f"{part} broke - -\n".encode()),
             "skipped": _frame(b"a", f"{part} skipped - -\n".encode()),
             "doubled": good_answer(part) * 2,
-        }.get(kind) or (_spoilt(part, chance) if kind == "spoilt" else good_answer(part))
-        self._alarm.at(due, lambda: reset(sock) if kind == "closes" else _send(sock, data))
+        }.get(kind) or (_malformed_answer(part, chance) if kind == "spoilt" else good_answer(part))
+        self._scheduler.at(due, lambda: reset(sock) if kind == "closes" else _send(sock, data))
 
     def close(self) -> None:
-        close_all(self._listener, self._open)
+        close_all(self._listener, self._sockets)
 
 
 def _send(sock: socket.socket, data: bytes) -> None:
--- a/tests/faults/rig.py
+++ b/tests/faults/rig.py
@@ -19,20 +19,20 @@
 from pathlib import Path
 
 from faults.campaign import run_campaign
-from faults.clients import CLIENTS, Client, crowd
+from faults.clients import CLIENTS_PER_NODE, Client, hold_idle_connections
 from faults.discovery import DiscoveryService
 from faults.judge import RuleChecker, Violation
-from faults.kept_runs import keep_run
+from faults.kept_runs import save_run
 from faults.ledger import Ledger
 from faults.node_process import Node, Program
-from faults.owed_answers import OwedAnswers
+from faults.owed_answers import ExpectedAnswers
 from faults.plans import Crowd, Plan, Restart, draw
 from faults.processor_time import StallMeter, processor_times, stolen_share
-from faults.replicas import Alarm, Replica
+from faults.replicas import EventScheduler, Replica
 
 ROOT = Path(__file__).parents[2]
-MOST_STOLEN = 0.05  # above this share, violations that rest on about 0.1 s prove nothing
-LONGEST_EVENT = 60.0  # wait for each client and event at the end of a run
+MAX_STOLEN_SHARE = 0.05  # above this share, violations that rest on about 0.1 s prove nothing
+EVENT_TIMEOUT_SECONDS = 60.0  # wait for each client and event at the end of a run
 Event = tuple[float, Callable[[], None]]  # seconds since the start of the traffic, and the action
 
 
@@ -53,8 +53,10 @@
     stolen_share: float = 0.0  # share of the requested processor time that the host took
     longest_stall: float = 0.0  # of the rig, in seconds
     # Requests for which an answer is expected, by HTTP status, or `none` for no answer.
-    owed: Counter[str] = field(default_factory=Counter)
-    kept: Path | None = None  # folder with the logs, the ledger and the findings of a run that broke a rule
+    expected_answers: Counter[str] = field(default_factory=Counter)
+    saved_to: Path | None = (
+        None  # folder with the logs, the ledger and the findings of a run that broke a rule
+    )
 
     @property
     def untimed_violations(self) -> list[Violation]:
@@ -75,10 +77,10 @@
     `keep_logs`: folder for the nodes' logs; without it, only the logs of a run that broke a rule are saved.
     `ledger`: where to record the traffic, for a caller that reads the records itself.
     """
-    ledger, alarm, before = ledger or Ledger(), Alarm(), processor_times()
-    aim = max(c.latency_objective for c in plan.classes)
+    ledger, scheduler, before = ledger or Ledger(), EventScheduler(), processor_times()
+    longest_objective = max(c.latency_objective for c in plan.classes)
     replicas = [
-        Replica(i, faults, (aim * 0.5, aim * 1.3), plan.seed, alarm, ledger)
+        Replica(i, faults, (longest_objective * 0.5, longest_objective * 1.3), plan.seed, scheduler, ledger)
         for i, faults in enumerate(plan.replica_faults)
     ]
     discovery = DiscoveryService(plan.discovery, plan.seed, ledger)
@@ -87,7 +89,7 @@
     with tempfile.TemporaryDirectory() as name, contextlib.ExitStack() as stack:
         folder = keep_logs or Path(name)
         folder.mkdir(parents=True, exist_ok=True)
-        stack.callback(alarm.stop)
+        stack.callback(scheduler.stop)
         for replica in replicas:
             stack.callback(replica.close)
         stack.callback(discovery.close)
@@ -98,37 +100,39 @@
         for node in nodes:
             node.wait_ready()
         with StallMeter() as meter:
-            _Play(plan, nodes, replicas, discovery, ledger).run()
-        early = [f"n{n.number}" for n in nodes if n.process.poll() is not None and not n.ending]
+            _PlanRun(plan, nodes, replicas, discovery, ledger).run()
+        exited_nodes = [
+            f"n{n.number}" for n in nodes if n.process.poll() is not None and not n.termination_requested
+        ]
         ledger.longest_stall = meter.longest
-        result = _judge(plan, ledger, early, stolen_share(before, processor_times()))
+        result = _judge(plan, ledger, exited_nodes, stolen_share(before, processor_times()))
         result.longest_stall = meter.longest
-        result.owed = OwedAnswers(plan, ledger).owed
+        result.expected_answers = ExpectedAnswers(plan, ledger).by_outcome
         if result.violations or result.doubtful_violations or result.ended_early:
-            result.kept = keep_run(folder, plan, ledger, result)
+            result.saved_to = save_run(folder, plan, ledger, result)
     return result
 
 
-def _judge(plan: Plan, ledger: Ledger, early: list[str], stolen: float) -> Result:
+def _judge(plan: Plan, ledger: Ledger, exited_nodes: list[str], stolen: float) -> Result:
     judge = RuleChecker(plan, ledger)
-    found = judge.check()
-    doubtful = [violation for violation in found if violation.timed] if stolen > MOST_STOLEN else []
+    violations = judge.check()
+    doubtful = [violation for violation in violations if violation.timed] if stolen > MAX_STOLEN_SHARE else []
     return Result(
         plan.seed,
-        [violation for violation in found if violation not in doubtful],
+        [violation for violation in violations if violation not in doubtful],
         doubtful,
         len(ledger.requests),
         Counter(r.status for r in ledger.requests if r.disconnected_at is None),
-        Counter(ledger.faults) + judge.crossings,
+        Counter(ledger.faults) + judge.races,
         judge.second_steps,
-        judge.short,
+        judge.partial_answers,
         len(ledger.parts),
-        early,
+        exited_nodes,
         stolen,
     )
 
 
-class _Play:
+class _PlanRun:
     """Plays the traffic and the events of one plan."""
 
     def __init__(
@@ -151,25 +155,29 @@
                 target=Client(self._plan, node, i, self._ledger, start + self._plan.seconds).run, daemon=True
             )
             for node in self._nodes
-            for i in range(CLIENTS)
+            for i in range(CLIENTS_PER_NODE)
         ]
         for client in clients:
             client.start()
         events: list[threading.Thread] = []
-        for at, happen in sorted(self._events(), key=lambda event: event[0]):
+        for at, action in sorted(self._events(), key=lambda event: event[0]):
             time.sleep(max(start + at - time.monotonic(), 0.0))
-            events.append(threading.Thread(target=happen, daemon=True))
+            events.append(threading.Thread(target=action, daemon=True))
             events[-1].start()
         for thread in [*clients, *events]:
-            thread.join(LONGEST_EVENT)
+            thread.join(EVENT_TIMEOUT_SECONDS)
 
     def _events(self) -> list[Event]:
         plan, nodes = self._plan, self._nodes
         events: list[Event] = []
         events += [(at, partial(self._pause, nodes[node], span)) for at, node, span in plan.stops]
         events += [(at, partial(self._change, replica, health)) for at, replica, health in plan.changes]
-        events += [(at, partial(self._end, nodes[node], signal.SIGTERM)) for at, node in plan.terminate]
-        events += [(at, partial(self._end, nodes[node], signal.SIGKILL)) for at, node in plan.kill]
+        events += [
+            (at, partial(self._send_termination, nodes[node], signal.SIGTERM)) for at, node in plan.terminate
+        ]
+        events += [
+            (at, partial(self._send_termination, nodes[node], signal.SIGKILL)) for at, node in plan.kill
+        ]
         events += [(restart.at, partial(self._restart, restart)) for restart in plan.restarts]
         events += [(item.at, partial(self._crowd, item)) for item in plan.crowds]
         events += [(at, nodes[node].move_discovery) for at, node in plan.moves]
@@ -179,7 +187,7 @@
         """Pause a node's process for `span` seconds, unless it was told to end."""
         began = time.monotonic()
         self._ledger.count_fault("stop")
-        if node.ending:
+        if node.termination_requested:
             return
         node.signal(signal.SIGSTOP)
         time.sleep(span)
@@ -192,7 +200,7 @@
         self._replicas[replica].takes_parts = health == "SERVING"
         self._discovery.publish(replica, health)
 
-    def _end(self, node: Node, number: signal.Signals) -> None:
+    def _send_termination(self, node: Node, number: signal.Signals) -> None:
         """End a node by SIGTERM or SIGKILL."""
         self._ledger.count_fault("kill" if number == signal.SIGKILL else "terminate")
         node.signal(number)
@@ -212,7 +220,7 @@
         node.start()
 
     def _crowd(self, item: Crowd) -> None:
-        crowd(self._nodes[item.node], item.connections, item.lasts, self._ledger)
+        hold_idle_connections(self._nodes[item.node], item.connections, item.lasts, self._ledger)
 
 
 if __name__ == "__main__":
--- a/tests/faults/shim/sitecustomize.py
+++ b/tests/faults/shim/sitecustomize.py
@@ -14,7 +14,7 @@
 import threading
 import time
 
-_SEED, _RATE, _STEP = (float(word) for word in os.environ["RIG_SHIM"].split(":"))
+_SEED, _RATE, _STEP_SECONDS = (float(word) for word in os.environ["RIG_SHIM"].split(":"))
 _chance = random.Random(_SEED)
 _lock = threading.Lock()
 _started = time.monotonic()
@@ -29,7 +29,7 @@
     "epoll": (errno.ENOMEM, errno.ENOSPC),
 }
 # Errors of a broken connection: the shim shuts the connection down too, so that the peer notices.
-_BREAKS = (errno.ETIMEDOUT, errno.EHOSTUNREACH)
+_CONNECTION_ERRORS = (errno.ETIMEDOUT, errno.EHOSTUNREACH)
 
 
 def _fails(call: str) -> int:
@@ -50,16 +50,16 @@
 
 
 class _Socket(socket.socket):
-    def __init__(self, *args: object, **named: object) -> None:
-        if not args[3:] and named.get("fileno") is None and (code := _fails("socket")):
+    def __init__(self, *args: object, **kwargs: object) -> None:
+        if not args[3:] and kwargs.get("fileno") is None and (code := _fails("socket")):
             _raise(code)
-        super().__init__(*args, **named)  # type: ignore[arg-type]
+        super().__init__(*args, **kwargs)  # type: ignore[arg-type]
 
     def accept(self):  # type: ignore[no-untyped-def]
         if code := _fails("accept"):
             _raise(code)
-        number, address = self._accept()  # type: ignore[attr-defined]
-        return _Socket(self.family, self.type, self.proto, fileno=number), address
+        fd, address = self._accept()  # type: ignore[attr-defined]
+        return _Socket(self.family, self.type, self.proto, fileno=fd), address
 
     def connect_ex(self, address):  # type: ignore[no-untyped-def]
         self.outgoing = True
@@ -76,7 +76,7 @@
 
         Only outgoing connections are broken: the judge would count a broken client connection as a lost answer.
         """
-        if code in _BREAKS:
+        if code in _CONNECTION_ERRORS:
             if not self.outgoing:
                 code = errno.ENOBUFS
             else:
@@ -101,26 +101,26 @@
     def __init__(self) -> None:
         self._real = _real_epoll()
 
-    def register(self, number, what):  # type: ignore[no-untyped-def]
+    def register(self, fd, events):  # type: ignore[no-untyped-def]
         if code := _fails("epoll"):
             _raise(code)
-        self._real.register(number, what)
+        self._real.register(fd, events)
 
-    def modify(self, number, what):  # type: ignore[no-untyped-def]
+    def modify(self, fd, events):  # type: ignore[no-untyped-def]
         if code := _fails("epoll"):
             _raise(code)
-        self._real.modify(number, what)
+        self._real.modify(fd, events)
 
     def __getattr__(self, name):  # type: ignore[no-untyped-def]
         return getattr(self._real, name)
 
 
 def _stepped_time() -> float:
-    age = time.monotonic() - _started
-    return _real_time() + (_STEP if 1.0 <= age < 2.0 else 0.0)
+    elapsed = time.monotonic() - _started
+    return _real_time() + (_STEP_SECONDS if 1.0 <= elapsed < 2.0 else 0.0)
 
 
-def _start(self):  # type: ignore[no-untyped-def]
+def _start_thread(self):  # type: ignore[no-untyped-def]
     with _lock:
         failing = self.name == "client" and _chance.random() < _RATE
     if failing:
@@ -133,6 +133,6 @@
     socket.socket = _Socket  # type: ignore[misc]
     socket.SocketType = _Socket  # type: ignore[misc]
     select.epoll = _Epoll  # type: ignore[misc, assignment]
-    threading.Thread.start = _start  # type: ignore[method-assign]
-if _STEP:
+    threading.Thread.start = _start_thread  # type: ignore[method-assign]
+if _STEP_SECONDS:
     time.time = _stepped_time
--- a/tests/faults/timed_frames.py
+++ b/tests/faults/timed_frames.py
@@ -9,9 +9,9 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-_TIMESTAMPS = 35  # SO_TIMESTAMPNS and SCM_TIMESTAMPNS of Linux; the socket module has no name for them
+_SO_TIMESTAMPNS = 35  # SO_TIMESTAMPNS and SCM_TIMESTAMPNS of Linux; the socket module has no name for them
 _TIMESPEC = struct.Struct("qq")
-_LARGEST_FRAME = 1 << 20  # bytes
+_MAX_FRAME_BYTES = 1 << 20  # bytes
 
 
 class Arrival(NamedTuple):
@@ -27,29 +27,29 @@
     woke_at: float
 
 
-def _offset() -> float:
+def _clock_offset() -> float:
     """Return the monotonic clock minus the wall clock in seconds, from the fastest of 200 pairs of readings."""
     pairs = [(time.monotonic(), time.time(), time.monotonic()) for _ in range(200)]
     before, wall, after = min(pairs, key=lambda pair: pair[2] - pair[0])
     return (before + after) / 2 - wall
 
 
-_OFFSET = _offset()  # stays valid: nothing steps the wall clock of the rig's process
+_CLOCK_OFFSET_SECONDS = _clock_offset()  # stays valid: nothing steps the wall clock of the rig's process
 
 
-def stamp(sock: socket.socket) -> None:
+def enable_timestamps(sock: socket.socket) -> None:
     """Have the kernel time-stamp received data, so that a late read does not falsify its time."""
-    sock.setsockopt(socket.SOL_SOCKET, _TIMESTAMPS, 1)
+    sock.setsockopt(socket.SOL_SOCKET, _SO_TIMESTAMPNS, 1)
 
 
-def receive(sock: socket.socket, most: int = 65536, flags: int = 0) -> tuple[bytes, float]:
+def receive(sock: socket.socket, max_bytes: int = 65536, flags: int = 0) -> tuple[bytes, float]:
     """Receive bytes; return them and the arrival time of the last one, of the monotonic clock."""
-    data, extra, _, _ = sock.recvmsg(most, 64, flags)
+    data, extra, _, _ = sock.recvmsg(max_bytes, 64, flags)
     now = time.monotonic()
     for level, kind, content in extra:
-        if level == socket.SOL_SOCKET and kind == _TIMESTAMPS:
+        if level == socket.SOL_SOCKET and kind == _SO_TIMESTAMPNS:
             seconds, nanoseconds = _TIMESPEC.unpack(content[: _TIMESPEC.size])
-            return data, min(seconds + nanoseconds / 1e9 + _OFFSET, now)
+            return data, min(seconds + nanoseconds / 1e9 + _CLOCK_OFFSET_SECONDS, now)
     return data, now
 
 
@@ -57,7 +57,7 @@
     """Reads one blocking socket with arrival times."""
 
     def __init__(self, sock: socket.socket) -> None:
-        stamp(sock)
+        enable_timestamps(sock)
         self._sock = sock
         self._poll = select.poll()
         self._poll.register(sock, select.POLLIN)
@@ -65,13 +65,13 @@
 
     def receive(self) -> Arrival:
         """Wait for bytes; the data is empty at the end of the connection. Raises OSError."""
-        asked_at = time.monotonic()
+        called_at = time.monotonic()
         try:
             data, at = receive(self._sock, flags=socket.MSG_DONTWAIT)
             earliest = woke_at = self._last_at
         except BlockingIOError:  # nothing had arrived yet
             self._poll.poll()
-            earliest, woke_at = asked_at, time.monotonic()
+            earliest, woke_at = called_at, time.monotonic()
             data, at = receive(self._sock)
         self._last_at = at
         return Arrival(data, at, min(earliest, at), min(woke_at, at))
@@ -80,8 +80,8 @@
 class FrameParser:
     """Splits a byte stream, in pieces of any size, into frames."""
 
-    def __init__(self, take: Callable[[bytes, bytes], None]) -> None:
-        self._take, self._buffer = take, bytearray()
+    def __init__(self, on_frame: Callable[[bytes, bytes], None]) -> None:
+        self._on_frame, self._buffer = on_frame, bytearray()
 
     @property
     def is_empty(self) -> bool:
@@ -93,18 +93,18 @@
         self._buffer += data
         while len(self._buffer) >= 5:
             (length,) = struct.unpack_from("<I", self._buffer)
-            if not 1 <= length <= _LARGEST_FRAME or len(self._buffer) < 4 + length:
+            if not 1 <= length <= _MAX_FRAME_BYTES or len(self._buffer) < 4 + length:
                 return
-            letter, rest = bytes(self._buffer[4:5]), bytes(self._buffer[5 : 4 + length])
+            frame_type, payload = bytes(self._buffer[4:5]), bytes(self._buffer[5 : 4 + length])
             del self._buffer[: 4 + length]
-            self._take(letter, rest)
+            self._on_frame(frame_type, payload)
 
 
 class TimedFrame(NamedTuple):
     """One frame. It arrived between `earliest` and `at`; the time is exact if they agree. See `Arrival`."""
 
-    letter: bytes
-    rest: bytes
+    frame_type: bytes
+    payload: bytes
     at: float
     earliest: float
     woke_at: float
@@ -113,8 +113,8 @@
 class TimedFrameParser:
     """Splits received bytes into frames with their arrival times."""
 
-    def __init__(self, take: Callable[[TimedFrame], None]) -> None:
-        self._take = take
+    def __init__(self, on_frame: Callable[[TimedFrame], None]) -> None:
+        self._on_frame = on_frame
         self._parser = FrameParser(self._frame)
         self._arrival = Arrival(b"", 0.0, 0.0, 0.0)
 
@@ -123,8 +123,8 @@
         self._arrival = arrival
         self._parser.feed(arrival.data)
 
-    def _frame(self, letter: bytes, rest: bytes) -> None:
+    def _frame(self, frame_type: bytes, payload: bytes) -> None:
         _, at, earliest, woke_at = self._arrival
         if self._parser.is_empty:
             earliest = woke_at = at
-        self._take(TimedFrame(letter, rest, at, earliest, woke_at))
+        self._on_frame(TimedFrame(frame_type, payload, at, earliest, woke_at))
--- a/tests/test_fault_rig.py
+++ b/tests/test_fault_rig.py
@@ -40,7 +40,7 @@
     PartReceived,
     Request,
 )
-from faults.owed_answers import OwedAnswers
+from faults.owed_answers import ExpectedAnswers
 from faults.plans import ClassPlan, Plan, ProxyFaults
 from faults.proxy import Proxy
 from faults.replicas import good_answer
@@ -50,10 +50,10 @@
 Record = PartReceived | AnswerForwarded | Request | ListWritten
 
 
-def eventually(what: object) -> None:
-    until = time.monotonic() + 30.0
-    while not what():  # type: ignore[operator]
-        assert time.monotonic() < until, "condition not met within 30 s"
+def wait_until(condition: object) -> None:
+    deadline = time.monotonic() + 30.0
+    while not condition():  # type: ignore[operator]
+        assert time.monotonic() < deadline, "condition not met within 30 s"
         time.sleep(0.002)
 
 
@@ -79,15 +79,15 @@
     """Notes how many bytes of an answer its reader has already received when the answer is recorded."""
 
     reader: socket.socket
-    seen: int
+    received_before_record: int
 
     def record(self, record: Record) -> None:
         if isinstance(record, AnswerForwarded):
-            self.seen = len(waiting(self.reader))
+            self.received_before_record = len(unread_bytes(self.reader))
         super().record(record)
 
 
-def waiting(sock: socket.socket) -> bytes:
+def unread_bytes(sock: socket.socket) -> bytes:
     """Return the bytes that have arrived but were not read yet."""
     try:
         return sock.recv(4096, socket.MSG_PEEK | socket.MSG_DONTWAIT)
@@ -102,16 +102,16 @@
 
 
 @pytest.mark.parametrize("faults", [ProxyFaults(reset=1.0), ProxyFaults(split=1.0), ProxyFaults()])
-def test_an_answer_is_written_down_before_it_leaves(faults: ProxyFaults) -> None:
+def test_an_answer_is_recorded_before_it_is_sent(faults: ProxyFaults) -> None:
     replica, ledger = AnsweringReplica(), WatchingLedger()
     proxy = Proxy(replica.address, 0, 0, faults, "seed", ledger)
     try:
         for _ in range(400):  # the reset comes at a random byte, sometimes after the last one
             with socket.create_connection(("127.0.0.1", proxy.port)) as ledger.reader:
-                eventually(lambda: ledger.answers or has_ended(ledger.reader))
+                wait_until(lambda: ledger.answers or has_ended(ledger.reader))
                 if ledger.answers:
                     break
-        assert ledger.answers and ledger.seen < len(good_answer("1-0-0-1.3"))
+        assert ledger.answers and ledger.received_before_record < len(good_answer("1-0-0-1.3"))
     finally:
         proxy.close()
         replica.close()
@@ -139,12 +139,12 @@
 
 @pytest.fixture
 def discovery(ledger: Ledger) -> Iterator[DiscoveryService]:
-    made = DiscoveryService(NO_FAULTS, 1, ledger)
-    yield made
-    made.close()
+    service = DiscoveryService(NO_FAULTS, 1, ledger)
+    yield service
+    service.close()
 
 
-def test_a_list_is_not_told_on_a_connection_that_the_node_has_closed(
+def test_a_list_is_not_recorded_on_a_connection_that_the_node_has_closed(
     discovery: DiscoveryService, ledger: Ledger
 ) -> None:
     first, second = discovery.add_node(0, ["127.0.0.1:1", "127.0.0.1:2"])
@@ -156,33 +156,33 @@
     open_one.read_version(2)
     discovery.publish(1, "DRAINING")
     open_one.read_version(3)
-    eventually(lambda: sum(item.version == 3 for item in ledger.lists) == 1)
+    wait_until(lambda: sum(item.version == 3 for item in ledger.lists) == 1)
     assert [item.version for item in ledger.lists if item.version > 1] == [2, 3], "each sent once"
     open_one.sock.close()
 
 
 class LateDiscovery(DiscoveryService):
-    """Reads calls only once `reads` is set."""
+    """Reads calls only once `may_read` is set."""
 
     def __init__(self, ledger: Ledger) -> None:
-        self.reads = threading.Event()
+        self.may_read = threading.Event()
         super().__init__(NO_FAULTS, 1, ledger)
 
-    def _take(self, sock: socket.socket, node: int) -> None:
-        self.reads.wait(30.0)
-        super()._take(sock, node)
+    def _handle_call(self, sock: socket.socket, node: int) -> None:
+        self.may_read.wait(30.0)
+        super()._handle_call(sock, node)
 
 
-def test_a_call_is_dated_by_when_it_came(ledger: Ledger) -> None:
+def test_a_call_is_dated_by_its_arrival(ledger: Ledger) -> None:
     """Not by when it was read: a process that has started since did not make the call."""
     discovery = LateDiscovery(ledger)
     (address, _) = discovery.add_node(0, ["127.0.0.1:1"])
     caller = Caller(address)
     sent_at = time.monotonic()
-    eventually(lambda: time.monotonic() > sent_at + GAP)
-    discovery.reads.set()
+    wait_until(lambda: time.monotonic() > sent_at + GAP)
+    discovery.may_read.set()
     caller.read_version(1)
-    eventually(lambda: ledger.lists)
+    wait_until(lambda: ledger.lists)
     assert ledger.lists[0].called_at <= sent_at + GAP / 2
     caller.sock.close()
     discovery.close()
@@ -202,7 +202,7 @@
     began = time.monotonic()
     near.sendall(frame(b"first"))
     first_sent = time.monotonic()
-    eventually(lambda: time.monotonic() > began + GAP)  # delay the reader
+    wait_until(lambda: time.monotonic() > began + GAP)  # delay the reader
     near.sendall(frame(b"second"))
     second_sent = time.monotonic()
     while len(frames) < 2:
@@ -217,7 +217,7 @@
     assert frames[2].earliest == frames[2].at, "the only frame of its read"
     waiter = threading.Thread(target=lambda: parser.feed(receiver.receive()))
     waiter.start()
-    eventually(lambda: time.monotonic() > second_sent + GAP)  # let the reader wait
+    wait_until(lambda: time.monotonic() > second_sent + GAP)  # let the reader wait
     sent_at = time.monotonic()
     near.sendall(frame(b"fourth") + frame(b"fifth"))
     waiter.join(10.0)
@@ -250,9 +250,9 @@
 def request(
     sent_at: float, query_class: int = 0, status: int = 503, disconnected_at: float | None = None
 ) -> Request:
-    made = Request("r", 0, query_class, {0: 1.0}, 1.0, 1.0, sent_at, disconnected_at, status)
-    made.answered_at = sent_at + 0.1
-    return made
+    client_request = Request("r", 0, query_class, {0: 1.0}, 1.0, 1.0, sent_at, disconnected_at, status)
+    client_request.answered_at = sent_at + 0.1
+    return client_request
 
 
 @pytest.mark.parametrize(
@@ -269,7 +269,7 @@
         (request(24.2), {}),  # the process is told to end
     ],
 )
-def test_what_is_owed_an_answer(made: Request, owed: dict[str, int]) -> None:
+def test_which_requests_must_be_answered(made: Request, owed: dict[str, int]) -> None:
     ledger = Ledger(requests=[made], runs=[NodeRun(0, 0.0, 1, terminated_at=25.0)])
     ledger.pauses.append((21.0, 21.2, 0))
     ledger.endpoint_changes.append(EndpointChange(14.0, 0, "DRAINING", 2))
@@ -279,4 +279,4 @@
         FaultInjected(15.0, 0, 1),
         FaultInjected(10.0, 1, 0),  # on another node's link
     ]
-    assert OwedAnswers(PLAN, ledger).owed == owed
+    assert ExpectedAnswers(PLAN, ledger).by_outcome == owed
--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -31,10 +31,10 @@
 PATIENCE = 30.0
 
 
-def eventually(what: Callable[[], bool]) -> None:
-    until = time.monotonic() + PATIENCE
-    while not what():
-        assert time.monotonic() < until, "condition not met within the timeout"
+def eventually(condition: Callable[[], bool]) -> None:
+    deadline = time.monotonic() + PATIENCE
+    while not condition():
+        assert time.monotonic() < deadline, "condition not met within the timeout"
         time.sleep(0.005)
 
 
@@ -54,15 +54,15 @@
 
 
 def is_right(answer: Answer, tiles: Sequence[str], query: Query = ALL) -> bool:
-    want = sorted((s for tile in tiles for s in data.answer(tile, query)), key=lambda s: s.labels)
+    expected = sorted((s for tile in tiles for s in data.answer(tile, query)), key=lambda s: s.labels)
     got = (answer.results or [[]])[0]
-    return [s.labels for s in got] == [s.labels for s in want] and all(
+    return [s.labels for s in got] == [s.labels for s in expected] and all(
         np.array_equal(a.timestamps, b.timestamps) and np.array_equal(a.values, b.values)
-        for a, b in zip(got, want, strict=True)
+        for a, b in zip(got, expected, strict=True)
     )
 
 
-def steps(answer: Answer) -> list[list[str]]:
+def attempt_path(answer: Answer) -> list[list[str]]:
     return [step.split("/") for step in answer.headers.get("gingervane-path").split(",")]
 
 
@@ -96,10 +96,10 @@
         answer = ask(fleet)
         assert answer.status == 200 and answer.headers.get("gingervane-coverage") == "1"
         assert is_right(answer, fleet.grid.tiles)
-    assert all(step[3] != "ok" for step in steps(answer) if step[2] in ("0", "3"))
+    assert all(step[3] != "ok" for step in attempt_path(answer) if step[2] in ("0", "3"))
 
 
-def test_the_deadline_falls_into_a_retry(fleet: Embedded) -> None:
+def test_the_deadline_passes_during_a_retry(fleet: Embedded) -> None:
     for node in fleet.grid.nodes:  # the first attempts fail, the retries get no answer
         node.fault("fail_fast", 0.2, 1.0)
         node.fault("hang", 60.0, 1.0, delay=0.2)
@@ -108,7 +108,7 @@
     eventually(lambda: fleet.app.core.admission.open == 0 and fleet.app.core.requests_in_flight == 0)
 
 
-def test_all_holders_gone(fleet: Embedded) -> None:
+def test_all_replicas_of_a_shard_are_gone(fleet: Embedded) -> None:
     fleet.write_list({n: "gone" for n in (0, 1, 2)})  # all replicas of t000 and t006
     lost = Query(END - 60_000, END, (Matcher(Match.EQUAL, "tile", "t000"),))
     eventually(lambda: ask(fleet, lost).status == 503)
@@ -123,13 +123,13 @@
     eventually(lambda: ask(fleet).status == 200)
 
 
-def test_no_list_no_server(fleet: Embedded) -> None:
+def test_an_empty_list_file_has_no_effect(fleet: Embedded) -> None:
     fleet.list_file.write_text("")
     time.sleep(0.2)  # there is no event to wait for: the empty list must have no effect
     assert ask(fleet).status == 200
 
 
-def test_drained_replica_gets_nothing_new(fleet: Embedded) -> None:
+def test_a_drained_replica_gets_no_new_attempts(fleet: Embedded) -> None:
     assert ask(fleet).status == 200
     fleet.write_list({4: "draining"})
     eventually(lambda: told_away(fleet, 4))
@@ -150,48 +150,50 @@
         fleet.grid.nodes[1].fault("reset_mid_body", 60.0, 1.0)
         for _ in range(6):
             answer = ask(fleet, query_class=semantics)
-            if status == 502 and steps_of_record(records) > 0 and answer.status == 502:
+            if status == 502 and count_taken_attempts(records) > 0 and answer.status == 502:
                 break
             assert answer.status == 200
         else:
             assert status == 200, "no attempt met the fault"
-        ran = sum(text(r).count('"taken"') for r in records)
-        assert status == 200 or ran <= 6, "each of the queries ran at most once"
+        executions = sum(recorded_text(r).count('"taken"') for r in records)
+        assert status == 200 or executions <= 6, "each of the queries ran at most once"
     finally:
         fleet.close()
 
 
-def text(record: Recorder) -> str:
+def recorded_text(record: Recorder) -> str:
     assert record._file is not None
     record._file.flush()
     return Path(record._file.name).read_text()
 
 
-def steps_of_record(records: list[Recorder]) -> int:
-    return sum(text(r).count('"taken"') for r in records)
+def count_taken_attempts(records: list[Recorder]) -> int:
+    return sum(recorded_text(r).count('"taken"') for r in records)
 
 
-def test_decision_thread_stands_still(fleet: Embedded, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_pause_of_the_decision_thread_ejects_no_replica(
+    fleet: Embedded, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """A pause of 1 s in the decision thread is not taken for replicas that do not answer."""
     for _ in range(5):
         assert ask(fleet).status == 200
-    handle, stood = engine.DecisionEngine.handle, threading.Event()
+    handle, paused = engine.DecisionEngine.handle, threading.Event()
 
     def slow(self: engine.DecisionEngine, now: float, events: Sequence[api.Event]) -> list[api.Action]:
-        if any(isinstance(e, api.AttemptEnded) for e in events) and not stood.is_set():
-            stood.set()  # the first answer is in; the others arrive and all timers come due during the pause
+        if any(isinstance(e, api.AttemptEnded) for e in events) and not paused.is_set():
+            paused.set()  # the first answer is in; the others arrive and all timers come due during the pause
             time.sleep(1.0)
         return handle(self, now, events)
 
-    remarks: list[str] = []
-    monkeypatch.setattr(fleet.app.core.observer, "log_message", remarks.append)
+    messages: list[str] = []
+    monkeypatch.setattr(fleet.app.core.observer, "log_message", messages.append)
     monkeypatch.setattr(engine.DecisionEngine, "handle", slow)
-    assert ask(fleet).status == 200 and stood.is_set()
+    assert ask(fleet).status == 200 and paused.is_set()
     assert ask(fleet).status == 200
-    assert not [r for r in remarks if "ejected" in r]
+    assert not [r for r in messages if "ejected" in r]
 
 
-def test_two_hundred_clients_leave_at_once() -> None:
+def test_two_hundred_clients_disconnect_at_once() -> None:
     slow = Model(cores=2, work=30.0, queue=10_000)
     fleet = Embedded(
         model=slow,
@@ -215,7 +217,7 @@
         fleet.close()
 
 
-def test_bounds_refuse_plainly() -> None:
+def test_requests_over_a_limit_are_refused() -> None:
     bounds = {"limits": {"open": 13}, "listen": {"max_connections": 3}}
     fleet = Embedded(model=Model(work=1.0), overrides=bounds)
     try:
@@ -234,7 +236,7 @@
         fleet.close()
 
 
-def raw(fleet: Embedded, sent: bytes) -> tuple[int, bytes, bool]:
+def send_raw(fleet: Embedded, sent: bytes) -> tuple[int, bytes, bool]:
     """Send bytes; return status and body of the reply, and whether the connection stays usable."""
     with socket.create_connection(fleet.address) as sock:
         sock.settimeout(PATIENCE)
@@ -253,8 +255,8 @@
     return head.encode() + body
 
 
-def packed(*found: Query, accepts: tuple[int, ...] = ()) -> bytes:
-    return snappy.compress(remote_read.write_request([remote_read.write_query(q) for q in found], accepts))
+def encode_queries(*queries: Query, accepts: tuple[int, ...] = ()) -> bytes:
+    return snappy.compress(remote_read.write_request([remote_read.write_query(q) for q in queries], accepts))
 
 
 def matcher(kind: Match, name: str, value: str) -> Query:
@@ -265,17 +267,32 @@
     "no snappy": (post(b"\xff\xff\xff\xff\xff\xff"), 400, "snappy", True),
     "claims much": (post(b"\xff\xff\xff\xff\x0f" + b"a"), 400, "over the limit", True),
     "no protobuf": (post(snappy.compress(b"\x0a\x7f")), 400, "ReadRequest: field 1", True),
-    "bad regex": (post(packed(matcher(Match.REGEX, "tile", "(a"))), 400, "regular expression '(a'", True),
-    "bad regex elsewhere": (post(packed(matcher(Match.NOT_REGEX, "x", "["))), 400, "'['", True),
-    "back in time": (post(packed(Query(5, 4, ()))), 400, "queries[0]", True),
-    "chunks only": (post(packed(ALL, accepts=(1,))), 406, "SAMPLES", True),
+    "bad regex": (
+        post(encode_queries(matcher(Match.REGEX, "tile", "(a"))),
+        400,
+        "regular expression '(a'",
+        True,
+    ),
+    "bad regex elsewhere": (post(encode_queries(matcher(Match.NOT_REGEX, "x", "["))), 400, "'['", True),
+    "back in time": (post(encode_queries(Query(5, 4, ()))), 400, "queries[0]", True),
+    "chunks only": (post(encode_queries(ALL, accepts=(1,))), 406, "SAMPLES", True),
     "type": (post(b"", fields="Content-Type: text/plain\r\n"), 415, "Content-Type", True),
     "encoding": (post(b"", fields="Content-Encoding: gzip\r\n"), 415, "snappy", True),
-    "version": (post(packed(ALL), fields="X-Prometheus-Remote-Read-Version: 2.0.0\r\n"), 400, "0.1.x", True),
-    "class": (post(packed(ALL), "/api/v1/read?class=nope"), 400, "'nope'", True),
-    "timeout": (post(packed(ALL), "/api/v1/read?timeout=-1s"), 400, "timeout", True),
-    "partial": (post(packed(ALL), "/api/v1/read?partial_response=maybe"), 400, "partial_response", True),
-    "many queries": (post(packed(*[ALL] * 65)), 400, "more than 64 queries", True),
+    "version": (
+        post(encode_queries(ALL), fields="X-Prometheus-Remote-Read-Version: 2.0.0\r\n"),
+        400,
+        "0.1.x",
+        True,
+    ),
+    "class": (post(encode_queries(ALL), "/api/v1/read?class=nope"), 400, "'nope'", True),
+    "timeout": (post(encode_queries(ALL), "/api/v1/read?timeout=-1s"), 400, "timeout", True),
+    "partial": (
+        post(encode_queries(ALL), "/api/v1/read?partial_response=maybe"),
+        400,
+        "partial_response",
+        True,
+    ),
+    "many queries": (post(encode_queries(*[ALL] * 65)), 400, "more than 64 queries", True),
     "page": (post(b"", "/nowhere"), 404, "/nowhere", True),
     "method": (b"GET /api/v1/read HTTP/1.1\r\nHost: x\r\n\r\n", 405, "POST", True),
     "expectation": (post(b"", fields="Expect: tea\r\n"), 417, "Expect", False),
@@ -286,10 +303,10 @@
 
 
 def test_malformed_input_gets_one_clear_error(fleet: Embedded) -> None:
-    for name, (sent, status, what, stays) in MALFORMED.items():
-        got = raw(fleet, sent)
-        assert (got[0], got[2]) == (status, stays), (name, got)
-        assert what in got[1].decode(), (name, got)
+    for name, (sent, status, message, stays_open) in MALFORMED.items():
+        got = send_raw(fleet, sent)
+        assert (got[0], got[2]) == (status, stays_open), (name, got)
+        assert message in got[1].decode(), (name, got)
 
 
 def test_pipelined_and_expected_requests(fleet: Embedded) -> None:
@@ -314,9 +331,9 @@
 def test_slow_clients_are_timed_out() -> None:
     fleet = Embedded(overrides={"listen": {"head_timeout": 0.2, "body_timeout": 0.2, "idle_timeout": 0.2}})
     try:
-        assert raw(fleet, b"GET / HT")[0] == 408
-        status, body, stays = raw(fleet, post(b"").replace(b"Length: 0", b"Length: 9") + b"ab")
-        assert (status, stays) == (408, False) and b"request body" in body
+        assert send_raw(fleet, b"GET / HT")[0] == 408
+        status, body, stays_open = send_raw(fleet, post(b"").replace(b"Length: 0", b"Length: 9") + b"ab")
+        assert (status, stays_open) == (408, False) and b"request body" in body
         with socket.create_connection(fleet.address) as sock:
             sock.settimeout(PATIENCE)
             assert sock.recv(1) == b""
@@ -324,15 +341,15 @@
         fleet.close()
 
 
-def test_metrics_tell_what_passed(fleet: Embedded) -> None:
+def test_metrics_count_answers(fleet: Embedded) -> None:
     assert ask(fleet).status == 200
-    text = raw(fleet, b"GET /metrics HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")[1].decode()
+    text = send_raw(fleet, b"GET /metrics HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")[1].decode()
     assert 'gingervane_answers_total{verdict="whole"} 1.0' in text
     assert 'gingervane_query_seconds{class="point-lookup",quantile="0.99",verdict="whole"}' in text
 
 
 @pytest.mark.parametrize("grace,statuses", [(30.0, {200}), (0.2, {503})])
-def test_sigterm_answers_or_refuses_what_is_held(tmp_path: Path, grace: float, statuses: set[int]) -> None:
+def test_sigterm_answers_or_refuses_open_queries(tmp_path: Path, grace: float, statuses: set[int]) -> None:
     fleet = Embedded(nodes=3, tiles=3, model=Model(work=1.5))
     try:
         table: dict[str, Any] = config_table(fleet.grid, fleet.list_file, "hall-a")
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -7,19 +7,21 @@
 from pathlib import Path
 
 import pytest
-from conftest import Known, known, read_known
+from conftest import KnownFailure, known_failures, parse_known_failures
 
 LINE = "tests/a.py::test_a[x-1] | python -m faults.soak --seeds 12 | what was seen | issue 1"
 
 
-def test_a_line_has_test_command_what_was_seen_and_issue() -> None:
-    want = Known("tests/a.py::test_a[x-1]", "python -m faults.soak --seeds 12", "what was seen", "issue 1")
-    assert read_known(f"# a comment\n\n{LINE}\n") == [want]
+def test_a_line_has_test_command_failure_and_issue() -> None:
+    expected = KnownFailure(
+        "tests/a.py::test_a[x-1]", "python -m faults.soak --seeds 12", "what was seen", "issue 1"
+    )
+    assert parse_known_failures(f"# a comment\n\n{LINE}\n") == [expected]
 
 
-def test_a_case_stands_in_the_list_once() -> None:
+def test_a_test_case_may_be_listed_only_once() -> None:
     with pytest.raises(pytest.UsageError, match="twice"):
-        read_known("\n".join([LINE, LINE]))
+        parse_known_failures("\n".join([LINE, LINE]))
 
 
 @pytest.mark.parametrize(
@@ -32,12 +34,12 @@
         "a | b | c | d | issue 1",
     ],
 )
-def test_a_line_that_lacks_something_is_refused(line: str) -> None:
+def test_an_incomplete_line_is_refused(line: str) -> None:
     with pytest.raises(pytest.UsageError, match="not TEST"):
-        read_known(line)
+        parse_known_failures(line)
 
 
-def collected(folder: Path, *lines: str) -> subprocess.CompletedProcess[str]:
+def run_pytest(folder: Path, *lines: str) -> subprocess.CompletedProcess[str]:
     """Run pytest on a test with two cases and a list of known failures that has these lines."""
     tests = folder / "tests"
     tests.mkdir()
@@ -68,17 +70,17 @@
     return subprocess.run(command, cwd=folder, capture_output=True, text=True, check=False)
 
 
-def test_only_the_case_that_is_named_is_passed_over(tmp_path: Path) -> None:
-    found = collected(tmp_path, "tests/test_two.py::test_two[1] | pytest | one is not two | issue 1")
-    assert found.returncode == 0 and "1 passed, 1 deselected" in found.stdout, found.stdout + found.stderr
-    assert "one is not two (issue 1)" in found.stdout
+def test_only_the_listed_case_is_deselected(tmp_path: Path) -> None:
+    result = run_pytest(tmp_path, "tests/test_two.py::test_two[1] | pytest | one is not two | issue 1")
+    assert result.returncode == 0 and "1 passed, 1 deselected" in result.stdout, result.stdout + result.stderr
+    assert "one is not two (issue 1)" in result.stdout
 
 
-def test_a_test_with_cases_is_not_passed_over_as_a_whole(tmp_path: Path) -> None:
-    found = collected(tmp_path, "tests/test_two.py::test_two | pytest | one is not two | issue 1")
-    assert found.returncode != 0 and "lists tests that do not exist" in found.stdout + found.stderr
+def test_a_parametrised_test_is_not_deselected_as_a_whole(tmp_path: Path) -> None:
+    result = run_pytest(tmp_path, "tests/test_two.py::test_two | pytest | one is not two | issue 1")
+    assert result.returncode != 0 and "lists tests that do not exist" in result.stdout + result.stderr
 
 
-def test_the_list_as_it_stands_can_be_read() -> None:
-    for line in known():
+def test_the_current_list_can_be_parsed() -> None:
+    for line in known_failures():
         assert (Path(__file__).parents[1] / line.test.partition("::")[0]).exists(), line.test
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from faults.owed_answers import LEAST_SHARE
+from faults.owed_answers import MIN_ANSWERED_SHARE
 from faults.rig import play
 from faults.soak_plans import draw_soak
 
@@ -37,8 +37,10 @@
     465 of these the replicas had at most one open request. An answer after the objective would meet the deadline.
     """
     result = play(draw_soak(seed, 16.0))
-    owed = result.owed.total()
-    assert owed >= 20 and result.owed["200"] >= LEAST_SHARE * owed, result.owed
+    expected_answers = result.expected_answers.total()
+    assert (
+        expected_answers >= 20 and result.expected_answers["200"] >= MIN_ANSWERED_SHARE * expected_answers
+    ), result.expected_answers
 
 
 def test_a_seed_gives_the_same_plan_again_and_all_kinds_of_fault_are_drawn() -> None:
