--- a/tests/connection_tools.py
+++ b/tests/connection_tools.py
@@ -51,7 +51,8 @@
     connections = connections_of(platform)
     with connections._lock:
         return any(
-            has_unread_data(one.sock) for one in [*connections._idle, *connections._awaiting_first_byte]
+            has_unread_data(connection.sock)
+            for connection in [*connections._idle, *connections._awaiting_first_byte]
         )
 
 
--- a/tests/faults/replicas.py
+++ b/tests/faults/replicas.py
@@ -38,7 +38,7 @@
 
 
 def _malformed_answer(part: str, chance: random.Random) -> bytes:
-    """Return a malformed answer."""
+    """Return one of several kinds of malformed answer, chosen at random."""
     good = f"{part} served {score_of(part)} -\n{value_of(part)}".encode()
     return chance.choice(
         (
--- a/tests/faults/rig.py
+++ b/tests/faults/rig.py
@@ -179,7 +179,7 @@
             (at, partial(self._send_termination, nodes[node], signal.SIGKILL)) for at, node in plan.kill
         ]
         events += [(restart.at, partial(self._restart, restart)) for restart in plan.restarts]
-        events += [(item.at, partial(self._crowd, item)) for item in plan.crowds]
+        events += [(crowd.at, partial(self._open_idle_connections, crowd)) for crowd in plan.crowds]
         events += [(at, nodes[node].move_discovery) for at, node in plan.moves]
         return events
 
@@ -219,8 +219,8 @@
         self._ledger.count_fault("start")
         node.start()
 
-    def _crowd(self, item: Crowd) -> None:
-        hold_idle_connections(self._nodes[item.node], item.connections, item.lasts, self._ledger)
+    def _open_idle_connections(self, crowd: Crowd) -> None:
+        hold_idle_connections(self._nodes[crowd.node], crowd.connections, crowd.lasts, self._ledger)
 
 
 if __name__ == "__main__":
--- a/tests/faults/timed_frames.py
+++ b/tests/faults/timed_frames.py
@@ -11,7 +11,7 @@
 
 _SO_TIMESTAMPNS = 35  # SO_TIMESTAMPNS and SCM_TIMESTAMPNS of Linux; the socket module has no name for them
 _TIMESPEC = struct.Struct("qq")
-_MAX_FRAME_BYTES = 1 << 20  # bytes
+_MAX_FRAME_BYTES = 1 << 20
 
 
 class Arrival(NamedTuple):
--- a/tests/test_fault_rig.py
+++ b/tests/test_fault_rig.py
@@ -4,7 +4,7 @@
 
 - A proxy that reset a connection sent the last bytes of an answer before it recorded them. If its thread stalled in
   between, the client had the answer 19 to 81 ms before its cause was recorded. With a delay of 50 ms between the two,
-  three of four runs reported it; with the order reversed, and the same delay, none of four did.
+  three of four runs reported it; with the order reversed, and the same 50 ms, none of four did.
 - Discovery wrote a drain to a watch that the node had closed, as the first write to a connection that the peer has
   closed succeeds. The node counted as notified of what it could not read, and a part to the drained replica, 0.11 s
   past the grace, counted as a violation. The node had been moved to another address of discovery, and its new calls
