--- a/tests/connection_tools.py
+++ b/tests/connection_tools.py
@@ -1,4 +1,4 @@
-"""Hooks and helpers for tests in which two events on a client connection cross."""
+"""Hooks and helpers for tests in which two events on a client connection race."""
 
 from __future__ import annotations
 
@@ -19,58 +19,63 @@
 
 
 class Held:
-    """A function of the node that waits, once it is entered, until it is let go."""
+    """Patches a method of the node so that, between `hold` and `let_go`, its callers block.
+
+    They block before the method runs, or after it if `after` is set. `entered`: a caller has been blocked.
+    """
 
     def __init__(self, patch: pytest.MonkeyPatch, owner: type, name: str, after: bool = False) -> None:
         self.entered, self.go = threading.Event(), threading.Event()
-        self.armed = False
+        self.blocking = False
         function: Callable[..., Any] = getattr(owner, name)
 
-        def held(*args: Any, **kwargs: Any) -> Any:
-            found = function(*args, **kwargs) if after else None
-            if self.armed:
+        def blocked(*args: Any, **kwargs: Any) -> Any:
+            result = function(*args, **kwargs) if after else None
+            if self.blocking:
                 self.entered.set()
                 self.go.wait(PATIENCE)
-            return found if after else function(*args, **kwargs)
+            return result if after else function(*args, **kwargs)
 
-        patch.setattr(owner, name, held)
+        patch.setattr(owner, name, blocked)
 
     def hold(self) -> None:
-        self.armed = True
+        self.blocking = True
 
     def let_go(self) -> None:
-        self.armed = False
+        self.blocking = False
         self.go.set()
 
 
 def lies_unread(platform: Platform) -> bool:
-    """Something lies unread on a connection at rest."""
+    """Return whether an idle connection has unread data."""
     connections = connections_of(platform)
     with connections._lock:
         return any(
-            has_unread_data(one.sock) for one in [*connections._idle, *connections._awaiting_first_byte]
+            has_unread_data(connection.sock)
+            for connection in [*connections._idle, *connections._awaiting_first_byte]
         )
 
 
 def rested(platform: Platform) -> socket.socket:
-    """A client whose connection rests after a request."""
+    """Return a client connection that is idle after one request."""
     sock = platform.client()
     assert platform.ask("first", {0: 1.0}, sock=sock)[0] == 200
-    until(lambda: len(connections_of(platform)._idle) == 1, "its connection rests")
+    until(lambda: len(connections_of(platform)._idle) == 1, "its connection is idle")
     return sock
 
 
 def asked(platform: Platform) -> list[str]:
+    """Return the ids of the parts that the replicas received."""
     return [part.id for replica in platform.replicas for part in replica.parts.items]
 
 
 def ends_cleanly(sock: socket.socket) -> None:
-    """The end, and no reset, which could have taken an answer with it."""
+    """Check that the connection ends without a reset, which could have discarded an answer."""
     sock.settimeout(PATIENCE)
     assert sock.recv(1) == b""
 
 
-def in_background(work: Callable[[], object]) -> threading.Thread:
-    thread = threading.Thread(target=work)
+def in_background(function: Callable[[], object]) -> threading.Thread:
+    thread = threading.Thread(target=function)
     thread.start()
     return thread
--- a/tests/faults/shim/sitecustomize.py
+++ b/tests/faults/shim/sitecustomize.py
@@ -1,8 +1,8 @@
-"""Loaded into a node by PYTHONPATH: system calls that fail as Linux documents, short reads and writes, a wall clock
-that is stepped, and moments in which the process is held between reading its clock and writing.
+"""Injects faults into a node that loads this module by PYTHONPATH: system calls that fail with errors documented for
+Linux, short reads and writes, threads that cannot be started, and a stepped wall clock.
 
-`RIG_SHIM` is `SEED:RATE:STEP`: RATE of the calls fail, half of the reads and writes are short where RATE is above 0;
-the wall clock is stepped by STEP seconds one second after the start, and back after another.
+`RIG_SHIM` is `SEED:RATE:STEP`. RATE is the share of calls that fail; if it is above 0, half of the reads and writes
+are short. The wall clock is stepped by STEP seconds one second after the start, and back one second later.
 """
 
 import contextlib
@@ -14,7 +14,7 @@
 import threading
 import time
 
-_SEED, _RATE, _STEP = (float(word) for word in os.environ["RIG_SHIM"].split(":"))
+_SEED, _RATE, _STEP_SECONDS = (float(word) for word in os.environ["RIG_SHIM"].split(":"))
 _chance = random.Random(_SEED)
 _lock = threading.Lock()
 _started = time.monotonic()
@@ -28,13 +28,13 @@
     "send": (errno.ENOMEM, errno.ENOBUFS, errno.ETIMEDOUT, errno.EHOSTUNREACH),
     "epoll": (errno.ENOMEM, errno.ENOSPC),
 }
-# What broke a connection breaks it for good: the other side is told, as a network would.
-_BREAKS = (errno.ETIMEDOUT, errno.EHOSTUNREACH)
+# Errors of a broken connection: the shim shuts the connection down too, so that the peer notices.
+_CONNECTION_ERRORS = (errno.ETIMEDOUT, errno.EHOSTUNREACH)
 
 
 def _fails(call: str) -> int:
-    """An error number, or 0."""
-    if time.monotonic() - _started < 0.2:  # the start has tests of its own
+    """Return the error number with which a call fails, or 0."""
+    if time.monotonic() - _started < 0.2:  # other tests cover the start
         return 0
     with _lock:
         return _chance.choice(_ERRORS[call]) if _chance.random() < _RATE else 0
@@ -50,31 +50,33 @@
 
 
 class _Socket(socket.socket):
-    def __init__(self, *args: object, **named: object) -> None:
-        if not args[3:] and named.get("fileno") is None and (code := _fails("socket")):
+    def __init__(self, *args: object, **kwargs: object) -> None:
+        if not args[3:] and kwargs.get("fileno") is None and (code := _fails("socket")):
             _raise(code)
-        super().__init__(*args, **named)  # type: ignore[arg-type]
+        super().__init__(*args, **kwargs)  # type: ignore[arg-type]
 
     def accept(self):  # type: ignore[no-untyped-def]
         if code := _fails("accept"):
             _raise(code)
-        number, address = self._accept()  # type: ignore[attr-defined]
-        return _Socket(self.family, self.type, self.proto, fileno=number), address
+        fd, address = self._accept()  # type: ignore[attr-defined]
+        return _Socket(self.family, self.type, self.proto, fileno=fd), address
 
     def connect_ex(self, address):  # type: ignore[no-untyped-def]
         self.outgoing = True
         if code := _fails("connect_ex"):
-            if code == errno.EINTR:  # goes on behind it
+            if code == errno.EINTR:  # the kernel goes on connecting
                 super().connect_ex(address)
             return code
         return super().connect_ex(address)
 
-    outgoing = False  # a connection that this process has made
+    outgoing = False  # whether this process opened the connection
 
     def _break(self, code: int) -> None:
-        """Raise an error; one that tells of a broken connection breaks it, where the judge does not count that as a
-        client's loss: on connections that this process has made."""
-        if code in _BREAKS:
+        """Raise an error, and shut the connection down if the error means that it is broken.
+
+        Only outgoing connections are broken: the judge would count a broken client connection as a lost answer.
+        """
+        if code in _CONNECTION_ERRORS:
             if not self.outgoing:
                 code = errno.ENOBUFS
             else:
@@ -99,26 +101,26 @@
     def __init__(self) -> None:
         self._real = _real_epoll()
 
-    def register(self, number, what):  # type: ignore[no-untyped-def]
+    def register(self, fd, events):  # type: ignore[no-untyped-def]
         if code := _fails("epoll"):
             _raise(code)
-        self._real.register(number, what)
+        self._real.register(fd, events)
 
-    def modify(self, number, what):  # type: ignore[no-untyped-def]
+    def modify(self, fd, events):  # type: ignore[no-untyped-def]
         if code := _fails("epoll"):
             _raise(code)
-        self._real.modify(number, what)
+        self._real.modify(fd, events)
 
     def __getattr__(self, name):  # type: ignore[no-untyped-def]
         return getattr(self._real, name)
 
 
 def _stepped_time() -> float:
-    age = time.monotonic() - _started
-    return _real_time() + (_STEP if 1.0 <= age < 2.0 else 0.0)
+    elapsed = time.monotonic() - _started
+    return _real_time() + (_STEP_SECONDS if 1.0 <= elapsed < 2.0 else 0.0)
 
 
-def _start(self):  # type: ignore[no-untyped-def]
+def _start_thread(self):  # type: ignore[no-untyped-def]
     with _lock:
         failing = self.name == "client" and _chance.random() < _RATE
     if failing:
@@ -131,6 +133,6 @@
     socket.socket = _Socket  # type: ignore[misc]
     socket.SocketType = _Socket  # type: ignore[misc]
     select.epoll = _Epoll  # type: ignore[misc, assignment]
-    threading.Thread.start = _start  # type: ignore[method-assign]
-if _STEP:
+    threading.Thread.start = _start_thread  # type: ignore[method-assign]
+if _STEP_SECONDS:
     time.time = _stepped_time
