--- a/gingervane/node/__init__.py
+++ b/gingervane/node/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's way in and out of the co-ordinator: its configuration, clients, replicas, discovery and peers."""
+"""The co-ordinator on the platform: configuration, clients, replicas, discovery and peers."""
--- a/gingervane/node/client_front.py
+++ b/gingervane/node/client_front.py
@@ -1,8 +1,8 @@
-"""The platform's clients: an HTTP request to a plan of parts, and the one query result back.
+"""The platform's client protocol: turns an HTTP request into a query plan, and the query's result into the reply.
 
-Strict: what cannot be a query of this platform gets one 4xx and reaches no replica. Called by the HTTP server's
-threads; the ids of open queries are shared by them under a lock. Every decision about an admitted query is the
-decision module's.
+Parsing is strict: an invalid request is answered with a 4xx status and reaches no replica. Called by the HTTP
+server's threads, which share the ids of open queries under a lock. Every decision about an admitted query is made by
+the decision engine.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 _ID = re.compile(r"[0-9A-Za-z_-]{1,64}\Z")
 _MILLISECONDS = re.compile(r"[0-9]{1,9}\Z")
 _TOKEN = re.compile(r"[0-9A-Fa-f]{16}\Z")
-_WEIGHT_SLACK = 0.002  # of a sum of rounded weights
+_WEIGHT_SLACK = 0.002  # tolerated deviation of a sum of rounded weights from 1
 _MAX_GUESS = 1e12  # microseconds
 _STATUS = {t.QueryStatus.REJECTED: 503, t.QueryStatus.FAILED: 500, t.QueryStatus.CLIENT_DISCONNECTED: 500}
 _JSON = ("Content-Type", "application/json")
@@ -36,7 +36,7 @@
 
 
 class ClientFront:
-    """Handles `POST /CLASS` and `GET /ready`. A class may have any name, those two words among them."""
+    """Handles `POST /CLASS` and `GET /ready`. A class may have any name, also that of a health path."""
 
     def __init__(self, core: QueryCoordinator, class_names: tuple[str, ...], shards: int) -> None:
         self._core = core
@@ -48,10 +48,10 @@
         self.ready = False
 
     def handle(self, request: Request, body: bytes, arrived: float, client: Exchange) -> Reply:
-        """Answer a request; the query in it, if any, is completed by then."""
+        """Answer a request; a query in it is completed before this returns."""
         path = request.target.partition("?")[0]
         class_name = path[1:].partition("/")[0]
-        if class_name not in self._classes:  # as it stands, or encoded
+        if class_name not in self._classes:  # the name may be percent-encoded or not
             class_name = unquote(class_name)
         if path in _HEALTH_PATHS and (request.method != "POST" or class_name not in self._classes):
             return self._health(request)
@@ -59,7 +59,7 @@
             query_id, plan = self._read_query(request, class_name, body, arrived)
         except HttpError as error:
             return plain(error.status, error.detail)
-        if client.is_disconnected():  # guards against forwarding what lay unread when its client disconnected
+        if client.is_disconnected():  # a request may still lie unread when its client disconnects
             return plain(500, "its client has left", close=True)
         with self._lock:
             if query_id in self._open_ids:
@@ -132,7 +132,7 @@
     def _read_parts(
         self, query_id: str, tablets: list[Any], text: bytes
     ) -> tuple[tuple[t.PartPlan, ...], float]:
-        """Return the parts and the guess at their work, in seconds. Raises HttpError."""
+        """Return the parts and their estimated total work in seconds. Raises HttpError."""
         if not 1 <= len(tablets) <= self._shards:
             raise HttpError(400, f"tablets: {len(tablets)} of them; there are {self._shards} shards")
         parts = []
@@ -150,7 +150,10 @@
         return tuple(parts), cost
 
     def _read_tablet(self, tablet: Any, where: str, shards: set[int]) -> tuple[int, float, float]:
-        """Return shard, weight and guess of a tablet whose shard is not among `shards`. Raises HttpError."""
+        """Return a tablet's shard, weight and estimated work in microseconds. Raises HttpError.
+
+        `shards`: the shards of the tablets before it, which it may not repeat.
+        """
         if not isinstance(tablet, dict):
             raise HttpError(400, f"{where}: no object")
         shard: Any = tablet.get("tablet")
@@ -185,9 +188,9 @@
 
 
 def _second_step(query_id: str, text: bytes, max_parts: int) -> SecondStep | None:
-    """Return what plans a query's second step, or None if it has none.
+    """Return the function that plans a query's second step, or None if it has none.
 
-    The second step goes to the shards with the highest scores among the results of the first.
+    The second step queries the shards with the highest scores in the first step, at most `max_parts` of them.
     """
     if not max_parts:
         return None
--- a/gingervane/node/config.py
+++ b/gingervane/node/config.py
@@ -1,4 +1,4 @@
-"""The configuration of a co-ordinator: the file that `NODE_CONFIG` names, read completely or rejected."""
+"""The configuration of a co-ordinator: the file named by `NODE_CONFIG`, which is read completely or rejected."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
 
 Address = tuple[str, int]
 _ADDRESS = re.compile(r"([0-9.]{7,15}):([0-9]{1,5})\Z")
-_DEFAULT_SOCKETS = 1024  # descriptors, where the configuration names no limit
-_PORTS = 65536  # of an address
+_DEFAULT_SOCKETS = 1024  # descriptors, if the configuration sets no limit
+_PORTS = 65536  # number of ports of an address
 
 
 class ConfigError(ValueError):
-    """The configuration cannot be used: which key, and what is wrong with it."""
+    """The configuration is invalid; the message names the key and the fault."""
 
 
 class NodeConfig(NamedTuple):
     """The configuration. Times are in seconds.
 
-    `cached_endpoints`: the endpoint list to start with, in discovery's form; `peer_broadcast`: one address that
-    reaches all peers; `ordinal`: this co-ordinator's number among them; `idle_timeout`: of a connection to a replica.
+    `cached_endpoints`: the endpoint list to start with, in discovery's format; `peer_broadcast`: one address that
+    reaches all peers; `ordinal`: this co-ordinator's index among the peers; `idle_timeout`: for replica connections.
     """
 
     name: str
@@ -59,22 +59,22 @@
     except orjson.JSONDecodeError as error:
         raise ConfigError(f"{path}: {error}") from None
     if not isinstance(data, dict) or not isinstance(data.get("settings"), dict):
-        raise ConfigError(f"{path}: settings: missing or no table")
+        raise ConfigError(f"{path}: settings: missing or not a table")
     pairs = flatten(data["settings"])
     try:
         return _read_document(data, pairs)
     except (SettingsError, ConfigError) as error:
         raise ConfigError(f"{path}: {error}") from None
     except (TypeError, AttributeError) as error:
-        raise ConfigError(f"{path}: a key of the wrong form: {error}") from None
+        raise ConfigError(f"{path}: a key has a value of the wrong type: {error}") from None
 
 
 def _read_document(data: dict[str, Any], pairs: dict[str, str]) -> NodeConfig:
-    """Read the keys of a document, whose settings are also given as flattened pairs."""
+    """Read the keys of a document. `pairs`: its settings, flattened."""
     settings = read_settings(pairs)._replace(max_send_delay=MAX_SEND_DELAY)
     return NodeConfig(
         name=str(data.get("name", "")),
-        listen=parse_address(data.get("listen"), "listen", least=0),  # 0: the kernel chooses
+        listen=parse_address(data.get("listen"), "listen", least=0),  # port 0: the kernel chooses one
         discovery=read_address(data, "discovery"),
         seed=_number(str(data.get("seed", "0")), "seed", 16),
         max_sockets=_number(str(data.get("limits", {}).get("sockets", _DEFAULT_SOCKETS)), "limits.sockets"),
@@ -96,27 +96,27 @@
 
 
 def read_address(data: dict[str, Any], key: str) -> Address:
-    """Return the address at a key. Raises ConfigError."""
+    """Parse the address stored under `key`. Raises ConfigError."""
     return parse_address(data.get(key), key)
 
 
 def parse_address(text: object, key: str, least: int = 1) -> Address:
-    """Parse `A.B.C.D:PORT`, as the platform writes addresses. Raises ConfigError.
+    """Parse `A.B.C.D:PORT`, the platform's form of an address. Raises ConfigError.
 
-    Guards against names: there is no DNS, and whoever connects to one waits for the resolver, or breaks on it.
+    Host names are rejected: the platform has no DNS, so connecting to one would wait for the resolver or fail in it.
     """
     found = _ADDRESS.match(str(text))
     try:
         if found and least <= int(found[2]) < _PORTS:
             return str(IPv4Address(found[1])), int(found[2])
     except ValueError:
-        pass  # numbers that are no address
+        pass  # not an IPv4 address
     raise ConfigError(f"{key}: {str(text)[:100]!r} is not an IPv4 address and a port")
 
 
 def _names(found: object, key: str) -> tuple[str, ...]:
     if not isinstance(found, list) or not all(isinstance(name, str) for name in found):
-        raise ConfigError(f"{key}: {found!r} is no list of names")
+        raise ConfigError(f"{key}: {found!r} is not a list of names")
     return tuple(found)
 
 
@@ -140,4 +140,4 @@
             return seconds
     except ValueError:
         pass
-    raise ConfigError(f"settings: {key}: {text!r} is no number of seconds")
+    raise ConfigError(f"settings: {key}: {text!r} is not a number of seconds")
--- a/gingervane/node/connection_recorder.py
+++ b/gingervane/node/connection_recorder.py
@@ -1,4 +1,4 @@
-"""Writes what happens on one connection to a replica to the socket recorder."""
+"""Writes the events of one connection to a replica to the socket recorder."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class ConnectionRecorder:
-    """Guards memory: refers to the socket and the parts, not to the connection, which would make a cycle."""
+    """Records a connection's events. Refers to its socket and parts, not to itself, to avoid a reference cycle."""
 
     def __init__(self, sock: socket.socket, address: tuple[str, int], parts: PartsInFlight) -> None:
         self._sock = sock
@@ -19,7 +19,7 @@
         self._parts = parts
 
     def record(self, kind: str, **fields: Any) -> None:
-        """Record an event. Called only while the socket recorder is on."""
+        """Record an event. Called only while the socket recorder is enabled."""
         with contextlib.suppress(OSError):
             held = len(self._parts.by_id)
             gone = self._parts.abandoned_count
--- a/gingervane/node/descriptor_budget.py
+++ b/gingervane/node/descriptor_budget.py
@@ -1,4 +1,4 @@
-"""How the node divides its file descriptors between replicas and clients."""
+"""Divides the node's file descriptors between replica connections and client connections."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 from gingervane.fronts.connections import MAX_CLOSING
 from gingervane.node.replica_connections import SPARE_DESCRIPTORS
 
-OWN_DESCRIPTORS = 24  # the listener, discovery, datagrams, epoll, standard streams, and some to spare
+OWN_DESCRIPTORS = 24  # the listener, discovery, datagrams, epoll, standard streams and a reserve
 
 
 class DescriptorBudget(NamedTuple):
-    """Bounds on connections that add up to the limit on descriptors, with those at their end and the node's own.
+    """Limits on connections; with closing connections and the node's own descriptors they add up to the total.
 
-    `client_soft_limit`: connections of clients beyond which quiet ones may be closed.
+    `client_soft_limit`: number of client connections beyond which idle ones may be closed.
     """
 
     replica_connections: int
@@ -22,7 +22,7 @@
 
 
 def divide_descriptors(descriptors: int) -> DescriptorBudget:
-    """Give half to replicas and half to clients, who need no more than a third of theirs for requests."""
+    """Give half to replicas and half to clients, whose requests need no more than a third of theirs."""
     replicas = max(descriptors // 2 - OWN_DESCRIPTORS - SPARE_DESCRIPTORS, 1)
     clients = max(descriptors - replicas - SPARE_DESCRIPTORS - OWN_DESCRIPTORS - MAX_CLOSING, 1)
     half_of_request_share = descriptors // 6
--- a/gingervane/node/discovery.py
+++ b/gingervane/node/discovery.py
@@ -1,12 +1,12 @@
-"""Follows discovery: calls are begun as the decisions ask for them, and the first that is answered is the watch.
+"""Watches discovery: the decision engine requests calls, and the first call that is answered becomes the watch.
 
-Several calls may wait for an answer at once: a call is not given up because it waits, as a place in discovery's queue
-would be lost with it, but only for one that has been answered or, beyond the bound, for a newer one. The oldest is
-never the one that gives way: however slow discovery is, it is answered some day.
+Several calls may wait for an answer at once. Waiting alone does not end a call, since that would lose its place in
+discovery's queue: a call ends once another has been answered or, beyond the limit, is superseded by a newer one. The
+oldest call is never superseded, so that it is answered however slow discovery is.
 
-Owners: each call has a thread, which reads lists and passes them on. What they share is guarded by `_change`, the
-reader of lists by `_reading`, which is taken first where both are. `request_watch` (the decision thread) and
-`change_address` (the main thread) never wait for I/O.
+Threads: each call has a thread, which reads lists and passes them on. `_change` guards the state that they share,
+`_reading` the reader of lists; where both are needed, `_reading` is taken first. `request_watch` (decision thread)
+and `change_address` (main thread) never wait for I/O.
 """
 
 from __future__ import annotations
@@ -29,61 +29,61 @@
 from gingervane.telemetry.node_telemetry import Log
 from gingervane.wire.local_failures import start_thread
 
-_MOVE_WAIT = 0.2  # seconds that a move waits at most for calls at the old address to end
-_MAX_LOGGED_VALUE = 100  # bytes of a value that is no JSON
+_MOVE_WAIT = 0.2  # longest wait, in seconds, for calls at the old address to end after a change of address
+_MAX_LOGGED_VALUE = 100  # bytes of an invalid JSON value
 
 
 class WatchState(Enum):
     """The phase of the watch."""
 
-    IDLE = "idle"  # no watch is wanted, or the decisions' backoff runs
-    CONNECTING = "calling"  # a call is under way
-    WATCHING = "following"  # a list or a change has come on it
-    SILENT = "silent"  # no line came on it for too long; it is still open
+    IDLE = "idle"  # no watch is requested, or the decision engine's backoff is running
+    CONNECTING = "calling"  # a call waits for its first list
+    WATCHING = "following"  # a list or a change was received on the watch
+    SILENT = "silent"  # no line was received on the watch within the timeout; it is still open
 
 
 class MembershipSink(Protocol):
-    """Takes what the watch learns. Neither function may block."""
+    """Receives the updates of the watch. Neither function may block."""
 
     def endpoints_updated(self, update: EndpointsUpdated) -> None:
-        """Take an endpoint list, a change to it, or word that a call has failed."""
+        """Receive an endpoint list, a change to it, or the report of a failed call."""
 
     def watch_interrupted(self, silent_for: float) -> None:
-        """Take word that the watch has ended or fallen silent, so many seconds after its last line."""
+        """Receive the report that the watch ended or stalled, `silent_for` seconds after its last line."""
 
 
 class DiscoveryWatch:
-    """Follows discovery from `start` to `stop`."""
+    """Watches discovery from `start` to `stop`."""
 
     def __init__(
         self, address: Address, reader: EndpointListReader, sink: MembershipSink, log: Log, max_calls: int = 1
     ) -> None:
         """`max_calls`: how many calls may wait for an answer at once."""
         self._address = address
-        self._read_address = address  # whose versions the reader holds; guarded by `_reading`
+        self._read_address = address  # the one that the reader's version belongs to; guarded by `_reading`
         self._reader = reader
         self._sink = sink
         self._log = log
         self._max_calls = max_calls
         self._reading = Lock()
         self._change = Condition()
-        self._calls: list[DiscoveryCall] = []  # under way, oldest first
+        self._calls: list[DiscoveryCall] = []  # open calls, oldest first
         self._workers = 0  # threads
-        self._idle_workers = 0  # of them, those that wait for a call to make
+        self._idle_workers = 0  # threads that wait for a call to make
         self._requested = False
         self._moved = False
-        self._versions_differ = False  # since a move no call has been begun
+        self._versions_differ = False  # the address has changed, and no call has been begun since
         self._stopped = False
-        self._retry_pending = False  # the decisions know of a failure and will ask for the next call
+        self._retry_pending = False  # a failure was reported; the decision engine will request a call
         self._state = WatchState.IDLE
         self._call_count = 0
         self._call_ends = Counter[str]()
         self._call_ended_at = time.monotonic()
-        self._last_line_at = time.monotonic()  # the start, as long as none has come
+        self._last_line_at = time.monotonic()  # the start time until a line is received
         self._longest_silence = 0.0  # seconds
 
     def start(self) -> None:
-        """Start the thread that makes the calls; others are started as calls wait beside each other."""
+        """Start the first thread that makes calls; more are started when several calls wait at once."""
         self._workers = 1
         start_thread(self._work, "discovery")
 
@@ -91,15 +91,15 @@
         """Begin a call, unless a watch is up."""
         with self._change:
             self._retry_pending = False
-            # Guards against a wish that outlives its watch: the next failure would be answered without any backoff.
+            # A request made while a watch is up is dropped: kept, it would retry the next failure without backoff.
             self._requested = not self._has_watch()
             needs_worker = self._requested and self._claim_worker()
-            self._change.notify_all()  # calls that begin wait here too: one of them may take a single wake-up
+            self._change.notify_all()  # all: beginning calls wait here too, and might take a single wake-up
         if needs_worker:
             self._start_worker()
 
     def change_address(self, address: Address) -> None:
-        """Follow discovery at another address from now on; no backoff that runs is waited for."""
+        """Watch discovery at another address from now on, without waiting for a running backoff."""
         with self._change:
             if address == self._address:
                 return
@@ -109,12 +109,12 @@
             for call in self._calls:
                 call.interrupt(CallEnd.MOVED)
             needs_worker = self._claim_worker()
-            self._change.notify_all()  # calls that begin wait here too: one of them may take a single wake-up
+            self._change.notify_all()  # all: beginning calls wait here too, and might take a single wake-up
         if needs_worker:
             self._start_worker()
 
     def stop(self) -> None:
-        """Follow discovery no more."""
+        """Interrupt all calls and make no more."""
         with self._change:
             self._stopped = True
             self._change.notify_all()
@@ -122,19 +122,19 @@
                 call.interrupt(CallEnd.STOPPED)
 
     def call_ends(self) -> Mapping[str, int]:
-        """Return the number of calls by how they ended; any thread."""
+        """Return the number of ended calls by reason. Any thread."""
         with self._change:
             return self._call_ends.copy()
 
     def silence(self) -> Mapping[str, int]:
-        """Return the longest time without a line from discovery, the present one included; any thread."""
+        """Return the longest time without a line from discovery, the current one included. Any thread."""
         seconds = max(self._longest_silence, time.monotonic() - self._last_line_at)
         return {"longest_ms": int(seconds * 1000)}
 
     # ---- the threads that make calls
 
     def _claim_worker(self) -> bool:
-        """Whether a thread has to be started for a call, which is then counted. To be called with `_change` held."""
+        """Whether a thread must be started for a call; if so, it is counted. Called with `_change` held."""
         claimed = not self._idle_workers and self._workers <= self._max_calls
         self._workers += claimed
         return claimed
@@ -142,9 +142,7 @@
     def _start_worker(self) -> None:
         try:
             Thread(target=self._work, name="discovery", daemon=True).start()
-        except (
-            RuntimeError
-        ):  # of the system's limits: the calls under way go on, and one will be asked for again
+        except RuntimeError:  # a system limit: the open calls continue, and a call will be requested again
             with self._change:
                 self._workers -= 1
 
@@ -157,7 +155,7 @@
                 return
 
     def _await_call(self) -> DiscoveryCall | None:
-        """Wait until a call is wanted, and return it; None at the end."""
+        """Wait until a call is requested, and return it; None once the watch is stopped."""
         with self._change:
             self._idle_workers += 1
             while not (self._requested or self._moved or self._stopped):
@@ -171,11 +169,11 @@
             call = DiscoveryCall(CallProgress(self._call_count, self._address), self)
             self._calls.append(call)
             self._make_room()
-            self._update_state("a call is wanted")
+            self._update_state("a call is requested")
             return call
 
     def _make_room(self) -> None:
-        """Beyond the bound have one call give way: a silent watch, or who has waited longest but for the oldest."""
+        """If too many calls wait, interrupt a stalled watch, or else the second oldest (the oldest at limit 1)."""
         calls = [call for call in self._calls if not call.interrupted]
         if len(calls) <= self._max_calls:
             return
@@ -184,32 +182,32 @@
         (silent or [second_oldest])[0].interrupt(CallEnd.GAVE_WAY)
 
     def _begin(self, call: DiscoveryCall) -> None:
-        """Settle which version the call asks from."""
+        """Determine the version from which the call requests changes."""
         with self._change:
-            # What the old address has written is read first: it counts as told.
+            # Data sent from the old address is read first: the protocol counts this node as notified of it.
             self._change.wait_for(lambda: not self._versions_differ or self._calls[0] is call, _MOVE_WAIT)
         with self._reading:
             with self._change:
-                # Not by a call that another move has interrupted: the next one begins at the last address.
+                # A call interrupted by a further change of address leaves this to the next, at the latest address.
                 anew = self._versions_differ and not call.interrupted
                 self._versions_differ = self._versions_differ and not anew
                 idle_seconds = call.progress.started_at - self._call_ended_at
                 silent_seconds = call.progress.started_at - self._last_line_at
             if anew:
-                # Guards against changes dropped for good: there the versions may be others. All is asked for.
+                # Versions at the new address may differ: changes would be dropped as stale. Requests a complete list.
                 self._reader.version = 0
                 self._read_address = call.progress.address
             call.progress.since = self._reader.version
         call.progress.log_start(self._log, idle_seconds, silent_seconds)
 
     def _finish(self, call: DiscoveryCall, reason: CallEnd, detail: str) -> bool:
-        """Take note of a call's end, and tell of it if nothing else does; return whether its thread is needed."""
+        """Record a call's end and report it unless that is redundant; return whether its thread is still needed."""
         with self._change:
             self._calls.remove(call)
             self._change.notify_all()
             self._call_ends[reason.value] += 1
             self._call_ended_at = time.monotonic()
-            # The decisions say when to retry; one backoff at a time, so that calls do not add up.
+            # The decision engine times the retry. Reporting one failure per backoff keeps calls from accumulating.
             tells = not call.interrupted and not self._has_watch() and not self._retry_pending
             self._retry_pending = self._retry_pending or tells
             was_watch = call.has_list and not call.is_silent
@@ -228,7 +226,7 @@
         return any(call.has_list and not call.is_silent and not call.interrupted for call in self._calls)
 
     def _update_state(self, reason: str) -> None:
-        """Log it if the state has changed. To be called with `_change` held."""
+        """Update the state of the watch and log a change of it. Called with `_change` held."""
         if self._has_watch():
             new = WatchState.WATCHING
         elif any(not call.has_list for call in self._calls):
@@ -241,10 +239,10 @@
         address = f"{self._address[0]}:{self._address[1]}"
         self._log(LogEvent.WATCH_STATE_CHANGED, old=old, new=new, reason=reason, discovery=address)
 
-    # ---- what calls tell, in their threads
+    # ---- events of calls, in the calls' threads
 
     def line_received(self, call: DiscoveryCall) -> None:
-        """Take note of a line: up to now nothing else has changed, if a list has come before it or comes with it."""
+        """Record a line. Once a list was received, a line confirms that there are no other changes up to now."""
         now = time.monotonic()
         with self._change:
             if call.interrupted:
@@ -255,31 +253,34 @@
         with self._reading:
             self._reader.record_activity()
         if speaks_again:
-            self._adopt(call, "it speaks again")
+            self._adopt(call, "data received again")
             nothing_new = api.MembershipChanged(api.MembershipUpdateKind.DELTA, ())
             self._sink.endpoints_updated(EndpointsUpdated(nothing_new, {}))
 
     def _confirm(self, now: float) -> None:
-        """Note that all is known that discovery has. To be called with `_change` held."""
+        """Record that the list is up to date with discovery. Called with `_change` held."""
         self._longest_silence = max(self._longest_silence, now - self._last_line_at)
         self._last_line_at = now
 
     def watch_fell_silent(self, call: DiscoveryCall, seconds: float) -> None:
-        """Tell that the watch is silent. It stays open until another call has been answered."""
+        """Report that the watch has stalled. It stays open until another call has been answered."""
         with self._change:
             if call.interrupted:
                 return
             self._retry_pending = True
-            self._update_state("it fell silent")
+            self._update_state("no data received in time")
         self._sink.watch_interrupted(seconds)
 
     def value_received(self, call: DiscoveryCall, value: bytes, is_json: bool) -> None:
-        """Apply one watch event, if it is a list that can be read."""
+        """Apply one watch event if it is a valid list."""
         if not is_json:
-            self._log(LogEvent.ENDPOINT_LIST_INVALID, error=f"no JSON value: {value[:_MAX_LOGGED_VALUE]!r}")
+            self._log(
+                LogEvent.ENDPOINT_LIST_INVALID, error=f"not a JSON value: {value[:_MAX_LOGGED_VALUE]!r}"
+            )
             return
         with self._reading:
-            # What was written counts as told, also on a call that is to end; but not another address's versions.
+            # An interrupted call's lists are applied too, as the protocol counts this node as notified of them; but
+            # not those of a previous address.
             if call.progress.address != self._read_address:
                 return
             since = None if call.has_list else call.progress.since
@@ -296,7 +297,7 @@
             self._adopt(call, "")
 
     def _adopt(self, call: DiscoveryCall, reason: str) -> None:
-        """Make a call that has been answered the watch; all others are of no more use."""
+        """Make an answered call the watch and interrupt all others."""
         with self._change:
             if call.interrupted:
                 return
--- a/gingervane/node/discovery_call.py
+++ b/gingervane/node/discovery_call.py
@@ -1,7 +1,7 @@
 """One call to discovery, which becomes a watch with its first list: its socket, its progress and its end.
 
-A call waits for its answer for as long as nobody interrupts it: whether a further one is made beside it, and which
-gives way, is not decided here. Each call has a thread of its own, in which all its handlers are called.
+A call waits for its answer until it is interrupted; `discovery.py` decides whether to make further calls and which to
+interrupt. Each call has its own thread, in which all its handlers are called.
 """
 
 from __future__ import annotations
@@ -28,37 +28,37 @@
 from gingervane.wire.json_values import JsonSplitter, ValueTooLongError
 
 SILENCE_TIMEOUT = (
-    2.5  # seconds: an empty line is due every 2 s, and one that is late by a quarter may not come
+    2.5  # seconds; discovery sends an empty line every 2 s, and a delay of a quarter is tolerated
 )
-_MAX_VALUE_BYTES = 1 << 20  # a list of 1,024 replicas takes 400 to 600 bytes for each, indented
-_INTERRUPTION_POLL = 1.0  # seconds between two looks at whether a call that is connecting is still wanted
-NEVER = -1.0  # stands in the log for something that did not happen
+_MAX_VALUE_BYTES = 1 << 20  # enough for 1,024 replicas, which take 400 to 600 bytes each when indented
+_INTERRUPTION_POLL = 1.0  # seconds between checks whether a connecting call has been interrupted
+NEVER = -1.0  # logged as the time of a step that was not reached
 
 
 class CallEnd(Enum):
     """Why a call to discovery ended."""
 
-    UNREACHABLE = "unreachable"  # the connection was refused, never came up or has no way
+    UNREACHABLE = "unreachable"  # the connection was refused or not established, or there is no route
     BROKEN = "broken"  # the connection was reset, or ended inside a message
     ENDED = "ended by discovery"
     STATUS = "status"  # answered with a status other than 200
-    MALFORMED = "malformed"  # what came is no HTTP, or no list where one is due
+    MALFORMED = "malformed"  # the answer is not HTTP, or not a list where one is expected
     ANSWERED_ELSEWHERE = "another call was answered"
     GAVE_WAY = "gave way to a newer call"
-    MOVED = "moved"  # the configuration names another address now
-    STOPPED = "stopped"  # the node ends
+    MOVED = "moved"  # the configuration now names another address
+    STOPPED = "stopped"  # the node is stopping
     INTERNAL = "internal error"
 
 
 class StatusError(EndpointListError):
-    """Discovery has answered a call with a status other than 200."""
+    """Discovery answered a call with a status other than 200."""
 
 
 @dataclass
 class CallProgress:
-    """One call as far as it has come. Times are monotonic seconds, 0 for what has not happened.
+    """The progress of one call. Times are monotonic seconds, 0 for steps not yet reached.
 
-    `number` counts the calls of this process from 1; `since` is the version that was asked from.
+    `number` counts the calls of this process from 1; `since` is the version from which changes are requested.
     """
 
     number: int
@@ -73,21 +73,21 @@
     bytes: int = 0
 
     def record_bytes(self, count: int) -> None:
-        """Note bytes that have come."""
+        """Record received bytes."""
         if count and not self.bytes:
             self.first_byte_at = time.monotonic()
         self.bytes += count
 
     def record_list(self) -> None:
-        """Note a list or a change that could be read."""
+        """Record a valid list or change."""
         if not self.lists:
             self.first_list_at = time.monotonic()
         self.lists += 1
 
     def log_start(self, log: Log, idle_seconds: float, silent_seconds: float) -> None:
-        """Log that the call begins.
+        """Log the start of the call.
 
-        `idle_seconds`: since the call before it ended; `silent_seconds`: since a line last came on any call.
+        `idle_seconds`: since the previous call ended; `silent_seconds`: since the last line on any call.
         """
         log(
             LogEvent.DISCOVERY_CALL_STARTED,
@@ -99,7 +99,7 @@
         )
 
     def log_end(self, log: Log, reason: CallEnd, detail: str) -> None:
-        """Log how the call ended, and after how many seconds it had come how far."""
+        """Log why the call ended, its duration, and the seconds from its start to each step."""
         fields: dict[str, FieldValue] = {
             "call": self.number,
             "discovery": _text(self.address),
@@ -124,33 +124,33 @@
 
 
 class CallHandlers(Protocol):
-    """What a call tells, in its own thread."""
+    """Handlers of a call's events, called in the call's thread."""
 
     def line_received(self, call: DiscoveryCall) -> None:
-        """Take note of a line, whatever is in it."""
+        """Handle a received line, whatever its content."""
 
     def value_received(self, call: DiscoveryCall, value: bytes, is_json: bool) -> None:
-        """Take a value, which is a list if it makes sense."""
+        """Handle a received value, which should be a list or a change."""
 
     def watch_fell_silent(self, call: DiscoveryCall, seconds: float) -> None:
-        """Take note that a watch has brought no line for so long. It stays open."""
+        """Handle a watch that has received no line for `seconds`. It stays open."""
 
 
 class DiscoveryCall:
-    """One call. Its thread runs `follow`; `interrupt` may be called from any other."""
+    """One call. Its thread calls `run`; any other may call `interrupt`."""
 
     def __init__(self, progress: CallProgress, handlers: CallHandlers) -> None:
         self.progress = progress
-        self.interrupted: CallEnd | None = None  # why it is to end
-        self.has_list = False  # a list has come on it, so that it is a watch; of its own thread
-        self.is_silent = False  # a watch on which no line came in time
+        self.interrupted: CallEnd | None = None  # the reason, once the call is interrupted
+        self.has_list = False  # a list was received, which makes this a watch; set by the call's thread
+        self.is_silent = False  # a watch that received no line within the timeout
         self._handlers = handlers
         self._lock = Lock()
         self._sock: socket.socket | None = None
-        self._line_at = inf  # when the last line came on the watch
+        self._line_at = inf  # when the last line was received
 
     def interrupt(self, reason: CallEnd) -> None:
-        """Have the call end as soon as can be."""
+        """End the call as soon as possible."""
         with self._lock:
             self.interrupted = self.interrupted or reason
             if self._sock:
@@ -158,24 +158,24 @@
                     self._sock.shutdown(socket.SHUT_RDWR)
 
     def run(self) -> tuple[CallEnd, str]:
-        """Follow it to its end; return why it ended, and further text for people."""
+        """Make the call and read until it ends; return the reason and a detail text."""
         reason, detail = CallEnd.ENDED, ""
         try:
             self._follow()
         except (OSError, HttpError, ConnectionClosedError, EndpointListError, ValueTooLongError) as error:
             reason, detail = _call_end_of(error, self.progress), str(error) or type(error).__name__
-        except Exception as error:  # noqa: BLE001 - a bug must not end a thread that hears of changes
+        except Exception as error:  # noqa: BLE001 - a bug must not end a thread that receives changes
             reason, detail = CallEnd.INTERNAL, f"internal: {type(error).__name__}: {error}"
         return self.interrupted or reason, detail
 
     def _follow(self) -> None:
-        """Send the request and read what comes, to the end, which is an error unless it was interrupted."""
+        """Send the request and read the answer to its end. Raises ConnectionClosedError there unless interrupted."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         address = self.progress.address
         try:
             sock.setblocking(False)
             code = sock.connect_ex(address)
-            # Known once it connects, which is not waited for before: an interruption that comes now can shut it.
+            # Published while it is still connecting, so that an interruption can shut it down.
             with self._lock:
                 if self.interrupted:
                     return
@@ -199,7 +199,7 @@
             sock.close()
 
     def _await_connection(self, sock: socket.socket, code: int) -> None:
-        """Wait for a connection as long as the kernel tries. `code`: what starting it returned."""
+        """Wait for the connection until the kernel gives up. `code`: the result of `connect_ex`. Raises OSError."""
         if code in (errno.EINPROGRESS, errno.EINTR):
             poll = select.poll()
             poll.register(sock, select.POLLOUT)
@@ -211,13 +211,13 @@
             raise OSError(code, os.strerror(code))
 
     def _receive(self, sock: socket.socket, most: int) -> bytes:
-        """Return the next bytes; say so if no line has come for too long meanwhile."""
+        """Return the next bytes; report a stalled watch if no line is received in time."""
         while True:
             sock.settimeout(self._seconds_to_silence())
             try:
                 data = sock.recv(most)
             except TimeoutError as error:
-                if error.errno:  # of the kernel: the connection is dead
+                if error.errno:  # raised by the kernel: the connection is dead
                     raise
                 self.is_silent = True
                 self._handlers.watch_fell_silent(self, time.monotonic() - self._line_at)
@@ -226,13 +226,13 @@
                 return data
 
     def _seconds_to_silence(self) -> float | None:
-        """Seconds that the watch may go on without a line; None for a call that waits, or is known to be silent."""
+        """Seconds until the watch counts as stalled; None for a call without a list or already stalled."""
         if not self.has_list or self.is_silent:
             return None
         return max(self._line_at + SILENCE_TIMEOUT - time.monotonic(), 0.001)
 
     def _read_events(self, reader: Reader, reply: Response) -> None:
-        """Read watch events to the end of the body. Lists may come indented."""
+        """Read watch events to the end of the body. Lists may be indented."""
         values = JsonSplitter(_MAX_VALUE_BYTES)
         for data in reader.iter_body(reply.headers):
             if b"\n" in data:
@@ -244,7 +244,7 @@
 
 
 def _call_end_of(error: Exception, progress: CallProgress) -> CallEnd:
-    """Return the reason for the log that belongs to the error with which a call ended."""
+    """Return the reason to log for the error that ended a call."""
     match error:
         case StatusError():
             return CallEnd.STATUS
--- a/gingervane/node/endpoint_list.py
+++ b/gingervane/node/endpoint_list.py
@@ -1,6 +1,6 @@
-"""Reads discovery's endpoint lists and changes into membership updates for the driver.
+"""Parses discovery's endpoint lists and changes into membership updates for the driver.
 
-Entries that cannot be read are skipped with a line in the log; what stands stays in force.
+Invalid entries are skipped with a line in the log; the rest of the list is applied.
 """
 
 from __future__ import annotations
@@ -19,23 +19,23 @@
     "DRAINING": api.ReplicaState.DRAINING,
     "DELETED": api.ReplicaState.GONE,
 }
-_MAX_NAMES = 8192  # of replicas, cached for logs; the oldest go first
-_MAX_LOGGED_ENTRY = 200  # characters of an entry that is skipped
+_MAX_NAMES = 8192  # names of replicas cached for the log; the oldest are dropped first
+_MAX_LOGGED_ENTRY = 200  # characters of a skipped entry
 
 
 class EndpointListError(Exception):
-    """Something that discovery sent and that cannot be used."""
+    """Discovery sent an unusable answer or list."""
 
 
 class ListedReplica(NamedTuple):
-    """One entry of a list. `address`: None for a replica that is deleted."""
+    """One entry of a list. `address`: None for a deleted replica."""
 
     replica: api.Replica
     address: Address | None
 
 
 class _EndpointList(NamedTuple):
-    """A list before its entries are read. `complete`: it is no delta."""
+    """A list with its entries not yet parsed. `complete`: a complete list rather than a delta."""
 
     version: int
     complete: bool
@@ -43,15 +43,15 @@
 
 
 def replica_id(host: str) -> int:
-    """Return the ID by which all co-ordinators know a replica: it follows from its host's name alone."""
+    """Return a replica's ID, the same on all co-ordinators because it is a hash of the host name alone."""
     return int.from_bytes(hashlib.blake2b(host.encode(), digest_size=8).digest(), "big")
 
 
 class EndpointListReader:
-    """Turns discovery's lists into membership updates, and remembers the version of the newest."""
+    """Parses discovery's lists into membership updates, and holds the version of the newest list."""
 
     def __init__(self, zones: tuple[str, ...], start_times: ReplicaStartTimes, log: Log) -> None:
-        """`zones`: the names of all zones, by their numbers."""
+        """`zones`: the names of all zones, in the order of their indices."""
         self._zones = zones
         self._start_times = start_times
         self._log = log
@@ -59,20 +59,20 @@
         self.version = 0
 
     def record_activity(self) -> None:
-        """Note that a line has come, whatever is in it: up to now nothing else has changed."""
+        """Record that a line was received, which confirms that there are no other changes up to now."""
         self._start_times.message_received()
 
     def host_name(self, replica: int) -> str:
-        """Return the name of a replica for logs; its ID if it is long gone. Any thread."""
+        """Return a replica's name for the log, or its ID if the name is no longer cached. Any thread."""
         return self._hosts.get(replica, str(replica))
 
     def read(self, data: Any, cached: bool = False, since: int | None = None) -> EndpointsUpdated | None:
-        """Read a list or its changes; None for one that is older than the newest. Raises EndpointListError.
+        """Read a list or a change; return None if it is stale. Raises EndpointListError.
 
-        `since`: of the first that a call brings, the version that the call asked from. A complete list of an older
-        version than that shows that discovery counts anew; else it is an answer that another call has overtaken,
-        and would bring back replicas that drain. A first one that brings nothing new is an empty update all the
-        same, which shows that the call has succeeded.
+        `since`: for the first list of a call, the version that the call requested changes from; else None. A complete
+        list older than `since` shows that discovery has restarted its version numbers. Any other older list has been
+        superseded through another call, and applying it would restore replicas that drain. A stale first list gives
+        an empty update, which shows that the call succeeded.
         """
         endpoints = _parse_list(data)
         if self._is_outdated(endpoints, since):
@@ -93,10 +93,10 @@
         return endpoints.version == self.version and not endpoints.complete
 
     def _parse_entries(self, endpoints: _EndpointList) -> dict[int, ListedReplica]:
-        """Read the entries by replica ID.
+        """Parse the entries; return them by replica ID.
 
-        Of a replica that stands there twice the last entry counts, alone. Guards against one that is gone and back
-        in the same change: by the first entry its address was dropped, by the second it was sent to.
+        If a replica is listed twice, only the last entry counts. Otherwise, for a replica that is deleted and listed
+        again in the same change, the first entry would drop the address that the second one needs.
         """
         listed: dict[int, ListedReplica] = {}
         names: dict[int, str] = {}
@@ -133,7 +133,7 @@
     def _with_monotonic_starts(
         self, listed: dict[int, ListedReplica], cached: bool
     ) -> dict[int, ListedReplica]:
-        """Return the same entries with starts on the monotonic clock."""
+        """Return the entries with start times converted to the monotonic clock."""
         unix_starts = {n: entry.replica.started_at for n, entry in listed.items() if entry.replica.started_at}
         corrections = self._start_times.corrections
         starts = self._start_times.place(unix_starts, cached)
@@ -146,7 +146,7 @@
         return listed | moved
 
     def _remember_names(self, names: dict[int, str], complete: bool) -> None:
-        """Cache names for the log; those that a complete list does not hold are dropped, which bounds the memory."""
+        """Cache names for the log. A complete list drops all others, and `_MAX_NAMES` bounds what changes add."""
         if not complete:
             names = self._hosts | names
             while len(names) > _MAX_NAMES:
@@ -155,8 +155,8 @@
 
     def _parse_entry(self, entry: Any) -> ListedReplica:
         if not isinstance(entry, dict):
-            raise TypeError("no object")
-        if entry.get("health") == "DELETED":  # its name says all: nothing else of it may keep it listed
+            raise TypeError("not an object")
+        if entry.get("health") == "DELETED":  # ignores all other fields, which must not keep it listed
             deleted = api.Replica(replica_id(str(entry["host"])), 0, -1, 0.0, api.ReplicaState.GONE, 0.0)
             return ListedReplica(deleted, None)
         address = parse_address(entry["dial"], "dial")
@@ -168,7 +168,8 @@
             zone=zone,
             weight=float(entry.get("share", 1.0)),
             state=_STATES[entry["health"]],
-            started_at=born_ms / 1000,  # Unix time, 0 for long ago; `_with_monotonic_starts` converts it
+            started_at=born_ms
+            / 1000,  # Unix time, 0 for a start long ago; `_with_monotonic_starts` converts it
         )
         return ListedReplica(replica, address)
 
@@ -179,7 +180,7 @@
     except (TypeError, KeyError, ValueError):
         raise EndpointListError("discovery: not a list with seq, whole and hosts") from None
     if not isinstance(endpoints.entries, list):
-        raise EndpointListError("discovery: hosts is no list")
+        raise EndpointListError("discovery: hosts is not a list")
     return endpoints
 
 
--- a/gingervane/node/frame_queue.py
+++ b/gingervane/node/frame_queue.py
@@ -1,6 +1,6 @@
-"""Frames that wait to be written to one connection, and the one that is written in part.
+"""The queue of frames to be written to one connection, headed by a partially written frame if there is one.
 
-All methods are called under the connection's lock. Frames are written by the decision thread alone.
+All methods are called under the connection's lock. Only the decision thread writes frames.
 """
 
 from __future__ import annotations
@@ -14,8 +14,8 @@
 class OutgoingFrame(NamedTuple):
     """The bytes of a frame that are still to be written.
 
-    `parts`: ids of the parts in it, none for a cancellation. `retry_batch`: the batch, if a retry is in it.
-    `encoded_at`: when the frame was made.
+    `parts`: ids of the parts in it, none for a cancellation. `retry_batch`: the batch, if it contains a retry.
+    `encoded_at`: when the frame was encoded.
     """
 
     data: bytes
@@ -24,21 +24,21 @@
     encoded_at: float
 
     def after(self, sent: int) -> OutgoingFrame:
-        """Return what is left to write after `sent` more bytes."""
+        """Return the rest of the frame after `sent` more bytes were written."""
         return OutgoingFrame(self.data[sent:], self.parts, self.retry_batch, self.encoded_at)
 
     def is_overdue(self, now: float) -> bool:
-        """Whether the rest of a frame may not be written any more.
+        """Whether it is too late to write the rest of the frame.
 
-        An attempt counts from its frame's last byte: a retry would be past its idempotency window or its budget's
-        window, and the time that any attempt tells its replica was right when the frame was encoded.
+        An attempt is sent with its frame's last byte. Later, a retry might be outside its idempotency window or the
+        retry budget's window, and the remaining time stated in any attempt, set at encoding, would be too long.
         """
         retry_is_overdue = self.retry_batch is not None and self.retry_batch.is_send_overdue(now)
         return retry_is_overdue or now - self.encoded_at > t.MAX_SEND_DELAY
 
 
 class FrameQueue:
-    """Batches and encoded cancellations in their order, behind the rest of a frame."""
+    """Batches and encoded cancellations in order, behind a partially written frame."""
 
     def __init__(self) -> None:
         self.partial: OutgoingFrame | None = None
@@ -53,10 +53,10 @@
         self._pending.append(item)
 
     def take(self) -> OutgoingFrame | t.BatchRequest | bytes:
-        """Take what is to be written next.
+        """Remove and return the next item to write.
 
-        The rest of a frame is not half-written any more as far as the reader knows: were the connection to break now,
-        the rest may have been sent.
+        A partially written frame no longer counts as partial once taken: if the connection breaks from here on, the
+        rest may have been sent.
         """
         if self.partial is None:
             return self._pending.popleft()
@@ -65,7 +65,7 @@
         return frame
 
     def is_partially_sent(self, part_id: str) -> bool:
-        """Whether a part is in the frame that is written in part."""
+        """Whether a part is in the partially written frame."""
         return self.partial is not None and part_id in self.partial.parts
 
     def unsent_parts(self) -> set[str]:
@@ -75,5 +75,5 @@
         return waiting | self.partial.parts if self.partial else waiting
 
     def clear(self) -> None:
-        """Forget all that waits behind the frame that is written in part."""
+        """Remove all items behind the partially written frame."""
         self._pending.clear()
--- a/gingervane/node/peer_socket.py
+++ b/gingervane/node/peer_socket.py
@@ -1,6 +1,6 @@
-"""Gossip between co-ordinators: small datagrams that may be lost, whose content is the decision module's.
+"""Gossip between co-ordinators: small datagrams that may be lost. The decision engine defines their content.
 
-One thread receives; `send` is called by the decision thread and does not wait.
+One thread receives; the decision thread calls `send`, which does not wait.
 """
 
 from __future__ import annotations
@@ -16,10 +16,10 @@
 
 
 class PeerSocket:
-    """The socket at `listen`.
+    """The datagram socket bound to `listen`.
 
-    `peers`: addresses by ordinal, of which `ordinal` is this co-ordinator's own; `broadcast`: one address that
-    reaches all of them. `on_message` gets a peer's ordinal and its payload.
+    `peers`: the addresses by ordinal, with this co-ordinator's own at `ordinal`; `broadcast`: one address that
+    reaches all of them. `on_message` is called with a peer's ordinal and the payload.
     """
 
     def __init__(
@@ -37,7 +37,7 @@
         self._on_message = on_message
 
     def start(self) -> None:
-        """Receive from now on."""
+        """Start the receiving thread."""
         start_thread(self._run, "peers")
 
     def send(self, payload: bytes) -> None:
@@ -45,7 +45,7 @@
         if len(payload) > MAX_DATAGRAM_BYTES:
             return
         for target in self._targets:
-            with contextlib.suppress(OSError):  # as good as lost
+            with contextlib.suppress(OSError):  # the same as a lost datagram
                 self._sock.sendto(payload, socket.MSG_DONTWAIT, target)
 
     def _run(self) -> None:
--- a/gingervane/node/query_log.py
+++ b/gingervane/node/query_log.py
@@ -1,4 +1,4 @@
-"""What the node logs and counts of its core: ended queries, ejected replicas and faults of this program."""
+"""Logs and counts the events of the node's core: completed queries, ejected replicas and internal errors."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 from gingervane.telemetry.node_telemetry import Log, Telemetry
 from gingervane.wire.socket_recorder import SOCKET_RECORDER
 
-# Statuses that get a line each; load shedding is only counted.
+# Statuses of which each query is logged; load shedding is only counted.
 _LOGGED_STATUSES = frozenset({t.QueryStatus.PARTIAL, t.QueryStatus.FAILED, t.QueryStatus.REJECTED})
-# Reasons that show a fault of this program.
+# Reasons that indicate a bug in this program.
 _INTERNAL_FAULTS = frozenset(
     {api.QueryEndReason.COVERAGE_CHECK_FAILED, api.QueryEndReason.INTERNAL, api.QueryEndReason.UNSTATED}
 )
-_ANY_REASON = "any"  # of a counter that has no reasons
+_ANY_REASON = "any"  # label of a counter without reasons
 
 
 class QueryLog:
-    """Observes the core: counters for everything, lines for what went wrong and for what changed.
+    """Observes the core: counts all events, and logs failures and changes of replicas.
 
-    `host` names a replica. Called on the decision thread.
+    `host` returns a replica's name. Called on the decision thread.
     """
 
     def __init__(
@@ -35,7 +35,7 @@
         self._host = host
 
     def query_completed(self, query: int, plan: t.QueryPlan, final: t.QueryResult, seconds: float) -> None:
-        """Count a query by its status and reason; log it where its end is worth a line."""
+        """Count a query by status and reason, and log it as `_log_of` decides."""
         self._telemetry.counters.add(f"queries_{final.status.value}", final.reason)
         if SOCKET_RECORDER.enabled:
             SOCKET_RECORDER.record(
@@ -63,7 +63,7 @@
         )
 
     def _log_of(self, final: t.QueryResult) -> Log | None:
-        """Return what logs a result at its level; None if it is not logged."""
+        """Return the log function of the level for a result, or None if it is not logged."""
         if final.reason in _INTERNAL_FAULTS:
             return self._telemetry.error
         if final.status in _LOGGED_STATUSES and final.reason is not api.QueryEndReason.OVERLOAD:
@@ -83,11 +83,11 @@
             )
 
     def log_message(self, text: str) -> None:
-        """Log text of the decision engine."""
+        """Log a message of the decision engine."""
         self._telemetry.info(LogEvent.MESSAGE, detail=text)
 
     def replica_health_changed(self, change: api.ReplicaHealthChange) -> None:
-        """Count and log that a replica was ejected or reinstated."""
+        """Count and log the ejection or reinstatement of a replica."""
         replica = self._host(change.replica)
         if isinstance(change, api.ReplicaEjected):
             self._telemetry.counters.add("replicas_ejected", change.reason)
--- a/gingervane/node/replica_connection.py
+++ b/gingervane/node/replica_connection.py
@@ -1,12 +1,12 @@
 """One connection to a replica, which carries many parts at once: connecting, connected, broken.
 
-Ownership: the decision thread alone sends batches, abandons parts, writes and closes; it never waits. The reader
-thread of `replica_connections.py` sees the connection established or failed and reads replies. The lock guards the
-parts in flight and the frame queue and is never held over I/O. A socket is closed by the decision thread once the
-reader polls it no more (`polled`), so that no file number is reused under either.
+Threads: only the decision thread sends batches, abandons parts, writes and closes; it never waits. The reader thread
+of `replica_connections.py` completes or fails connecting and reads replies. The lock guards the parts in flight and
+the frame queue, and is never held during I/O. The decision thread closes the socket only after the reader has stopped
+polling it (`polled`), so that neither thread uses a descriptor number that was reused.
 
-Each attempt of a batch is reported once by the connection, or not at all if the driver ended it; the driver drops
-what comes second. Nothing is decided here: times come from the settings, the batch and the protocol.
+The connection reports each attempt of a batch once, or not at all if the driver ended it; the driver drops a second
+report. Nothing is decided here: times come from the settings, the batch and the protocol.
 """
 
 from __future__ import annotations
@@ -40,11 +40,11 @@
 from gingervane.wire.socket_recorder import SOCKET_RECORDER
 
 _RECEIVE_BYTES = 65536
-_FRAME_PREFIX_BYTES = 5  # of a frame: its length and its letter
+_FRAME_PREFIX_BYTES = 5  # a frame's length field and letter
 
 
 class ReplicaConnection:
-    """One connection; `on_writable` is called by the reader once frames can be written, at first or again."""
+    """One connection. The reader calls `on_writable` whenever the socket becomes writable, also when it connects."""
 
     def __init__(
         self,
@@ -73,8 +73,8 @@
         self.connect_deadline = now + limits.connect_timeout
         self._connected = False  # frames may be written
         self.broken = False
-        self.polled = False  # by the reader
-        self.retired = False  # takes nothing new; goes once nothing is in flight
+        self.polled = False  # the reader polls the socket
+        self.retired = False  # accepts no new batches; closed once nothing is in flight
 
     @property
     def in_flight(self) -> dict[str, PartInFlight]:
@@ -83,12 +83,12 @@
 
     @property
     def last_used(self) -> float:
-        """When a batch was last sent, or a reply last read."""
+        """When a batch was last added or a reply last read."""
         return self._parts.last_used
 
     @property
     def is_connecting(self) -> bool:
-        """Whether it is neither established nor failed yet."""
+        """Whether the connection is neither established nor failed yet."""
         return not self._connected and not self.broken
 
     @property
@@ -99,30 +99,30 @@
     # ---- the decision thread: connecting, batches
 
     def connect(self) -> None:
-        """Begin to connect. The reader, which must know of this connection already, sees it established or failed."""
+        """Begin to connect. The reader, with which this must be registered already, handles the outcome."""
         self.sock.setblocking(False)
         code = self.sock.connect_ex(self.address)
-        if code not in (0, errno.EINPROGRESS, errno.EINTR):  # an interrupted one goes on
+        if code not in (0, errno.EINPROGRESS, errno.EINTR):  # an interrupted connect continues in the kernel
             self._fail_connect(code)
             return
         try:
             self._poll.register(self.number, select.EPOLLOUT)
-        except OSError as error:  # guards the decision thread, which runs this
+        except OSError as error:  # must not end the decision thread, which runs this
             self.fail(ReplicaCloseReason.LOCAL_FAILURE, f"epoll: {error}", connected=False)
             return
         self.polled = True
 
     def can_take(self, parts: int, now: float) -> bool:
-        """Whether a batch of so many parts may be sent here."""
+        """Whether a batch of `parts` parts may be sent on this connection."""
         if self.broken or self.retired or not self._has_streams(parts, now):
             return False
         return bool(self.in_flight) or now - self.last_used < self._limits.idle_timeout
 
     def _has_streams(self, parts: int, now: float) -> bool:
-        """Whether the replica surely reads that many more.
+        """Whether the connection has that many free streams, so that the replica reads the parts at once.
 
-        What was abandoned may run on there and keep its stream: past the streams of a connection a part lies unread,
-        and arrives when its query is long completed.
+        The replica may still run an abandoned part, which then occupies its stream. A part beyond the streams of a
+        connection stays unread, and arrives long after its query has completed.
         """
         if self._parts.streams_used + parts > self._limits.streams:
             with self._lock:
@@ -130,7 +130,7 @@
         return self._parts.streams_used + parts <= self._limits.streams
 
     def send_batch(self, batch: t.BatchRequest, now: float) -> bool:
-        """Take a batch; False if the connection is broken."""
+        """Queue a batch and write as much as possible; return False if the connection is broken."""
         with self._lock:
             if self.broken:
                 return False
@@ -141,7 +141,7 @@
         return True
 
     def abandon(self, request: t.AttemptRequest, tell: bool, over: bool) -> None:
-        """Give up an attempt: `tell` its replica to cancel it, or its time is `over`."""
+        """Stop waiting for an attempt. `tell`: its replica is to cancel it; `over`: it has expired."""
         part_id = request.content.id
         with self._lock:
             if self.broken or not self._parts.holds(request):
@@ -152,7 +152,7 @@
             if tell and not is_partially_sent:
                 self._queue.add(frames.encode_cancel(part_id))
         if is_partially_sent:
-            # Guards against a part that arrives after its query's completion: its frame must never be complete.
+            # The frame must never be completed: the part would arrive after its query's completion.
             self.fail(ReplicaCloseReason.CANCELLED_IN_FRAME)
         elif tell:
             self.flush()
@@ -160,7 +160,7 @@
     # ---- the decision thread: writing
 
     def flush(self) -> None:
-        """Write what waits, as far as the socket takes it."""
+        """Write queued frames until the socket's buffer is full."""
         while True:
             with self._lock:
                 if self.broken or not self._connected or not self._queue:
@@ -177,7 +177,7 @@
                 return
 
     def _write(self, frame: OutgoingFrame) -> bool:
-        """Write a frame; return whether the socket took it completely."""
+        """Write a frame; return whether it was written completely."""
         sent = 0
         try:
             sent = self.sock.send(frame.data, socket.MSG_DONTWAIT)
@@ -193,7 +193,7 @@
         return is_complete
 
     def _encode(self, item: t.BatchRequest | bytes) -> OutgoingFrame:
-        """Make the frame of a batch, which is empty if nothing of it may be sent now, or of a cancellation."""
+        """Encode a batch or a cancellation as a frame, which is empty if no part of the batch may be sent now."""
         encoded_at = time.monotonic()
         if isinstance(item, bytes):
             frame = OutgoingFrame(item, set(), None, encoded_at)
@@ -209,7 +209,7 @@
         return frame
 
     def _encode_batch(self, batch: t.BatchRequest) -> tuple[bytes, set[str]]:
-        """Encode what of a batch may be sent now; return the frame and the ids of its parts, both empty for none."""
+        """Encode the parts of a batch that may be sent now; return the frame and their ids, both empty for none."""
         now = time.monotonic()
         requests, stale = batch.claim_sendable(now)
         sendable = {request.content.id for request in requests}
@@ -230,7 +230,7 @@
     # ---- the reader
 
     def handle_event(self, events: int, finished: list[t.AttemptFinished]) -> None:
-        """Handle events of the socket; attempts that replies finish are added to `finished`."""
+        """Handle events of the socket; append the attempts that replies finish to `finished`."""
         try:
             if self.is_connecting:
                 self._finish_connect()
@@ -247,7 +247,7 @@
         self._unregister_if_broken()
 
     def check_connect_timeout(self, now: float) -> None:
-        """Fail if the connection is not established in time."""
+        """Fail the connection if it was not established within the connect timeout."""
         if self.is_connecting and now >= self.connect_deadline:
             self.fail(ReplicaCloseReason.CONNECT_TIMEOUT, connected=False)
         self._unregister_if_broken()
@@ -259,12 +259,12 @@
             self.polled = False
 
     def _finish_connect(self) -> None:
-        """Take a connection into use that is established, or fail it."""
+        """Begin to use an established connection, or fail it if connecting failed."""
         if code := self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
             self._fail_connect(code)
             return
-        self.sock.setblocking(True)  # all is read and written with MSG_DONTWAIT
-        with contextlib.suppress(OSError):  # without it, frames may be sent a little later
+        self.sock.setblocking(True)  # reads and writes use MSG_DONTWAIT
+        with contextlib.suppress(OSError):  # without TCP_NODELAY frames may only be delayed a little
             self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self._request_events(select.EPOLLIN)
         with self._lock:
@@ -277,7 +277,7 @@
         try:
             data = self.sock.recv(_RECEIVE_BYTES, socket.MSG_DONTWAIT)
         except OSError as error:
-            if not is_transient(error):  # else there is more to be read, and the reader comes again
+            if not is_transient(error):  # after a transient error the reader polls and reads again
                 self.fail(ReplicaCloseReason.READ_FAILED, str(error))
             return
         if not data:
@@ -286,7 +286,7 @@
         try:
             self._replies.read(data, time.monotonic(), finished)
         except FrameError as error:
-            if finished:  # in the order in which they came: these before what else was in flight here
+            if finished:  # reported first, to keep the order: `fail` reports the other parts in flight
                 self._report(list(finished))
                 finished.clear()
             self.fail(ReplicaCloseReason.PROTOCOL_ERROR, str(error))
@@ -297,11 +297,11 @@
         try:
             self._poll.modify(self.number, events)
         except (OSError, ValueError) as error:
-            # Where the reader polls it no more, it is broken already. Else nothing would wake the reader any more.
+            # No further event would reach the reader. If it has stopped polling, the connection is already broken.
             self.fail(ReplicaCloseReason.LOCAL_FAILURE, f"epoll: {error}")
 
     def _fail_connect(self, code: int) -> None:
-        """Fail after an error number of an attempt to connect."""
+        """Fail the connection with the error number from connecting."""
         reason = (
             ReplicaCloseReason.LOCAL_FAILURE if is_local_failure(code) else ReplicaCloseReason.CONNECT_FAILED
         )
@@ -314,9 +314,9 @@
         unwritten: set[str] | None = None,
         connected: bool = True,
     ) -> None:
-        """Break the connection and finish all attempts in flight on it; the first call counts.
+        """Break the connection and finish all attempts in flight on it. Only the first call has an effect.
 
-        `unwritten`: parts of a frame that the socket did not take.
+        `unwritten`: ids of parts whose frame was not completely written; `connected`: whether it was established.
         """
         text = f"{reason.value}: {detail}" if detail else reason.value
         with self._lock:
@@ -338,9 +338,9 @@
     def _report_broken(
         self, parts: dict[str, PartInFlight], unsent: set[str], reason: ReplicaCloseReason, detail: str
     ) -> None:
-        """Report the attempts that ended with the connection; `unsent` have proof that they never ran."""
+        """Report the attempts that ended with the connection; those in `unsent` are known never to have run."""
         now = time.monotonic()
-        # The same proof, but after a failure of this machine it says nothing of the replica.
+        # Both outcomes state that the attempt never ran; after a local failure it must not count against the replica.
         is_local_failure = reason is ReplicaCloseReason.LOCAL_FAILURE
         never_ran = AttemptOutcome.NEVER_SENT if is_local_failure else AttemptOutcome.CONNECT_FAILED
         finished = []
@@ -352,6 +352,6 @@
             self._report(finished)
 
     def shut_down(self) -> None:
-        """Shut down the socket: the reader sees its end and polls it no more."""
+        """Shut down the socket, which makes the reader stop polling it."""
         with contextlib.suppress(OSError):
             self.sock.shutdown(socket.SHUT_RDWR)
--- a/gingervane/node/replica_connection_types.py
+++ b/gingervane/node/replica_connection_types.py
@@ -1,4 +1,4 @@
-"""Types of the connections to replicas: limits, close reasons, results, and how parts are encoded in frames."""
+"""Types for connections to replicas: limits, close reasons, results, and the encoding of parts in frames."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from gingervane.coordinator import types as t
 from gingervane.wire import frames
 
-_RESULT_BYTES = 100  # what a result is counted as
-_CELL_BYTES = 16  # of a replica's value
+_RESULT_BYTES = 100  # size at which each result counts towards the limit on all results
+_CELL_BYTES = 16  # length of a replica's value
 _HEX_DIGITS = b"0123456789abcdef"
 
 
@@ -19,7 +19,7 @@
 
     CONNECT_FAILED = "connect failed"
     CONNECT_TIMEOUT = "connect timed out"
-    LOCAL_FAILURE = "local resource failure"  # of this machine: says nothing of the replica
+    LOCAL_FAILURE = "local resource failure"  # a failure of this machine, not evidence against the replica
     WRITE_FAILED = "write failed"
     READ_FAILED = "read failed"
     CLOSED_BY_PEER = "closed by the replica"
@@ -33,9 +33,9 @@
 
 
 class ReplicaConnectionClosed(NamedTuple):
-    """The end of a connection, for the log.
+    """A closed connection, for the log.
 
-    `parts_in_flight` ended with it; `parts_unsent` of them were not written completely.
+    `parts_in_flight`: number of parts that failed with it; `parts_unsent`: those of them not completely written.
     """
 
     address: tuple[str, int]
@@ -48,8 +48,8 @@
 class ReplicaConnectionLimits(NamedTuple):
     """Limits of the connections to replicas. Times are in seconds.
 
-    `streams`: parts at once on a connection; `max_connections`: in all; `idle_timeout`: after which a quiet
-    connection is not written to any more; `connect_timeout`: for a new one to be established.
+    `streams`: concurrent parts on one connection; `max_connections`: over all replicas; `idle_timeout`: idle time
+    after which a connection is no longer written to; `connect_timeout`: to establish a connection.
     """
 
     streams: int
@@ -59,7 +59,7 @@
 
 
 class PartResult(NamedTuple):
-    """The result of a part, as its replica gave it."""
+    """The result of a part, as its replica returned it."""
 
     shard: int
     score: int
@@ -75,22 +75,22 @@
         seconds_left: list[float],
         address: tuple[str, int],  # noqa: ARG002 - of the codec's protocol
     ) -> bytes:
-        """Encode parts, each with the time that is left for it."""
+        """Encode parts, each with its remaining time, which is sent as at least 1 ms."""
         return frames.encode_batch(contents, [max(int(left * 1000), 1) for left in seconds_left])
 
     def result_size(self, result: PartResult) -> int:  # noqa: ARG002 - of the codec's protocol
-        """Return the size of a result in bytes, as it counts for the bound on all results held."""
+        """Return the size in bytes that a result counts towards the limit on all results held."""
         return _RESULT_BYTES
 
 
 ReportAttempts = Callable[[list[t.AttemptFinished]], None]
-# Called from the decision thread and the reader; must not wait.
+# Called by the decision thread and the reader thread; must not block.
 OnConnectionClosed = Callable[[ReplicaConnectionClosed], None]
 DecodeCell = Callable[[bytes], str | None]
 
 
 def hex_cell(value: bytes) -> str | None:
-    """Return a replica's value as clients get it, 16 hex digits; None if it is not that."""
+    """Return a replica's value as text, or None if it is not 16 lower-case hex digits."""
     if len(value) != _CELL_BYTES or value.strip(_HEX_DIGITS):
         return None
     return value.decode()
--- a/gingervane/node/replica_connections.py
+++ b/gingervane/node/replica_connections.py
@@ -1,9 +1,9 @@
 """All connections to replicas; the transport of the node's query coordinator.
 
-The decision thread alone sends batches, opens and closes connections. One reader thread serves all of them: it sees
-them established or failed, has them read replies, and notices when a full socket takes bytes again. What it has seen
-it passes on through a queue of writable connections, on which the decision thread acts at its next turn: no other
-thread begins a frame, so none begins once its query is completed.
+Only the decision thread sends batches, opens and closes connections. One reader thread serves all connections: it
+completes or fails connecting, reads replies, and detects when a full socket becomes writable again. It queues
+writable connections for the decision thread, which writes to them at its next turn: no other thread starts a frame,
+so none is started after its query has completed.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 )
 from gingervane.wire.local_failures import retry_local_failures, start_thread
 
-SPARE_DESCRIPTORS = 8  # of connections that are being closed, beyond the limit on the others
+SPARE_DESCRIPTORS = 8  # for closing connections, beyond the limit on the others
 _SWEEP_INTERVAL = 1.0  # seconds
 _MIN_POLL_TIMEOUT = 0.001  # seconds
 
@@ -38,7 +38,7 @@
 class ReplicaConnections:
     """All connections to replicas.
 
-    The reader thread runs `_run` and `_wake`; the decision thread all other methods.
+    The reader thread runs `_run` and `_wake`; the decision thread runs all other methods.
     """
 
     def __init__(
@@ -56,27 +56,27 @@
         self._last_sweep = time.monotonic()
         self._writable: deque[ReplicaConnection] = deque()
         self._poll = retry_local_failures(select.epoll)
-        # By file number. The decision thread enters connections, and removes those that it closes.
+        # By descriptor number. The decision thread adds connections, and removes them when it closes them.
         self._by_number: dict[int, ReplicaConnection] = {}
-        self._connecting: deque[ReplicaConnection] = deque()  # the earliest deadline first
+        self._connecting: deque[ReplicaConnection] = deque()  # earliest deadline first
         self._closed = False
         start_thread(self._run, "links")
 
     @property
     def in_flight(self) -> int:
-        """Parts in flight on all connections."""
+        """Number of parts in flight on all connections."""
         by_address = list(self._by_address.values())
         return sum(len(each.in_flight) for connections in by_address for each in list(connections))
 
     @property
     def count(self) -> int:
-        """Connections that hold a descriptor."""
+        """Number of connections that hold a descriptor."""
         return len(self._by_number)
 
     # ---- the reader
 
     def _run(self) -> None:
-        """Serve all connections: one thread each would add up to tens of thousands over a fleet's machine."""
+        """Serve all connections: one thread each would make tens of thousands on a machine that hosts a fleet."""
         while not self._closed:
             timeout = self._check_connecting(time.monotonic())
             finished: list[t.AttemptFinished] = []
@@ -87,32 +87,32 @@
                 self._report(finished)
 
     def _check_connecting(self, now: float) -> float:
-        """Fail connections that are not established in time; return the seconds until that is to be checked again."""
+        """Fail connections that are not established in time; return the seconds until the next check."""
         connecting = self._connecting
         while connecting and (connecting[0].connect_deadline <= now or not connecting[0].is_connecting):
             connecting.popleft().check_connect_timeout(now)
-        # Nothing wakes the reader when a connection is begun, so it looks as often as halves the lateness.
+        # A new connection does not wake the reader: half the timeout bounds how late its failure is noticed.
         timeout = self._limits.connect_timeout / 2
         if connecting:
             timeout = min(timeout, connecting[0].connect_deadline - now)
         return timeout
 
     def _wait(self, timeout: float) -> list[tuple[int, int]]:
-        """Wait up to `timeout` seconds for events; return each as a file number and its event mask."""
+        """Wait up to `timeout` seconds for events; return each as a descriptor number and its event mask."""
         try:
             return self._poll.poll(timeout)
-        except OSError:  # guards the reader, without which no reply would be read any more
+        except OSError:  # must not end the reader, as no reply would be read any more
             return []
 
     def _wake(self, connection: ReplicaConnection) -> None:
-        """Have the decision thread write to a connection. An empty report gives it a turn."""
+        """Have the decision thread write to a connection. An empty report wakes it."""
         self._writable.append(connection)
         self._report([])
 
     # ---- the decision thread
 
     def start(self, batch: t.BatchRequest) -> bool:
-        """Send a batch on a connection that takes it or a new one; False if none may be opened."""
+        """Send a batch on an existing connection with room or on a new one; return False if none may be opened."""
         now = time.monotonic()
         if now - self._last_sweep >= _SWEEP_INTERVAL:
             self._sweep(now)
@@ -131,7 +131,7 @@
                 self._poll,
                 self._on_closed,
             )
-        except OSError:  # out of descriptors: no reason for the decision thread to end
+        except OSError:  # out of descriptors; must not end the decision thread
             return False
         self._by_address.setdefault(batch.address, []).append(connection)
         self._by_number[connection.number] = connection
@@ -141,10 +141,9 @@
         return True
 
     def _ensure_capacity(self, now: float) -> bool:
-        """Whether one more connection may be opened.
+        """Whether one more connection may be opened; at the limit the least recently used idle one is closed.
 
-        Guards against failing a part, with more replicas than connections may be held, while idle connections stand
-        by: the least recently used one is closed.
+        Otherwise, with more replicas than connections allowed, a part would fail although idle connections exist.
         """
         self._sweep(now)
         live = [each for each in self._by_number.values() if not each.broken]
@@ -157,22 +156,22 @@
         return self.count < self._limits.max_connections + SPARE_DESCRIPTORS
 
     def maintain(self) -> None:
-        """Write to the connections that take bytes again."""
+        """Write to the connections that have become writable."""
         while self._writable:
             self._writable.popleft().flush()
 
     def cancel(self, batch: t.BatchRequest) -> None:
-        """Do nothing: each attempt of a batch is abandoned by itself."""
+        """Do nothing: each attempt of a batch is abandoned individually."""
 
     def abandon(
         self, batch: t.BatchRequest, attempt: t.AttemptRequest, notify_replica: bool, expired: bool
     ) -> None:
-        """Drop an attempt: its replica is notified to cancel it, or its time has expired."""
+        """Stop waiting for an attempt. `notify_replica`: its replica is to cancel it; `expired`: it has expired."""
         if isinstance(batch.transport_token, ReplicaConnection):
             batch.transport_token.abandon(attempt, notify_replica, expired)
 
     def close_idle(self, address: tuple[str, int]) -> None:
-        """Retire all connections to an address: what is sent next opens a new one, whatever is still in flight."""
+        """Retire all connections to an address, also those with parts in flight: the next batch opens a new one."""
         for connection in self._by_address.get(address, ()):
             connection.retired = True
             if not connection.in_flight:
@@ -185,7 +184,7 @@
             connection.shut_down()
 
     def _sweep(self, now: float) -> None:
-        """Close connections that are idle for too long or done with."""
+        """Close connections that are broken, retired or idle for too long."""
         self._last_sweep = now
         for address, connections in list(self._by_address.items()):
             remaining = [each for each in connections if not self._close_if_unused(each, now)]
@@ -195,7 +194,7 @@
                 del self._by_address[address]
 
     def _close_if_unused(self, connection: ReplicaConnection, now: float) -> bool:
-        """Fail a connection that is idle for too long; close its socket, and return True, once nobody uses it."""
+        """Fail a retired or idle connection; close its socket, and return True, once no thread uses it."""
         idle_timeout = self._limits.idle_timeout
         if not connection.in_flight and (connection.retired or now - connection.last_used >= idle_timeout):
             connection.fail(ReplicaCloseReason.IDLE_TIMEOUT)
--- a/gingervane/node/reply_reader.py
+++ b/gingervane/node/reply_reader.py
@@ -1,6 +1,6 @@
-"""Turns the bytes that a replica sends on one connection into finished attempts.
+"""Decodes the bytes that a replica sends on one connection into finished attempts.
 
-Called by the reader thread alone.
+Called only by the reader thread.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class ReplyReader:
-    """Reads replies to the parts in flight."""
+    """Decodes replies and matches them with the parts in flight."""
 
     def __init__(
         self,
@@ -37,9 +37,9 @@
         self._frames = FrameReader()
 
     def read(self, data: bytes, received_at: float, finished: list[t.AttemptFinished]) -> None:
-        """Read what was received, and add the attempts that it finishes to `finished`.
+        """Decode received bytes, and append the attempts that they finish to `finished`.
 
-        Raises FrameError if the connection cannot be used any more; replies before that count.
+        Raises FrameError if the connection has become unusable; replies before the fault are still appended.
         """
         self._frames.feed(data)
         while (frame := self._frames.next_frame()) is not None:
--- a/gingervane/node/service.py
+++ b/gingervane/node/service.py
@@ -1,6 +1,6 @@
-"""The node: the program's one co-ordinator on the platform's protocol, its start and its graceful shutdown.
+"""The node: one co-ordinator on the platform's protocol, its start and its graceful shutdown.
 
-Owners: the main thread makes it, waits for signals and ends it; everything else is owned as its modules say.
+Threads: the main thread builds the node, waits for signals and stops it; the other modules state their own threads.
 """
 
 from __future__ import annotations
@@ -38,27 +38,25 @@
 from gingervane.wire.http1 import Limits
 from gingervane.wire.socket_recorder import SOCKET_RECORDER
 
-# SIGKILL comes no sooner than `KILL_DELAY` after SIGTERM, plus the longest deadline of a query class, of which no
-# more than `MAX_COUNTED_DEADLINE` counts.
+# The platform sends SIGKILL no sooner than `KILL_DELAY` plus the longest deadline of a query class, counted up to
+# `MAX_COUNTED_DEADLINE`, after SIGTERM.
 KILL_DELAY = 0.7  # seconds
 MAX_COUNTED_DEADLINE = 3.0  # seconds
-SHUTDOWN_RESERVE = 0.3  # seconds before SIGKILL may come, by when all that is still open has been answered
-REPLY_WRITE_TIMEOUT = 0.25  # seconds of them, to write the replies and to have them read
+SHUTDOWN_RESERVE = 0.3  # seconds before the earliest SIGKILL at which all open requests are answered
+REPLY_WRITE_TIMEOUT = 0.25  # seconds of the reserve in which replies are written and read by the clients
 
-# Calls to discovery that may wait for an answer at once: one that hangs, one in a slow queue, and one that is new.
+# Calls to discovery that may wait for an answer at once: one that stalls, one in a slow queue, and a new one.
 PARALLEL_WATCH_CALLS = 3
-# Seconds after discovery had a change, and could be reached, by when it counts as notified: the platform's protocol.
+# Platform protocol: seconds after a change at a reachable discovery by which a co-ordinator counts as notified of it.
 NOTIFIED_WITHIN = 6.0
-_MAX_RESULT_BYTES = 64 << 20  # of all open queries
-_MAX_HEAD_BYTES = 16384  # of a client's request
-_MAX_BODY_BYTES = 65536  # of a client's request
-_HEAD_TIMEOUT = 1.5  # seconds to read a client's head
-_BODY_TIMEOUT = 1.0  # seconds to read a client's body
+_MAX_RESULT_BYTES = 64 << 20  # results of all open queries
+_MAX_HEAD_BYTES = 16384  # head of a client's request
+_MAX_BODY_BYTES = 65536  # body of a client's request
+_HEAD_TIMEOUT = 1.5  # seconds to read the head of a request
+_BODY_TIMEOUT = 1.0  # seconds to read the body of a request
 _WRITE_TIMEOUT = 5.0  # seconds to write a reply
-_FIRST_BYTE_TIMEOUT = 2.0  # seconds that a new connection may be silent
-_IDLE_SHARE = (
-    0.8  # of the time after which replicas close a quiet connection: not written to any more from then on
-)
+_FIRST_BYTE_TIMEOUT = 2.0  # seconds until the first byte on a new connection
+_IDLE_SHARE = 0.8  # share of the replicas' idle timeout after which a connection is no longer written to
 
 _EXIT_INVALID_CONFIGURATION = 2
 _SIGNALS = {signal.SIGTERM, signal.SIGINT, signal.SIGHUP, signal.SIGUSR1}  # SIGUSR1: write the counters
@@ -68,7 +66,7 @@
     """One co-ordinator with its client server, replica connections, discovery watch and peer socket."""
 
     def __init__(self, path: Path, config: NodeConfig, telemetry: Telemetry | None = None) -> None:
-        """Build all parts and bind the port. `telemetry`: one of its own, already started, if none is given."""
+        """Build all components and bind the port. `telemetry`: if None, the node starts its own."""
         self._path = path
         self._config = config
         self.telemetry = telemetry or _started_telemetry(config)
@@ -94,7 +92,7 @@
             _IDLE_SHARE * config.idle_timeout,
             config.connect_timeout,
         )
-        # Room for every part of as many queries as there can be connections: descriptors bound it, not this.
+        # Enough for every part of as many queries as there can be connections: the descriptors are the limit.
         admission = AdmissionLimits(config.max_sockets * (1 + config.shards), _MAX_RESULT_BYTES)
         return QueryCoordinator(
             DecisionEngine(settings, config.seed, WatchTerms(PARALLEL_WATCH_CALLS, NOTIFIED_WITHIN)),
@@ -124,7 +122,7 @@
         )
 
     def _read_cached_endpoints(self, reader: EndpointListReader) -> t.EndpointsUpdated | None:
-        """Read the endpoint list in the configuration, if it has one that makes sense."""
+        """Return the endpoint list cached in the configuration, or None if it is missing or invalid."""
         if not self._config.cached_endpoints:
             return None
         try:
@@ -146,7 +144,7 @@
         return HttpServer(*self._config.listen, self.front.handle, limits)
 
     def _add_counters(self) -> None:
-        """Have the counters dumped that the core and the server keep."""
+        """Add the counters of the core, the watch and the server to the telemetry's dump."""
         counts = self.core.driver_counts
         self.telemetry.add_source("attempts", lambda: counts.outcomes)
         self.telemetry.add_source("driver", counts.totals)
@@ -156,11 +154,11 @@
         self.telemetry.add_source("client_calls_failed", lambda: self.server.failures)
 
     def _request_handler_failed(self, error: BaseException) -> None:
-        """Log it, from a client's thread: its request has been answered with 500."""
+        """Log an error of a request handler, after the client got status 500. Called by the client's thread."""
         self.telemetry.error(LogEvent.REQUEST_HANDLER_FAILED, **error_fields(error))
 
     def _replica_connection_closed(self, ended: ReplicaConnectionClosed) -> None:
-        """Count and log it, from the decision thread or the thread that reads from replicas."""
+        """Count and log a closed connection. Called by the decision thread or the reader of replica connections."""
         self.telemetry.counters.add("replica_connections_ended", ended.reason)
         if ended.parts_in_flight or self.telemetry.debug_on:
             self.telemetry.info(
@@ -180,8 +178,8 @@
             self._peers.send(payload)
 
     def start(self) -> None:
-        """Serve."""
-        self.server.start()  # before the others: it sets the stack of new threads
+        """Start all threads and serve requests."""
+        self.server.start()  # first: it sets the stack size of new threads
         self.watch.start()
         if self._peers:
             self._peers.start()
@@ -191,7 +189,7 @@
         self.front.ready = True
 
     def reload(self) -> None:
-        """Follow discovery to where the configuration file now says it is."""
+        """Read the configuration file again and watch discovery at the address that it now has."""
         try:
             new = configuration.read_config(self._path)
         except ConfigError as error:
@@ -202,11 +200,11 @@
         self.watch.change_address(new.discovery)
 
     def stop(self) -> None:
-        """Shut down gracefully: serve on open connections as long as the platform surely lets us, then end.
+        """Shut down gracefully: serve open connections until just before SIGKILL may come, then end.
 
-        Clients keep using those they have, and a co-ordinator that ends early leaves them to the others, of which
-        one may be on its way back itself. What is still open at the end is rejected, or failed where that could do
-        harm, in time to be heard.
+        Clients keep using open connections, and ending early would move their load to the other co-ordinators, one of
+        which may be restarting too. Queries still open at the end are rejected, or failed where a rejection would be
+        unsafe, early enough for the clients to read the reply.
         """
         self.front.ready = False
         time.sleep(self._draining_seconds())
@@ -215,13 +213,13 @@
         self.telemetry.stop()
 
     def _draining_seconds(self) -> float:
-        """Seconds for which to go on serving before the rest is answered."""
+        """Seconds to continue serving before all open requests are answered."""
         longest = max(kind.deadline for kind in self._config.settings.query_classes)
         return min(longest, MAX_COUNTED_DEADLINE) + KILL_DELAY - SHUTDOWN_RESERVE
 
     def end(self) -> None:
-        """Answer all that is open, now, and end the threads."""
-        self.core.close()  # first: a request read while connections are ended is rejected, not forwarded
+        """Answer all open requests now and end the threads."""
+        self.core.close()  # first, so that a request read while connections are closed is rejected, not forwarded
         self.server.stop_accepting()
         self.core.stop(0.0)
         self.server.stop(REPLY_WRITE_TIMEOUT)
@@ -229,8 +227,8 @@
 
 
 def run(path: Path) -> int:
-    """Serve in the foreground until SIGTERM or SIGINT, as the file at `path` says; return the exit status."""
-    # Blocked before any thread starts, so that all inherit it and none of these is lost or ends the program.
+    """Serve in the foreground until SIGTERM or SIGINT, configured by the file at `path`; return the exit status."""
+    # Blocked before any thread starts, so that all threads inherit the mask and only `sigwait` takes these signals.
     signal.pthread_sigmask(signal.SIG_BLOCK, _SIGNALS)
     telemetry = Telemetry(level=logging.DEBUG if os.environ.get("GINGERVANE_DEBUG") else logging.INFO)
     if trace := os.environ.get("GINGERVANE_TRACE"):
@@ -252,7 +250,7 @@
 
 
 def _serve_until_stopped(node: Node) -> None:
-    """Act on signals, until one has ended the node."""
+    """Handle signals until one stops the node."""
     while True:
         number = signal.sigwait(_SIGNALS)
         if number == signal.SIGHUP:
--- a/gingervane/node/settings_log.py
+++ b/gingervane/node/settings_log.py
@@ -1,4 +1,4 @@
-"""Lines that say, at the start, what the platform demands: without them no log of an answer can be judged."""
+"""Logs the platform's settings at startup, which are needed to judge the answers in the log."""
 
 from __future__ import annotations
 
