--- a/tests/node_tools.py
+++ b/tests/node_tools.py
@@ -1,4 +1,4 @@
-"""Helpers for tests of the node end to end."""
+"""Helpers for end-to-end tests of the node."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def tell(platform: Platform, *hosts: dict[str, object]) -> None:
-    """Have discovery tell a change; back once it lies before whatever is asked next."""
+    """Have discovery send a change; return once the node handles it before any later query."""
     core, told = platform.node.core, threading.Event()
     put = core.endpoints_updated
 
@@ -40,7 +40,7 @@
 
 
 def at_first(tmp_path: Path, bad: Callable[[Wire, Part], None]) -> Platform:
-    """Two replicas that hold the same; whichever is asked first for a part of `q` does `bad`, once."""
+    """Start two equal replicas; the first part of query `q` that either receives is handled by `bad`."""
     turns = iter([bad])
 
     def behave(wire: Wire, part: Part) -> None:
--- a/tests/platform_fakes.py
+++ b/tests/platform_fakes.py
@@ -1,4 +1,4 @@
-"""Replicas and discovery of the platform as tests need them, from its protocol; and a node among them."""
+"""Fake replicas and a fake discovery that speak the platform's protocol, and a node that runs against them."""
 
 from __future__ import annotations
 
@@ -20,22 +20,22 @@
 from gingervane.node.service import Node
 
 ROOT = Path(__file__).parents[1]
-PATIENCE = 20.0  # seconds after which a test gives up waiting
+PATIENCE = 20.0  # seconds after which a wait fails its test
 
 
 def cell_of(part: str) -> str:
-    """The value that a part has, wherever it is asked."""
+    """The value of a part, the same on every replica."""
     return hashlib.blake2b(part.encode(), digest_size=8).hexdigest()
 
 
 def until(true: Callable[[], object], what: str) -> None:
-    """Wait for a state that nothing tells of."""
+    """Poll until the condition holds."""
     pause = threading.Event()
     for _ in range(int(PATIENCE / 0.005)):
         if true():
             return
         pause.wait(0.005)
-    raise AssertionError(f"never: {what}")
+    raise AssertionError(f"timed out waiting for: {what}")
 
 
 class Part(NamedTuple):
@@ -46,7 +46,7 @@
 
 
 class Waiter:
-    """A list that can be waited on."""
+    """A list whose items a test can wait for."""
 
     def __init__(self) -> None:
         self.items: list[Any] = []
@@ -58,15 +58,15 @@
             self._change.notify_all()
 
     def wait(self, count: int = 1, which: Callable[[Any], bool] = lambda item: True) -> list[Any]:
-        """The items so far, once `count` of them are such."""
+        """Wait until `count` items match; return all matching items so far."""
         with self._change:
             good = self._change.wait_for(lambda: sum(map(which, self.items)) >= count, PATIENCE)
-            assert good, f"waited for {count}, have {self.items!r:.500}"
+            assert good, f"timed out waiting for {count} items, got {self.items!r:.500}"
             return [item for item in self.items if which(item)]
 
 
 def start_node(config: Path) -> subprocess.Popen[str]:
-    """A node as a program of its own; its log is read from `stderr`."""
+    """Start a node in a process of its own; its log is read from `stderr`."""
     return subprocess.Popen(
         [sys.executable, "-m", "gingervane.node"],
         env={"NODE_CONFIG": str(config)},
@@ -77,7 +77,7 @@
 
 
 class MembershipRecorder(Waiter):
-    """What a watch tells: items are updates, and seconds of silence where the watch was interrupted."""
+    """Records a watch's reports: items are updates, and for an interruption the seconds since the last line."""
 
     def endpoints_updated(self, update: EndpointsUpdated) -> None:
         self.put(update)
@@ -87,7 +87,7 @@
 
 
 class Recorded(Waiter):
-    """A log that keeps its events: items are (event, fields)."""
+    """A log that records its events: items are (event, fields)."""
 
     def __call__(self, event: str, **fields: Any) -> None:
         self.put((event, fields))
@@ -97,15 +97,15 @@
 
 
 def read_until(stream: IO[str], event: str) -> str:
-    """The next line of a program's log with this event in it."""
+    """Return the next line with this event from a program's log."""
     for said in stream:
         if f"event={event} " in said + " " or f"event={event}\n" in said:
             return said
-    raise AssertionError(f"the log has ended without {event}")
+    raise AssertionError(f"the log ended without the event {event}")
 
 
 class Wire:
-    """One connection at a replica."""
+    """The replica's side of one connection."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock, self.lock = sock, threading.Lock()
@@ -138,14 +138,14 @@
 
 
 class Replica:
-    """Listens; hands each part to `behave`, which answers it by default."""
+    """A fake replica: listens, and passes each part to `behave`, which answers it by default."""
 
     def __init__(self, cell: int, behave: Callable[[Wire, Part], None] | None = None) -> None:
         self.cell, self.behave = cell, behave or (lambda wire, part: wire.answer(part.id))
         self.parts, self.cancels, self.ended = Waiter(), Waiter(), Waiter()
         self.wires: list[Wire] = []
         self.reads = self.answers_probes = True
-        self.reading = threading.Event()  # while it is cleared, what comes lies unread
+        self.reading = threading.Event()  # while cleared, received bytes stay unread
         self.reading.set()
         self.probes = 0
         self._listener = socket.create_server(("127.0.0.1", 0))
@@ -189,14 +189,14 @@
 
     def close(self) -> None:
         with contextlib.suppress(OSError):
-            self._listener.shutdown(socket.SHUT_RDWR)  # a thread that waits in accept would keep it open
+            self._listener.shutdown(socket.SHUT_RDWR)  # a thread blocked in accept would keep it open
         self._listener.close()
         for wire in self.wires:
             wire.sock.close()
 
 
 class Discovery:
-    """The list, and watches on it."""
+    """A fake discovery that answers each call with the current list and pushes changes to it."""
 
     def __init__(self, hosts: list[dict[str, Any]]) -> None:
         self.hosts, self.version, self.watches = hosts, 1, Waiter()
@@ -210,7 +210,7 @@
             while True:
                 sock, _ = self._listener.accept()
                 if not (head := sock.recv(4096).decode()):
-                    continue  # its process was killed
+                    continue  # the caller's process was killed
                 sock.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
                 self._open.append(sock)
                 self._push(sock, {"seq": self.version, "whole": True, "hosts": self.hosts})
@@ -244,7 +244,7 @@
 
 
 class Calls:
-    """A discovery: its calls in the order in which they come, each with its socket and what it asked for."""
+    """A fake discovery whose test answers each call itself: `calls` has each call's socket and request target."""
 
     def __init__(self, port: int = 0) -> None:
         self.calls = Waiter()
@@ -260,7 +260,7 @@
                     self.calls.put((sock, head.split(" ")[1]))
 
     def sock(self, number: int) -> socket.socket:
-        """The number-th call's, the first being 1."""
+        """Return the socket of a call, counted from 1."""
         found: socket.socket = self.calls.wait(number)[number - 1][0]
         return found
 
@@ -331,7 +331,7 @@
 
 
 class Platform:
-    """Two replicas that hold everything, discovery, and one node, told of both from the start."""
+    """Discovery, two replicas that hold all shards, and one node whose cached list has both from the start."""
 
     def __init__(
         self,
@@ -341,7 +341,7 @@
         settings: Any = SETTINGS,
         where: tuple[str, int] | None = None,
     ) -> None:
-        """`where`: of a discovery that the test plays itself."""
+        """`where`: the address of a discovery that the test runs itself."""
         self.replicas = replicas or (Replica(0), Replica(0))
         self.discovery = Discovery([host(r) for r in self.replicas])
         self.path, self.settings, self.sockets = folder / "config.json", settings, sockets
@@ -379,7 +379,7 @@
         sock: socket.socket | None = None,
         wait: int = 6000,
     ) -> tuple[int, dict[str, str], Any]:
-        """One query and its answer, on a connection of its own unless one is given."""
+        """Send one query and return its answer, on a new connection unless `sock` is given."""
         mine = sock or self.client()
         mine.sendall(query(name, tablets, path, wait))
         found = reply(mine)
@@ -411,7 +411,7 @@
 
 
 def reply(sock: socket.socket) -> tuple[int, dict[str, str], Any]:
-    """Status, fields and body of one answer; status 0 if the connection ends without one."""
+    """Read one answer; return its status, fields and body. The status is 0 if the connection ends without one."""
     data = b""
     while b"\r\n\r\n" not in data:
         try:
--- a/tests/test_client_front.py
+++ b/tests/test_client_front.py
@@ -1,4 +1,4 @@
-"""The node's client front: class names, ids, bad requests and rejections."""
+"""The node's client front: class names, query ids, invalid requests and rejections."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 
 @pytest.mark.parametrize("number", range(3))
 def test_a_class_may_have_any_name(tmp_path: Path, number: int) -> None:
-    """`/ready` went before a class of that name, and names were not decoded."""
+    """Guards against `/ready` hiding a class of that name, and against names that are not percent-decoded."""
     classes = [kind | {"Name": name} for kind, name in zip(SETTINGS["Classes"], AWKWARD, strict=True)]
     extra = SETTINGS["Extra"] | {"ClassFetch": [0, 0, 0]}
     platform = Platform(tmp_path, Replica(0), settings=SETTINGS | {"Classes": classes, "Extra": extra})
     served(platform.ask("q", {0: 1.0}, "/" + quote(AWKWARD[number], safe="")), "q", 0)
-    if quote(AWKWARD[number], safe="%") == AWKWARD[number]:  # it may stand as it is
+    if quote(AWKWARD[number], safe="%") == AWKWARD[number]:  # the name may also be sent without encoding
         served(platform.ask("r", {0: 1.0}, "/" + AWKWARD[number]), "r", 0)
     with platform.client() as sock:
         sock.sendall(b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -47,7 +47,7 @@
 
 
 def test_an_id_that_a_client_may_use_comes_back_from_a_replica(platform: Platform) -> None:
-    """An underscore was taken from clients and was a spoilt answer on its way back."""
+    """Guards against an underscore that is valid in a client's query id and invalid in a replica's answer."""
     served(platform.ask("a_B-9", {0: 0.5, 1: 0.5}), "a_B-9", 0, 1)
     assert sum(len(replica.parts.items) for replica in platform.replicas) == 2
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,6 +1,6 @@
-"""The watch on discovery where two events cross: silence at each of its stages, moves, pauses and old news.
+"""The watch of discovery: calls that stall at each stage, changes of address, backoffs and stale lists.
 
-The stand-in writes byte for byte what a test says, and nothing else.
+The fake discovery sends exactly the bytes that a test writes.
 """
 
 from __future__ import annotations
@@ -51,7 +51,7 @@
 
 
 class Watched:
-    """A watch with nothing behind it: what it tells, and the first two addresses that discovery has."""
+    """A watch without a node: its updates and log, and two fake discoveries, of which it calls the first."""
 
     def __init__(self, max_calls: int = 3) -> None:
         self.told, self.log = MembershipRecorder(), Recorded()
@@ -62,7 +62,7 @@
         self.watch.request_watch()
 
     def states(self) -> list[str]:
-        """What has been told, oldest first: 'failed', 'interrupted', or the state of the one replica."""
+        """The updates, oldest first: 'failed', 'interrupted', 'no change' or the state of the one replica."""
         return [
             "interrupted"
             if isinstance(told, float)
@@ -70,12 +70,12 @@
             if told.membership.kind is api.MembershipUpdateKind.FAILED
             else told.membership.replicas[0].state.name
             if told.membership.replicas
-            else "no news"
+            else "no change"
             for told in self.told.items
         ]
 
     def ends(self) -> dict[str, int]:
-        """The calls that have ended, by reason."""
+        """Number of ended calls by reason."""
         return dict(self.watch.call_ends())
 
     def close(self) -> None:
@@ -86,7 +86,7 @@
 
 @pytest.fixture
 def watched(monkeypatch: pytest.MonkeyPatch) -> Iterator[Watched]:
-    # So that a test need not wait for the protocol's time.
+    # Shorter than the protocol's 2.5 s, to keep the tests fast.
     monkeypatch.setattr(discovery_call, "SILENCE_TIMEOUT", 0.3)
     made = Watched()
     yield made
@@ -94,7 +94,7 @@
 
 
 def drip(sock: socket.socket) -> None:
-    """Bytes that end no line, for as long as somebody takes them."""
+    """Send bytes without a line end until the connection is closed."""
 
     def go_on() -> None:
         pause = threading.Event()
@@ -129,7 +129,8 @@
 def test_a_call_that_hangs_at_any_stage_keeps_no_other_from_being_answered(
     watched: Watched, stage: str
 ) -> None:
-    """Calls were made one after another, each given up after 3 s: two that hung took longer than the 6 s."""
+    """Guards against calls made one after another, each timed out after 3 s: two that stalled exceeded the 6 s within
+    which a node must be notified."""
     WAITING[stage](watched.here.sock(1))
     watched.watch.request_watch()
     watched.here.sock(2)
@@ -137,13 +138,13 @@
     watched.here.sock(3).sendall(HEAD + chunk(line(2, entry("DRAINING"))))
     watched.told.wait()
     assert watched.states() == ["DRAINING"]
-    until(lambda: len(watched.watch._calls) == 1, "both that hang have ended")
+    until(lambda: len(watched.watch._calls) == 1, "both stalled calls have ended")
     assert watched.ends() == {"another call was answered": 2}
 
 
 @pytest.mark.parametrize("stage", WATCHING)
 def test_a_watch_that_falls_silent_at_any_stage_is_told(watched: Watched, stage: str) -> None:
-    """Bytes without a line put the end off for ever."""
+    """Guards against bytes without a line end that postpone the timeout indefinitely."""
     watched.here.sock(1).sendall(HEAD + chunk(line(1, entry())))
     watched.told.wait()
     WATCHING[stage](watched.here.sock(1))
@@ -153,11 +154,11 @@
     watched.here.sock(2).sendall(HEAD + chunk(line(2, entry("DRAINING"))))
     watched.told.wait(3)
     assert watched.states() == ["READY", "interrupted", "DRAINING"]
-    until(lambda: watched.ends() == {"another call was answered": 1}, "the silent one has ended")
+    until(lambda: watched.ends() == {"another call was answered": 1}, "the stalled watch has ended")
 
 
 def test_a_silent_watch_that_speaks_again_is_the_watch(watched: Watched) -> None:
-    """It was closed and its place lost, where a line came a little late."""
+    """Guards against closing a watch, and losing its place in discovery's queue, because a line is a little late."""
     first = watched.here.sock(1)
     first.sendall(HEAD + chunk(line(1, entry())))
     watched.told.wait(2)
@@ -167,26 +168,26 @@
     watched.told.wait(3)
     first.sendall(chunk(line(2, entry("DRAINING"), whole=False)))
     watched.told.wait(4)
-    assert watched.states() == ["READY", "interrupted", "no news", "DRAINING"]
-    until(lambda: watched.ends() == {"another call was answered": 1}, "the call beside it has ended")
+    assert watched.states() == ["READY", "interrupted", "no change", "DRAINING"]
+    until(lambda: watched.ends() == {"another call was answered": 1}, "the parallel call has ended")
 
 
 def test_the_oldest_call_waits_on_however_many_come_beside_it(watched: Watched) -> None:
-    """Each call was given up after 3 s: of a discovery that takes longer nothing was ever learned."""
+    """Guards against a timeout of 3 s on each call: a discovery that takes longer never got to answer."""
     first = watched.here.sock(1)
     for number in range(2, 8):
         watched.watch.request_watch()
         watched.here.sock(number)
-        until(lambda: len(watched.watch._calls) <= 3, "one has given way")
+        until(lambda: len(watched.watch._calls) <= 3, "one call was superseded")
     first.sendall(HEAD + chunk(line(1, entry("DRAINING"))))
     watched.told.wait()
     assert watched.states() == ["DRAINING"]
-    until(lambda: len(watched.watch._calls) == 1, "all others have ended")
+    until(lambda: len(watched.watch._calls) == 1, "all other calls have ended")
     assert watched.ends() == {"gave way to a newer call": 4, "another call was answered": 2}
 
 
 def test_an_answer_that_another_has_overtaken_brings_nothing_back(watched: Watched) -> None:
-    """Both asked from the same version; the older one's list is no sign of versions that start anew."""
+    """Both calls requested changes from the same version: the older list does not mean that versions restarted."""
     read, reads, go = EndpointListReader.read, threading.Event(), threading.Event()
     first = watched.here.sock(1)
     watched.watch.request_watch()
@@ -203,25 +204,25 @@
     try:
         second.sendall(HEAD + chunk(line(5, entry("DRAINING"))))
         assert reads.wait(PATIENCE)
-        first.sendall(HEAD + chunk(line(4, entry())))  # read once the newer one has been told
+        first.sendall(HEAD + chunk(line(4, entry())))  # read after the newer list was reported
         until(lambda: watched.watch._calls[0].progress.lines == 1, "the older answer waits to be read")
         go.set()
         watched.told.wait()
-        until(lambda: len(watched.watch._calls) == 1, "one of them has ended")
+        until(lambda: len(watched.watch._calls) == 1, "one of the calls has ended")
     finally:
         EndpointListReader.read = read  # type: ignore[method-assign]
     assert "READY" not in watched.states() and watched.states()[0] == "DRAINING"
 
 
 def test_of_calls_that_fail_side_by_side_one_is_told(watched: Watched) -> None:
-    """Each failure told is one more call to come."""
+    """Each reported failure leads to one more call."""
     for number in (1, 2, 3):
         watched.here.sock(number)
         if number < 3:
             watched.watch.request_watch()
     for number in (1, 2, 3):
         watched.here.sock(number).close()
-    until(lambda: not watched.watch._calls, "all have ended")
+    until(lambda: not watched.watch._calls, "all calls have ended")
     assert watched.states() == ["failed"]
 
 
@@ -236,10 +237,10 @@
     settings = SETTINGS | {"MembershipMode": mode}
     platform = Platform(tmp_path, drains, stays, settings=settings, where=calls.where)
     both = host(drains), host(stays)
-    calls.sock(1).sendall(HEAD + chunk(line(1, *both)))  # and not a word more
+    calls.sock(1).sendall(HEAD + chunk(line(1, *both)))  # and nothing more
     calls.sock(2).sendall(HEAD + chunk(line(2, host(drains, health="DRAINING"), whole=False)))
     assert "since=1" in calls.calls.items[1][1]
-    until(lambda: platform.node.watch._reader.version == 2, "the drain is told")
+    until(lambda: platform.node.watch._reader.version == 2, "the drain was received")
     before = len(drains.parts.items)
     for number in range(10):
         assert platform.ask(f"q{number}", {0: 1.0})[0] == 200
@@ -282,13 +283,13 @@
     watched.told.wait(4)
     watched.watch.request_watch()
     assert "since=8" in watched.here.calls.wait(2)[1][1]
-    watched.here.sock(2).sendall(HEAD + chunk(line(2, entry())))  # it counts anew, asked what came after 8
+    watched.here.sock(2).sendall(HEAD + chunk(line(2, entry())))  # a version below 8: its versions restarted
     watched.told.wait(5)
     assert watched.states()[3:] == ["interrupted", "READY"]
 
 
 def test_a_call_that_brings_no_news_has_succeeded(watched: Watched) -> None:
-    """It was not told: the pause before the next call was still that of the failures before it."""
+    """Guards against not reporting the success: the next call kept the backoff of the failures before it."""
     watched.here.sock(1).sendall(HEAD + chunk(line(5, entry())))
     watched.told.wait()
     watched.here.sock(1).close()
@@ -303,16 +304,16 @@
     assert watched.states() == [
         "READY",
         "interrupted",
-        "no news",
+        "no change",
         "DRAINING",
-    ], "what is older later on is nothing"
+    ], "a stale change was applied"
 
 
 def test_a_move_waits_for_no_pause_and_asks_for_all(watched: Watched) -> None:
     watched.here.sock(1).sendall(HEAD + chunk(line(9, entry())))
     watched.told.wait()
     watched.here.sock(1).close()
-    watched.told.wait(2)  # the module's pause runs, and nobody ends it
+    watched.told.wait(2)  # the decision engine would run a backoff now
     watched.watch.change_address(watched.there.where)
     assert watched.there.calls.wait()[0][1] == "/v1/endpoints?follow=1&since=0"
     watched.there.sock(1).sendall(HEAD + chunk(line(1, entry("DRAINING"))))
@@ -321,21 +322,21 @@
 
 
 def test_a_failure_at_the_new_address_is_told_once_while_a_pause_runs(watched: Watched) -> None:
-    """Each failure told is one more call to come: those of a move and of the pause before it would add up."""
+    """Each reported failure leads to one more call: those of the address change and of the backoff would add up."""
     watched.here.sock(1).close()
     watched.told.wait()
     watched.watch.change_address(watched.there.where)
     watched.there.sock(1).sendall(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
     watched.log.wait(2, lambda item: item[0] == "watch_state_changed" and item[1]["new"] is WatchState.IDLE)
     assert watched.states() == ["failed"]
-    watched.watch.request_watch()  # as the first pause ends
+    watched.watch.request_watch()  # as at the end of the first backoff
     watched.there.sock(2).sendall(HEAD + chunk(line(1, entry())))
     watched.told.wait(2)
     assert watched.states() == ["failed", "READY"]
 
 
 def test_a_wish_that_came_during_a_watch_does_not_outlive_it(watched: Watched) -> None:
-    """Its end would be followed by a call at once, of all co-ordinators in the same moment."""
+    """Otherwise all co-ordinators would call at once, without backoff, when their watches end."""
     watched.here.sock(1).sendall(HEAD + chunk(line(1, entry())))
     watched.told.wait()
     watched.watch.request_watch()
@@ -407,7 +408,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     class NoneLeft:
-        """The module as the watch sees it; the stand-in goes on making sockets."""
+        """Replaces `socket` in the watch's module alone, so that the fake discovery can still create sockets."""
 
         def __getattr__(self, name: str) -> Any:
             if name == "socket":
--- a/tests/test_endpoint_entries.py
+++ b/tests/test_endpoint_entries.py
@@ -1,4 +1,4 @@
-"""Entries of the endpoint list as discovery gives them."""
+"""Parsing the entries of discovery's endpoint lists."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     assert listed and len(said.named("endpoint_invalid")) == 3
     (found,) = listed.membership.replicas
     assert found == api.Replica(replica_id("s-1"), 2, 1, 1.0, api.ReplicaState.DRAINING, -95.0)
-    assert reader.read({"seq": 4, "whole": False, "hosts": [good]}) is None, "old news"
+    assert reader.read({"seq": 4, "whole": False, "hosts": [good]}) is None, "a stale change was applied"
 
 
 TOO_LONG = "127.0.0.1:" + "9" * 5000
@@ -45,7 +45,7 @@
     platform: Platform,
     dial: object,
 ) -> None:
-    """A name in the place of an address had the decision thread ask for it, and break: all queries failed."""
+    """Guards against a host name as address: resolving it ended the decision thread, and all queries failed."""
     tell(platform, *[host(r) | {"host": f"odd-{r.port}", "dial": dial} for r in platform.replicas])
     for number in range(20):
         served(platform.ask(f"q{number}", {0: 1.0}), f"q{number}", 0)
@@ -59,7 +59,7 @@
     first: str,
     last: str,
 ) -> None:
-    """One that was gone and is back in the same change had no address: the decision thread broke on it."""
+    """A replica deleted and listed again in the same change had no address, which ended the decision thread."""
     again, other = platform.replicas
     back = last == "SERVING"
     tell(
--- a/tests/test_incident_late_drains.py
+++ b/tests/test_incident_late_drains.py
@@ -1,20 +1,19 @@
-"""Requests went to replicas that had begun to drain more than 6 s before, while discovery was crowded.
+"""Guards against requests to replicas that began to drain more than 6 s before, while discovery was overloaded.
 
-What users saw: in a release with many restarts, requests reached draining replicas up to 0.7 s after the
-co-ordinators counted as told, where 0.5 s are allowed.
+Failure: in a release with many restarts, requests reached draining replicas up to 0.7 s after the co-ordinators
+counted as notified, where 0.5 s are allowed.
 
-The order of events: all watches ended at once and all co-ordinators called discovery again. It handles
-calls one after another, had room for a few and refused all others within 5 ms. A replica began to drain.
-One co-ordinator was refused ten times in five seconds, and meanwhile others, whose lists were a second old,
-got their second list. 6 s after the drain it counted as told, and it went on sending.
+Sequence: all watches ended at once, and all co-ordinators called discovery again. Discovery handles calls one after
+another, queued a few and refused all others within 5 ms. A replica began to drain. One co-ordinator was refused ten
+times in five seconds, while others, whose lists were only a second old, got their second list. 6 s after the drain it
+counted as notified, and still sent to the replica.
 
-The cause: the pause between two calls grew with each refusal, to up to 2 s, whatever time was left and
-however many asked. So who knew least asked least often, all calls together kept discovery busy with
-refusing, and a list of any age was served on as if it were new.
+Cause: the backoff between calls grew with each refusal, up to 2 s, regardless of the remaining time and of the number
+of callers. The co-ordinators with the stalest lists called least often, refusing calls kept discovery busy, and a
+list of any age was used as if it were new.
 
-The evidence: each call in the log of that process, with its start, its end and its reason: pauses of 0.07,
-0.08, 0.11, 0.39, 0.27, 0.52, 1.02, 1.38 and 1.23 s, each call refused; no list, no pause of the process, no
-step of its clock.
+The log of that process showed backoffs of 0.07, 0.08, 0.11, 0.39, 0.27, 0.52, 1.02, 1.38 and 1.23 s, each call
+refused, and no list, process pause or clock step in between.
 """
 
 from __future__ import annotations
@@ -25,20 +24,21 @@
 from faults.plans import ClassPlan, Plan, ProxyFaults, ReplicaFaults
 from faults.rig import play
 
-BREAK = 0.3  # second in which all watches end
-DRAIN = 0.5  # second in which a replica begins to drain
-LIMIT = BREAK + TOLD_WITHIN  # from the last word of discovery on
-LAST_CHANCE = (LIMIT - 1.4, LIMIT - 0.6)  # when discovery has room again
+# Times are in seconds from the start of the clients' traffic.
+BREAK = 0.3  # all watches end
+DRAIN = 0.5  # a replica begins to drain
+LIMIT = BREAK + TOLD_WITHIN  # a node counts as notified of any change after its last update from discovery
+LAST_CHANCE = (LIMIT - 1.4, LIMIT - 0.6)  # span in which discovery accepts calls again
 END = DRAIN + TOLD_WITHIN + GRACE + 6.0
 NODES = 3
-DRAINED = 0  # the replica
-STARVED = 0.5  # seconds by which a part may be late on a machine that is short of processors
+DRAINED = 0  # index of the draining replica
+STARVED = 0.5  # seconds by which a part may be late on a machine without enough free processors
 
 
 def crowded(*openings: tuple[float, float]) -> Plan:
-    """Nodes without a fault of their own, whose discovery has room before the break and in these spans only.
+    """A plan whose only fault is that discovery accepts calls only before the break and in these spans.
 
-    Some answers are slow enough that copies of their parts are sent.
+    Some answers are slow enough that their parts are hedged.
     """
     classes = tuple(ClassPlan(name, "safe", 0.5, 2.0, 0, 1.0, 1.0) for name in ("report", "look", "book"))
     return Plan(
@@ -62,20 +62,20 @@
 
 
 def test_the_calls_of_a_co_ordinator_come_closer_as_its_time_runs_out() -> None:
-    """Each node finds the short span in which there is room, and learns of the drain in time."""
+    """Each node calls within the short span in which discovery accepts calls, and learns of the drain in time."""
     ledger = Ledger()
     result = play(crowded(LAST_CHANCE), ledger=ledger)
     learned = {item.node for item in ledger.lists if item.version > 1}
-    assert learned == set(range(NODES)), f"only nodes {learned} have learned of the drain"
+    assert learned == set(range(NODES)), f"only nodes {learned} were notified of the drain"
     assert not result.violations, result.violations[:3]
 
 
 def test_a_replica_that_may_have_drained_gives_way_to_those_that_serve() -> None:
-    """Discovery has no room at all: what the replicas answer is all that can be known."""
+    """Discovery accepts no calls at all, so only the replicas' answers show their state."""
     ledger = Ledger()
     result = play(crowded(), ledger=ledger)
     assert result.statuses[200] > result.requests / 2, result.statuses
     assert not result.violations, result.violations[:3]
     drained_at = ledger.endpoint_changes[0].at
     late = [part.at - drained_at for part in ledger.parts if part.replica == DRAINED]
-    assert max(late) < TOLD_WITHIN + GRACE + STARVED, "also where the machine's processors were taken away"
+    assert max(late) < TOLD_WITHIN + GRACE + STARVED, "parts were sent to the drained replica for too long"
--- a/tests/test_incident_partial.py
+++ b/tests/test_incident_partial.py
@@ -1,8 +1,8 @@
-"""The incident of 2026-12-02: answers on too few parts. Real processes over loopback, and the crossing in one
-batch.
+"""Guards against the incident of 2026-12-02: answers with too few parts. Tested with real processes on loopback,
+and on the driver alone.
 
-An answer in the batch in which its query's aim timer fires ends the first step; the timer then found a second
-step without parts, and took it for complete.
+An answer processed in the batch in which its query's latency objective timer fires ends the first step. The timer
+then found a second step without parts and treated it as complete.
 """
 
 from __future__ import annotations
@@ -42,12 +42,12 @@
 
 ROOT = Path(__file__).parents[1]
 AIM = 0.4  # seconds, the latency objective
-ROUNDS = 6  # a new node each, which has learned no delays that would have it shed load
-QUERIES = 12  # a round
+ROUNDS = 6  # each with a new node, which has measured no delays for which it would shed load
+QUERIES = 12  # per round
 
 
 def settings(least: float, whole: float) -> dict[str, Any]:
-    """One class with a second step of two parts."""
+    """Settings with one query class, whose second step has two parts."""
     extra = SETTINGS["Extra"] | {
         "ClassFetch": [2],
         "MinShare": [least],
@@ -59,7 +59,7 @@
 
 
 class HeldReplica(Replica):
-    """Answers shards 0 and 1 and second steps at once, shard 2 when `release` says so, and shard 3 never."""
+    """Answers shards 0 and 1 and second steps at once, shard 2 when `release` is called, and shard 3 never."""
 
     def __init__(self) -> None:
         super().__init__(0, self.take)
@@ -86,7 +86,7 @@
     least: float,
     whole: float,
 ) -> None:
-    """A node is held up over the aim of its queries; what comes meanwhile and the timer meet in one batch."""
+    """Pauses a node across its queries' latency objective, so that answers and the timer fall into one batch."""
     wrong = []
     for number in range(ROUNDS):
         wrong += _one_node(tmp_path, least, whole, f"r{number}")
@@ -113,7 +113,9 @@
     node = start_node(path)
     assert node.stderr is not None
     where, port = read_until(node.stderr, "listening").split("address=")[1].split()[0].rsplit(":", 1)
-    threading.Thread(target=node.stderr.read, daemon=True).start()  # so that its log is never full
+    threading.Thread(
+        target=node.stderr.read, daemon=True
+    ).start()  # keeps the node's log pipe from filling up
     try:
         return _held_over_the_aim(node, (where, int(port)), replicas, name)
     finally:
@@ -131,7 +133,7 @@
     replicas: list[HeldReplica],
     name: str,
 ) -> list[tuple[str, int, object]]:
-    """One round; the answers that are not two pieces of the second step."""
+    """Run one round; return the answers that do not consist of the two pieces of the second step."""
     socks = [socket.create_connection(where, PATIENCE) for _ in range(QUERIES)]
     for number, sock in enumerate(socks):
         sock.sendall(query(f"{name}-{number}", dict.fromkeys(range(4), 0.25), "/look", 3000))
@@ -161,12 +163,12 @@
 def _wait_for(replicas: list[HeldReplica], part: str) -> None:
     until = time.monotonic() + PATIENCE
     while not any(seen.id == part for each in replicas for seen in list(each.parts.items)):
-        assert time.monotonic() < until, f"{part} never came"
+        assert time.monotonic() < until, f"{part} was not received by any replica"
         time.sleep(0.002)
 
 
 class _UnusedCodec:
-    """A codec that is never asked to encode."""
+    """A codec whose `encode` must not be called."""
 
     def encode(self, contents: list[Any], seconds_left: list[float], address: tuple[str, int]) -> bytes:
         raise NotImplementedError
@@ -177,7 +179,7 @@
 
 @pytest.mark.parametrize(("least", "whole"), [(0.6, 1.0), (0.6, 0.75)])
 def test_the_aim_timer_in_the_batch_of_an_answer_ends_one_step(least: float, whole: float) -> None:
-    """The same crossing on driver and module alone: the order of the two is forced."""
+    """The same on the driver and decision engine alone, with a fixed order of answer and timer."""
     kind = query_class(aim=AIM, deadline=3.0, second=2, least=least, whole=whole)
     config = BASE._replace(query_classes=(kind,), coordinator_count=1, hedging_allowed=False)
     driver = Driver(DecisionEngine(config, 5), config)
@@ -210,11 +212,11 @@
         return t.AttemptFinished(attempts[content].part, 0, api.AttemptOutcome.OK, now, content)
 
     driver.step(100.2, [ended("q.0", 100.2), ended("q.1", 100.2)])
-    batch = 100.1 + AIM + 0.05  # the aim timer is due in it
+    batch = 100.1 + AIM + 0.05  # the latency objective timer is due in this batch
     effects = driver.step(batch, [ended("q.2", batch)])
     assert not [
         effect for effect in effects if isinstance(effect, t.CompleteQuery)
-    ], "the second step has not begun"
+    ], "the query completed before its second step"
     effects = driver.step(batch + 0.005, [])
     begun = {
         e.content for effect in effects if isinstance(effect, t.StartRequest) for e in effect.request.attempts
@@ -224,6 +226,6 @@
 
 @pytest.mark.parametrize("seed", [22, 26, 41])
 def test_no_rule_on_partial_answers_is_broken_by_a_seeded_run(seed: int) -> None:
-    """Runs of the fault rig that broke the rule on the text of the incident."""
+    """With these seeds the fault rig broke the rule on the code of the incident."""
     found = [broken for broken in play(draw(seed)).violations if broken.rule == "partial"]
     assert not found
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -1,4 +1,4 @@
-"""The node end to end on loopback, against replicas and discovery that do what the platform's may do."""
+"""The node end to end on loopback, against fake replicas and a fake discovery of the platform."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
     asked = [p for r in platform.replicas for p in r.parts.items]
     assert len({p.id for p in asked}) == 60
     assert all(p.text == b"c41e" and 0 < int(p.words["d"]) <= 6000 for p in asked)
-    assert sum(len(r.wires) for r in platform.replicas) < 10, "a few connections carry it all"
+    assert sum(len(r.wires) for r in platform.replicas) < 10, "connections were not reused"
 
 
 def test_a_second_step_goes_to_the_highest_scores(tmp_path: Path) -> None:
@@ -75,11 +75,11 @@
 
 def test_a_silent_replica_is_copied_and_its_twin_withdrawn(tmp_path: Path) -> None:
     platform = at_first(tmp_path, lambda wire, part: None)
-    for number in range(25):  # until the class's latencies are known, no copy is expected in time
+    for number in range(25):  # no part is hedged before the latencies of the class are known
         platform.ask(f"warm{number}", {1: 1.0})
     served(platform.ask("q", {1: 1.0}), "q", 1)
     assert [[p.id for p in r.parts.items].count("q.1") for r in platform.replicas] == [1, 1]
-    for _ in range(2000):  # which of them was silent, its cancel tells
+    for _ in range(2000):  # the replica that does not answer receives the cancellation
         if withdrawn := [c for r in platform.replicas for c in r.cancels.items]:
             break
         threading.Event().wait(0.01)
@@ -97,13 +97,13 @@
 
 
 def test_a_replica_that_answers_no_probe_is_served_by(tmp_path: Path) -> None:
-    """Probes are capped over all co-ordinators: a new connection needs none, and none counts against it."""
+    """Probes are limited over all co-ordinators: a new connection sends none, and needs no answer to one."""
     quiet = Replica(0)
     quiet.answers_probes = False
     platform = Platform(tmp_path, quiet)
     for number in range(3):
         served(platform.ask(f"q{number}", {0: 0.5, 1: 0.5}), f"q{number}", 0, 1)
-    assert quiet.probes == 0 and len(quiet.parts.items) == 6  # nothing had to be sent twice
+    assert quiet.probes == 0 and len(quiet.parts.items) == 6  # no part was sent twice
     platform.close()
 
 
@@ -196,7 +196,7 @@
         read_until(program.stderr, "shutdown_started")
         held.set()
         served(reply(sock), "q", 0)
-        sock.sendall(query("r", {0: 1.0}))  # on a connection that stands, while the platform lets us
+        sock.sendall(query("r", {0: 1.0}))  # open connections are served during the graceful shutdown
         served(reply(sock), "r", 0)
     assert program.wait(PATIENCE) == 0
     program.stderr.close()
--- a/tests/test_node_config.py
+++ b/tests/test_node_config.py
@@ -1,4 +1,4 @@
-"""The node's configuration file."""
+"""Reading the node's configuration file."""
 
 from __future__ import annotations
 
--- a/tests/test_replica_connections.py
+++ b/tests/test_replica_connections.py
@@ -1,4 +1,4 @@
-"""The node's connections to replicas that spoil, stop reading, drop out or are many."""
+"""The node's connections to replicas that send invalid answers, stop reading, disconnect or are many."""
 
 from __future__ import annotations
 
@@ -55,12 +55,12 @@
     platform = at_first(tmp_path, spoil)
     served(platform.ask("q", {0: 0.2, 1: 0.2, 2: 0.2, 3: 0.4}), "q", 0, 1, 2, 3)
     asked = [p.id for r in platform.replicas for p in r.parts.items]
-    assert len(asked) > 4, "what was out on that connection went again"
+    assert len(asked) > 4, "the parts in flight on that connection were not sent again"
     for _ in range(2000):
         if ended := [wire for r in platform.replicas for wire in r.ended.items]:
             break
         threading.Event().wait(0.01)
-    assert len(ended) == 1, "the one connection is given up"
+    assert len(ended) == 1, "only the faulty connection is closed"
     platform.close()
 
 
@@ -71,7 +71,7 @@
     platform = Platform(tmp_path, Replica(0, noisy))
     for number in range(8):
         served(platform.ask(f"q{number}", {0: 1.0}), f"q{number}", 0)
-    assert len(platform.replicas[0].parts.items) == 8, "no part was asked for twice"
+    assert len(platform.replicas[0].parts.items) == 8, "a part was sent twice"
     platform.close()
 
 
@@ -82,7 +82,7 @@
 ) -> None:
     platform = Platform(tmp_path, Replica(0, spoil), Replica(0, spoil))
     status, _, _ = platform.ask("q", {0: 1.0}, "/book")
-    assert status == 500, "failed, which promises nothing; a refusal would say that it has not run"
+    assert status == 500, "must fail: a rejection would state that the part has not run"
     assert sum(len(r.parts.items) for r in platform.replicas) == 1
     platform.close()
 
@@ -112,8 +112,8 @@
 
 
 def test_more_replicas_than_links_one_thread_for_all_and_quiet_links_give_way(tmp_path: Path) -> None:
-    """Found on the full fleet: a thread for each link, and over 600 co-ordinators the machine had no more:
-    the decision thread broke. And with every link taken a part ended unsent though quiet links stood by."""
+    """With a thread per connection, 600 co-ordinators on one machine ran out of threads, which ended the decision
+    thread. With all connections open, a part failed unsent although idle connections could have been closed."""
     replicas = [Replica(0) for _ in range(24)]
     before = {thread.ident for thread in threading.enumerate()}
     platform = Platform(tmp_path, *replicas, sockets=72)
@@ -129,7 +129,7 @@
     for number in range(80):
         served(platform.ask(f"q{number}", {0: 0.5, 1: 0.5}), f"q{number}", 0, 1)
     met = sum(bool(replica.parts.items) for replica in replicas)
-    assert met > 12, met  # far more than the 4 links there may be
+    assert met > 12, met  # far more than the limit of 4 connections
     assert len(taken) >= 160 and all(taken)
     assert links.count <= 4 + SPARE_DESCRIPTORS
     mine = [thread for thread in threading.enumerate() if thread.ident not in before]
@@ -138,7 +138,7 @@
 
 
 def test_withdrawn_parts_keep_their_place_on_a_connection(tmp_path: Path) -> None:
-    """A replica need not stop what it runs; past the streams of a connection it reads no further."""
+    """A replica may go on running a cancelled part; it reads no further parts beyond a connection's streams."""
     by_wire = Counter[int]()
 
     def note(wire: Wire, part: Part) -> None:
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -1,8 +1,8 @@
-"""The terms that hold since the incident, each forced: deadlines passed on, requests that were read, calls
-that fail, a wall clock that is stepped.
+"""Requirements of the platform, each with its fault injected: deadlines passed on, requests already read, failing
+system calls, a stepped wall clock.
 
-What a client that leaves early must not cause is in `test_client_disconnects.py` (`LEAVING`), the failing
-folder in `test_intents.py`, placed starts in `test_starts.py`.
+Related tests: clients that disconnect early in `test_client_disconnects.py` (`LEAVING`), a failing folder in
+`test_intents.py`, start times of replicas in `test_starts.py`.
 """
 
 from __future__ import annotations
@@ -55,7 +55,7 @@
 
 
 def test_parts_of_one_call_are_each_told_their_own_time(tmp_path: Path) -> None:
-    """One batch sends the parts of two queries to one replica: the one with 1.2 s left had it told 7.89 s."""
+    """A batch holds parts of two queries: for the one with 1.2 s remaining, the replica was sent 7.89 s."""
     config = BASE._replace(
         query_classes=(query_class(aim=2.0, deadline=8.0),), coordinator_count=1, max_parts_per_request=8
     )
@@ -108,7 +108,7 @@
 
 
 def tended(links: ReplicaConnections, true: Callable[[], object]) -> Callable[[], object]:
-    """A state that comes about as the decision thread takes its turns."""
+    """Return a condition that runs the decision thread's maintenance before each check."""
 
     def check() -> object:
         links.maintain()
@@ -118,7 +118,7 @@
 
 
 def test_a_first_attempt_that_was_stuck_half_way_is_not_finished_late() -> None:
-    """What it tells its replica was right when it was encoded. It has proof that it never ran."""
+    """The remaining time sent with it was right only at encoding. The attempt is known never to have run."""
     there = Replica(0)
     there.reading.clear()
     told = Waiter()
@@ -126,18 +126,18 @@
     call = a_call(there, "big", b"x" * (8 << 20))
     assert links.start(call)
     (link,) = links._by_number.values()
-    until(tended(links, lambda: link._queue.partial), "half a frame")
+    until(tended(links, lambda: link._queue.partial), "the frame is partially written")
     half = link._queue.partial
     assert half is not None
-    until(lambda: time.monotonic() - half.encoded_at > t.MAX_SEND_DELAY, "its time to pass")
-    there.reading.set()  # takes bytes again
-    until(tended(links, lambda: told.items), "its ending")
+    until(lambda: time.monotonic() - half.encoded_at > t.MAX_SEND_DELAY, "the send delay has passed")
+    there.reading.set()  # the replica reads again
+    until(tended(links, lambda: told.items), "the attempt's outcome is reported")
     assert told.items[0].outcome is AttemptOutcome.CONNECT_FAILED and not there.parts.items
     links.close()
     there.close()
 
 
-# ---- read, then closed with no answer
+# ---- requests that are read must be answered
 
 
 def serve(handler: Handler) -> Iterator[HttpServer]:
@@ -154,7 +154,7 @@
 
 
 def test_a_reply_whose_time_is_up_is_a_failure_and_no_silence() -> None:
-    """Found by a rehearsal: a co-ordinator held past its client's time closed with nothing written."""
+    """Guards against a co-ordinator that, paused past its client's deadline, closes without an answer."""
     done = threading.Event()
 
     def late(request: Request, body: bytes, arrived: float, client: Exchange) -> Reply:
@@ -167,7 +167,7 @@
 
 
 def test_a_failure_whose_time_is_up_is_said_as_its_front_has_it() -> None:
-    """A vector client under a starved machine got plain text in the place of its front's JSON."""
+    """Guards against plain text in place of the front's JSON, which a vector client got on an overloaded machine."""
 
     def late(request: Request, body: bytes, arrived: float, client: Exchange) -> Reply:
         return plain(502, "in the front's own words")._replace(until=time.monotonic() - 1.0)
@@ -194,7 +194,8 @@
 
 
 def test_a_first_request_that_came_in_a_hold_has_been_waiting_since_it_began() -> None:
-    """Found by a rehearsal: on a connection not yet taken, it passed for fresh and was answered late."""
+    """Guards against treating a request on a connection not yet accepted as new after a process pause: its answer
+    came too late."""
     arrivals: list[float] = []
 
     def handler(request: Request, body: bytes, arrived: float, client: Exchange) -> Reply:
@@ -211,10 +212,10 @@
 
 
 class FailingPoll:
-    """An epoll of which some calls fail."""
+    """An epoll some of whose calls fail."""
 
     def __init__(self, real: Any) -> None:
-        self.real, self.fail = real, dict[str, int]()  # call -> how many times still
+        self.real, self.fail = real, dict[str, int]()  # call -> number of failures still to come
 
     def _maybe(self, call: str) -> None:
         if self.fail.get(call, 0) > 0:
@@ -278,7 +279,7 @@
 
 @pytest.mark.parametrize("call", ["register", "modify"])
 def test_an_epoll_that_fails_ends_no_deciding(tmp_path: Path, call: str) -> None:
-    """A registration that failed on the decision thread ended it, and with it all queries."""
+    """Guards against a failed registration that ends the decision thread, and with it all queries."""
     platform = Platform(tmp_path)
     links = platform.node.core._transport
     assert isinstance(links, ReplicaConnections)
@@ -320,7 +321,7 @@
     call: str,
     code: int,
 ) -> None:
-    """At the co-ordinator's ends of all connections; the test's own are left alone."""
+    """Calls fail on the co-ordinator's side of all connections, and not on the test's side."""
     platform = Platform(tmp_path)
     sock = platform.client()
     real, own, count = getattr(socket.socket, call), threading.current_thread(), [0]
@@ -340,7 +341,7 @@
 
 @pytest.mark.parametrize("call", ["register", "modify", "poll"])
 def test_the_thread_that_takes_connections_outlives_a_failing_epoll(platform: Platform, call: str) -> None:
-    """A request on a connection that could not be registered waits for a moment, and is served."""
+    """A request on a connection that could not be registered is served after a short wait."""
     connections = connections_of(platform)
     poll = FailingPoll(connections._poller._epoll)
     connections._poller._epoll = poll  # type: ignore[assignment]
@@ -351,7 +352,7 @@
 
 
 class FailingListener:
-    """A listener of which the next accepts fail."""
+    """A listener whose next accepts fail with the given error codes, the last first."""
 
     def __init__(self, real: socket.socket, codes: list[int]) -> None:
         self._real, self._codes = real, codes
@@ -389,7 +390,7 @@
         raise OSError(errno.ENOMEM, os.strerror(errno.ENOMEM))
 
     monkeypatch.setattr(socket.socket, "recv", short_of_memory)
-    assert client_connection.has_unread_data(near) is None, "nothing is known"
+    assert client_connection.has_unread_data(near) is None, "must be unknown after a local failure"
     monkeypatch.setattr(socket.socket, "recv", real)
     assert client_connection.has_unread_data(near) is True
     far.close()
@@ -397,7 +398,7 @@
 
 
 class NoThreads:
-    """Threads for clients cannot be started, `times` times."""
+    """Makes starting a client thread fail `times` times."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, times: int) -> None:
         self.left, self._real = times, threading.Thread.start
@@ -445,7 +446,7 @@
         local_failures.retry_local_failures(lambda: (_ for _ in ()).throw(OSError(errno.ENOMEM, "for good")))
 
 
-# ---- real processes, with system calls that fail and a wall clock that is stepped
+# ---- real processes, with failing system calls and a stepped wall clock
 
 
 SHIMMED = ((3, "0.02:0"), (12, "0.01:3600"), (20, "0.02:-3600"), (41, "0:7200"))
@@ -462,14 +463,16 @@
 
 @pytest.mark.parametrize("step", [3600.0, -3600.0])
 def test_a_key_s_window_is_a_span_of_real_time(monkeypatch: pytest.MonkeyPatch, step: float) -> None:
-    """By the wall clock a step forward ended a window early; one back let a key be sent again after it."""
+    """Measured by the wall clock, a step forward ended the window early, and a step back allowed a retry after it."""
     intents = IdempotencyRecords(IdempotencyLimits(window=10.0, safety_margin=0.5, retention=3600.0))
     now = boot_clock.seconds()
     assert intents.begin("k", "d", 1, now).action is KeyAction.SEND
     intents.finish("k", WriteState.UNKNOWN, now)
     real = time.time
     monkeypatch.setattr(time, "time", lambda: real() + step)
-    assert intents.begin("k", "d", 1, boot_clock.seconds()).action is KeyAction.SEND, "within its window"
+    assert (
+        intents.begin("k", "d", 1, boot_clock.seconds()).action is KeyAction.SEND
+    ), "still within the window"
     intents.finish("k", WriteState.UNKNOWN, boot_clock.seconds())
     assert intents.begin("k", "d", 1, boot_clock.seconds() + 10.0).action is KeyAction.WINDOW_EXPIRED
 
