--- a/gingervane/node/client_front.py
+++ b/gingervane/node/client_front.py
@@ -27,8 +27,12 @@
 _MILLISECONDS = re.compile(r"[0-9]{1,9}\Z")
 _TOKEN = re.compile(r"[0-9A-Fa-f]{16}\Z")
 _WEIGHT_SLACK = 0.002  # tolerated deviation of a sum of rounded weights from 1
-_MAX_GUESS = 1e12  # microseconds
-_STATUS = {t.QueryStatus.REJECTED: 503, t.QueryStatus.FAILED: 500, t.QueryStatus.CLIENT_DISCONNECTED: 500}
+_MAX_GUESS_MICROSECONDS = 1e12
+_HTTP_STATUS = {
+    t.QueryStatus.REJECTED: 503,
+    t.QueryStatus.FAILED: 500,
+    t.QueryStatus.CLIENT_DISCONNECTED: 500,
+}
 _JSON = ("Content-Type", "application/json")
 _HEALTH_PATHS = ("/ready", "/health")
 
@@ -41,7 +45,7 @@
     def __init__(self, core: QueryCoordinator, class_names: tuple[str, ...], shards: int) -> None:
         self._core = core
         self._shards = shards
-        self._classes = {name: number for number, name in enumerate(class_names)}
+        self._classes = {name: class_index for class_index, name in enumerate(class_names)}
         self._codec = FrameCodec()
         self._lock = Lock()
         self._open_ids = set[str]()
@@ -100,7 +104,7 @@
             return Reply(200, [_JSON], orjson.dumps({"full": full, "pieces": pieces}))
         if result.status is t.QueryStatus.REJECTED:
             return _rejection(result.detail or "refused", result.retry_after)
-        return plain(_STATUS[result.status], result.detail or "failed")
+        return plain(_HTTP_STATUS[result.status], result.detail or "failed")
 
     # ---- reading a query
 
@@ -108,8 +112,8 @@
         self, request: Request, class_name: str, body: bytes, arrived: float
     ) -> tuple[str, t.QueryPlan]:
         """Read a query; return its id and its plan. Raises HttpError."""
-        number = self._classes.get(class_name)
-        if number is None:
+        class_index = self._classes.get(class_name)
+        if class_index is None:
             raise HttpError(404, "path: no class of that name")
         if request.method != "POST":
             raise HttpError(405, "only POST here")
@@ -120,17 +124,19 @@
         retried = request.headers.get_all("x-retried")
         if retried not in ([], ["0"], ["1"]):
             raise HttpError(400, "X-Retried: not 1")
-        tablets, text = _read_body(body)
-        parts, cost = self._read_parts(query_id, tablets, text)
-        query_class = self._core.settings.query_classes[number]
+        tablets, statement = _read_body(body)
+        parts, cost = self._read_parts(query_id, tablets, statement)
+        query_class = self._core.settings.query_classes[class_index]
         deadline = arrived + min(timeout_ms / 1000, query_class.deadline)
-        second_step = _second_step(query_id, text, query_class.second_step_parts)
+        second_step = _second_step(query_id, statement, query_class.second_step_parts)
         is_client_retry = retried == ["1"]
-        plan = t.QueryPlan(number, deadline, parts, self._codec, query_id, is_client_retry, cost, second_step)
+        plan = t.QueryPlan(
+            class_index, deadline, parts, self._codec, query_id, is_client_retry, cost, second_step
+        )
         return query_id, plan
 
     def _read_parts(
-        self, query_id: str, tablets: list[Any], text: bytes
+        self, query_id: str, tablets: list[Any], statement: bytes
     ) -> tuple[tuple[t.PartPlan, ...], float]:
         """Return the parts and their estimated total work in seconds. Raises HttpError."""
         if not 1 <= len(tablets) <= self._shards:
@@ -143,33 +149,33 @@
             shards.add(shard)
             cost += guess / 1e6
             parts.append(
-                t.PartPlan(shard, float(weight), SubqueryRequest(f"{query_id}.{shard}", shard, "", text))
+                t.PartPlan(shard, float(weight), SubqueryRequest(f"{query_id}.{shard}", shard, "", statement))
             )
         if abs(sum(part.weight for part in parts) - 1.0) > _WEIGHT_SLACK:
             raise HttpError(400, "tablets: their fractions do not add up to 1")
         return tuple(parts), cost
 
-    def _read_tablet(self, tablet: Any, where: str, shards: set[int]) -> tuple[int, float, float]:
+    def _read_tablet(self, tablet: Any, path: str, shards: set[int]) -> tuple[int, float, float]:
         """Return a tablet's shard, weight and estimated work in microseconds. Raises HttpError.
 
         `shards`: the shards of the tablets before it, which it may not repeat.
         """
         if not isinstance(tablet, dict):
-            raise HttpError(400, f"{where}: no object")
+            raise HttpError(400, f"{path}: no object")
         shard: Any = tablet.get("tablet")
         weight: Any = tablet.get("fraction")
         guess: Any = tablet.get("guess", 0)
         token = tablet.get("token")
         if not isinstance(shard, int) or isinstance(shard, bool) or not 0 <= shard < self._shards:
-            raise HttpError(400, f"{where}.tablet: no shard")
+            raise HttpError(400, f"{path}.tablet: no shard")
         if shard in shards:
-            raise HttpError(400, f"{where}.tablet: shard {shard} stands there twice")
+            raise HttpError(400, f"{path}.tablet: shard {shard} stands there twice")
         if not _is_number(weight) or not 0 < weight <= 1:
-            raise HttpError(400, f"{where}.fraction: not above 0 and up to 1")
-        if not _is_number(guess) or not 0 <= guess < _MAX_GUESS:
-            raise HttpError(400, f"{where}.guess: no number of microseconds")
+            raise HttpError(400, f"{path}.fraction: not above 0 and up to 1")
+        if not _is_number(guess) or not 0 <= guess < _MAX_GUESS_MICROSECONDS:
+            raise HttpError(400, f"{path}.guess: no number of microseconds")
         if token is not None and not (isinstance(token, str) and _TOKEN.match(token)):
-            raise HttpError(400, f"{where}.token: not 16 hex digits")
+            raise HttpError(400, f"{path}.token: not 16 hex digits")
         return shard, weight, guess
 
 
@@ -187,7 +193,7 @@
     return data["tablets"], statement.encode()
 
 
-def _second_step(query_id: str, text: bytes, max_parts: int) -> SecondStep | None:
+def _second_step(query_id: str, statement: bytes, max_parts: int) -> SecondStep | None:
     """Return the function that plans a query's second step, or None if it has none.
 
     The second step queries the shards with the highest scores in the first step, at most `max_parts` of them.
@@ -199,14 +205,14 @@
         ranked = sorted(results.values(), key=lambda result: (-result.score, result.shard))
         chosen = ranked[:max_parts]
         sources = "+".join(str(result.shard) for result in sorted(ranked, key=lambda result: result.shard))
-        words = f",from={sources},whole={complete:d}"
+        options = f",from={sources},whole={complete:d}"
         return tuple(
             t.PartPlan(
-                each.shard,
+                selected.shard,
                 1 / len(chosen),
-                SubqueryRequest(f"{query_id}.{each.shard}.b", each.shard, words, text),
+                SubqueryRequest(f"{query_id}.{selected.shard}.b", selected.shard, options, statement),
             )
-            for each in chosen
+            for selected in chosen
         )
 
     return plan
--- a/gingervane/node/config.py
+++ b/gingervane/node/config.py
@@ -74,7 +74,7 @@
     settings = read_settings(pairs)._replace(max_send_delay=MAX_SEND_DELAY)
     return NodeConfig(
         name=str(data.get("name", "")),
-        listen=parse_address(data.get("listen"), "listen", least=0),  # port 0: the kernel chooses one
+        listen=parse_address(data.get("listen"), "listen", min_port=0),  # port 0: the kernel chooses one
         discovery=read_address(data, "discovery"),
         seed=_number(str(data.get("seed", "0")), "seed", 16),
         max_sockets=_number(str(data.get("limits", {}).get("sockets", _DEFAULT_SOCKETS)), "limits.sockets"),
@@ -84,11 +84,11 @@
         cached_endpoints=data.get("known"),
         settings=settings,
         zones=_names(data["settings"].get("Zones") or [], "settings: Zones"),  # a name may hold a comma
-        class_names=tuple(_need(pairs, f"Classes.{i}.Name") for i in range(len(settings.query_classes))),
-        shards=_number(_need(pairs, "Extra.Shards"), "settings: Extra.Shards"),
+        class_names=tuple(_require(pairs, f"Classes.{i}.Name") for i in range(len(settings.query_classes))),
+        shards=_number(_require(pairs, "Extra.Shards"), "settings: Extra.Shards"),
         ordinal=_number(pairs.get("Ordinal", "0"), "settings: Ordinal"),
         streams_per_connection=_number(
-            _need(pairs, "Limits.StreamsPerConn"), "settings: Limits.StreamsPerConn"
+            _require(pairs, "Limits.StreamsPerConn"), "settings: Limits.StreamsPerConn"
         ),
         idle_timeout=_seconds(pairs, "Limits.ConnIdleS"),
         connect_timeout=_seconds(pairs, "Limits.ConnectTimeoutS"),
@@ -100,27 +100,27 @@
     return parse_address(data.get(key), key)
 
 
-def parse_address(text: object, key: str, least: int = 1) -> Address:
+def parse_address(text: object, key: str, min_port: int = 1) -> Address:
     """Parse `A.B.C.D:PORT`, the platform's form of an address. Raises ConfigError.
 
     Host names are rejected: the platform has no DNS, so connecting to one would wait for the resolver or fail in it.
     """
-    found = _ADDRESS.match(str(text))
+    parsed = _ADDRESS.match(str(text))
     try:
-        if found and least <= int(found[2]) < _PORTS:
-            return str(IPv4Address(found[1])), int(found[2])
+        if parsed and min_port <= int(parsed[2]) < _PORTS:
+            return str(IPv4Address(parsed[1])), int(parsed[2])
     except ValueError:
         pass  # not an IPv4 address
     raise ConfigError(f"{key}: {str(text)[:100]!r} is not an IPv4 address and a port")
 
 
-def _names(found: object, key: str) -> tuple[str, ...]:
-    if not isinstance(found, list) or not all(isinstance(name, str) for name in found):
-        raise ConfigError(f"{key}: {found!r} is not a list of names")
-    return tuple(found)
+def _names(value: object, key: str) -> tuple[str, ...]:
+    if not isinstance(value, list) or not all(isinstance(name, str) for name in value):
+        raise ConfigError(f"{key}: {value!r} is not a list of names")
+    return tuple(value)
 
 
-def _need(pairs: dict[str, str], key: str) -> str:
+def _require(pairs: dict[str, str], key: str) -> str:
     if not pairs.get(key):
         raise ConfigError(f"settings: key {key} is missing")
     return pairs[key]
@@ -134,7 +134,7 @@
 
 
 def _seconds(pairs: dict[str, str], key: str) -> float:
-    text = _need(pairs, key)
+    text = _require(pairs, key)
     try:
         if 0.0 <= (seconds := float(text)) < inf:
             return seconds
--- a/gingervane/node/discovery.py
+++ b/gingervane/node/discovery.py
@@ -5,8 +5,8 @@
 oldest call is never superseded, so that it is answered however slow discovery is.
 
 Threads: each call has a thread, which reads lists and passes them on. `_change` guards the state that they share,
-`_reading` the reader of lists; where both are needed, `_reading` is taken first. `request_watch` (decision thread)
-and `change_address` (main thread) never wait for I/O.
+`_reader_lock` the reader of lists; where both are needed, `_reader_lock` is taken first. `request_watch` (called by
+the decision thread) and `change_address` (main thread) never wait for I/O.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 from gingervane.telemetry.node_telemetry import Log
 from gingervane.wire.local_failures import start_thread
 
-_MOVE_WAIT = 0.2  # longest wait, in seconds, for calls at the old address to end after a change of address
+_ADDRESS_CHANGE_WAIT = 0.2  # longest wait, in seconds, for calls at the old address to end
 _MAX_LOGGED_VALUE = 100  # bytes of an invalid JSON value
 
 
@@ -39,7 +39,7 @@
     IDLE = "idle"  # no watch is requested, or the decision engine's backoff is running
     CONNECTING = "calling"  # a call waits for its first list
     WATCHING = "following"  # a list or a change was received on the watch
-    SILENT = "silent"  # no line was received on the watch within the timeout; it is still open
+    STALLED = "silent"  # no line was received on the watch within the timeout; it is still open
 
 
 class MembershipSink(Protocol):
@@ -60,19 +60,19 @@
     ) -> None:
         """`max_calls`: how many calls may wait for an answer at once."""
         self._address = address
-        self._read_address = address  # the one that the reader's version belongs to; guarded by `_reading`
+        self._read_address = address  # to which the reader's version belongs; guarded by `_reader_lock`
         self._reader = reader
         self._sink = sink
         self._log = log
         self._max_calls = max_calls
-        self._reading = Lock()
+        self._reader_lock = Lock()
         self._change = Condition()
         self._calls: list[DiscoveryCall] = []  # open calls, oldest first
         self._workers = 0  # threads
         self._idle_workers = 0  # threads that wait for a call to make
         self._requested = False
-        self._moved = False
-        self._versions_differ = False  # the address has changed, and no call has been begun since
+        self._address_changed = False
+        self._version_reset_pending = False  # the address has changed, and no call has been begun since
         self._stopped = False
         self._retry_pending = False  # a failure was reported; the decision engine will request a call
         self._state = WatchState.IDLE
@@ -80,12 +80,12 @@
         self._call_ends = Counter[str]()
         self._call_ended_at = time.monotonic()
         self._last_line_at = time.monotonic()  # the start time until a line is received
-        self._longest_silence = 0.0  # seconds
+        self._longest_gap = 0.0  # seconds
 
     def start(self) -> None:
         """Start the first thread that makes calls; more are started when several calls wait at once."""
         self._workers = 1
-        start_thread(self._work, "discovery")
+        start_thread(self._run_worker, "discovery")
 
     def request_watch(self) -> None:
         """Begin a call, unless a watch is up."""
@@ -93,7 +93,7 @@
             self._retry_pending = False
             # A request made while a watch is up is dropped: kept, it would retry the next failure without backoff.
             self._requested = not self._has_watch()
-            needs_worker = self._requested and self._claim_worker()
+            needs_worker = self._requested and self._reserve_worker()
             self._change.notify_all()  # all: beginning calls wait here too, and might take a single wake-up
         if needs_worker:
             self._start_worker()
@@ -104,11 +104,11 @@
             if address == self._address:
                 return
             self._address = address
-            self._moved = True
-            self._versions_differ = True
+            self._address_changed = True
+            self._version_reset_pending = True
             for call in self._calls:
-                call.interrupt(CallEnd.MOVED)
-            needs_worker = self._claim_worker()
+                call.interrupt(CallEnd.ADDRESS_CHANGED)
+            needs_worker = self._reserve_worker()
             self._change.notify_all()  # all: beginning calls wait here too, and might take a single wake-up
         if needs_worker:
             self._start_worker()
@@ -126,27 +126,27 @@
         with self._change:
             return self._call_ends.copy()
 
-    def silence(self) -> Mapping[str, int]:
+    def longest_gap(self) -> Mapping[str, int]:
         """Return the longest time without a line from discovery, the current one included. Any thread."""
-        seconds = max(self._longest_silence, time.monotonic() - self._last_line_at)
+        seconds = max(self._longest_gap, time.monotonic() - self._last_line_at)
         return {"longest_ms": int(seconds * 1000)}
 
     # ---- the threads that make calls
 
-    def _claim_worker(self) -> bool:
+    def _reserve_worker(self) -> bool:
         """Whether a thread must be started for a call; if so, it is counted. Called with `_change` held."""
-        claimed = not self._idle_workers and self._workers <= self._max_calls
-        self._workers += claimed
-        return claimed
+        reserved = not self._idle_workers and self._workers <= self._max_calls
+        self._workers += reserved
+        return reserved
 
     def _start_worker(self) -> None:
         try:
-            Thread(target=self._work, name="discovery", daemon=True).start()
+            Thread(target=self._run_worker, name="discovery", daemon=True).start()
         except RuntimeError:  # a system limit: the open calls continue, and a call will be requested again
             with self._change:
                 self._workers -= 1
 
-    def _work(self) -> None:
+    def _run_worker(self) -> None:
         while (call := self._await_call()) is not None:
             self._begin(call)
             reason, detail = call.run()
@@ -158,42 +158,44 @@
         """Wait until a call is requested, and return it; None once the watch is stopped."""
         with self._change:
             self._idle_workers += 1
-            while not (self._requested or self._moved or self._stopped):
+            while not (self._requested or self._address_changed or self._stopped):
                 self._change.wait()
             self._idle_workers -= 1
             if self._stopped:
                 return None
             self._requested = False
-            self._moved = False
+            self._address_changed = False
             self._call_count += 1
             call = DiscoveryCall(CallProgress(self._call_count, self._address), self)
             self._calls.append(call)
-            self._make_room()
+            self._interrupt_excess_call()
             self._update_state("a call is requested")
             return call
 
-    def _make_room(self) -> None:
+    def _interrupt_excess_call(self) -> None:
         """If too many calls wait, interrupt a stalled watch, or else the second oldest (the oldest at limit 1)."""
         calls = [call for call in self._calls if not call.interrupted]
         if len(calls) <= self._max_calls:
             return
-        silent = [call for call in calls if call.is_silent]
+        stalled = [call for call in calls if call.is_stalled]
         second_oldest = calls[1] if self._max_calls > 1 else calls[0]
-        (silent or [second_oldest])[0].interrupt(CallEnd.GAVE_WAY)
+        (stalled or [second_oldest])[0].interrupt(CallEnd.SUPERSEDED)
 
     def _begin(self, call: DiscoveryCall) -> None:
         """Determine the version from which the call requests changes."""
         with self._change:
             # Data sent from the old address is read first: the protocol counts this node as notified of it.
-            self._change.wait_for(lambda: not self._versions_differ or self._calls[0] is call, _MOVE_WAIT)
-        with self._reading:
+            self._change.wait_for(
+                lambda: not self._version_reset_pending or self._calls[0] is call, _ADDRESS_CHANGE_WAIT
+            )
+        with self._reader_lock:
             with self._change:
                 # A call interrupted by a further change of address leaves this to the next, at the latest address.
-                anew = self._versions_differ and not call.interrupted
-                self._versions_differ = self._versions_differ and not anew
+                resets_version = self._version_reset_pending and not call.interrupted
+                self._version_reset_pending = self._version_reset_pending and not resets_version
                 idle_seconds = call.progress.started_at - self._call_ended_at
                 silent_seconds = call.progress.started_at - self._last_line_at
-            if anew:
+            if resets_version:
                 # Versions at the new address may differ: changes would be dropped as stale. Requests a complete list.
                 self._reader.version = 0
                 self._read_address = call.progress.address
@@ -208,22 +210,22 @@
             self._call_ends[reason.value] += 1
             self._call_ended_at = time.monotonic()
             # The decision engine times the retry. Reporting one failure per backoff keeps calls from accumulating.
-            tells = not call.interrupted and not self._has_watch() and not self._retry_pending
-            self._retry_pending = self._retry_pending or tells
-            was_watch = call.has_list and not call.is_silent
+            is_reported = not call.interrupted and not self._has_watch() and not self._retry_pending
+            self._retry_pending = self._retry_pending or is_reported
+            was_watch = call.has_list and not call.is_stalled
             silent_for = time.monotonic() - self._last_line_at
             self._update_state(detail or reason.value)
             needed = not self._idle_workers or self._stopped
             self._workers -= not needed
-        if tells and was_watch:
+        if is_reported and was_watch:
             self._sink.watch_interrupted(silent_for)
-        elif tells:
+        elif is_reported:
             failed = api.MembershipChanged(api.MembershipUpdateKind.FAILED, ())
             self._sink.endpoints_updated(EndpointsUpdated(failed, {}))
         return needed
 
     def _has_watch(self) -> bool:
-        return any(call.has_list and not call.is_silent and not call.interrupted for call in self._calls)
+        return any(call.has_list and not call.is_stalled and not call.interrupted for call in self._calls)
 
     def _update_state(self, reason: str) -> None:
         """Update the state of the watch and log a change of it. Called with `_change` held."""
@@ -232,7 +234,7 @@
         elif any(not call.has_list for call in self._calls):
             new = WatchState.CONNECTING
         else:
-            new = WatchState.SILENT if self._calls else WatchState.IDLE
+            new = WatchState.STALLED if self._calls else WatchState.IDLE
         if new is self._state:
             return
         old, self._state = self._state, new
@@ -248,21 +250,21 @@
             if call.interrupted:
                 return
             if call.has_list:
-                self._confirm(now)
-            speaks_again, call.is_silent = call.is_silent, False
-        with self._reading:
+                self._record_line(now)
+            has_resumed, call.is_stalled = call.is_stalled, False
+        with self._reader_lock:
             self._reader.record_activity()
-        if speaks_again:
-            self._adopt(call, "data received again")
-            nothing_new = api.MembershipChanged(api.MembershipUpdateKind.DELTA, ())
-            self._sink.endpoints_updated(EndpointsUpdated(nothing_new, {}))
+        if has_resumed:
+            self._promote(call, "data received again")
+            no_changes = api.MembershipChanged(api.MembershipUpdateKind.DELTA, ())
+            self._sink.endpoints_updated(EndpointsUpdated(no_changes, {}))
 
-    def _confirm(self, now: float) -> None:
+    def _record_line(self, now: float) -> None:
         """Record that the list is up to date with discovery. Called with `_change` held."""
-        self._longest_silence = max(self._longest_silence, now - self._last_line_at)
+        self._longest_gap = max(self._longest_gap, now - self._last_line_at)
         self._last_line_at = now
 
-    def watch_fell_silent(self, call: DiscoveryCall, seconds: float) -> None:
+    def watch_stalled(self, call: DiscoveryCall, seconds: float) -> None:
         """Report that the watch has stalled. It stays open until another call has been answered."""
         with self._change:
             if call.interrupted:
@@ -278,7 +280,7 @@
                 LogEvent.ENDPOINT_LIST_INVALID, error=f"not a JSON value: {value[:_MAX_LOGGED_VALUE]!r}"
             )
             return
-        with self._reading:
+        with self._reader_lock:
             # An interrupted call's lists are applied too, as the protocol counts this node as notified of them; but
             # not those of a previous address.
             if call.progress.address != self._read_address:
@@ -294,14 +296,14 @@
                 self._sink.endpoints_updated(update)
         if not call.has_list:
             call.has_list = True
-            self._adopt(call, "")
+            self._promote(call, "")
 
-    def _adopt(self, call: DiscoveryCall, reason: str) -> None:
+    def _promote(self, call: DiscoveryCall, reason: str) -> None:
         """Make an answered call the watch and interrupt all others."""
         with self._change:
             if call.interrupted:
                 return
-            self._confirm(time.monotonic())
+            self._record_line(time.monotonic())
             for other in self._calls:
                 if other is not call:
                     other.interrupt(CallEnd.ANSWERED_ELSEWHERE)
--- a/gingervane/node/discovery_call.py
+++ b/gingervane/node/discovery_call.py
@@ -27,12 +27,10 @@
 from gingervane.wire.http1 import ConnectionClosedError, HttpError, Limits, Reader, Response
 from gingervane.wire.json_values import JsonSplitter, ValueTooLongError
 
-SILENCE_TIMEOUT = (
-    2.5  # seconds; discovery sends an empty line every 2 s, and a delay of a quarter is tolerated
-)
+STALL_TIMEOUT = 2.5  # seconds; discovery sends an empty line every 2 s, and a delay of a quarter is tolerated
 _MAX_VALUE_BYTES = 1 << 20  # enough for 1,024 replicas, which take 400 to 600 bytes each when indented
 _INTERRUPTION_POLL = 1.0  # seconds between checks whether a connecting call has been interrupted
-NEVER = -1.0  # logged as the time of a step that was not reached
+NOT_REACHED = -1.0  # logged as the time of a step that was not reached
 
 
 class CallEnd(Enum):
@@ -40,14 +38,14 @@
 
     UNREACHABLE = "unreachable"  # the connection was refused or not established, or there is no route
     BROKEN = "broken"  # the connection was reset, or ended inside a message
-    ENDED = "ended by discovery"
+    ENDED_BY_DISCOVERY = "ended by discovery"
     STATUS = "status"  # answered with a status other than 200
     MALFORMED = "malformed"  # the answer is not HTTP, or not a list where one is expected
     ANSWERED_ELSEWHERE = "another call was answered"
-    GAVE_WAY = "gave way to a newer call"
-    MOVED = "moved"  # the configuration now names another address
+    SUPERSEDED = "gave way to a newer call"
+    ADDRESS_CHANGED = "moved"  # the configuration now names another address
     STOPPED = "stopped"  # the node is stopping
-    INTERNAL = "internal error"
+    INTERNAL_ERROR = "internal error"
 
 
 class StatusError(EndpointListError):
@@ -92,7 +90,7 @@
         log(
             LogEvent.DISCOVERY_CALL_STARTED,
             call=self.number,
-            discovery=_text(self.address),
+            discovery=_format_address(self.address),
             since=self.since,
             idle_seconds=round(idle_seconds, 3),
             silent_seconds=round(silent_seconds, 3),
@@ -102,24 +100,24 @@
         """Log why the call ended, its duration, and the seconds from its start to each step."""
         fields: dict[str, FieldValue] = {
             "call": self.number,
-            "discovery": _text(self.address),
+            "discovery": _format_address(self.address),
             "reason": reason,
             "detail": detail,
             "seconds": round(time.monotonic() - self.started_at, 3),
-            "connected_seconds": self._after(self.connected_at),
-            "first_byte_seconds": self._after(self.first_byte_at),
-            "first_list_seconds": self._after(self.first_list_at),
+            "connected_seconds": self._seconds_after_start(self.connected_at),
+            "first_byte_seconds": self._seconds_after_start(self.first_byte_at),
+            "first_list_seconds": self._seconds_after_start(self.first_list_at),
             "lines": self.lines,
             "lists": self.lists,
             "bytes": self.bytes,
         }
         log(LogEvent.DISCOVERY_CALL_ENDED, **fields)
 
-    def _after(self, at: float) -> float:
-        return round(at - self.started_at, 3) if at else NEVER
+    def _seconds_after_start(self, at: float) -> float:
+        return round(at - self.started_at, 3) if at else NOT_REACHED
 
 
-def _text(address: Address) -> str:
+def _format_address(address: Address) -> str:
     return f"{address[0]}:{address[1]}"
 
 
@@ -132,7 +130,7 @@
     def value_received(self, call: DiscoveryCall, value: bytes, is_json: bool) -> None:
         """Handle a received value, which should be a list or a change."""
 
-    def watch_fell_silent(self, call: DiscoveryCall, seconds: float) -> None:
+    def watch_stalled(self, call: DiscoveryCall, seconds: float) -> None:
         """Handle a watch that has received no line for `seconds`. It stays open."""
 
 
@@ -143,11 +141,11 @@
         self.progress = progress
         self.interrupted: CallEnd | None = None  # the reason, once the call is interrupted
         self.has_list = False  # a list was received, which makes this a watch; set by the call's thread
-        self.is_silent = False  # a watch that received no line within the timeout
+        self.is_stalled = False  # a watch that received no line within the timeout
         self._handlers = handlers
         self._lock = Lock()
         self._sock: socket.socket | None = None
-        self._line_at = inf  # when the last line was received
+        self._last_line_at = inf  # when the last line was received
 
     def interrupt(self, reason: CallEnd) -> None:
         """End the call as soon as possible."""
@@ -159,13 +157,13 @@
 
     def run(self) -> tuple[CallEnd, str]:
         """Make the call and read until it ends; return the reason and a detail text."""
-        reason, detail = CallEnd.ENDED, ""
+        reason, detail = CallEnd.ENDED_BY_DISCOVERY, ""
         try:
             self._follow()
         except (OSError, HttpError, ConnectionClosedError, EndpointListError, ValueTooLongError) as error:
-            reason, detail = _call_end_of(error, self.progress), str(error) or type(error).__name__
+            reason, detail = _classify_error(error, self.progress), str(error) or type(error).__name__
         except Exception as error:  # noqa: BLE001 - a bug must not end a thread that receives changes
-            reason, detail = CallEnd.INTERNAL, f"internal: {type(error).__name__}: {error}"
+            reason, detail = CallEnd.INTERNAL_ERROR, f"internal: {type(error).__name__}: {error}"
         return self.interrupted or reason, detail
 
     def _follow(self) -> None:
@@ -213,43 +211,43 @@
     def _receive(self, sock: socket.socket, most: int) -> bytes:
         """Return the next bytes; report a stalled watch if no line is received in time."""
         while True:
-            sock.settimeout(self._seconds_to_silence())
+            sock.settimeout(self._seconds_to_stall())
             try:
                 data = sock.recv(most)
             except TimeoutError as error:
                 if error.errno:  # raised by the kernel: the connection is dead
                     raise
-                self.is_silent = True
-                self._handlers.watch_fell_silent(self, time.monotonic() - self._line_at)
+                self.is_stalled = True
+                self._handlers.watch_stalled(self, time.monotonic() - self._last_line_at)
             else:
                 self.progress.record_bytes(len(data))
                 return data
 
-    def _seconds_to_silence(self) -> float | None:
+    def _seconds_to_stall(self) -> float | None:
         """Seconds until the watch counts as stalled; None for a call without a list or already stalled."""
-        if not self.has_list or self.is_silent:
+        if not self.has_list or self.is_stalled:
             return None
-        return max(self._line_at + SILENCE_TIMEOUT - time.monotonic(), 0.001)
+        return max(self._last_line_at + STALL_TIMEOUT - time.monotonic(), 0.001)
 
     def _read_events(self, reader: Reader, reply: Response) -> None:
         """Read watch events to the end of the body. Lists may be indented."""
         values = JsonSplitter(_MAX_VALUE_BYTES)
         for data in reader.iter_body(reply.headers):
             if b"\n" in data:
-                self._line_at = time.monotonic()
+                self._last_line_at = time.monotonic()
                 self.progress.lines += 1
                 self._handlers.line_received(self)
             for value, is_json in values.feed(data):
                 self._handlers.value_received(self, value, is_json)
 
 
-def _call_end_of(error: Exception, progress: CallProgress) -> CallEnd:
+def _classify_error(error: Exception, progress: CallProgress) -> CallEnd:
     """Return the reason to log for the error that ended a call."""
     match error:
         case StatusError():
             return CallEnd.STATUS
         case ConnectionClosedError(clean=True):
-            return CallEnd.ENDED
+            return CallEnd.ENDED_BY_DISCOVERY
         case OSError() if not progress.connected_at:
             return CallEnd.UNREACHABLE
         case OSError() | ConnectionClosedError():
--- a/gingervane/node/endpoint_list.py
+++ b/gingervane/node/endpoint_list.py
@@ -88,8 +88,8 @@
 
     def _is_outdated(self, endpoints: _EndpointList, since: int | None) -> bool:
         if endpoints.version < self.version:
-            counts_anew = since is not None and endpoints.version < since
-            return not (endpoints.complete and counts_anew)
+            versions_restarted = since is not None and endpoints.version < since
+            return not (endpoints.complete and versions_restarted)
         return endpoints.version == self.version and not endpoints.complete
 
     def _parse_entries(self, endpoints: _EndpointList) -> dict[int, ListedReplica]:
@@ -139,11 +139,11 @@
         starts = self._start_times.place(unix_starts, cached)
         if self._start_times.corrections > corrections:
             self._log("start_times_corrected", corrections=self._start_times.corrections)
-        moved = {
+        converted = {
             n: ListedReplica(listed[n].replica._replace(started_at=start), listed[n].address)
             for n, start in starts.items()
         }
-        return listed | moved
+        return listed | converted
 
     def _remember_names(self, names: dict[int, str], complete: bool) -> None:
         """Cache names for the log. A complete list drops all others, and `_MAX_NAMES` bounds what changes add."""
--- a/gingervane/node/frame_queue.py
+++ b/gingervane/node/frame_queue.py
@@ -23,7 +23,7 @@
     retry_batch: t.BatchRequest | None
     encoded_at: float
 
-    def after(self, sent: int) -> OutgoingFrame:
+    def remaining_after(self, sent: int) -> OutgoingFrame:
         """Return the rest of the frame after `sent` more bytes were written."""
         return OutgoingFrame(self.data[sent:], self.parts, self.retry_batch, self.encoded_at)
 
--- a/gingervane/node/query_log.py
+++ b/gingervane/node/query_log.py
@@ -41,11 +41,11 @@
             SOCKET_RECORDER.record(
                 "settled", 0, 0, query=plan.tag, verdict=final.status.value, seconds=seconds, why=final.detail
             )
-        write = self._log_of(final)
-        if write is None:
+        log = self._log_of(final)
+        if log is None:
             return
         outcomes = Counter(record.outcome for record in final.attempts)
-        write(
+        log(
             LogEvent.QUERY_COMPLETED,
             request=plan.tag,
             query=query,
--- a/gingervane/node/replica_connection.py
+++ b/gingervane/node/replica_connection.py
@@ -140,21 +140,21 @@
         self.flush()
         return True
 
-    def abandon(self, request: t.AttemptRequest, tell: bool, over: bool) -> None:
-        """Stop waiting for an attempt. `tell`: its replica is to cancel it; `over`: it has expired."""
+    def abandon(self, request: t.AttemptRequest, notify_replica: bool, expired: bool) -> None:
+        """Stop waiting for an attempt. `notify_replica`: its replica is to cancel it; `expired`: it has expired."""
         part_id = request.content.id
         with self._lock:
             if self.broken or not self._parts.holds(request):
                 return
             is_partially_sent = self._queue.is_partially_sent(part_id)
-            if tell or over:
+            if notify_replica or expired:
                 self._parts.abandon(part_id)
-            if tell and not is_partially_sent:
+            if notify_replica and not is_partially_sent:
                 self._queue.add(frames.encode_cancel(part_id))
         if is_partially_sent:
             # The frame must never be completed: the part would arrive after its query's completion.
             self.fail(ReplicaCloseReason.CANCELLED_IN_FRAME)
-        elif tell:
+        elif notify_replica:
             self.flush()
 
     # ---- the decision thread: writing
@@ -169,7 +169,7 @@
             if not isinstance(item, OutgoingFrame):
                 frame = self._encode(item)
             elif item.parts and item.is_overdue(time.monotonic()):
-                self.fail(ReplicaCloseReason.LATE_IN_FRAME, unwritten=item.parts)
+                self.fail(ReplicaCloseReason.OVERDUE_IN_FRAME, unwritten=item.parts)
                 return
             else:
                 frame = item
@@ -187,7 +187,7 @@
                 return False
         is_complete = sent == len(frame.data)
         with self._lock:
-            self._queue.partial = None if is_complete else frame.after(sent)
+            self._queue.partial = None if is_complete else frame.remaining_after(sent)
         if not is_complete:
             self._request_events(select.EPOLLIN | select.EPOLLOUT)
         return is_complete
@@ -211,21 +211,26 @@
     def _encode_batch(self, batch: t.BatchRequest) -> tuple[bytes, set[str]]:
         """Encode the parts of a batch that may be sent now; return the frame and their ids, both empty for none."""
         now = time.monotonic()
-        requests, stale = batch.claim_sendable(now)
+        requests, unsendable = batch.claim_sendable(now)
         sendable = {request.content.id for request in requests}
         if len(requests) < len(batch.attempts):
             with self._lock:
                 self._parts.remove_unsendable(batch, sendable)
-        if stale:
-            self._report_never_sent(stale, now)
+        if unsendable:
+            self._report_never_sent(unsendable, now)
         if not requests:
             return b"", set()
         contents = [request.content for request in requests]
         return batch.codec.encode(contents, batch.seconds_left(requests, now), batch.address), sendable
 
-    def _report_never_sent(self, stale: list[t.AttemptRequest], now: float) -> None:
+    def _report_never_sent(self, unsendable: list[t.AttemptRequest], now: float) -> None:
         outcome, detail = AttemptOutcome.NEVER_SENT, "waited too long"
-        self._report([t.AttemptFinished(e.part, e.attempt, outcome, now, None, detail) for e in stale])
+        self._report(
+            [
+                t.AttemptFinished(request.part, request.attempt, outcome, now, None, detail)
+                for request in unsendable
+            ]
+        )
 
     # ---- the reader
 
--- a/gingervane/node/replica_connection_types.py
+++ b/gingervane/node/replica_connection_types.py
@@ -28,7 +28,7 @@
     RETIRED = "dropped while idle"
     EVICTED = "made room"
     CANCELLED_IN_FRAME = "cancelled inside a frame"
-    LATE_IN_FRAME = "late inside a frame"
+    OVERDUE_IN_FRAME = "late inside a frame"
     INTERNAL_ERROR = "internal error"
 
 
--- a/gingervane/node/replica_connections.py
+++ b/gingervane/node/replica_connections.py
@@ -31,14 +31,14 @@
 _MIN_POLL_TIMEOUT = 0.001  # seconds
 
 
-def _ignore_closed(_closed: ReplicaConnectionClosed) -> None:
+def _ignore_connection_closed(_closed: ReplicaConnectionClosed) -> None:
     """Do nothing."""
 
 
 class ReplicaConnections:
     """All connections to replicas.
 
-    The reader thread runs `_run` and `_wake`; the decision thread runs all other methods.
+    The reader thread runs `_run` and `_queue_for_writing`; the decision thread runs all other methods.
     """
 
     def __init__(
@@ -46,7 +46,7 @@
         limits: ReplicaConnectionLimits,
         report: ReportAttempts,
         decode_cell: DecodeCell = hex_cell,
-        on_closed: OnConnectionClosed = _ignore_closed,
+        on_closed: OnConnectionClosed = _ignore_connection_closed,
     ) -> None:
         self._limits = limits
         self._report = report
@@ -66,7 +66,9 @@
     def in_flight(self) -> int:
         """Number of parts in flight on all connections."""
         by_address = list(self._by_address.values())
-        return sum(len(each.in_flight) for connections in by_address for each in list(connections))
+        return sum(
+            len(connection.in_flight) for connections in by_address for connection in list(connections)
+        )
 
     @property
     def count(self) -> int:
@@ -104,7 +106,7 @@
         except OSError:  # must not end the reader, as no reply would be read any more
             return []
 
-    def _wake(self, connection: ReplicaConnection) -> None:
+    def _queue_for_writing(self, connection: ReplicaConnection) -> None:
         """Have the decision thread write to a connection. An empty report wakes it."""
         self._writable.append(connection)
         self._report([])
@@ -127,7 +129,7 @@
                 self._limits,
                 self._report,
                 self._decode_cell,
-                self._wake,
+                self._queue_for_writing,
                 self._poll,
                 self._on_closed,
             )
@@ -146,10 +148,10 @@
         Otherwise, with more replicas than connections allowed, a part would fail although idle connections exist.
         """
         self._sweep(now)
-        live = [each for each in self._by_number.values() if not each.broken]
+        live = [connection for connection in self._by_number.values() if not connection.broken]
         if len(live) >= self._limits.max_connections:
-            idle = (each for each in live if not each.in_flight)
-            oldest = min(idle, key=lambda each: each.last_used, default=None)
+            idle = (connection for connection in live if not connection.in_flight)
+            oldest = min(idle, key=lambda connection: connection.last_used, default=None)
             if oldest is None:
                 return False
             oldest.fail(ReplicaCloseReason.EVICTED)
@@ -187,7 +189,9 @@
         """Close connections that are broken, retired or idle for too long."""
         self._last_sweep = now
         for address, connections in list(self._by_address.items()):
-            remaining = [each for each in connections if not self._close_if_unused(each, now)]
+            remaining = [
+                connection for connection in connections if not self._close_if_unused(connection, now)
+            ]
             if remaining:
                 self._by_address[address] = remaining
             else:
--- a/gingervane/node/reply_reader.py
+++ b/gingervane/node/reply_reader.py
@@ -51,23 +51,23 @@
     ) -> None:
         if letter != frames.REPLY_LETTER:
             raise FrameError(f"frame {letter!r} that nobody asked for")
-        answer = frames.decode_reply(body)
+        reply = frames.decode_reply(body)
         with self._lock:
-            part, is_known = self._parts.pop_answered(answer.id)
+            part, is_known = self._parts.pop_answered(reply.id)
         if SOCKET_RECORDER.enabled:
-            self._recorder.record("answer", part=answer.id, end=answer.outcome, waited=part is not None)
+            self._recorder.record("answer", part=reply.id, end=reply.outcome, waited=part is not None)
         if not is_known:
-            raise FrameError(f"answer to a part {answer.id} that is not out")
+            raise FrameError(f"answer to a part {reply.id} that is not out")
         self._parts.last_used = received_at
         if part is not None:
-            self._finish(part, answer, received_at, finished)
+            self._finish(part, reply, received_at, finished)
 
     def _finish(
-        self, part: PartInFlight, answer: SubqueryReply, received_at: float, finished: list[t.AttemptFinished]
+        self, part: PartInFlight, reply: SubqueryReply, received_at: float, finished: list[t.AttemptFinished]
     ) -> None:
         request = part.request
-        result = self._read_result(request.content.shard, answer)
-        outcome = _OUTCOMES[answer.outcome]
+        result = self._read_result(request.content.shard, reply)
+        outcome = _OUTCOMES[reply.outcome]
         if outcome is AttemptOutcome.OK and result is None:
             outcome = AttemptOutcome.ERROR
             detail = "spoilt: its value"
@@ -75,13 +75,13 @@
                 t.AttemptFinished(request.part, request.attempt, outcome, received_at, None, detail)
             )
             raise FrameError("answer: its value cannot be read")
-        detail = "" if result else f"the replica answered {answer.outcome}"
+        detail = "" if result else f"the replica answered {reply.outcome}"
         finished.append(
             t.AttemptFinished(request.part, request.attempt, outcome, received_at, result, detail)
         )
 
-    def _read_result(self, shard: int, answer: SubqueryReply) -> PartResult | None:
-        cell = self._decode_cell(answer.value)
-        if answer.outcome != _SERVED or cell is None or answer.score is None:
+    def _read_result(self, shard: int, reply: SubqueryReply) -> PartResult | None:
+        cell = self._decode_cell(reply.value)
+        if reply.outcome != _SERVED or cell is None or reply.score is None:
             return None
-        return PartResult(shard, answer.score, cell)
+        return PartResult(shard, reply.score, cell)
--- a/gingervane/node/service.py
+++ b/gingervane/node/service.py
@@ -149,7 +149,7 @@
         self.telemetry.add_source("attempts", lambda: counts.outcomes)
         self.telemetry.add_source("driver", counts.totals)
         self.telemetry.add_source("discovery_calls", self.watch.call_ends)
-        self.telemetry.add_source("discovery_silence", self.watch.silence)
+        self.telemetry.add_source("discovery_silence", self.watch.longest_gap)
         self.telemetry.add_source("client_connections_ended", lambda: self.server.close_reasons)
         self.telemetry.add_source("client_calls_failed", lambda: self.server.failures)
 
@@ -157,17 +157,17 @@
         """Log an error of a request handler, after the client got status 500. Called by the client's thread."""
         self.telemetry.error(LogEvent.REQUEST_HANDLER_FAILED, **error_fields(error))
 
-    def _replica_connection_closed(self, ended: ReplicaConnectionClosed) -> None:
+    def _replica_connection_closed(self, closed: ReplicaConnectionClosed) -> None:
         """Count and log a closed connection. Called by the decision thread or the reader of replica connections."""
-        self.telemetry.counters.add("replica_connections_ended", ended.reason)
-        if ended.parts_in_flight or self.telemetry.debug_on:
+        self.telemetry.counters.add("replica_connections_ended", closed.reason)
+        if closed.parts_in_flight or self.telemetry.debug_on:
             self.telemetry.info(
                 LogEvent.REPLICA_CONNECTION_CLOSED,
-                address=f"{ended.address[0]}:{ended.address[1]}",
-                reason=ended.reason,
-                detail=ended.detail,
-                attempts_in_flight=ended.parts_in_flight,
-                attempts_unsent=ended.parts_unsent,
+                address=f"{closed.address[0]}:{closed.address[1]}",
+                reason=closed.reason,
+                detail=closed.detail,
+                attempts_in_flight=closed.parts_in_flight,
+                attempts_unsent=closed.parts_unsent,
             )
 
     def _watch_membership(self) -> None:
@@ -191,13 +191,13 @@
     def reload(self) -> None:
         """Read the configuration file again and watch discovery at the address that it now has."""
         try:
-            new = configuration.read_config(self._path)
+            new_config = configuration.read_config(self._path)
         except ConfigError as error:
             self.telemetry.warning(LogEvent.CONFIGURATION_RELOAD_FAILED, error=str(error))
             return
-        address = f"{new.discovery[0]}:{new.discovery[1]}"
+        address = f"{new_config.discovery[0]}:{new_config.discovery[1]}"
         self.telemetry.info(LogEvent.CONFIGURATION_RELOADED, discovery=address)
-        self.watch.change_address(new.discovery)
+        self.watch.change_address(new_config.discovery)
 
     def stop(self) -> None:
         """Shut down gracefully: serve open connections until just before SIGKILL may come, then end.
@@ -214,7 +214,7 @@
 
     def _draining_seconds(self) -> float:
         """Seconds to continue serving before all open requests are answered."""
-        longest = max(kind.deadline for kind in self._config.settings.query_classes)
+        longest = max(query_class.deadline for query_class in self._config.settings.query_classes)
         return min(longest, MAX_COUNTED_DEADLINE) + KILL_DELAY - SHUTDOWN_RESERVE
 
     def end(self) -> None:
--- a/gingervane/node/settings_log.py
+++ b/gingervane/node/settings_log.py
@@ -9,17 +9,17 @@
 
 def log_settings(telemetry: Telemetry, config: NodeConfig) -> None:
     """Log the settings of each query class and of the node."""
-    for name, kind in zip(config.class_names, config.settings.query_classes, strict=True):
+    for name, class_settings in zip(config.class_names, config.settings.query_classes, strict=True):
         telemetry.info(
             LogEvent.CLASS_SETTINGS,
             query_class=name,
-            retry_safety=kind.retry_safety,
-            latency_objective_seconds=kind.latency_objective,
-            deadline_seconds=kind.deadline,
-            idempotency_window_seconds=kind.idempotency_window or 0.0,
-            second_step_parts=kind.second_step_parts,
-            required_coverage=kind.required_coverage,
-            complete_coverage=kind.complete_coverage,
+            retry_safety=class_settings.retry_safety,
+            latency_objective_seconds=class_settings.latency_objective,
+            deadline_seconds=class_settings.deadline,
+            idempotency_window_seconds=class_settings.idempotency_window or 0.0,
+            second_step_parts=class_settings.second_step_parts,
+            required_coverage=class_settings.required_coverage,
+            complete_coverage=class_settings.complete_coverage,
         )
     settings = config.settings
     telemetry.info(
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -87,7 +87,7 @@
 @pytest.fixture
 def watched(monkeypatch: pytest.MonkeyPatch) -> Iterator[Watched]:
     # Shorter than the protocol's 2.5 s, to keep the tests fast.
-    monkeypatch.setattr(discovery_call, "SILENCE_TIMEOUT", 0.3)
+    monkeypatch.setattr(discovery_call, "STALL_TIMEOUT", 0.3)
     made = Watched()
     yield made
     made.close()
@@ -232,7 +232,7 @@
     monkeypatch: pytest.MonkeyPatch,
     mode: str,
 ) -> None:
-    monkeypatch.setattr(discovery_call, "SILENCE_TIMEOUT", 0.3)
+    monkeypatch.setattr(discovery_call, "STALL_TIMEOUT", 0.3)
     calls, drains, stays = Calls(), Replica(0), Replica(0)
     settings = SETTINGS | {"MembershipMode": mode}
     platform = Platform(tmp_path, drains, stays, settings=settings, where=calls.where)
