--- a/tests/node_tools.py
+++ b/tests/node_tools.py
@@ -18,30 +18,31 @@
 from gingervane.coordinator.types import EndpointsUpdated
 
 
-def tell(platform: Platform, *hosts: dict[str, object]) -> None:
+def apply_discovery_change(platform: Platform, *hosts: dict[str, object]) -> None:
     """Have discovery send a change; return once the node handles it before any later query."""
-    core, told = platform.node.core, threading.Event()
-    put = core.endpoints_updated
+    core, applied = platform.node.core, threading.Event()
+    real_endpoints_updated = core.endpoints_updated
 
-    def note(listed: EndpointsUpdated) -> None:
-        put(listed)
-        told.set()
+    def apply_update(update: EndpointsUpdated) -> None:
+        real_endpoints_updated(update)
+        applied.set()
 
-    core.endpoints_updated = note  # type: ignore[assignment,method-assign]
+    core.endpoints_updated = apply_update  # type: ignore[method-assign]
     platform.discovery.change(*hosts)
-    assert told.wait(PATIENCE)
+    assert applied.wait(PATIENCE)
 
 
-def served(found: tuple[int, dict[str, str], object], name: str, *shards: int) -> None:
-    assert found[0] == 200, found
+def assert_served(answer: tuple[int, dict[str, str], object], name: str, *shards: int) -> None:
+    """Assert that the answer to query `name` is complete, with the values of these shards."""
+    assert answer[0] == 200, answer
     cells = [{"tablet": s, "cell": cell_of(f"{name}.{s}")} for s in shards]
-    assert isinstance(found[2], dict) and found[2]["full"] is True
-    assert sorted(found[2]["pieces"], key=lambda p: p["tablet"]) == cells
+    assert isinstance(answer[2], dict) and answer[2]["full"] is True
+    assert sorted(answer[2]["pieces"], key=lambda p: p["tablet"]) == cells
 
 
-def at_first(tmp_path: Path, bad: Callable[[Wire, Part], None]) -> Platform:
-    """Start two equal replicas; the first part of query `q` that either receives is handled by `bad`."""
-    turns = iter([bad])
+def platform_with_first_attempt(tmp_path: Path, first_attempt: Callable[[Wire, Part], None]) -> Platform:
+    """Start two equal replicas; the first part of query `q` that either receives is handled by `first_attempt`."""
+    turns = iter([first_attempt])
 
     def behave(wire: Wire, part: Part) -> None:
         good: Callable[[Wire, Part], None] = lambda wire, part: wire.answer(part.id)  # noqa: E731
--- a/tests/platform_fakes.py
+++ b/tests/platform_fakes.py
@@ -28,14 +28,14 @@
     return hashlib.blake2b(part.encode(), digest_size=8).hexdigest()
 
 
-def until(true: Callable[[], object], what: str) -> None:
+def until(condition: Callable[[], object], description: str) -> None:
     """Poll until the condition holds."""
     pause = threading.Event()
     for _ in range(int(PATIENCE / 0.005)):
-        if true():
+        if condition():
             return
         pause.wait(0.005)
-    raise AssertionError(f"timed out waiting for: {what}")
+    raise AssertionError(f"timed out waiting for: {description}")
 
 
 class Part(NamedTuple):
@@ -57,12 +57,12 @@
             self.items.append(item)
             self._change.notify_all()
 
-    def wait(self, count: int = 1, which: Callable[[Any], bool] = lambda item: True) -> list[Any]:
+    def wait(self, count: int = 1, matches: Callable[[Any], bool] = lambda item: True) -> list[Any]:
         """Wait until `count` items match; return all matching items so far."""
         with self._change:
-            good = self._change.wait_for(lambda: sum(map(which, self.items)) >= count, PATIENCE)
-            assert good, f"timed out waiting for {count} items, got {self.items!r:.500}"
-            return [item for item in self.items if which(item)]
+            enough = self._change.wait_for(lambda: sum(map(matches, self.items)) >= count, PATIENCE)
+            assert enough, f"timed out waiting for {count} items, got {self.items!r:.500}"
+            return [item for item in self.items if matches(item)]
 
 
 def start_node(config: Path) -> subprocess.Popen[str]:
@@ -98,9 +98,9 @@
 
 def read_until(stream: IO[str], event: str) -> str:
     """Return the next line with this event from a program's log."""
-    for said in stream:
-        if f"event={event} " in said + " " or f"event={event}\n" in said:
-            return said
+    for log_line in stream:
+        if f"event={event} " in log_line + " " or f"event={event}\n" in log_line:
+            return log_line
     raise AssertionError(f"the log ended without the event {event}")
 
 
@@ -163,8 +163,8 @@
     def _serve(self, wire: Wire) -> None:
         data = bytearray()
         with contextlib.suppress(OSError):
-            while self.reads and self.reading.wait(PATIENCE) and (got := wire.sock.recv(65536)):
-                data += got
+            while self.reads and self.reading.wait(PATIENCE) and (received := wire.sock.recv(65536)):
+                data += received
                 while len(data) >= 4 and len(data) >= 4 + (length := struct.unpack_from("<I", data)[0]):
                     letter, rest = data[4:5], bytes(data[5 : 4 + length])
                     del data[: 4 + length]
@@ -183,9 +183,9 @@
             line, _, rest = rest.partition(b"\n")
             part, shard, words, size = line.decode().split(" ")
             text, rest = rest[: int(size)], rest[int(size) :]
-            found = Part(part, int(shard), dict(w.split("=") for w in words.split(",")), text)
-            self.parts.put(found)
-            self.behave(wire, found)
+            received_part = Part(part, int(shard), dict(w.split("=") for w in words.split(",")), text)
+            self.parts.put(received_part)
+            self.behave(wire, received_part)
 
     def close(self) -> None:
         with contextlib.suppress(OSError):
@@ -261,8 +261,8 @@
 
     def sock(self, number: int) -> socket.socket:
         """Return the socket of a call, counted from 1."""
-        found: socket.socket = self.calls.wait(number)[number - 1][0]
-        return found
+        sock: socket.socket = self.calls.wait(number)[number - 1][0]
+        return sock
 
     def close(self) -> None:
         with contextlib.suppress(OSError):
@@ -380,12 +380,12 @@
         wait: int = 6000,
     ) -> tuple[int, dict[str, str], Any]:
         """Send one query and return its answer, on a new connection unless `sock` is given."""
-        mine = sock or self.client()
-        mine.sendall(query(name, tablets, path, wait))
-        found = reply(mine)
+        connection = sock or self.client()
+        connection.sendall(query(name, tablets, path, wait))
+        result = reply(connection)
         if sock is None:
-            mine.close()
-        return found
+            connection.close()
+        return result
 
     def close(self) -> None:
         self.node.end()
@@ -415,12 +415,12 @@
     data = b""
     while b"\r\n\r\n" not in data:
         try:
-            got = sock.recv(65536)
+            received = sock.recv(65536)
         except ConnectionError:
-            got = b""
-        if not got:
+            received = b""
+        if not received:
             return 0, {}, None
-        data += got
+        data += received
     head, _, body = data.partition(b"\r\n\r\n")
     lines = head.decode().split("\r\n")
     fields = {k.lower(): v for k, _, v in (line.partition(": ") for line in lines[1:])}
--- a/tests/test_client_front.py
+++ b/tests/test_client_front.py
@@ -7,7 +7,7 @@
 from urllib.parse import quote
 
 import pytest
-from node_tools import served
+from node_tools import assert_served
 from platform_fakes import (
     PATIENCE,
     SETTINGS,
@@ -18,18 +18,21 @@
     request,
 )
 
-AWKWARD = ("ready", "hut nights, s\u00f8k/100%", "v1.%20_x~")
+UNUSUAL_CLASS_NAMES = ("ready", "hut nights, s\u00f8k/100%", "v1.%20_x~")
 
 
 @pytest.mark.parametrize("number", range(3))
 def test_a_class_may_have_any_name(tmp_path: Path, number: int) -> None:
     """Guards against `/ready` hiding a class of that name, and against names that are not percent-decoded."""
-    classes = [kind | {"Name": name} for kind, name in zip(SETTINGS["Classes"], AWKWARD, strict=True)]
+    classes = [
+        kind | {"Name": name} for kind, name in zip(SETTINGS["Classes"], UNUSUAL_CLASS_NAMES, strict=True)
+    ]
     extra = SETTINGS["Extra"] | {"ClassFetch": [0, 0, 0]}
     platform = Platform(tmp_path, Replica(0), settings=SETTINGS | {"Classes": classes, "Extra": extra})
-    served(platform.ask("q", {0: 1.0}, "/" + quote(AWKWARD[number], safe="")), "q", 0)
-    if quote(AWKWARD[number], safe="%") == AWKWARD[number]:  # the name may also be sent without encoding
-        served(platform.ask("r", {0: 1.0}, "/" + AWKWARD[number]), "r", 0)
+    assert_served(platform.ask("q", {0: 1.0}, "/" + quote(UNUSUAL_CLASS_NAMES[number], safe="")), "q", 0)
+    # A name that is valid in a path may also be sent without encoding.
+    if quote(UNUSUAL_CLASS_NAMES[number], safe="%") == UNUSUAL_CLASS_NAMES[number]:
+        assert_served(platform.ask("r", {0: 1.0}, "/" + UNUSUAL_CLASS_NAMES[number]), "r", 0)
     with platform.client() as sock:
         sock.sendall(b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n")
         assert reply(sock)[0] == 200
@@ -37,7 +40,7 @@
 
 
 @pytest.mark.parametrize("advises", [True, False])
-def test_a_refusal_says_when_to_come_back_only_where_that_is_allowed(tmp_path: Path, advises: bool) -> None:
+def test_a_rejection_has_retry_after_only_where_that_is_allowed(tmp_path: Path, advises: bool) -> None:
     limits = SETTINGS["Limits"] | {"RetryAfter": advises}
     platform = Platform(tmp_path, Replica(0), settings=SETTINGS | {"Limits": limits})
     platform.node.core.close()
@@ -46,22 +49,22 @@
     platform.close()
 
 
-def test_an_id_that_a_client_may_use_comes_back_from_a_replica(platform: Platform) -> None:
+def test_every_valid_query_id_is_accepted_in_a_replicas_answer(platform: Platform) -> None:
     """Guards against an underscore that is valid in a client's query id and invalid in a replica's answer."""
-    served(platform.ask("a_B-9", {0: 0.5, 1: 0.5}), "a_B-9", 0, 1)
+    assert_served(platform.ask("a_B-9", {0: 0.5, 1: 0.5}), "a_B-9", 0, 1)
     assert sum(len(replica.parts.items) for replica in platform.replicas) == 2
 
 
-GOOD = query("id", {0: 0.5, 1: 0.5})
+VALID_REQUEST = query("id", {0: 0.5, 1: 0.5})
 
 
-BAD = {
-    "no id": GOOD.replace(b"X-Request-ID: id\r\n", b""),
-    "two ids": GOOD.replace(b"X-Request-ID: id\r\n", b"X-Request-ID: id\r\nX-Request-ID: ie\r\n"),
-    "an id with a line in it": GOOD.replace(b"ID: id", b"ID: i.d 1"),
-    "a deadline that is no number": GOOD.replace(b"Ms: 6000", b"Ms: soon"),
-    "a negative deadline": GOOD.replace(b"Ms: 6000", b"Ms: -5"),
-    "an unknown class": GOOD.replace(b"/look", b"/nosuch"),
+INVALID_REQUESTS = {
+    "no id": VALID_REQUEST.replace(b"X-Request-ID: id\r\n", b""),
+    "two ids": VALID_REQUEST.replace(b"X-Request-ID: id\r\n", b"X-Request-ID: id\r\nX-Request-ID: ie\r\n"),
+    "an id with a line in it": VALID_REQUEST.replace(b"ID: id", b"ID: i.d 1"),
+    "a deadline that is no number": VALID_REQUEST.replace(b"Ms: 6000", b"Ms: soon"),
+    "a negative deadline": VALID_REQUEST.replace(b"Ms: 6000", b"Ms: -5"),
+    "an unknown class": VALID_REQUEST.replace(b"/look", b"/nosuch"),
     "an unknown shard": query("id", {0: 0.5, 99: 0.5}),
     "weights under 1": query("id", {0: 0.5, 1: 0.3}),
     "a weight out of range": query("id", {0: 1.5, 1: -0.5}),
@@ -71,30 +74,32 @@
         '{"tablets":[{"tablet":0,"fraction":0.5},{"tablet":0,"fraction":0.5}],"statement":""}',
     ),
     "a shard that is true": request("id", '{"tablets":[{"tablet":true,"fraction":1}],"statement":""}'),
-    "both framings": GOOD.replace(b"Host: x\r\n", b"Host: x\r\nTransfer-Encoding: chunked\r\n"),
-    "a negative length": GOOD.replace(b"Content-Length: ", b"Content-Length: -"),
+    "both framings": VALID_REQUEST.replace(b"Host: x\r\n", b"Host: x\r\nTransfer-Encoding: chunked\r\n"),
+    "a negative length": VALID_REQUEST.replace(b"Content-Length: ", b"Content-Length: -"),
     "a huge length": b"POST /look HTTP/1.1\r\nHost: x\r\nContent-Length: 60000000\r\n\r\n" + b"x" * 100000,
     "no JSON": request("id", "{]"),
     "no HTTP": b"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03\r\n\r\n",
     "an endless head": b"POST /look HTTP/1.1\r\nHost: x\r\n" + b"X-A: b\r\n" * 5000,
-    "half a request": GOOD[:-20],
+    "half a request": VALID_REQUEST[:-20],
     "silence": b"",
 }
 
 
-@pytest.mark.parametrize("kind", BAD)
-def test_a_bad_client_gets_a_close_or_an_error_and_reaches_nobody(platform: Platform, kind: str) -> None:
+@pytest.mark.parametrize("kind", INVALID_REQUESTS)
+def test_an_invalid_request_gets_an_error_or_a_close_and_reaches_no_replica(
+    platform: Platform, kind: str
+) -> None:
     with platform.client() as sock:
         sock.settimeout(PATIENCE)
         with contextlib.suppress(ConnectionError):
-            sock.sendall(BAD[kind])
+            sock.sendall(INVALID_REQUESTS[kind])
         status = reply(sock)[0]
     assert status == 0 or 400 <= status < 600
     assert not any(r.parts.items for r in platform.replicas)
-    served(platform.ask("after", {0: 1.0}), "after", 0)
+    assert_served(platform.ask("after", {0: 1.0}), "after", 0)
 
 
-def test_the_id_of_an_open_request_is_not_taken_twice(tmp_path: Path) -> None:
+def test_the_id_of_an_open_request_is_rejected(tmp_path: Path) -> None:
     silent = Replica(0, lambda wire, part: None)
     platform = Platform(tmp_path, silent)
     with platform.client() as sock:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -50,14 +50,14 @@
     }
 
 
-class Watched:
+class WatchHarness:
     """A watch without a node: its updates and log, and two fake discoveries, of which it calls the first."""
 
     def __init__(self, max_calls: int = 3) -> None:
-        self.told, self.log = MembershipRecorder(), Recorded()
-        self.here, self.there = Calls(), Calls()
+        self.updates, self.log = MembershipRecorder(), Recorded()
+        self.first_discovery, self.second_discovery = Calls(), Calls()
         reader = EndpointListReader(("a",), ReplicaStartTimes(), self.log)
-        self.watch = DiscoveryWatch(self.here.where, reader, self.told, self.log, max_calls)
+        self.watch = DiscoveryWatch(self.first_discovery.where, reader, self.updates, self.log, max_calls)
         self.watch.start()
         self.watch.request_watch()
 
@@ -65,13 +65,13 @@
         """The updates, oldest first: 'failed', 'interrupted', 'no change' or the state of the one replica."""
         return [
             "interrupted"
-            if isinstance(told, float)
+            if isinstance(update, float)
             else "failed"
-            if told.membership.kind is api.MembershipUpdateKind.FAILED
-            else told.membership.replicas[0].state.name
-            if told.membership.replicas
+            if update.membership.kind is api.MembershipUpdateKind.FAILED
+            else update.membership.replicas[0].state.name
+            if update.membership.replicas
             else "no change"
-            for told in self.told.items
+            for update in self.updates.items
         ]
 
     def ends(self) -> dict[str, int]:
@@ -80,23 +80,23 @@
 
     def close(self) -> None:
         self.watch.stop()
-        self.here.close()
-        self.there.close()
+        self.first_discovery.close()
+        self.second_discovery.close()
 
 
 @pytest.fixture
-def watched(monkeypatch: pytest.MonkeyPatch) -> Iterator[Watched]:
+def harness(monkeypatch: pytest.MonkeyPatch) -> Iterator[WatchHarness]:
     # Shorter than the protocol's 2.5 s, to keep the tests fast.
     monkeypatch.setattr(discovery_call, "STALL_TIMEOUT", 0.3)
-    made = Watched()
-    yield made
-    made.close()
+    created = WatchHarness()
+    yield created
+    created.close()
 
 
-def drip(sock: socket.socket) -> None:
+def send_without_line_ends(sock: socket.socket) -> None:
     """Send bytes without a line end until the connection is closed."""
 
-    def go_on() -> None:
+    def keep_sending() -> None:
         pause = threading.Event()
         with contextlib.suppress(OSError):
             while True:
@@ -104,20 +104,20 @@
                 pause.wait(0.02)
 
     sock.sendall(HEAD)
-    threading.Thread(target=go_on, daemon=True).start()
+    threading.Thread(target=keep_sending, daemon=True).start()
 
 
-WAITING: dict[str, Callable[[socket.socket], None]] = {
+STALLS_BEFORE_A_LIST: dict[str, Callable[[socket.socket], None]] = {
     "once connected": lambda sock: sock.sendall(b""),
     "inside the head": lambda sock: sock.sendall(HEAD[:-7]),
     "behind the head": lambda sock: sock.sendall(HEAD),
     "inside a chunk": lambda sock: sock.sendall(HEAD + chunk(line(1, entry()))[:-20]),
     "inside a value": lambda sock: sock.sendall(HEAD + chunk(line(1, entry())[:-20])),
     "behind an empty line": lambda sock: sock.sendall(HEAD + chunk(b"\n")),
-    "with bytes that end no line": drip,
+    "with bytes that end no line": send_without_line_ends,
     "where no length is given": lambda sock: sock.sendall(NO_LENGTH + line(1, entry())[:-20]),
 }
-WATCHING: dict[str, Callable[[socket.socket], None]] = {
+STALLS_OF_A_WATCH: dict[str, Callable[[socket.socket], None]] = {
     "behind a list": lambda sock: None,
     "behind an empty line": lambda sock: sock.sendall(chunk(b"\n")),
     "inside a change": lambda sock: sock.sendall(chunk(line(2, entry("DRAINING"), whole=False))[:-9]),
@@ -125,183 +125,182 @@
 }
 
 
-@pytest.mark.parametrize("stage", WAITING)
-def test_a_call_that_hangs_at_any_stage_keeps_no_other_from_being_answered(
-    watched: Watched, stage: str
-) -> None:
+@pytest.mark.parametrize("stage", STALLS_BEFORE_A_LIST)
+def test_a_stalled_call_does_not_block_other_calls(harness: WatchHarness, stage: str) -> None:
     """Guards against calls made one after another, each timed out after 3 s: two that stalled exceeded the 6 s within
     which a node must be notified."""
-    WAITING[stage](watched.here.sock(1))
-    watched.watch.request_watch()
-    watched.here.sock(2)
-    watched.watch.request_watch()
-    watched.here.sock(3).sendall(HEAD + chunk(line(2, entry("DRAINING"))))
-    watched.told.wait()
-    assert watched.states() == ["DRAINING"]
-    until(lambda: len(watched.watch._calls) == 1, "both stalled calls have ended")
-    assert watched.ends() == {"another call was answered": 2}
-
-
-@pytest.mark.parametrize("stage", WATCHING)
-def test_a_watch_that_falls_silent_at_any_stage_is_told(watched: Watched, stage: str) -> None:
+    STALLS_BEFORE_A_LIST[stage](harness.first_discovery.sock(1))
+    harness.watch.request_watch()
+    harness.first_discovery.sock(2)
+    harness.watch.request_watch()
+    harness.first_discovery.sock(3).sendall(HEAD + chunk(line(2, entry("DRAINING"))))
+    harness.updates.wait()
+    assert harness.states() == ["DRAINING"]
+    until(lambda: len(harness.watch._calls) == 1, "both stalled calls have ended")
+    assert harness.ends() == {"another call was answered": 2}
+
+
+@pytest.mark.parametrize("stage", STALLS_OF_A_WATCH)
+def test_a_stalled_watch_is_reported(harness: WatchHarness, stage: str) -> None:
     """Guards against bytes without a line end that postpone the timeout indefinitely."""
-    watched.here.sock(1).sendall(HEAD + chunk(line(1, entry())))
-    watched.told.wait()
-    WATCHING[stage](watched.here.sock(1))
-    watched.told.wait(2)
-    assert watched.states() == ["READY", "interrupted"] and watched.told.items[1] >= 0.3
-    watched.watch.request_watch()
-    watched.here.sock(2).sendall(HEAD + chunk(line(2, entry("DRAINING"))))
-    watched.told.wait(3)
-    assert watched.states() == ["READY", "interrupted", "DRAINING"]
-    until(lambda: watched.ends() == {"another call was answered": 1}, "the stalled watch has ended")
-
-
-def test_a_silent_watch_that_speaks_again_is_the_watch(watched: Watched) -> None:
+    harness.first_discovery.sock(1).sendall(HEAD + chunk(line(1, entry())))
+    harness.updates.wait()
+    STALLS_OF_A_WATCH[stage](harness.first_discovery.sock(1))
+    harness.updates.wait(2)
+    assert harness.states() == ["READY", "interrupted"] and harness.updates.items[1] >= 0.3
+    harness.watch.request_watch()
+    harness.first_discovery.sock(2).sendall(HEAD + chunk(line(2, entry("DRAINING"))))
+    harness.updates.wait(3)
+    assert harness.states() == ["READY", "interrupted", "DRAINING"]
+    until(lambda: harness.ends() == {"another call was answered": 1}, "the stalled watch has ended")
+
+
+def test_a_stalled_watch_that_receives_data_again_stays_the_watch(harness: WatchHarness) -> None:
     """Guards against closing a watch, and losing its place in discovery's queue, because a line is a little late."""
-    first = watched.here.sock(1)
+    first = harness.first_discovery.sock(1)
     first.sendall(HEAD + chunk(line(1, entry())))
-    watched.told.wait(2)
-    watched.watch.request_watch()
-    watched.here.sock(2)
+    harness.updates.wait(2)
+    harness.watch.request_watch()
+    harness.first_discovery.sock(2)
     first.sendall(chunk(b"\n"))
-    watched.told.wait(3)
+    harness.updates.wait(3)
     first.sendall(chunk(line(2, entry("DRAINING"), whole=False)))
-    watched.told.wait(4)
-    assert watched.states() == ["READY", "interrupted", "no change", "DRAINING"]
-    until(lambda: watched.ends() == {"another call was answered": 1}, "the parallel call has ended")
+    harness.updates.wait(4)
+    assert harness.states() == ["READY", "interrupted", "no change", "DRAINING"]
+    until(lambda: harness.ends() == {"another call was answered": 1}, "the parallel call has ended")
 
 
-def test_the_oldest_call_waits_on_however_many_come_beside_it(watched: Watched) -> None:
+def test_the_oldest_call_is_never_superseded(harness: WatchHarness) -> None:
     """Guards against a timeout of 3 s on each call: a discovery that takes longer never got to answer."""
-    first = watched.here.sock(1)
+    first = harness.first_discovery.sock(1)
     for number in range(2, 8):
-        watched.watch.request_watch()
-        watched.here.sock(number)
-        until(lambda: len(watched.watch._calls) <= 3, "one call was superseded")
+        harness.watch.request_watch()
+        harness.first_discovery.sock(number)
+        until(lambda: len(harness.watch._calls) <= 3, "one call was superseded")
     first.sendall(HEAD + chunk(line(1, entry("DRAINING"))))
-    watched.told.wait()
-    assert watched.states() == ["DRAINING"]
-    until(lambda: len(watched.watch._calls) == 1, "all other calls have ended")
-    assert watched.ends() == {"gave way to a newer call": 4, "another call was answered": 2}
+    harness.updates.wait()
+    assert harness.states() == ["DRAINING"]
+    until(lambda: len(harness.watch._calls) == 1, "all other calls have ended")
+    assert harness.ends() == {"gave way to a newer call": 4, "another call was answered": 2}
 
 
-def test_an_answer_that_another_has_overtaken_brings_nothing_back(watched: Watched) -> None:
+def test_a_superseded_answer_restores_no_draining_replica(harness: WatchHarness) -> None:
     """Both calls requested changes from the same version: the older list does not mean that versions restarted."""
-    read, reads, go = EndpointListReader.read, threading.Event(), threading.Event()
-    first = watched.here.sock(1)
-    watched.watch.request_watch()
-    second = watched.here.sock(2)
-
-    def held(self: EndpointListReader, data: Any, *args: Any, **kwargs: Any) -> t.EndpointsUpdated | None:
-        found = read(self, data, *args, **kwargs)
-        if data["seq"] == 5 and not reads.is_set():
-            reads.set()
-            go.wait(PATIENCE)
-        return found
-
-    EndpointListReader.read = held  # type: ignore[method-assign]
+    read, read_started, proceed = EndpointListReader.read, threading.Event(), threading.Event()
+    first = harness.first_discovery.sock(1)
+    harness.watch.request_watch()
+    second = harness.first_discovery.sock(2)
+
+    def delayed(self: EndpointListReader, data: Any, *args: Any, **kwargs: Any) -> t.EndpointsUpdated | None:
+        update = read(self, data, *args, **kwargs)
+        if data["seq"] == 5 and not read_started.is_set():
+            read_started.set()
+            proceed.wait(PATIENCE)
+        return update
+
+    EndpointListReader.read = delayed  # type: ignore[method-assign]
     try:
         second.sendall(HEAD + chunk(line(5, entry("DRAINING"))))
-        assert reads.wait(PATIENCE)
+        assert read_started.wait(PATIENCE)
         first.sendall(HEAD + chunk(line(4, entry())))  # read after the newer list was reported
-        until(lambda: watched.watch._calls[0].progress.lines == 1, "the older answer waits to be read")
-        go.set()
-        watched.told.wait()
-        until(lambda: len(watched.watch._calls) == 1, "one of the calls has ended")
+        until(lambda: harness.watch._calls[0].progress.lines == 1, "the older answer waits to be read")
+        proceed.set()
+        harness.updates.wait()
+        until(lambda: len(harness.watch._calls) == 1, "one of the calls has ended")
     finally:
         EndpointListReader.read = read  # type: ignore[method-assign]
-    assert "READY" not in watched.states() and watched.states()[0] == "DRAINING"
+    assert "READY" not in harness.states() and harness.states()[0] == "DRAINING"
 
 
-def test_of_calls_that_fail_side_by_side_one_is_told(watched: Watched) -> None:
+def test_parallel_calls_that_fail_are_reported_once(harness: WatchHarness) -> None:
     """Each reported failure leads to one more call."""
     for number in (1, 2, 3):
-        watched.here.sock(number)
+        harness.first_discovery.sock(number)
         if number < 3:
-            watched.watch.request_watch()
+            harness.watch.request_watch()
     for number in (1, 2, 3):
-        watched.here.sock(number).close()
-    until(lambda: not watched.watch._calls, "all calls have ended")
-    assert watched.states() == ["failed"]
+        harness.first_discovery.sock(number).close()
+    until(lambda: not harness.watch._calls, "all calls have ended")
+    assert harness.states() == ["failed"]
 
 
 @pytest.mark.parametrize("mode", ["ask", "push"])
-def test_a_drain_made_while_the_watch_was_silent_is_kept(
+def test_a_drain_during_a_stall_is_applied(
     tmp_path: Path,
     monkeypatch: pytest.MonkeyPatch,
     mode: str,
 ) -> None:
     monkeypatch.setattr(discovery_call, "STALL_TIMEOUT", 0.3)
-    calls, drains, stays = Calls(), Replica(0), Replica(0)
+    calls, draining, serving = Calls(), Replica(0), Replica(0)
     settings = SETTINGS | {"MembershipMode": mode}
-    platform = Platform(tmp_path, drains, stays, settings=settings, where=calls.where)
-    both = host(drains), host(stays)
-    calls.sock(1).sendall(HEAD + chunk(line(1, *both)))  # and nothing more
-    calls.sock(2).sendall(HEAD + chunk(line(2, host(drains, health="DRAINING"), whole=False)))
+    platform = Platform(tmp_path, draining, serving, settings=settings, where=calls.where)
+    hosts = host(draining), host(serving)
+    calls.sock(1).sendall(HEAD + chunk(line(1, *hosts)))  # and nothing more
+    calls.sock(2).sendall(HEAD + chunk(line(2, host(draining, health="DRAINING"), whole=False)))
     assert "since=1" in calls.calls.items[1][1]
     until(lambda: platform.node.watch._reader.version == 2, "the drain was received")
-    before = len(drains.parts.items)
+    before = len(draining.parts.items)
     for number in range(10):
         assert platform.ask(f"q{number}", {0: 1.0})[0] == 200
-    assert len(drains.parts.items) == before
+    assert len(draining.parts.items) == before
     calls.close()
     platform.close()
 
 
 @pytest.mark.parametrize("framing", ["chunked", "no length", "a length"])
-def test_lists_come_in_any_framing(watched: Watched, framing: str) -> None:
+def test_lists_are_read_in_any_framing(harness: WatchHarness, framing: str) -> None:
     data = line(1, entry())
-    watched.here.sock(1).sendall(
+    harness.first_discovery.sock(1).sendall(
         {
             "chunked": HEAD + chunk(data),
             "no length": NO_LENGTH + data,
             "a length": b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(data) + data,
         }[framing]
     )
-    watched.told.wait()
-    assert watched.states()[0] == "READY"
+    harness.updates.wait()
+    assert harness.states()[0] == "READY"
 
 
-def test_a_reset_inside_a_list_of_no_length_is_no_end_of_it(watched: Watched) -> None:
-    first = watched.here.sock(1)
+def test_a_reset_inside_a_list_without_length_is_a_failure(harness: WatchHarness) -> None:
+    first = harness.first_discovery.sock(1)
     first.sendall(NO_LENGTH + line(1, entry("DRAINING"))[:-3])
-    until(lambda: watched.watch._calls[0]._sock is not None, "the call is under way")
+    until(lambda: harness.watch._calls[0]._sock is not None, "the call is under way")
     first.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
     first.close()
-    watched.told.wait()
-    assert watched.states() == ["failed"]
+    harness.updates.wait()
+    assert harness.states() == ["failed"]
 
 
-def test_an_older_whole_list_behind_a_newer_change_brings_nothing_back(watched: Watched) -> None:
-    first = watched.here.sock(1)
+def test_an_older_complete_list_after_a_newer_change_is_ignored(harness: WatchHarness) -> None:
+    first = harness.first_discovery.sock(1)
     first.sendall(HEAD + chunk(line(5, entry())) + chunk(line(7, entry("DRAINING"), whole=False)))
     first.sendall(chunk(line(6, entry())) + chunk(line(8, entry("DRAINING"), whole=False)))
-    watched.told.wait(3)
-    assert watched.states() == ["READY", "DRAINING", "DRAINING"]
+    harness.updates.wait(3)
+    assert harness.states() == ["READY", "DRAINING", "DRAINING"]
     first.close()
-    watched.told.wait(4)
-    watched.watch.request_watch()
-    assert "since=8" in watched.here.calls.wait(2)[1][1]
-    watched.here.sock(2).sendall(HEAD + chunk(line(2, entry())))  # a version below 8: its versions restarted
-    watched.told.wait(5)
-    assert watched.states()[3:] == ["interrupted", "READY"]
+    harness.updates.wait(4)
+    harness.watch.request_watch()
+    assert "since=8" in harness.first_discovery.calls.wait(2)[1][1]
+    # A version below 8: discovery has restarted its versions.
+    harness.first_discovery.sock(2).sendall(HEAD + chunk(line(2, entry())))
+    harness.updates.wait(5)
+    assert harness.states()[3:] == ["interrupted", "READY"]
 
 
-def test_a_call_that_brings_no_news_has_succeeded(watched: Watched) -> None:
+def test_a_call_without_changes_has_succeeded(harness: WatchHarness) -> None:
     """Guards against not reporting the success: the next call kept the backoff of the failures before it."""
-    watched.here.sock(1).sendall(HEAD + chunk(line(5, entry())))
-    watched.told.wait()
-    watched.here.sock(1).close()
-    watched.told.wait(2)
-    watched.watch.request_watch()
-    second = watched.here.sock(2)
+    harness.first_discovery.sock(1).sendall(HEAD + chunk(line(5, entry())))
+    harness.updates.wait()
+    harness.first_discovery.sock(1).close()
+    harness.updates.wait(2)
+    harness.watch.request_watch()
+    second = harness.first_discovery.sock(2)
     second.sendall(HEAD + chunk(line(5, whole=False)))
-    watched.told.wait(3)
+    harness.updates.wait(3)
     second.sendall(chunk(line(4, entry("DRAINING"), whole=False)))
     second.sendall(chunk(line(6, entry("DRAINING"), whole=False)))
-    watched.told.wait(4)
-    assert watched.states() == [
+    harness.updates.wait(4)
+    assert harness.states() == [
         "READY",
         "interrupted",
         "no change",
@@ -309,105 +308,109 @@
     ], "a stale change was applied"
 
 
-def test_a_move_waits_for_no_pause_and_asks_for_all(watched: Watched) -> None:
-    watched.here.sock(1).sendall(HEAD + chunk(line(9, entry())))
-    watched.told.wait()
-    watched.here.sock(1).close()
-    watched.told.wait(2)  # the decision engine would run a backoff now
-    watched.watch.change_address(watched.there.where)
-    assert watched.there.calls.wait()[0][1] == "/v1/endpoints?follow=1&since=0"
-    watched.there.sock(1).sendall(HEAD + chunk(line(1, entry("DRAINING"))))
-    watched.told.wait(3)
-    assert watched.states() == ["READY", "interrupted", "DRAINING"]
+def test_an_address_change_skips_the_backoff_and_requests_a_complete_list(harness: WatchHarness) -> None:
+    harness.first_discovery.sock(1).sendall(HEAD + chunk(line(9, entry())))
+    harness.updates.wait()
+    harness.first_discovery.sock(1).close()
+    harness.updates.wait(2)  # the decision engine would run a backoff now
+    harness.watch.change_address(harness.second_discovery.where)
+    assert harness.second_discovery.calls.wait()[0][1] == "/v1/endpoints?follow=1&since=0"
+    harness.second_discovery.sock(1).sendall(HEAD + chunk(line(1, entry("DRAINING"))))
+    harness.updates.wait(3)
+    assert harness.states() == ["READY", "interrupted", "DRAINING"]
 
 
-def test_a_failure_at_the_new_address_is_told_once_while_a_pause_runs(watched: Watched) -> None:
+def test_failures_at_the_old_and_the_new_address_are_reported_once(harness: WatchHarness) -> None:
     """Each reported failure leads to one more call: those of the address change and of the backoff would add up."""
-    watched.here.sock(1).close()
-    watched.told.wait()
-    watched.watch.change_address(watched.there.where)
-    watched.there.sock(1).sendall(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
-    watched.log.wait(2, lambda item: item[0] == "watch_state_changed" and item[1]["new"] is WatchState.IDLE)
-    assert watched.states() == ["failed"]
-    watched.watch.request_watch()  # as at the end of the first backoff
-    watched.there.sock(2).sendall(HEAD + chunk(line(1, entry())))
-    watched.told.wait(2)
-    assert watched.states() == ["failed", "READY"]
-
-
-def test_a_wish_that_came_during_a_watch_does_not_outlive_it(watched: Watched) -> None:
+    harness.first_discovery.sock(1).close()
+    harness.updates.wait()
+    harness.watch.change_address(harness.second_discovery.where)
+    harness.second_discovery.sock(1).sendall(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
+    harness.log.wait(2, lambda item: item[0] == "watch_state_changed" and item[1]["new"] is WatchState.IDLE)
+    assert harness.states() == ["failed"]
+    harness.watch.request_watch()  # as at the end of the first backoff
+    harness.second_discovery.sock(2).sendall(HEAD + chunk(line(1, entry())))
+    harness.updates.wait(2)
+    assert harness.states() == ["failed", "READY"]
+
+
+def test_a_call_requested_during_a_watch_is_not_made(harness: WatchHarness) -> None:
     """Otherwise all co-ordinators would call at once, without backoff, when their watches end."""
-    watched.here.sock(1).sendall(HEAD + chunk(line(1, entry())))
-    watched.told.wait()
-    watched.watch.request_watch()
-    watched.here.sock(1).close()
-    watched.told.wait(2)
-    assert not watched.watch._requested and len(watched.here.calls.items) == 1
-    watched.watch.request_watch()
-    watched.here.calls.wait(2)
-
-
-def test_two_moves_in_a_row_end_at_the_last_address(watched: Watched) -> None:
-    watched.here.sock(1).sendall(HEAD + chunk(line(9, entry())))
-    watched.told.wait()
-    watched.watch.change_address(watched.there.where)
-    watched.watch.change_address(watched.here.where)
-    watched.here.sock(2).sendall(HEAD + chunk(line(3, entry("DRAINING"))))
-    watched.told.wait(2)
-    assert watched.states() == ["READY", "DRAINING"]
-    assert watched.here.calls.items[1][1].endswith("since=0")
-
-
-def test_a_move_in_the_moment_of_connecting_does_not_wait_for_the_old_address(
+    harness.first_discovery.sock(1).sendall(HEAD + chunk(line(1, entry())))
+    harness.updates.wait()
+    harness.watch.request_watch()
+    harness.first_discovery.sock(1).close()
+    harness.updates.wait(2)
+    assert not harness.watch._requested and len(harness.first_discovery.calls.items) == 1
+    harness.watch.request_watch()
+    harness.first_discovery.calls.wait(2)
+
+
+def test_two_address_changes_end_at_the_last_address(harness: WatchHarness) -> None:
+    harness.first_discovery.sock(1).sendall(HEAD + chunk(line(9, entry())))
+    harness.updates.wait()
+    harness.watch.change_address(harness.second_discovery.where)
+    harness.watch.change_address(harness.first_discovery.where)
+    harness.first_discovery.sock(2).sendall(HEAD + chunk(line(3, entry("DRAINING"))))
+    harness.updates.wait(2)
+    assert harness.states() == ["READY", "DRAINING"]
+    assert harness.first_discovery.calls.items[1][1].endswith("since=0")
+
+
+def test_an_address_change_interrupts_a_connecting_call(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    awaited, waits, go = discovery_call.DiscoveryCall._await_connection, threading.Event(), threading.Event()
-
-    def held(*args: Any) -> None:
-        if not waits.is_set():
-            waits.set()
-            go.wait(PATIENCE)
-        awaited(*args)
-
-    monkeypatch.setattr(discovery_call.DiscoveryCall, "_await_connection", held)
-    watched = Watched()
-    assert waits.wait(PATIENCE)
-    watched.watch.change_address(watched.there.where)
-    go.set()
-    watched.there.sock(1).sendall(HEAD + chunk(line(1, entry())))
-    watched.told.wait()
-    assert watched.states() == ["READY"]
-    watched.close()
-
-
-def test_the_list_of_the_old_address_read_after_a_move_is_followed_by_the_new_one(
-    watched: Watched,
+    real_await_connection, connect_started, proceed = (
+        discovery_call.DiscoveryCall._await_connection,
+        threading.Event(),
+        threading.Event(),
+    )
+
+    def delayed(*args: Any) -> None:
+        if not connect_started.is_set():
+            connect_started.set()
+            proceed.wait(PATIENCE)
+        real_await_connection(*args)
+
+    monkeypatch.setattr(discovery_call.DiscoveryCall, "_await_connection", delayed)
+    harness = WatchHarness()
+    assert connect_started.wait(PATIENCE)
+    harness.watch.change_address(harness.second_discovery.where)
+    proceed.set()
+    harness.second_discovery.sock(1).sendall(HEAD + chunk(line(1, entry())))
+    harness.updates.wait()
+    assert harness.states() == ["READY"]
+    harness.close()
+
+
+def test_a_list_of_the_old_address_read_after_the_change_does_not_hide_the_new_list(
+    harness: WatchHarness,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    read, reads, go = EndpointListReader.read, threading.Event(), threading.Event()
+    read, read_started, proceed = EndpointListReader.read, threading.Event(), threading.Event()
 
-    def held(self: EndpointListReader, *args: Any, **kwargs: Any) -> t.EndpointsUpdated | None:
-        if not reads.is_set():
-            reads.set()
-            go.wait(PATIENCE)
+    def delayed(self: EndpointListReader, *args: Any, **kwargs: Any) -> t.EndpointsUpdated | None:
+        if not read_started.is_set():
+            read_started.set()
+            proceed.wait(PATIENCE)
         return read(self, *args, **kwargs)
 
-    monkeypatch.setattr(EndpointListReader, "read", held)
-    watched.here.sock(1).sendall(HEAD + chunk(line(50, entry())))
-    assert reads.wait(PATIENCE)
-    watched.watch.change_address(watched.there.where)
-    go.set()
-    watched.there.sock(1).sendall(HEAD + chunk(line(2, entry("DRAINING"))))
-    watched.there.sock(1).sendall(chunk(line(3, entry("DELETED"), whole=False)))
-    watched.told.wait(3)
-    assert watched.states() == ["READY", "DRAINING", "GONE"]
+    monkeypatch.setattr(EndpointListReader, "read", delayed)
+    harness.first_discovery.sock(1).sendall(HEAD + chunk(line(50, entry())))
+    assert read_started.wait(PATIENCE)
+    harness.watch.change_address(harness.second_discovery.where)
+    proceed.set()
+    harness.second_discovery.sock(1).sendall(HEAD + chunk(line(2, entry("DRAINING"))))
+    harness.second_discovery.sock(1).sendall(chunk(line(3, entry("DELETED"), whole=False)))
+    harness.updates.wait(3)
+    assert harness.states() == ["READY", "DRAINING", "GONE"]
 
 
-def test_out_of_descriptors_is_a_failure_like_any_other(
-    watched: Watched,
+def test_a_shortage_of_descriptors_is_reported_as_a_failure(
+    harness: WatchHarness,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    class NoneLeft:
+    class SocketModuleWithoutDescriptors:
         """Replaces `socket` in the watch's module alone, so that the fake discovery can still create sockets."""
 
         def __getattr__(self, name: str) -> Any:
@@ -415,14 +418,14 @@
                 raise OSError(24, "Too many open files")
             return getattr(socket, name)
 
-    first = watched.here.sock(1)
-    monkeypatch.setattr(discovery_call, "socket", NoneLeft())
+    first = harness.first_discovery.sock(1)
+    monkeypatch.setattr(discovery_call, "socket", SocketModuleWithoutDescriptors())
     first.close()
-    watched.told.wait()
-    watched.watch.request_watch()
-    watched.told.wait(2)
+    harness.updates.wait()
+    harness.watch.request_watch()
+    harness.updates.wait(2)
     monkeypatch.undo()
-    watched.watch.request_watch()
-    watched.here.sock(2).sendall(HEAD + chunk(line(1, entry())))
-    watched.told.wait(3)
-    assert watched.states() == ["failed", "failed", "READY"]
+    harness.watch.request_watch()
+    harness.first_discovery.sock(2).sendall(HEAD + chunk(line(1, entry())))
+    harness.updates.wait(3)
+    assert harness.states() == ["failed", "failed", "READY"]
--- a/tests/test_incident_late_drains.py
+++ b/tests/test_incident_late_drains.py
@@ -28,14 +28,14 @@
 BREAK = 0.3  # all watches end
 DRAIN = 0.5  # a replica begins to drain
 LIMIT = BREAK + TOLD_WITHIN  # a node counts as notified of any change after its last update from discovery
-LAST_CHANCE = (LIMIT - 1.4, LIMIT - 0.6)  # span in which discovery accepts calls again
+LATE_OPENING = (LIMIT - 1.4, LIMIT - 0.6)  # span in which discovery accepts calls again
 END = DRAIN + TOLD_WITHIN + GRACE + 6.0
 NODES = 3
 DRAINED = 0  # index of the draining replica
-STARVED = 0.5  # seconds by which a part may be late on a machine without enough free processors
+OVERLOAD_DELAY = 0.5  # seconds by which a part may be late on a machine without enough free processors
 
 
-def crowded(*openings: tuple[float, float]) -> Plan:
+def plan_with_overloaded_discovery(*openings: tuple[float, float]) -> Plan:
     """A plan whose only fault is that discovery accepts calls only before the break and in these spans.
 
     Some answers are slow enough that their parts are hedged.
@@ -61,21 +61,23 @@
     )
 
 
-def test_the_calls_of_a_co_ordinator_come_closer_as_its_time_runs_out() -> None:
+def test_calls_become_more_frequent_as_the_notification_deadline_approaches() -> None:
     """Each node calls within the short span in which discovery accepts calls, and learns of the drain in time."""
     ledger = Ledger()
-    result = play(crowded(LAST_CHANCE), ledger=ledger)
+    result = play(plan_with_overloaded_discovery(LATE_OPENING), ledger=ledger)
     learned = {item.node for item in ledger.lists if item.version > 1}
     assert learned == set(range(NODES)), f"only nodes {learned} were notified of the drain"
     assert not result.violations, result.violations[:3]
 
 
-def test_a_replica_that_may_have_drained_gives_way_to_those_that_serve() -> None:
+def test_a_replica_that_may_be_draining_is_avoided() -> None:
     """Discovery accepts no calls at all, so only the replicas' answers show their state."""
     ledger = Ledger()
-    result = play(crowded(), ledger=ledger)
+    result = play(plan_with_overloaded_discovery(), ledger=ledger)
     assert result.statuses[200] > result.requests / 2, result.statuses
     assert not result.violations, result.violations[:3]
     drained_at = ledger.endpoint_changes[0].at
     late = [part.at - drained_at for part in ledger.parts if part.replica == DRAINED]
-    assert max(late) < TOLD_WITHIN + GRACE + STARVED, "parts were sent to the drained replica for too long"
+    assert (
+        max(late) < TOLD_WITHIN + GRACE + OVERLOAD_DELAY
+    ), "parts were sent to the drained replica for too long"
--- a/tests/test_incident_partial.py
+++ b/tests/test_incident_partial.py
@@ -41,7 +41,7 @@
 from gingervane.decisions.engine import DecisionEngine
 
 ROOT = Path(__file__).parents[1]
-AIM = 0.4  # seconds, the latency objective
+LATENCY_OBJECTIVE = 0.4  # seconds
 ROUNDS = 6  # each with a new node, which has measured no delays for which it would shed load
 QUERIES = 12  # per round
 
@@ -54,16 +54,22 @@
         "WholeAt": [whole],
         "ShortWorth": [1.0],
     }
-    kind = {"Name": "look", "AimS": AIM, "DeadlineS": 3.0, "Semantics": "safe", "LateWorth": 0.0}
-    return SETTINGS | {"Classes": [kind], "Extra": extra}
+    query_class_settings = {
+        "Name": "look",
+        "AimS": LATENCY_OBJECTIVE,
+        "DeadlineS": 3.0,
+        "Semantics": "safe",
+        "LateWorth": 0.0,
+    }
+    return SETTINGS | {"Classes": [query_class_settings], "Extra": extra}
 
 
-class HeldReplica(Replica):
+class DelayingReplica(Replica):
     """Answers shards 0 and 1 and second steps at once, shard 2 when `release` is called, and shard 3 never."""
 
     def __init__(self) -> None:
         super().__init__(0, self.take)
-        self.held: list[tuple[Wire, Part]] = []
+        self.delayed: list[tuple[Wire, Part]] = []
         self._lock = threading.Lock()
 
     def take(self, wire: Wire, part: Part) -> None:
@@ -71,17 +77,17 @@
             wire.answer(part.id)
         elif part.shard == 2:
             with self._lock:
-                self.held.append((wire, part))
+                self.delayed.append((wire, part))
 
     def release(self) -> None:
         with self._lock:
-            held, self.held = self.held, []
-        for wire, part in held:
+            delayed, self.delayed = self.delayed, []
+        for wire, part in delayed:
             wire.answer(part.id)
 
 
 @pytest.mark.parametrize(("least", "whole"), [(0.6, 1.0), (0.6, 0.75)])
-def test_an_answer_that_comes_with_the_aim_timer_gets_its_second_step(
+def test_an_answer_together_with_the_objective_timer_gets_a_second_step(
     tmp_path: Path,
     least: float,
     whole: float,
@@ -89,12 +95,12 @@
     """Pauses a node across its queries' latency objective, so that answers and the timer fall into one batch."""
     wrong = []
     for number in range(ROUNDS):
-        wrong += _one_node(tmp_path, least, whole, f"r{number}")
+        wrong += _run_round(tmp_path, least, whole, f"r{number}")
     assert not wrong, f"{len(wrong)} of {ROUNDS * QUERIES}: {wrong[:3]}"
 
 
-def _one_node(folder: Path, least: float, whole: float, name: str) -> list[tuple[str, int, object]]:
-    replicas = [HeldReplica(), HeldReplica()]
+def _run_round(folder: Path, least: float, whole: float, name: str) -> list[tuple[str, int, object]]:
+    replicas = [DelayingReplica(), DelayingReplica()]
     discovery = Discovery([host(r) for r in replicas])
     path = folder / "config.json"
     path.write_text(
@@ -117,20 +123,20 @@
         target=node.stderr.read, daemon=True
     ).start()  # keeps the node's log pipe from filling up
     try:
-        return _held_over_the_aim(node, (where, int(port)), replicas, name)
+        return _run_queries_over_a_pause(node, (where, int(port)), replicas, name)
     finally:
         node.send_signal(signal.SIGCONT)
         node.kill()
         node.wait()
         discovery.close()
-        for each in replicas:
-            each.close()
+        for fake_replica in replicas:
+            fake_replica.close()
 
 
-def _held_over_the_aim(
+def _run_queries_over_a_pause(
     node: subprocess.Popen[str],
     where: tuple[str, int],
-    replicas: list[HeldReplica],
+    replicas: list[DelayingReplica],
     name: str,
 ) -> list[tuple[str, int, object]]:
     """Run one round; return the answers that do not consist of the two pieces of the second step."""
@@ -141,16 +147,16 @@
     for number in range(QUERIES):
         for shard in range(3):
             _wait_for(replicas, f"{name}-{number}.{shard}")
-    time.sleep(max(sent + 0.6 * AIM - time.monotonic(), 0.0))
+    time.sleep(max(sent + 0.6 * LATENCY_OBJECTIVE - time.monotonic(), 0.0))
     node.send_signal(signal.SIGSTOP)
-    for each in replicas:
-        each.release()
-    time.sleep(max(sent + 1.2 * AIM - time.monotonic(), 0.0))
+    for fake_replica in replicas:
+        fake_replica.release()
+    time.sleep(max(sent + 1.2 * LATENCY_OBJECTIVE - time.monotonic(), 0.0))
     node.send_signal(signal.SIGCONT)
-    found = [(f"{name}-{number}", *reply(sock)[::2]) for number, sock in enumerate(socks)]
+    answers = [(f"{name}-{number}", *reply(sock)[::2]) for number, sock in enumerate(socks)]
     for sock in socks:
         sock.close()
-    return [each for each in found if not _is_second_step(*each)]
+    return [answer for answer in answers if not _is_second_step(*answer)]
 
 
 def _is_second_step(name: str, status: int, body: Any) -> bool:
@@ -160,10 +166,10 @@
     return len(pieces) == 2 and all(cell == cell_of(f"{name}.{shard}.b") for shard, cell in pieces.items())
 
 
-def _wait_for(replicas: list[HeldReplica], part: str) -> None:
-    until = time.monotonic() + PATIENCE
-    while not any(seen.id == part for each in replicas for seen in list(each.parts.items)):
-        assert time.monotonic() < until, f"{part} was not received by any replica"
+def _wait_for(replicas: list[DelayingReplica], part: str) -> None:
+    deadline = time.monotonic() + PATIENCE
+    while not any(received.id == part for source in replicas for received in list(source.parts.items)):
+        assert time.monotonic() < deadline, f"{part} was not received by any replica"
         time.sleep(0.002)
 
 
@@ -178,10 +184,12 @@
 
 
 @pytest.mark.parametrize(("least", "whole"), [(0.6, 1.0), (0.6, 0.75)])
-def test_the_aim_timer_in_the_batch_of_an_answer_ends_one_step(least: float, whole: float) -> None:
+def test_the_objective_timer_in_the_batch_of_an_answer_ends_only_one_step(least: float, whole: float) -> None:
     """The same on the driver and decision engine alone, with a fixed order of answer and timer."""
-    kind = query_class(aim=AIM, deadline=3.0, second=2, least=least, whole=whole)
-    config = BASE._replace(query_classes=(kind,), coordinator_count=1, hedging_allowed=False)
+    query_class_settings = query_class(
+        aim=LATENCY_OBJECTIVE, deadline=3.0, second=2, least=least, whole=whole
+    )
+    config = BASE._replace(query_classes=(query_class_settings,), coordinator_count=1, hedging_allowed=False)
     driver = Driver(DecisionEngine(config, 5), config)
     query_results: list[t.QueryResult] = []
     driver.step(
@@ -212,7 +220,7 @@
         return t.AttemptFinished(attempts[content].part, 0, api.AttemptOutcome.OK, now, content)
 
     driver.step(100.2, [ended("q.0", 100.2), ended("q.1", 100.2)])
-    batch = 100.1 + AIM + 0.05  # the latency objective timer is due in this batch
+    batch = 100.1 + LATENCY_OBJECTIVE + 0.05  # the latency objective timer is due in this batch
     effects = driver.step(batch, [ended("q.2", batch)])
     assert not [
         effect for effect in effects if isinstance(effect, t.CompleteQuery)
@@ -227,5 +235,5 @@
 @pytest.mark.parametrize("seed", [22, 26, 41])
 def test_no_rule_on_partial_answers_is_broken_by_a_seeded_run(seed: int) -> None:
     """With these seeds the fault rig broke the rule on the code of the incident."""
-    found = [broken for broken in play(draw(seed)).violations if broken.rule == "partial"]
-    assert not found
+    broken_rules = [broken for broken in play(draw(seed)).violations if broken.rule == "partial"]
+    assert not broken_rules
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -10,7 +10,7 @@
 import tomllib
 from pathlib import Path
 
-from node_tools import at_first, served
+from node_tools import assert_served, platform_with_first_attempt
 from platform_fakes import (
     PATIENCE,
     Discovery,
@@ -30,18 +30,27 @@
 ROOT = Path(__file__).parent.parent
 
 
-def test_the_service_needs_what_the_project_pins() -> None:
+def test_deployed_requirements_are_pinned_by_the_project() -> None:
     pins = tomllib.loads((ROOT / "pyproject.toml").read_text())["project"]["dependencies"]
     needed = [n for n in (ROOT / "deploy/requirements.txt").read_text().splitlines() if not n.startswith("#")]
     assert needed and set(needed) <= set(pins)
 
 
-def test_what_serves_is_all_that_is_imported() -> None:
+def test_the_node_imports_only_what_it_needs_to_serve() -> None:
     code = "import sys, gingervane.node.service; print(*sys.modules)"
-    done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
-    loaded = done.stdout.split()
-    ours = {name.split(".")[1] for name in loaded if name.startswith("gingervane.")}
-    assert ours <= {"node", "decisions", "interface", "startup", "coordinator", "wire", "fronts", "telemetry"}
+    process = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
+    loaded = process.stdout.split()
+    packages = {name.split(".")[1] for name in loaded if name.startswith("gingervane.")}
+    assert packages <= {
+        "node",
+        "decisions",
+        "interface",
+        "startup",
+        "coordinator",
+        "wire",
+        "fronts",
+        "telemetry",
+    }
     assert not {"duckdb", "numpy", "pydantic", "structlog", "click", "asyncio"} & set(loaded)
 
 
@@ -51,10 +60,12 @@
 def test_a_query_is_served_and_its_connection_kept(platform: Platform) -> None:
     with platform.client() as sock:
         for number in range(20):
-            served(platform.ask(f"q{number}", {0: 0.5, 2: 0.3, 3: 0.2}, sock=sock), f"q{number}", 0, 2, 3)
-    asked = [p for r in platform.replicas for p in r.parts.items]
-    assert len({p.id for p in asked}) == 60
-    assert all(p.text == b"c41e" and 0 < int(p.words["d"]) <= 6000 for p in asked)
+            assert_served(
+                platform.ask(f"q{number}", {0: 0.5, 2: 0.3, 3: 0.2}, sock=sock), f"q{number}", 0, 2, 3
+            )
+    parts_sent = [p for r in platform.replicas for p in r.parts.items]
+    assert len({p.id for p in parts_sent}) == 60
+    assert all(p.text == b"c41e" and 0 < int(p.words["d"]) <= 6000 for p in parts_sent)
     assert sum(len(r.wires) for r in platform.replicas) < 10, "connections were not reused"
 
 
@@ -64,20 +75,20 @@
 
     platform = Platform(tmp_path, Replica(0, score), Replica(0, score))
     status, _, body = platform.ask("q", dict.fromkeys(range(4), 0.25), "/rank")
-    seconds = [p for r in platform.replicas for p in r.parts.items if p.id.endswith(".b")]
+    second_step_parts = [p for r in platform.replicas for p in r.parts.items if p.id.endswith(".b")]
     assert status == 200 and body["full"] is True
     assert sorted(p["tablet"] for p in body["pieces"]) == [0, 2]
     assert {p["cell"] for p in body["pieces"]} == {cell_of("q.0.b"), cell_of("q.2.b")}
-    assert {p.shard for p in seconds} == {0, 2}
-    assert all(p.words["from"] == "0+1+2+3" and p.words["whole"] == "1" for p in seconds)
+    assert {p.shard for p in second_step_parts} == {0, 2}
+    assert all(p.words["from"] == "0+1+2+3" and p.words["whole"] == "1" for p in second_step_parts)
     platform.close()
 
 
-def test_a_silent_replica_is_copied_and_its_twin_withdrawn(tmp_path: Path) -> None:
-    platform = at_first(tmp_path, lambda wire, part: None)
+def test_a_part_without_answer_is_hedged_and_the_losing_attempt_cancelled(tmp_path: Path) -> None:
+    platform = platform_with_first_attempt(tmp_path, lambda wire, part: None)
     for number in range(25):  # no part is hedged before the latencies of the class are known
         platform.ask(f"warm{number}", {1: 1.0})
-    served(platform.ask("q", {1: 1.0}), "q", 1)
+    assert_served(platform.ask("q", {1: 1.0}), "q", 1)
     assert [[p.id for p in r.parts.items].count("q.1") for r in platform.replicas] == [1, 1]
     for _ in range(2000):  # the replica that does not answer receives the cancellation
         if withdrawn := [c for r in platform.replicas for c in r.cancels.items]:
@@ -87,23 +98,24 @@
     platform.close()
 
 
-def test_a_refused_connection_is_proof_and_a_query_given_up_is_answered_at_once(tmp_path: Path) -> None:
-    gone = Replica(0)
-    gone.close()
-    platform = Platform(tmp_path, gone)
+def test_an_unsafe_query_on_a_refused_connection_is_rejected_at_once(tmp_path: Path) -> None:
+    closed_replica = Replica(0)
+    closed_replica.close()
+    platform = Platform(tmp_path, closed_replica)
     status, fields, _ = platform.ask("q", {0: 1.0}, "/book", wait=6000)
     assert status == 503 and 0 < float(fields["retry-after"]) <= 0.5
     platform.close()
 
 
-def test_a_replica_that_answers_no_probe_is_served_by(tmp_path: Path) -> None:
+def test_a_replica_that_answers_no_probes_is_still_used(tmp_path: Path) -> None:
     """Probes are limited over all co-ordinators: a new connection sends none, and needs no answer to one."""
-    quiet = Replica(0)
-    quiet.answers_probes = False
-    platform = Platform(tmp_path, quiet)
+    replica_without_probes = Replica(0)
+    replica_without_probes.answers_probes = False
+    platform = Platform(tmp_path, replica_without_probes)
     for number in range(3):
-        served(platform.ask(f"q{number}", {0: 0.5, 1: 0.5}), f"q{number}", 0, 1)
-    assert quiet.probes == 0 and len(quiet.parts.items) == 6  # no part was sent twice
+        assert_served(platform.ask(f"q{number}", {0: 0.5, 1: 0.5}), f"q{number}", 0, 1)
+    # 6: no part was sent twice.
+    assert replica_without_probes.probes == 0 and len(replica_without_probes.parts.items) == 6
     platform.close()
 
 
@@ -122,29 +134,29 @@
     assert reader.version == platform.discovery.version
     before = len(first.parts.items)
     for number in range(10):
-        served(platform.ask(f"q{number}", {0: 1.0}), f"q{number}", 0)
+        assert_served(platform.ask(f"q{number}", {0: 1.0}), f"q{number}", 0)
     assert len(first.parts.items) == before
 
 
-def test_a_new_discovery_is_followed_and_a_bad_file_keeps_the_old(platform: Platform) -> None:
+def test_a_reload_changes_the_discovery_address_and_ignores_an_invalid_file(platform: Platform) -> None:
     platform.path.write_text("{")
     platform.node.reload()
-    fresh = Replica(0)
-    other = Discovery([host(fresh)])
-    other.version = 9
-    platform.configure(other)
+    new_replica = Replica(0)
+    new_discovery = Discovery([host(new_replica)])
+    new_discovery.version = 9
+    platform.configure(new_discovery)
     platform.node.reload()
-    assert "since=" in other.watches.wait()[0]
+    assert "since=" in new_discovery.watches.wait()[0]
     for number in range(200):
-        served(platform.ask(f"q{number}", {0: 1.0}), f"q{number}", 0)
-        if fresh.parts.items:
+        assert_served(platform.ask(f"q{number}", {0: 1.0}), f"q{number}", 0)
+        if new_replica.parts.items:
             break
-    assert fresh.parts.items
-    other.close()
-    fresh.close()
+    assert new_replica.parts.items
+    new_discovery.close()
+    new_replica.close()
 
 
-def test_a_client_that_leaves_is_heard(tmp_path: Path) -> None:
+def test_a_disconnected_client_has_its_parts_cancelled(tmp_path: Path) -> None:
     silent = Replica(0, lambda wire, part: None)
     platform = Platform(tmp_path, silent)
     sock = platform.client()
@@ -155,13 +167,13 @@
     platform.close()
 
 
-def test_hundreds_of_silent_connections_keep_nobody_out(tmp_path: Path) -> None:
+def test_hundreds_of_idle_connections_do_not_block_other_clients(tmp_path: Path) -> None:
     platform = Platform(tmp_path, sockets=128)
-    held = [platform.client() for _ in range(200)]
+    idle = [platform.client() for _ in range(200)]
     try:
-        served(platform.ask("q", {0: 1.0}), "q", 0)
+        assert_served(platform.ask("q", {0: 1.0}), "q", 0)
     finally:
-        for sock in held:
+        for sock in idle:
             sock.close()
     platform.close()
 
@@ -169,15 +181,15 @@
 # ---- signals
 
 
-def test_sigterm_answers_what_is_taken_and_sighup_does_not_end_it(tmp_path: Path) -> None:
-    held = threading.Event()
+def test_sigterm_answers_open_queries_and_sighup_does_not_stop_the_node(tmp_path: Path) -> None:
+    proceed = threading.Event()
 
     def slow(wire: Wire, part: Part) -> None:
-        def late() -> None:
-            held.wait(PATIENCE)
+        def answer_later() -> None:
+            proceed.wait(PATIENCE)
             wire.answer(part.id)
 
-        threading.Thread(target=late, daemon=True).start()
+        threading.Thread(target=answer_later, daemon=True).start()
 
     replica = Replica(0, slow)
     platform = Platform(tmp_path, replica)
@@ -194,10 +206,10 @@
         replica.parts.wait(1, lambda part: part.id == "q.0")
         program.send_signal(signal.SIGTERM)
         read_until(program.stderr, "shutdown_started")
-        held.set()
-        served(reply(sock), "q", 0)
+        proceed.set()
+        assert_served(reply(sock), "q", 0)
         sock.sendall(query("r", {0: 1.0}))  # open connections are served during the graceful shutdown
-        served(reply(sock), "r", 0)
+        assert_served(reply(sock), "r", 0)
     assert program.wait(PATIENCE) == 0
     program.stderr.close()
     platform.close()
--- a/tests/test_node_config.py
+++ b/tests/test_node_config.py
@@ -23,7 +23,7 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "what"),
+    ("change", "message"),
     [
         ({"settings": SETTINGS | {"Zones": "a,b"}}, "Zones"),
         ({"settings": None}, "settings: missing"),
@@ -46,8 +46,10 @@
         ({"settings": SETTINGS | {"Limits": SETTINGS["Limits"] | {"ConnIdleS": "inf"}}}, "Limits.ConnIdleS"),
     ],
 )
-def test_a_bad_configuration_names_its_key(platform: Platform, change: dict[str, object], what: str) -> None:
+def test_a_bad_configuration_names_its_key(
+    platform: Platform, change: dict[str, object], message: str
+) -> None:
     data = json.loads(platform.path.read_text()) | change
     platform.path.write_text(json.dumps(data))
-    with pytest.raises(ConfigError, match=what):
+    with pytest.raises(ConfigError, match=message):
         read_config(platform.path)
--- a/tests/test_replica_connections.py
+++ b/tests/test_replica_connections.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 import pytest
-from node_tools import at_first, served
+from node_tools import assert_served, platform_with_first_attempt
 from platform_fakes import (
     SETTINGS,
     Part,
@@ -48,14 +48,14 @@
 
 
 @pytest.mark.parametrize("spoil", [break_with, spoil_letter, spoil_length, spoil_value, spoil_id])
-def test_a_spoilt_answer_is_asked_for_elsewhere_and_never_served(
+def test_a_part_with_an_invalid_answer_is_sent_to_another_replica(
     tmp_path: Path,
     spoil: Callable[[Wire, Part], None],
 ) -> None:
-    platform = at_first(tmp_path, spoil)
-    served(platform.ask("q", {0: 0.2, 1: 0.2, 2: 0.2, 3: 0.4}), "q", 0, 1, 2, 3)
-    asked = [p.id for r in platform.replicas for p in r.parts.items]
-    assert len(asked) > 4, "the parts in flight on that connection were not sent again"
+    platform = platform_with_first_attempt(tmp_path, spoil)
+    assert_served(platform.ask("q", {0: 0.2, 1: 0.2, 2: 0.2, 3: 0.4}), "q", 0, 1, 2, 3)
+    parts_sent = [p.id for r in platform.replicas for p in r.parts.items]
+    assert len(parts_sent) > 4, "the parts in flight on that connection were not sent again"
     for _ in range(2000):
         if ended := [wire for r in platform.replicas for wire in r.ended.items]:
             break
@@ -64,13 +64,13 @@
     platform.close()
 
 
-def test_noise_after_a_good_answer_spoils_nothing(tmp_path: Path) -> None:
+def test_garbage_after_a_valid_answer_does_no_harm(tmp_path: Path) -> None:
     def noisy(wire: Wire, part: Part) -> None:
         wire.raw(answer(part.id, report="util=?? ,, 1e") + answer(part.id) + b"\x00" * 9)
 
     platform = Platform(tmp_path, Replica(0, noisy))
     for number in range(8):
-        served(platform.ask(f"q{number}", {0: 1.0}), f"q{number}", 0)
+        assert_served(platform.ask(f"q{number}", {0: 1.0}), f"q{number}", 0)
     assert len(platform.replicas[0].parts.items) == 8, "a part was sent twice"
     platform.close()
 
@@ -87,10 +87,10 @@
     platform.close()
 
 
-def test_a_replica_that_stops_reading_holds_up_nobody(tmp_path: Path) -> None:
-    stuck = Replica(0, lambda wire, part: None)
-    stuck.reads = False
-    platform = Platform(tmp_path, stuck, Replica(0))
+def test_a_replica_that_stops_reading_delays_no_other_query(tmp_path: Path) -> None:
+    stalled_replica = Replica(0, lambda wire, part: None)
+    stalled_replica.reads = False
+    platform = Platform(tmp_path, stalled_replica, Replica(0))
     big = "x" * 60000
 
     def flood(name: str) -> int:
@@ -107,37 +107,37 @@
     for thread in threads:
         thread.join()
     assert len(statuses) == 60 and 200 in statuses and set(statuses) <= {200, 503}
-    served(platform.ask("after", {1: 1.0}), "after", 1)
+    assert_served(platform.ask("after", {1: 1.0}), "after", 1)
     platform.close()
 
 
-def test_more_replicas_than_links_one_thread_for_all_and_quiet_links_give_way(tmp_path: Path) -> None:
+def test_more_replicas_than_connections_need_one_thread_and_evict_idle_connections(tmp_path: Path) -> None:
     """With a thread per connection, 600 co-ordinators on one machine ran out of threads, which ended the decision
     thread. With all connections open, a part failed unsent although idle connections could have been closed."""
     replicas = [Replica(0) for _ in range(24)]
     before = {thread.ident for thread in threading.enumerate()}
     platform = Platform(tmp_path, *replicas, sockets=72)
-    links = platform.node.core._transport
-    assert isinstance(links, ReplicaConnections)
-    start, taken = links.start, list[bool]()
+    connections = platform.node.core._transport
+    assert isinstance(connections, ReplicaConnections)
+    start, starts = connections.start, list[bool]()
 
     def note(batch: BatchRequest) -> bool:
-        taken.append(start(batch))
-        return taken[-1]
+        starts.append(start(batch))
+        return starts[-1]
 
-    links.start = note  # type: ignore[method-assign]
+    connections.start = note  # type: ignore[method-assign]
     for number in range(80):
-        served(platform.ask(f"q{number}", {0: 0.5, 1: 0.5}), f"q{number}", 0, 1)
-    met = sum(bool(replica.parts.items) for replica in replicas)
-    assert met > 12, met  # far more than the limit of 4 connections
-    assert len(taken) >= 160 and all(taken)
-    assert links.count <= 4 + SPARE_DESCRIPTORS
-    mine = [thread for thread in threading.enumerate() if thread.ident not in before]
-    assert sum(thread.name.startswith("link") for thread in mine) == 1
+        assert_served(platform.ask(f"q{number}", {0: 0.5, 1: 0.5}), f"q{number}", 0, 1)
+    replicas_used = sum(bool(replica.parts.items) for replica in replicas)
+    assert replicas_used > 12, replicas_used  # far more than the limit of 4 connections
+    assert len(starts) >= 160 and all(starts)
+    assert connections.count <= 4 + SPARE_DESCRIPTORS
+    new_threads = [thread for thread in threading.enumerate() if thread.ident not in before]
+    assert sum(thread.name.startswith("link") for thread in new_threads) == 1
     platform.close()
 
 
-def test_withdrawn_parts_keep_their_place_on_a_connection(tmp_path: Path) -> None:
+def test_cancelled_parts_occupy_their_streams(tmp_path: Path) -> None:
     """A replica may go on running a cancelled part; it reads no further parts beyond a connection's streams."""
     by_wire = Counter[int]()
 
@@ -157,7 +157,7 @@
 
 
 def test_replicas_replaced_a_hundred_times_leave_nothing_behind(platform: Platform) -> None:
-    served(platform.ask("q", {0: 1.0}), "q", 0)
+    assert_served(platform.ask("q", {0: 1.0}), "q", 0)
     old = [host(r) for r in platform.replicas]
     for number in range(100):
         platform.discovery.change(host(platform.replicas[0], f"new-{number}"))
@@ -169,7 +169,7 @@
             break
         waiting.wait(0.01)
     for number in range(5):
-        served(platform.ask(f"r{number}", {0: 1.0}), f"r{number}", 0)
+        assert_served(platform.ask(f"r{number}", {0: 1.0}), f"r{number}", 0)
     driver = platform.node.core._driver
     assert len(driver._addresses) == 2 and not driver._open.parts and not driver._open.queries
     module = driver._module
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -54,7 +54,7 @@
 # ---- the deadline that is passed on
 
 
-def test_parts_of_one_call_are_each_told_their_own_time(tmp_path: Path) -> None:
+def test_each_part_of_a_batch_is_sent_its_own_remaining_time(tmp_path: Path) -> None:
     """A batch holds parts of two queries: for the one with 1.2 s remaining, the replica was sent 7.89 s."""
     config = BASE._replace(
         query_classes=(query_class(aim=2.0, deadline=8.0),), coordinator_count=1, max_parts_per_request=8
@@ -69,72 +69,78 @@
             )
         ],
     )
-    travel = FrameCodec()
+    codec = FrameCodec()
 
-    def arrived(number: int, left: float) -> t.QuerySubmitted:
+    def arrived(number: int, remaining: float) -> t.QuerySubmitted:
         part = t.PartPlan(0, 1.0, SubqueryRequest(f"q{number}.0", 0, "", b"x"))
-        return t.QuerySubmitted(number, t.QueryPlan(0, 10.0 + left, (part,), travel), lambda final: None)
+        return t.QuerySubmitted(number, t.QueryPlan(0, 10.0 + remaining, (part,), codec), lambda final: None)
 
     effects = driver.step(10.0, [arrived(1, 1.2), arrived(2, 7.9)])
-    (call,) = [effect.request for effect in effects if isinstance(effect, t.StartRequest)]
-    left = call.seconds_left(call.attempts, 10.05)
-    data = travel.encode([errand.content for errand in call.attempts], left, call.address)
-    told = {name: int(wait) for name, wait in re.findall(rb"(q[12])\.0 0 d=(\d+) ", data)}
-    assert 1000 <= told[b"q1"] <= 1150 and 7000 <= told[b"q2"] <= 7850
+    (batch,) = [effect.request for effect in effects if isinstance(effect, t.StartRequest)]
+    remaining = batch.seconds_left(batch.attempts, 10.05)
+    data = codec.encode(
+        [attempt_request.content for attempt_request in batch.attempts], remaining, batch.address
+    )
+    reported = {name: int(wait) for name, wait in re.findall(rb"(q[12])\.0 0 d=(\d+) ", data)}
+    assert 1000 <= reported[b"q1"] <= 1150 and 7000 <= reported[b"q2"] <= 7850
 
 
-def test_a_request_with_one_time_for_all_its_parts_is_told_the_least() -> None:
-    exchange = RemoteReadCodec("tile", 1 << 20)
-    head = exchange.encode([], [7.9, 1.2], ("127.0.0.1", 1)).split(b"\r\n\r\n")[0]
+def test_a_request_with_one_time_limit_for_all_parts_has_the_shortest() -> None:
+    codec = RemoteReadCodec("tile", 1 << 20)
+    head = codec.encode([], [7.9, 1.2], ("127.0.0.1", 1)).split(b"\r\n\r\n")[0]
     assert b"Gingervane-Timeout-Ms: 1200" in head
 
 
-def a_call(replica: Replica, name: str, text: bytes, attempt: int = 0) -> t.BatchRequest:
+def batch_request(replica: Replica, name: str, text: bytes, attempt: int = 0) -> t.BatchRequest:
     stop_at = time.monotonic() + PATIENCE
-    errand = t.AttemptRequest(
+    attempt_request = t.AttemptRequest(
         1, attempt, SubqueryRequest(f"{name}.0", 0, "", text), api.RetrySafety.IDEMPOTENT, stop_at
     )
-    call = t.BatchRequest(1, 1, ("127.0.0.1", replica.port), FrameCodec(), [errand], stop_at, open_attempts=1)
-    call.decided_at = time.monotonic()
-    return call
+    batch = t.BatchRequest(
+        1, 1, ("127.0.0.1", replica.port), FrameCodec(), [attempt_request], stop_at, open_attempts=1
+    )
+    batch.decided_at = time.monotonic()
+    return batch
 
 
-def reports_to(told: Waiter) -> Callable[[list[t.AttemptFinished]], None]:
-    def report(endings: list[t.AttemptFinished]) -> None:
-        for each in endings:
-            told.put(each)
+def report_into(reported: Waiter) -> Callable[[list[t.AttemptFinished]], None]:
+    def report(finished: list[t.AttemptFinished]) -> None:
+        for attempt in finished:
+            reported.put(attempt)
 
     return report
 
 
-def tended(links: ReplicaConnections, true: Callable[[], object]) -> Callable[[], object]:
+def after_maintenance(
+    connections: ReplicaConnections, condition: Callable[[], object]
+) -> Callable[[], object]:
     """Return a condition that runs the decision thread's maintenance before each check."""
 
     def check() -> object:
-        links.maintain()
-        return true()
+        connections.maintain()
+        return condition()
 
     return check
 
 
-def test_a_first_attempt_that_was_stuck_half_way_is_not_finished_late() -> None:
+def test_a_partially_written_first_attempt_is_not_completed_late() -> None:
     """The remaining time sent with it was right only at encoding. The attempt is known never to have run."""
-    there = Replica(0)
-    there.reading.clear()
-    told = Waiter()
-    links = ReplicaConnections(LIMITS, reports_to(told))
-    call = a_call(there, "big", b"x" * (8 << 20))
-    assert links.start(call)
-    (link,) = links._by_number.values()
-    until(tended(links, lambda: link._queue.partial), "the frame is partially written")
-    half = link._queue.partial
-    assert half is not None
-    until(lambda: time.monotonic() - half.encoded_at > t.MAX_SEND_DELAY, "the send delay has passed")
-    there.reading.set()  # the replica reads again
-    until(tended(links, lambda: told.items), "the attempt's outcome is reported")
-    assert told.items[0].outcome is AttemptOutcome.CONNECT_FAILED and not there.parts.items
-    links.close()
-    there.close()
+    fake_replica = Replica(0)
+    fake_replica.reading.clear()
+    reported = Waiter()
+    connections = ReplicaConnections(LIMITS, report_into(reported))
+    batch = batch_request(fake_replica, "big", b"x" * (8 << 20))
+    assert connections.start(batch)
+    (connection,) = connections._by_number.values()
+    until(after_maintenance(connections, lambda: connection._queue.partial), "the frame is partially written")
+    partial_frame = connection._queue.partial
+    assert partial_frame is not None
+    until(lambda: time.monotonic() - partial_frame.encoded_at > t.MAX_SEND_DELAY, "the send delay has passed")
+    fake_replica.reading.set()  # the replica reads again
+    until(after_maintenance(connections, lambda: reported.items), "the attempt's outcome is reported")
+    assert reported.items[0].outcome is AttemptOutcome.CONNECT_FAILED and not fake_replica.parts.items
+    connections.close()
+    fake_replica.close()
 
 
 # ---- requests that are read must be answered
@@ -147,13 +153,13 @@
     server.stop(0.0)
 
 
-def asked(server: HttpServer) -> tuple[int, dict[str, str], Any]:
+def send_request(server: HttpServer) -> tuple[int, dict[str, str], Any]:
     with socket.create_connection(server.address, PATIENCE) as sock:
         sock.sendall(request("q", "{}"))
         return reply(sock)
 
 
-def test_a_reply_whose_time_is_up_is_a_failure_and_no_silence() -> None:
+def test_a_reply_past_its_deadline_becomes_a_failure() -> None:
     """Guards against a co-ordinator that, paused past its client's deadline, closes without an answer."""
     done = threading.Event()
 
@@ -161,23 +167,23 @@
         return plain(200, "an answer")._replace(until=time.monotonic() - 1.0, done=done.set)
 
     for server in serve(late):
-        status, fields, text = asked(server)
+        status, fields, text = send_request(server)
         assert status == 504 and fields["connection"] == "close" and "time is up" in text
         assert done.wait(PATIENCE)
 
 
-def test_a_failure_whose_time_is_up_is_said_as_its_front_has_it() -> None:
+def test_a_failure_past_its_deadline_is_sent_unchanged() -> None:
     """Guards against plain text in place of the front's JSON, which a vector client got on an overloaded machine."""
 
     def late(request: Request, body: bytes, arrived: float, client: Exchange) -> Reply:
         return plain(502, "in the front's own words")._replace(until=time.monotonic() - 1.0)
 
     for server in serve(late):
-        status, _, text = asked(server)
+        status, _, text = send_request(server)
         assert status == 502 and text == "in the front's own words\n"
 
 
-def test_a_handler_that_breaks_answers_and_the_next_is_served() -> None:
+def test_a_failing_handler_gives_an_error_and_the_next_request_is_served() -> None:
     broken = [True]
 
     def handler(request: Request, body: bytes, arrived: float, client: Exchange) -> Reply:
@@ -187,13 +193,17 @@
         return plain(200, "well")
 
     for server in serve(handler):
-        found: list[BaseException] = []
-        server.on_handler_failure = found.append
-        assert asked(server)[0] == 500 and server.handler_failures == 1 and isinstance(found[0], RuntimeError)
-        assert asked(server)[0] == 200
+        errors: list[BaseException] = []
+        server.on_handler_failure = errors.append
+        assert (
+            send_request(server)[0] == 500
+            and server.handler_failures == 1
+            and isinstance(errors[0], RuntimeError)
+        )
+        assert send_request(server)[0] == 200
 
 
-def test_a_first_request_that_came_in_a_hold_has_been_waiting_since_it_began() -> None:
+def test_a_first_request_during_a_process_pause_counts_from_the_start_of_the_pause() -> None:
     """Guards against treating a request on a connection not yet accepted as new after a process pause: its answer
     came too late."""
     arrivals: list[float] = []
@@ -205,7 +215,7 @@
     for server in serve(handler):
         start = time.monotonic() - 1.0
         server._pauses.record_pause(start, time.monotonic() + PATIENCE)
-        assert asked(server)[0] == 200 and arrivals == [start]
+        assert send_request(server)[0] == 200 and arrivals == [start]
 
 
 # ---- system calls that fail
@@ -242,7 +252,7 @@
 
 
 @pytest.mark.parametrize("code", LOCAL_ERRORS, ids=errno.errorcode.get)
-def test_a_connect_that_fails_here_is_not_held_against_its_replica(
+def test_a_local_connect_failure_does_not_count_against_the_replica(
     tmp_path: Path,
     monkeypatch: pytest.MonkeyPatch,
     code: int,
@@ -278,13 +288,13 @@
 
 
 @pytest.mark.parametrize("call", ["register", "modify"])
-def test_an_epoll_that_fails_ends_no_deciding(tmp_path: Path, call: str) -> None:
+def test_a_failing_epoll_does_not_end_the_decision_thread(tmp_path: Path, call: str) -> None:
     """Guards against a failed registration that ends the decision thread, and with it all queries."""
     platform = Platform(tmp_path)
-    links = platform.node.core._transport
-    assert isinstance(links, ReplicaConnections)
-    poll = FailingPoll(links._poll)
-    links._poll = poll  # type: ignore[assignment]
+    connections = platform.node.core._transport
+    assert isinstance(connections, ReplicaConnections)
+    poll = FailingPoll(connections._poll)
+    connections._poll = poll  # type: ignore[assignment]
     poll.fail[call] = 1
     first = platform.ask("q1", {0: 1.0})[0]
     assert not platform.node.core.broken.is_set() and first in (200, 503)
@@ -292,30 +302,30 @@
     platform.close()
 
 
-def test_a_link_that_is_not_up_and_breaks_inside_has_proof_that_nothing_ran(
+def test_an_internal_error_while_connecting_reports_that_nothing_ran(
     tmp_path: Path,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    def came_up(self: ReplicaConnection) -> None:
+    def fail_to_finish(self: ReplicaConnection) -> None:
         raise ValueError("a bug")
 
     ended: list[ReplicaConnectionClosed] = []
-    told = Waiter()
-    there = Replica(0)
-    monkeypatch.setattr(ReplicaConnection, "_finish_connect", came_up)
-    links = ReplicaConnections(LIMITS, reports_to(told), on_closed=ended.append)
-    assert links.start(a_call(there, "q", b"x"))
+    reported = Waiter()
+    fake_replica = Replica(0)
+    monkeypatch.setattr(ReplicaConnection, "_finish_connect", fail_to_finish)
+    connections = ReplicaConnections(LIMITS, report_into(reported), on_closed=ended.append)
+    assert connections.start(batch_request(fake_replica, "q", b"x"))
     assert (
-        told.wait()[0].outcome is AttemptOutcome.CONNECT_FAILED
+        reported.wait()[0].outcome is AttemptOutcome.CONNECT_FAILED
         and ended[0].reason is ReplicaCloseReason.INTERNAL_ERROR
     )
-    links.close()
-    there.close()
+    connections.close()
+    fake_replica.close()
 
 
 @pytest.mark.parametrize("code", [errno.ENOBUFS, errno.ENOMEM])
 @pytest.mark.parametrize("call", ["recv", "send"])
-def test_reads_and_writes_that_fail_for_want_of_memory_go_on(
+def test_reads_and_writes_are_retried_when_memory_is_short(
     tmp_path: Path,
     monkeypatch: pytest.MonkeyPatch,
     call: str,
@@ -340,7 +350,7 @@
 
 
 @pytest.mark.parametrize("call", ["register", "modify", "poll"])
-def test_the_thread_that_takes_connections_outlives_a_failing_epoll(platform: Platform, call: str) -> None:
+def test_the_connection_thread_survives_a_failing_epoll(platform: Platform, call: str) -> None:
     """A request on a connection that could not be registered is served after a short wait."""
     connections = connections_of(platform)
     poll = FailingPoll(connections._poller._epoll)
@@ -371,7 +381,7 @@
 
 
 @pytest.mark.parametrize("code", ACCEPT_ERRORS, ids=errno.errorcode.get)
-def test_an_accept_that_fails_costs_nobody_an_answer(platform: Platform, code: int) -> None:
+def test_a_failed_accept_loses_no_request(platform: Platform, code: int) -> None:
     connections = connections_of(platform)
     codes = [code, code]
     connections._listener = FailingListener(connections._listener, codes)  # type: ignore[assignment]
@@ -379,7 +389,7 @@
     assert platform.ask("q2", {0: 1.0})[0] == 200
 
 
-def test_an_error_of_this_machine_is_not_a_client_s_end(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_local_error_does_not_mean_that_the_client_disconnected(monkeypatch: pytest.MonkeyPatch) -> None:
     near, far = socket.socketpair()
     near.setblocking(False)
     monkeypatch.setattr(client_connection, "is_transient", local_failures.is_transient)
@@ -401,12 +411,12 @@
     """Makes starting a client thread fail `times` times."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, times: int) -> None:
-        self.left, self._real = times, threading.Thread.start
+        self.remaining, self._real = times, threading.Thread.start
         monkeypatch.setattr(threading.Thread, "start", lambda thread: self._start(thread))
 
     def _start(self, thread: threading.Thread) -> None:
-        if thread.name == "client" and self.left > 0:
-            self.left -= 1
+        if thread.name == "client" and self.remaining > 0:
+            self.remaining -= 1
             raise RuntimeError("can't start new thread")
         self._real(thread)
 
@@ -416,7 +426,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     threads = NoThreads(monkeypatch, 3)
-    assert platform.ask("q1", {0: 1.0})[0] == 200 and not threads.left
+    assert platform.ask("q1", {0: 1.0})[0] == 200 and not threads.remaining
 
 
 def test_a_request_that_gets_no_thread_is_refused(
@@ -428,7 +438,7 @@
     assert not any(each.parts.items for each in platform.replicas)
 
 
-def test_what_a_start_needs_is_tried_for_a_while(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_local_failures_at_startup_are_retried_for_a_while(monkeypatch: pytest.MonkeyPatch) -> None:
     failures = [errno.EMFILE, errno.ENOBUFS, errno.ENOMEM]
 
     def make() -> str:
@@ -454,15 +464,17 @@
 
 @pytest.mark.parametrize(("seed", "words"), SHIMMED)
 def test_a_seeded_run_with_failing_calls_and_a_stepped_clock_breaks_no_rule(seed: int, words: str) -> None:
-    found = play(draw(seed), env=shim(seed, words))
-    assert not found.untimed_violations and not found.ended_early and found.requests > 20
+    result = play(draw(seed), env=shim(seed, words))
+    assert not result.untimed_violations and not result.ended_early and result.requests > 20
 
 
 # ---- the wall clock
 
 
 @pytest.mark.parametrize("step", [3600.0, -3600.0])
-def test_a_key_s_window_is_a_span_of_real_time(monkeypatch: pytest.MonkeyPatch, step: float) -> None:
+def test_an_idempotency_window_ignores_steps_of_the_wall_clock(
+    monkeypatch: pytest.MonkeyPatch, step: float
+) -> None:
     """Measured by the wall clock, a step forward ended the window early, and a step back allowed a retry after it."""
     intents = IdempotencyRecords(IdempotencyLimits(window=10.0, safety_margin=0.5, retention=3600.0))
     now = boot_clock.seconds()
@@ -477,7 +489,7 @@
     assert intents.begin("k", "d", 1, boot_clock.seconds() + 10.0).action is KeyAction.WINDOW_EXPIRED
 
 
-def test_moments_of_another_boot_tell_nothing() -> None:
+def test_times_of_another_boot_are_not_comparable() -> None:
     now = boot_clock.moment()
     assert boot_clock.since(now) == pytest.approx(0.0, abs=PATIENCE)
     assert (
