--- a/gingervane/node/client_front.py
+++ b/gingervane/node/client_front.py
@@ -1,8 +1,8 @@
-"""The platform's clients: an HTTP request to a plan of parts, and the one query result back.
+"""The platform's client protocol: turns an HTTP request into a query plan, and the query's result into the reply.
 
-Strict: what cannot be a query of this platform gets one 4xx and reaches no replica. Called by the HTTP server's
-threads; the ids of open queries are shared by them under a lock. Every decision about an admitted query is the
-decision module's.
+Parsing is strict: an invalid request is answered with a 4xx status and reaches no replica. Called by the HTTP
+server's threads, which share the ids of open queries under a lock. Every decision about an admitted query is made by
+the decision engine.
 """
 
 from __future__ import annotations
@@ -26,9 +26,13 @@
 _ID = re.compile(r"[0-9A-Za-z_-]{1,64}\Z")
 _MILLISECONDS = re.compile(r"[0-9]{1,9}\Z")
 _TOKEN = re.compile(r"[0-9A-Fa-f]{16}\Z")
-_WEIGHT_SLACK = 0.002  # of a sum of rounded weights
-_MAX_GUESS = 1e12  # microseconds
-_STATUS = {t.QueryStatus.REJECTED: 503, t.QueryStatus.FAILED: 500, t.QueryStatus.CLIENT_DISCONNECTED: 500}
+_WEIGHT_SLACK = 0.002  # tolerated deviation of a sum of rounded weights from 1
+_MAX_GUESS_MICROSECONDS = 1e12
+_HTTP_STATUS = {
+    t.QueryStatus.REJECTED: 503,
+    t.QueryStatus.FAILED: 500,
+    t.QueryStatus.CLIENT_DISCONNECTED: 500,
+}
 _JSON = ("Content-Type", "application/json")
 _HEALTH_PATHS = ("/ready", "/health")
 
@@ -36,22 +40,22 @@
 
 
 class ClientFront:
-    """Handles `POST /CLASS` and `GET /ready`. A class may have any name, those two words among them."""
+    """Handles `POST /CLASS` and `GET /ready`. A class may have any name, also that of a health path."""
 
     def __init__(self, core: QueryCoordinator, class_names: tuple[str, ...], shards: int) -> None:
         self._core = core
         self._shards = shards
-        self._classes = {name: number for number, name in enumerate(class_names)}
+        self._classes = {name: class_index for class_index, name in enumerate(class_names)}
         self._codec = FrameCodec()
         self._lock = Lock()
         self._open_ids = set[str]()
         self.ready = False
 
     def handle(self, request: Request, body: bytes, arrived: float, client: Exchange) -> Reply:
-        """Answer a request; the query in it, if any, is completed by then."""
+        """Answer a request; a query in it is completed before this returns."""
         path = request.target.partition("?")[0]
         class_name = path[1:].partition("/")[0]
-        if class_name not in self._classes:  # as it stands, or encoded
+        if class_name not in self._classes:  # the name may be percent-encoded or not
             class_name = unquote(class_name)
         if path in _HEALTH_PATHS and (request.method != "POST" or class_name not in self._classes):
             return self._health(request)
@@ -59,7 +63,7 @@
             query_id, plan = self._read_query(request, class_name, body, arrived)
         except HttpError as error:
             return plain(error.status, error.detail)
-        if client.is_disconnected():  # guards against forwarding what lay unread when its client disconnected
+        if client.is_disconnected():  # a request may still lie unread when its client disconnects
             return plain(500, "its client has left", close=True)
         with self._lock:
             if query_id in self._open_ids:
@@ -100,7 +104,7 @@
             return Reply(200, [_JSON], orjson.dumps({"full": full, "pieces": pieces}))
         if result.status is t.QueryStatus.REJECTED:
             return _rejection(result.detail or "refused", result.retry_after)
-        return plain(_STATUS[result.status], result.detail or "failed")
+        return plain(_HTTP_STATUS[result.status], result.detail or "failed")
 
     # ---- reading a query
 
@@ -108,8 +112,8 @@
         self, request: Request, class_name: str, body: bytes, arrived: float
     ) -> tuple[str, t.QueryPlan]:
         """Read a query; return its id and its plan. Raises HttpError."""
-        number = self._classes.get(class_name)
-        if number is None:
+        class_index = self._classes.get(class_name)
+        if class_index is None:
             raise HttpError(404, "path: no class of that name")
         if request.method != "POST":
             raise HttpError(405, "only POST here")
@@ -120,19 +124,21 @@
         retried = request.headers.get_all("x-retried")
         if retried not in ([], ["0"], ["1"]):
             raise HttpError(400, "X-Retried: not 1")
-        tablets, text = _read_body(body)
-        parts, cost = self._read_parts(query_id, tablets, text)
-        query_class = self._core.settings.query_classes[number]
+        tablets, statement = _read_body(body)
+        parts, cost = self._read_parts(query_id, tablets, statement)
+        query_class = self._core.settings.query_classes[class_index]
         deadline = arrived + min(timeout_ms / 1000, query_class.deadline)
-        second_step = _second_step(query_id, text, query_class.second_step_parts)
+        second_step = _second_step(query_id, statement, query_class.second_step_parts)
         is_client_retry = retried == ["1"]
-        plan = t.QueryPlan(number, deadline, parts, self._codec, query_id, is_client_retry, cost, second_step)
+        plan = t.QueryPlan(
+            class_index, deadline, parts, self._codec, query_id, is_client_retry, cost, second_step
+        )
         return query_id, plan
 
     def _read_parts(
-        self, query_id: str, tablets: list[Any], text: bytes
+        self, query_id: str, tablets: list[Any], statement: bytes
     ) -> tuple[tuple[t.PartPlan, ...], float]:
-        """Return the parts and the guess at their work, in seconds. Raises HttpError."""
+        """Return the parts and their estimated total work in seconds. Raises HttpError."""
         if not 1 <= len(tablets) <= self._shards:
             raise HttpError(400, f"tablets: {len(tablets)} of them; there are {self._shards} shards")
         parts = []
@@ -143,30 +149,33 @@
             shards.add(shard)
             cost += guess / 1e6
             parts.append(
-                t.PartPlan(shard, float(weight), SubqueryRequest(f"{query_id}.{shard}", shard, "", text))
+                t.PartPlan(shard, float(weight), SubqueryRequest(f"{query_id}.{shard}", shard, "", statement))
             )
         if abs(sum(part.weight for part in parts) - 1.0) > _WEIGHT_SLACK:
             raise HttpError(400, "tablets: their fractions do not add up to 1")
         return tuple(parts), cost
 
-    def _read_tablet(self, tablet: Any, where: str, shards: set[int]) -> tuple[int, float, float]:
-        """Return shard, weight and guess of a tablet whose shard is not among `shards`. Raises HttpError."""
+    def _read_tablet(self, tablet: Any, path: str, shards: set[int]) -> tuple[int, float, float]:
+        """Return a tablet's shard, weight and estimated work in microseconds. Raises HttpError.
+
+        `shards`: the shards of the tablets before it, which it may not repeat.
+        """
         if not isinstance(tablet, dict):
-            raise HttpError(400, f"{where}: no object")
+            raise HttpError(400, f"{path}: no object")
         shard: Any = tablet.get("tablet")
         weight: Any = tablet.get("fraction")
         guess: Any = tablet.get("guess", 0)
         token = tablet.get("token")
         if not isinstance(shard, int) or isinstance(shard, bool) or not 0 <= shard < self._shards:
-            raise HttpError(400, f"{where}.tablet: no shard")
+            raise HttpError(400, f"{path}.tablet: no shard")
         if shard in shards:
-            raise HttpError(400, f"{where}.tablet: shard {shard} stands there twice")
+            raise HttpError(400, f"{path}.tablet: shard {shard} stands there twice")
         if not _is_number(weight) or not 0 < weight <= 1:
-            raise HttpError(400, f"{where}.fraction: not above 0 and up to 1")
-        if not _is_number(guess) or not 0 <= guess < _MAX_GUESS:
-            raise HttpError(400, f"{where}.guess: no number of microseconds")
+            raise HttpError(400, f"{path}.fraction: not above 0 and up to 1")
+        if not _is_number(guess) or not 0 <= guess < _MAX_GUESS_MICROSECONDS:
+            raise HttpError(400, f"{path}.guess: no number of microseconds")
         if token is not None and not (isinstance(token, str) and _TOKEN.match(token)):
-            raise HttpError(400, f"{where}.token: not 16 hex digits")
+            raise HttpError(400, f"{path}.token: not 16 hex digits")
         return shard, weight, guess
 
 
@@ -184,10 +193,10 @@
     return data["tablets"], statement.encode()
 
 
-def _second_step(query_id: str, text: bytes, max_parts: int) -> SecondStep | None:
-    """Return what plans a query's second step, or None if it has none.
+def _second_step(query_id: str, statement: bytes, max_parts: int) -> SecondStep | None:
+    """Return the function that plans a query's second step, or None if it has none.
 
-    The second step goes to the shards with the highest scores among the results of the first.
+    The second step queries the shards with the highest scores in the first step, at most `max_parts` of them.
     """
     if not max_parts:
         return None
@@ -196,14 +205,14 @@
         ranked = sorted(results.values(), key=lambda result: (-result.score, result.shard))
         chosen = ranked[:max_parts]
         sources = "+".join(str(result.shard) for result in sorted(ranked, key=lambda result: result.shard))
-        words = f",from={sources},whole={complete:d}"
+        options = f",from={sources},whole={complete:d}"
         return tuple(
             t.PartPlan(
-                each.shard,
+                selected.shard,
                 1 / len(chosen),
-                SubqueryRequest(f"{query_id}.{each.shard}.b", each.shard, words, text),
+                SubqueryRequest(f"{query_id}.{selected.shard}.b", selected.shard, options, statement),
             )
-            for each in chosen
+            for selected in chosen
         )
 
     return plan
