--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,5 @@
-"""Shared fixtures, the profile of Hypothesis, and the known failures (`KNOWN-RED.txt`), which are deselected."""
+"""Shared fixtures, the profile of Hypothesis, and the known failures (`KNOWN-RED.txt`), which are
+deselected."""
 
 from __future__ import annotations
 
@@ -41,7 +42,8 @@
 
 
 class KnownFailure(NamedTuple):
-    """A line of the list: one test case, the command that makes it fail, the failure seen, and its open issue.
+    """A line of the list: one test case, the command that makes it fail, the failure seen, and its open
+    issue.
 
     `test`: the id as pytest prints it, including the parameters of a parametrised test.
     """
--- a/tests/node_tools.py
+++ b/tests/node_tools.py
@@ -41,7 +41,8 @@
 
 
 def platform_with_first_attempt(tmp_path: Path, first_attempt: Callable[[Wire, Part], None]) -> Platform:
-    """Start two equal replicas; the first part of query `q` that either receives is handled by `first_attempt`."""
+    """Start two equal replicas; the first part of query `q` that either receives is handled by
+    `first_attempt`."""
     turns = iter([first_attempt])
 
     def behave(wire: Wire, part: Part) -> None:
--- a/tests/platform_fakes.py
+++ b/tests/platform_fakes.py
@@ -1,4 +1,5 @@
-"""Fake replicas and a fake discovery that speak the platform's protocol, and a node that runs against them."""
+"""Fake replicas and a fake discovery that speak the platform's protocol, and a node that runs against
+them."""
 
 from __future__ import annotations
 
@@ -77,7 +78,8 @@
 
 
 class MembershipRecorder(Waiter):
-    """Records a watch's reports: items are updates, and for an interruption the seconds since the last line."""
+    """Records a watch's reports: items are updates, and for an interruption the seconds since the last
+    line."""
 
     def endpoints_updated(self, update: EndpointsUpdated) -> None:
         self.put(update)
@@ -244,7 +246,8 @@
 
 
 class Calls:
-    """A fake discovery whose test answers each call itself: `calls` has each call's socket and request target."""
+    """A fake discovery whose test answers each call itself: `calls` has each call's socket and request
+    target."""
 
     def __init__(self, port: int = 0) -> None:
         self.calls = Waiter()
@@ -331,7 +334,8 @@
 
 
 class Platform:
-    """Discovery, two replicas that hold all shards, and one node whose cached list has both from the start."""
+    """Discovery, two replicas that hold all shards, and one node whose cached list has both from the
+    start."""
 
     def __init__(
         self,
@@ -411,7 +415,8 @@
 
 
 def reply(sock: socket.socket) -> tuple[int, dict[str, str], Any]:
-    """Read one answer; return its status, fields and body. The status is 0 if the connection ends without one."""
+    """Read one answer; return its status, fields and body. The status is 0 if the connection ends without
+    one."""
     data = b""
     while b"\r\n\r\n" not in data:
         try:
--- a/tests/ports.py
+++ b/tests/ports.py
@@ -9,8 +9,8 @@
 class ReservedPort:
     """A port of 127.0.0.1 that the kernel assigns to no other socket until `close`.
 
-    Its socket is bound but does not listen. A server that sets SO_REUSEADDR, as `socket.create_server` does, can bind
-    the port and listen on it; while none does, connections are refused.
+    Its socket is bound but does not listen. A server that sets SO_REUSEADDR, as `socket.create_server` does,
+    can bind the port and listen on it; while none does, connections are refused.
     """
 
     def __init__(self) -> None:
--- a/tests/test_consul.py
+++ b/tests/test_consul.py
@@ -1,4 +1,5 @@
-"""Consul's API on sockets: watchers and registration against a fake server, the fake against a published client."""
+"""Consul's API on sockets: watchers and registration against a fake server, the fake against a published
+client."""
 
 from __future__ import annotations
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -127,8 +127,8 @@
 
 @pytest.mark.parametrize("stage", STALLS_BEFORE_A_LIST)
 def test_a_stalled_call_does_not_block_other_calls(harness: WatchHarness, stage: str) -> None:
-    """Guards against calls made one after another, each timed out after 3 s: two that stalled exceeded the 6 s within
-    which a node must be notified."""
+    """Guards against calls made one after another, each timed out after 3 s: two that stalled exceeded the 6
+    s within which a node must be notified."""
     STALLS_BEFORE_A_LIST[stage](harness.first_discovery.sock(1))
     harness.watch.request_watch()
     harness.first_discovery.sock(2)
@@ -156,7 +156,8 @@
 
 
 def test_a_stalled_watch_that_receives_data_again_stays_the_watch(harness: WatchHarness) -> None:
-    """Guards against closing a watch, and losing its place in discovery's queue, because a line is a little late."""
+    """Guards against closing a watch, and losing its place in discovery's queue, because a line is a little
+    late."""
     first = harness.first_discovery.sock(1)
     first.sendall(HEAD + chunk(line(1, entry())))
     harness.updates.wait(2)
@@ -185,7 +186,8 @@
 
 
 def test_a_superseded_answer_restores_no_draining_replica(harness: WatchHarness) -> None:
-    """Both calls requested changes from the same version: the older list does not mean that versions restarted."""
+    """Both calls requested changes from the same version: the older list does not mean that versions
+    restarted."""
     read, read_started, proceed = EndpointListReader.read, threading.Event(), threading.Event()
     first = harness.first_discovery.sock(1)
     harness.watch.request_watch()
@@ -321,7 +323,8 @@
 
 
 def test_failures_at_the_old_and_the_new_address_are_reported_once(harness: WatchHarness) -> None:
-    """Each reported failure leads to one more call: those of the address change and of the backoff would add up."""
+    """Each reported failure leads to one more call: those of the address change and of the backoff would add
+    up."""
     harness.first_discovery.sock(1).close()
     harness.updates.wait()
     harness.watch.change_address(harness.second_discovery.where)
@@ -411,7 +414,8 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     class SocketModuleWithoutDescriptors:
-        """Replaces `socket` in the watch's module alone, so that the fake discovery can still create sockets."""
+        """Replaces `socket` in the watch's module alone, so that the fake discovery can still create
+        sockets."""
 
         def __getattr__(self, name: str) -> Any:
             if name == "socket":
--- a/tests/test_endpoint_entries.py
+++ b/tests/test_endpoint_entries.py
@@ -45,7 +45,8 @@
     platform: Platform,
     dial: object,
 ) -> None:
-    """Guards against a host name as address: resolving it ended the decision thread, and all queries failed."""
+    """Guards against a host name as address: resolving it ended the decision thread, and all queries
+    failed."""
     apply_discovery_change(
         platform, *[host(r) | {"host": f"odd-{r.port}", "dial": dial} for r in platform.replicas]
     )
@@ -61,7 +62,8 @@
     first: str,
     last: str,
 ) -> None:
-    """A replica deleted and listed again in the same change had no address, which ended the decision thread."""
+    """A replica deleted and listed again in the same change had no address, which ended the decision
+    thread."""
     changed_replica, other = platform.replicas
     is_serving = last == "SERVING"
     apply_discovery_change(
--- a/tests/test_fault_rig.py
+++ b/tests/test_fault_rig.py
@@ -2,19 +2,21 @@
 
 The tests guard against four faults of the rig:
 
-- A proxy that reset a connection sent the last bytes of an answer before it recorded them. If its thread stalled in
-  between, the client had the answer 19 to 81 ms before its cause was recorded. With a delay of 50 ms between the two,
-  three of four runs reported it; with the order reversed, and the same 50 ms, none of four did.
-- Discovery wrote a drain to a watch that the node had closed, as the first write to a connection that the peer has
-  closed succeeds. The node counted as notified of what it could not read, and a part to the drained replica, 0.11 s
-  past the grace, counted as a violation. The node had been moved to another address of discovery, and its new calls
-  were refused for 2 s, as were seven in ten. In its log, `discovery_call_ended reason=moved` came at 8.18 s and the
-  next list at 10.6 s; the drain was written to the closed watch at 9.61 s, and the part came at 10.39 s. With
-  refusals that took 0.1 s each, so that fewer calls fitted in, four of fourteen runs reported it.
-- Of several parts that are read at once the kernel gives the time of the last only: of two sends 0.3 s apart, both
-  had the later time. So parts seemed to come after the end of their request.
-- A call to discovery was dated by when it was read, so that a process that had just started counted as notified of
-  what its predecessor had received.
+- A proxy that reset a connection sent the last bytes of an answer before it recorded them. If its thread
+  stalled in between, the client had the answer 19 to 81 ms before its cause was recorded. With a delay of 50
+  ms between the two, three of four runs reported it; with the order reversed, and the same 50 ms, none of
+  four did.
+- Discovery wrote a drain to a watch that the node had closed, as the first write to a connection that the
+  peer has closed succeeds. The node counted as notified of what it could not read, and a part to the drained
+  replica, 0.11 s past the grace, counted as a violation. The node had been moved to another address of
+  discovery, and its new calls were refused for 2 s, as were seven in ten. In its log, `discovery_call_ended
+  reason=moved` came at 8.18 s and the next list at 10.6 s; the drain was written to the closed watch at 9.61
+  s, and the part came at 10.39 s. With refusals that took 0.1 s each, so that fewer calls fitted in, four of
+  fourteen runs reported it.
+- Of several parts that are read at once the kernel gives the time of the last only: of two sends 0.3 s apart,
+  both had the later time. So parts seemed to come after the end of their request.
+- A call to discovery was dated by when it was read, so that a process that had just started counted as
+  notified of what its predecessor had received.
 """
 
 from __future__ import annotations
--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -1,4 +1,5 @@
-"""The daemon end to end on sockets, with faulty replicas, failing discovery, overload and malformed requests."""
+"""The daemon end to end on sockets, with faulty replicas, failing discovery, overload and malformed
+requests."""
 
 from __future__ import annotations
 
--- a/tests/test_incident_late_drains.py
+++ b/tests/test_incident_late_drains.py
@@ -1,19 +1,20 @@
-"""Guards against requests to replicas that began to drain more than 6 s before, while discovery was overloaded.
+"""Guards against requests to replicas that began to drain more than 6 s before, while discovery was
+overloaded.
 
-Failure: in a release with many restarts, requests reached draining replicas up to 0.7 s after the co-ordinators
-counted as notified, where 0.5 s are allowed.
+Failure: in a release with many restarts, requests reached draining replicas up to 0.7 s after the
+co-ordinators counted as notified, where 0.5 s are allowed.
 
-Sequence: all watches ended at once, and all co-ordinators called discovery again. Discovery handles calls one after
-another, queued a few and refused all others within 5 ms. A replica began to drain. One co-ordinator was refused ten
-times in five seconds, while others, whose lists were only a second old, got their second list. 6 s after the drain it
-counted as notified, and still sent to the replica.
+Sequence: all watches ended at once, and all co-ordinators called discovery again. Discovery handles calls one
+after another, queued a few and refused all others within 5 ms. A replica began to drain. One co-ordinator was
+refused ten times in five seconds, while others, whose lists were only a second old, got their second list. 6
+s after the drain it counted as notified, and still sent to the replica.
 
-Cause: the backoff between calls grew with each refusal, up to 2 s, regardless of the remaining time and of the number
-of callers. The co-ordinators with the stalest lists called least often, refusing calls kept discovery busy, and a
-list of any age was used as if it were new.
+Cause: the backoff between calls grew with each refusal, up to 2 s, regardless of the remaining time and of
+the number of callers. The co-ordinators with the stalest lists called least often, refusing calls kept
+discovery busy, and a list of any age was used as if it were new.
 
-The log of that process showed backoffs of 0.07, 0.08, 0.11, 0.39, 0.27, 0.52, 1.02, 1.38 and 1.23 s, each call
-refused, and no list, process pause or clock step in between.
+The log of that process showed backoffs of 0.07, 0.08, 0.11, 0.39, 0.27, 0.52, 1.02, 1.38 and 1.23 s, each
+call refused, and no list, process pause or clock step in between.
 """
 
 from __future__ import annotations
@@ -62,7 +63,8 @@
 
 
 def test_calls_become_more_frequent_as_the_notification_deadline_approaches() -> None:
-    """Each node calls within the short span in which discovery accepts calls, and learns of the drain in time."""
+    """Each node calls within the short span in which discovery accepts calls, and learns of the drain in
+    time."""
     ledger = Ledger()
     result = play(plan_with_overloaded_discovery(LATE_OPENING), ledger=ledger)
     learned = {item.node for item in ledger.lists if item.version > 1}
--- a/tests/test_incident_partial.py
+++ b/tests/test_incident_partial.py
@@ -1,8 +1,8 @@
-"""Guards against the incident of 2026-12-02: answers with too few parts. Tested with real processes on loopback,
-and on the driver alone.
+"""Guards against the incident of 2026-12-02: answers with too few parts. Tested with real processes on
+loopback, and on the driver alone.
 
-An answer processed in the batch in which its query's latency objective timer fires ends the first step. The timer
-then found a second step without parts and treated it as complete.
+An answer processed in the batch in which its query's latency objective timer fires ends the first step. The
+timer then found a second step without parts and treated it as complete.
 """
 
 from __future__ import annotations
@@ -65,7 +65,8 @@
 
 
 class DelayingReplica(Replica):
-    """Answers shards 0 and 1 and second steps at once, shard 2 when `release` is called, and shard 3 never."""
+    """Answers shards 0 and 1 and second steps at once, shard 2 when `release` is called, and shard 3
+    never."""
 
     def __init__(self) -> None:
         super().__init__(0, self.take)
@@ -92,7 +93,8 @@
     least: float,
     whole: float,
 ) -> None:
-    """Pauses a node across its queries' latency objective, so that answers and the timer fall into one batch."""
+    """Pauses a node across its queries' latency objective, so that answers and the timer fall into one
+    batch."""
     wrong = []
     for number in range(ROUNDS):
         wrong += _run_round(tmp_path, least, whole, f"r{number}")
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -44,7 +44,8 @@
         super().__init__()
         self.now, self.reconciliation = 1000.0, Reconciliation(SOURCES, GUARD)
         self.listed: set[int] = set()
-        # By source and server: the time from which the newest drain or critical check is valid, unless revoked since.
+        # By source and server: the time from which the newest drain or critical check is valid, unless
+        # revoked since.
         self.unrevoked: dict[tuple[str, int], float] = {}
 
     @rule(
@@ -256,8 +257,8 @@
 
 
 def test_requests_of_many_co_ordinators_stay_bounded() -> None:
-    """54 co-ordinators with two watchers each lose a catalogue and regain it at the same moment; later the list
-    changes all the time. Requests are counted over every second, on a simulated clock."""
+    """54 co-ordinators with two watchers each lose a catalogue and regain it at the same moment; later the
+    list changes all the time. Requests are counted over every second, on a simulated clock."""
     backoff, count = Backoff(), 54 * 2
     watchers = [BlockingQueryState(1, backoff, random.Random(seed)) for seed in range(count)]
     calls: list[float] = []
--- a/tests/test_membership_vouching.py
+++ b/tests/test_membership_vouching.py
@@ -1,15 +1,16 @@
 """A stale Consul agent is the only one that answers: its lower index must not revoke a drain.
 
-The failure: a replica drains, and this co-ordinator saves that. Then one agent stalls and the other is stale without
-saying so, as after a restart of its server: its list has a lower index and the replica as ready. After 35 s the lower
-index was taken for that of a restored catalogue and the drain was revoked, so requests went to a draining replica
-while that agent was the only one to answer. The same happened after a restart of the co-ordinator, as a new watcher
-did not know the newest index and never asked the leader. A list without an index was ordered by the time of reading
-and revoked the drain at once.
-
-In tests/test_consul.py::test_a_restart_with_a_stale_agent_keeps_a_drain, where that delay is 0.6 s, it showed 35
-times in 118 runs under load: the drain was revoked 0.61 s after the restart in each run, but the test checks after
-two requests, which end after 0.53 s or 1.04 s. In the first test here the drain was revoked after 35 s each time.
+The failure: a replica drains, and this co-ordinator saves that. Then one agent stalls and the other is stale
+without saying so, as after a restart of its server: its list has a lower index and the replica as ready.
+After 35 s the lower index was taken for that of a restored catalogue and the drain was revoked, so requests
+went to a draining replica while that agent was the only one to answer. The same happened after a restart of
+the co-ordinator, as a new watcher did not know the newest index and never asked the leader. A list without an
+index was ordered by the time of reading and revoked the drain at once.
+
+In tests/test_consul.py::test_a_restart_with_a_stale_agent_keeps_a_drain, where that delay is 0.6 s, it showed
+35 times in 118 runs under load: the drain was revoked 0.61 s after the restart in each run, but the test
+checks after two requests, which end after 0.53 s or 1.04 s. In the first test here the drain was revoked
+after 35 s each time.
 """
 
 from __future__ import annotations
--- a/tests/test_reconciliation_model.py
+++ b/tests/test_reconciliation_model.py
@@ -1,9 +1,9 @@
 """Model checking of the reconciliation: all states that it can reach in a small configuration.
 
-The states of the real `Reconciliation` are explored breadth first, over all reports and waits, with times and indexes
-reduced to a few values. The properties are CTL formulas, which pyModelChecking checks on the graph. There are servers
-0 and 1, and one source whose reports have index 1 or 2 (a stale agent, a restored catalogue) and list any of the
-servers in any state.
+The states of the real `Reconciliation` are explored breadth first, over all reports and waits, with times and
+indexes reduced to a few values. The properties are CTL formulas, which pyModelChecking checks on the graph.
+There are servers 0 and 1, and one source whose reports have index 1 or 2 (a stale agent, a restored
+catalogue) and list any of the servers in any state.
 """
 
 from __future__ import annotations
@@ -55,10 +55,11 @@
 
 
 class ReportHistory(NamedTuple):
-    """The servers listed so far, and for each server the index of the newest drain still in force, 0 for none.
+    """The servers listed so far, and for each server the index of the newest drain still in force, 0 for
+    none.
 
-    Computed independently of the reconciliation: a report revokes a drain if it has the drain's index or a later one,
-    or is confirmed by the leader."""
+    Computed independently of the reconciliation: a report revokes a drain if it has the drain's index or a
+    later one, or is confirmed by the leader."""
 
     listed: frozenset[int] = frozenset()
     drained: tuple[int, ...] = (0, 0)
@@ -86,7 +87,8 @@
 
 
 def state_key(state: State) -> Any:
-    """Return everything that the future of a state depends on, with ages capped where they no longer matter."""
+    """Return everything that the future of a state depends on, with ages capped where they no longer
+    matter."""
     reconciliation, now = state.reconciliation, state.now
 
     def age(at: float) -> Any:
@@ -149,7 +151,8 @@
 
 
 def recovered(state: State) -> State:
-    """Return the state once faults have ended: after a tick and a confirmed report of all servers as ready."""
+    """Return the state once faults have ended: after a tick and a confirmed report of all servers as
+    ready."""
     reconciliation = copy(state.reconciliation)
     reconciliation.refresh(state.now + 1)
     reconciliation.apply_report(SourceReport("s", GOOD, 0.0, max(INDEXES), consistent=True), state.now + 1)
@@ -171,7 +174,8 @@
 
 
 def explore(make: Callable[[], Reconciliation], depth: int) -> tuple[Kripke, Kripke]:
-    """Return the graph of all states within `depth` steps, and the graph from each of them once faults have ended."""
+    """Return the graph of all states within `depth` steps, and the graph from each of them once faults have
+    ended."""
     first = State(make(), 0, ReportHistory())
     numbers: dict[Any, int] = {state_key(first): 0}
     state_labels: list[set[str]] = [labels(first)]
--- a/tests/test_replica_connections.py
+++ b/tests/test_replica_connections.py
@@ -112,8 +112,9 @@
 
 
 def test_more_replicas_than_connections_need_one_thread_and_evict_idle_connections(tmp_path: Path) -> None:
-    """With a thread per connection, 600 co-ordinators on one machine ran out of threads, which ended the decision
-    thread. With all connections open, a part failed unsent although idle connections could have been closed."""
+    """With a thread per connection, 600 co-ordinators on one machine ran out of threads, which ended the
+    decision thread. With all connections open, a part failed unsent although idle connections could have been
+    closed."""
     replicas = [Replica(0) for _ in range(24)]
     before = {thread.ident for thread in threading.enumerate()}
     platform = Platform(tmp_path, *replicas, sockets=72)
@@ -138,7 +139,8 @@
 
 
 def test_cancelled_parts_occupy_their_streams(tmp_path: Path) -> None:
-    """A replica may go on running a cancelled part; it reads no further parts beyond a connection's streams."""
+    """A replica may go on running a cancelled part; it reads no further parts beyond a connection's
+    streams."""
     by_wire = Counter[int]()
 
     def note(wire: Wire, part: Part) -> None:
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -117,8 +117,8 @@
 
 
 class PowerLossModel:
-    """A disk in memory that loses unsynced data on a power loss: any tail of a file's bytes, and the latest changes
-    of the directory's entries. Descriptors are inode numbers."""
+    """A disk in memory that loses unsynced data on a power loss: any tail of a file's bytes, and the latest
+    changes of the directory's entries. Descriptors are inode numbers."""
 
     def __init__(self, path: Path, content: bytes) -> None:
         self.inodes = {0: (content, content)}  # inode -> synced bytes, all bytes
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,5 @@
-"""A short soak: seeded runs with failing and moving discovery, repeated restarts of nodes, and many idle clients."""
+"""A short soak: seeded runs with failing and moving discovery, repeated restarts of nodes, and many idle
+clients."""
 
 from __future__ import annotations
 
@@ -21,8 +22,8 @@
 def test_no_rule_is_broken_by_a_soak_that_has_broken_one(seed: int) -> None:
     """Two seeds that reported a violation in some runs.
 
-    Seed 12: an answer whose part the rig recorded 19 ms after the answer. Seed 45: a part to a drained replica
-    0.11 s past the grace.
+    Seed 12: an answer whose part the rig recorded 19 ms after the answer. Seed 45: a part to a drained
+    replica 0.11 s past the grace.
     """
     result = play(draw_soak(seed, 16.0))
     assert not result.violations and not result.ended_early, (result.violations[:3], result.ended_early)
@@ -32,9 +33,10 @@
 def test_half_of_the_answers_that_are_owed_are_given(seed: int) -> None:
     """In seed 2 load shedding refused most requests before any attempt.
 
-    Its latency objectives are 0.11 to 0.23 s, and its three replicas take 0.05 to 0.29 s for a part. Of 660 refusals
-    for overload, 589 were of queries expected to miss their objective (the time of two steps counts twice), and for
-    465 of these the replicas had at most one open request. An answer after the objective would meet the deadline.
+    Its latency objectives are 0.11 to 0.23 s, and its three replicas take 0.05 to 0.29 s for a part. Of 660
+    refusals for overload, 589 were of queries expected to miss their objective (the time of two steps counts
+    twice), and for 465 of these the replicas had at most one open request. An answer after the objective
+    would meet the deadline.
     """
     result = play(draw_soak(seed, 16.0))
     expected_answers = result.expected_answers.total()
--- a/tests/test_stored_files.py
+++ b/tests/test_stored_files.py
@@ -1,7 +1,7 @@
 """Files written by an earlier version (`tests/stored/`) are read to the values that it wrote.
 
-Each test works on a copy. Values are compared by position: a field may be renamed but not moved. If the program
-appends to or replaces a file after reading it, the test does so too and reads the result again.
+Each test works on a copy. Values are compared by position: a field may be renamed but not moved. If the
+program appends to or replaces a file after reading it, the test does so too and reads the result again.
 """
 
 from __future__ import annotations
@@ -365,7 +365,8 @@
 
 
 def test_intents_are_restored_after_a_restart(stored: Path, same_boot: None) -> None:
-    """Done: the result is replayed. Idle: sent as new with its version. Open or unknown: may have been executed."""
+    """Done: the result is replayed. Idle: sent as new with its version. Open or unknown: may have been
+    executed."""
     known = IdempotencyRecords(IdempotencyLimits(window=10.0, safety_margin=0.5, retention=3600.0))
     for _, (entries, _, _) in opened(stored / "intents"):
         for key, entry in entries.items():
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -1,5 +1,5 @@
-"""Requirements of the platform, each with its fault injected: deadlines passed on, requests already read, failing
-system calls, a stepped wall clock.
+"""Requirements of the platform, each with its fault injected: deadlines passed on, requests already read,
+failing system calls, a stepped wall clock.
 
 Related tests: clients that disconnect early in `test_client_disconnects.py` (`LEAVING`), a failing folder in
 `test_intents.py`, start times of replicas in `test_starts.py`.
@@ -173,7 +173,8 @@
 
 
 def test_a_failure_past_its_deadline_is_sent_unchanged() -> None:
-    """Guards against plain text in place of the front's JSON, which a vector client got on an overloaded machine."""
+    """Guards against plain text in place of the front's JSON, which a vector client got on an overloaded
+    machine."""
 
     def late(request: Request, body: bytes, arrived: float, client: Exchange) -> Reply:
         return plain(502, "in the front's own words")._replace(until=time.monotonic() - 1.0)
@@ -204,8 +205,8 @@
 
 
 def test_a_first_request_during_a_process_pause_counts_from_the_start_of_the_pause() -> None:
-    """Guards against treating a request on a connection not yet accepted as new after a process pause: its answer
-    came too late."""
+    """Guards against treating a request on a connection not yet accepted as new after a process pause: its
+    answer came too late."""
     arrivals: list[float] = []
 
     def handler(request: Request, body: bytes, arrived: float, client: Exchange) -> Reply:
@@ -475,7 +476,8 @@
 def test_an_idempotency_window_ignores_steps_of_the_wall_clock(
     monkeypatch: pytest.MonkeyPatch, step: float
 ) -> None:
-    """Measured by the wall clock, a step forward ended the window early, and a step back allowed a retry after it."""
+    """Measured by the wall clock, a step forward ended the window early, and a step back allowed a retry
+    after it."""
     intents = IdempotencyRecords(IdempotencyLimits(window=10.0, safety_margin=0.5, retention=3600.0))
     now = boot_clock.seconds()
     assert intents.begin("k", "d", 1, now).action is KeyAction.SEND
