--- a/gingervane/fronts/client_connection.py
+++ b/gingervane/fronts/client_connection.py
@@ -33,7 +33,7 @@
     min_idle: float
 
     @property
-    def silence_timeout(self) -> float:
+    def effective_first_byte_timeout(self) -> float:
         """Seconds that a connection may take to send its first byte."""
         return self.first_byte_timeout or self.idle_timeout
 
@@ -88,7 +88,9 @@
         self.last_reply = -inf  # when the previous request was finished; never, for the first
         self.worker_state: object = None  # what its worker keeps between requests
         self.registered = False  # with the poller
-        self.thread_wanted_since = 0.0  # when a request began that no thread could be had for; 0: none waits
+        self.waiting_for_thread_since = (
+            0.0  # when a request began that no thread could be had for; 0: none waits
+        )
         self.phase = Phase.IDLE
         self.on_disconnect: Callable[[], None] = ignore_disconnect
         self.close_deadline = inf
--- a/gingervane/fronts/connections.py
+++ b/gingervane/fronts/connections.py
@@ -45,11 +45,11 @@
 MAX_DISCARDED_BYTES = 1 << 20  # bytes that a closing connection may still send
 MAX_CLOSING = 16  # closing connections, beyond the limit on the others
 _RETRY_PAUSE = 0.05  # seconds without accepting, out of descriptors
-_THREAD_PATIENCE = 0.3  # seconds that a request waits for a thread before it is rejected
+_THREAD_WAIT_TIMEOUT = 0.3  # seconds that a request waits for a thread before it is rejected
 _MIN_POLL_TIMEOUT = 0.001  # seconds
 _MAX_POLL_TIMEOUT = 0.5  # seconds: what other threads put in meanwhile is looked at no later
 _RECEIVE_BYTES = 65536
-_CROWD_EVICTIONS = 2  # for each connection accepted: more than come, so that a crowd shrinks
+_EVICTIONS_PER_ACCEPT = 2  # for each connection accepted: more than come, so that a crowd shrinks
 
 
 class ConnectionManager:
@@ -164,9 +164,12 @@
         """Return the seconds until the next timeout is due."""
         limits = self._limits
         with self._lock:
-            due = [each.idle_since + limits.silence_timeout for each in oldest(self._awaiting_first_byte)]
-            due += [each.idle_since + limits.idle_timeout for each in oldest(self._idle)]
-            due += [each.close_deadline for each in oldest(self._closing)]
+            due = [
+                connection.idle_since + limits.effective_first_byte_timeout
+                for connection in oldest(self._awaiting_first_byte)
+            ]
+            due += [connection.idle_since + limits.idle_timeout for connection in oldest(self._idle)]
+            due += [connection.close_deadline for connection in oldest(self._closing)]
             due += [self._accept_paused_until] if self._accept_paused_until else []
             due += [time.monotonic() + _RETRY_PAUSE] if self._poller.has_unarmed else []
         seconds = min(due, default=inf) - time.monotonic()
@@ -199,9 +202,9 @@
         limits = self._limits
         now = time.monotonic()
         with self._lock:
-            for connection in [each for each in self._closing if each.close_deadline <= now]:
+            for connection in [closing for closing in self._closing if closing.close_deadline <= now]:
                 self._close(connection)
-            for connection in expired(self._awaiting_first_byte, limits.silence_timeout, now):
+            for connection in expired(self._awaiting_first_byte, limits.effective_first_byte_timeout, now):
                 self._close_unless_requested(connection, CloseReason.FIRST_BYTE_TIMEOUT)
             for connection in expired(self._idle, limits.idle_timeout, now):
                 self._close_unless_requested(connection, CloseReason.IDLE_TIMEOUT)
@@ -252,13 +255,13 @@
         self._awaiting_first_byte[connection] = None
         self._poller.arm(connection)
         if len(self) > self._limits.crowd_threshold:
-            self._shrink_crowd()
+            self._evict_long_idle()
 
-    def _shrink_crowd(self) -> None:
+    def _evict_long_idle(self) -> None:
         """Close those that have been idle for the longest time, if for long enough."""
         idle_before = time.monotonic() - self._limits.min_idle
-        candidates = oldest(self._idle, _CROWD_EVICTIONS)
-        for connection in [each for each in candidates if each.idle_since < idle_before]:
+        candidates = oldest(self._idle, _EVICTIONS_PER_ACCEPT)
+        for connection in [candidate for candidate in candidates if candidate.idle_since < idle_before]:
             self._close_unless_requested(connection, CloseReason.OVER_CROWD_THRESHOLD)
 
     def _evict_silent(self) -> bool:
@@ -268,7 +271,7 @@
         ):  # here a connection may be silent before its first request
             return False
         silent = list(self._awaiting_first_byte)
-        return any(self._close_unless_requested(each, CloseReason.EVICTED) for each in silent)
+        return any(self._close_unless_requested(connection, CloseReason.EVICTED) for connection in silent)
 
     def _reject(self, connection: ClientConnection, reason: CloseReason) -> None:
         """Reject a connection's request without reading it, and close the connection."""
@@ -289,7 +292,7 @@
             self._awaiting_first_byte.pop(connection, None)
             self._idle.pop(connection, None)
             connection.phase = Phase.ACTIVE
-            connection.request_started = connection.thread_wanted_since or time.monotonic()
+            connection.request_started = connection.waiting_for_thread_since or time.monotonic()
         return bool(has_data)
 
     def _close_unless_requested(self, connection: ClientConnection, reason: CloseReason) -> bool:
@@ -359,8 +362,10 @@
     def _retry_or_reject(self, connection: ClientConnection) -> None:
         """Retry a request that no thread can serve after a pause, and reject it in the end."""
         self._poller.failures["thread"] += 1
-        connection.thread_wanted_since = connection.thread_wanted_since or connection.request_started
-        if time.monotonic() - connection.thread_wanted_since >= _THREAD_PATIENCE:
+        connection.waiting_for_thread_since = (
+            connection.waiting_for_thread_since or connection.request_started
+        )
+        if time.monotonic() - connection.waiting_for_thread_since >= _THREAD_WAIT_TIMEOUT:
             self._reject(connection, CloseReason.NO_THREAD)
             return
         connection.phase = Phase.IDLE
@@ -381,7 +386,7 @@
         """Move a connection on from its active phase."""
         with self._lock:
             connection.on_disconnect = ignore_disconnect
-            connection.thread_wanted_since = 0.0
+            connection.waiting_for_thread_since = 0.0
             connection.idle_since = connection.last_reply = time.monotonic()
             if next_step is NextStep.DISCONNECTED:
                 self.close_reasons[CloseReason.FAILED_WHILE_ACTIVE.value] += 1
--- a/gingervane/fronts/http_server.py
+++ b/gingervane/fronts/http_server.py
@@ -84,7 +84,7 @@
     def peer(self) -> int:
         """The client's port."""
 
-    def watch(self, gone: Callable[[], None]) -> None:
+    def watch(self, on_disconnect: Callable[[], None]) -> None:
         """Have `gone` called, once, if the client disconnects before the reply."""
 
     def is_disconnected(self) -> bool:
@@ -108,8 +108,8 @@
         self._connection = connection
         self._connections = connections
 
-    def watch(self, gone: Callable[[], None]) -> None:
-        self._connections.watch(self._connection, gone)
+    def watch(self, on_disconnect: Callable[[], None]) -> None:
+        self._connections.watch(self._connection, on_disconnect)
 
     def is_disconnected(self) -> bool:
         return is_disconnected(self._connection.sock)
--- a/gingervane/fronts/leaf_codec.py
+++ b/gingervane/fronts/leaf_codec.py
@@ -72,9 +72,9 @@
         check_status(status, header)
         count = sum(len(part.queries) for part in contents)
         results = iter(read_results(body, count, self._max_reply_bytes))
-        return [self._take_part(part, results) for part in contents]
+        return [self._decode_part(part, results) for part in contents]
 
-    def _take_part(self, part: LeafContent, results: Iterator[list[Series]]) -> list[list[Series]]:
+    def _decode_part(self, part: LeafContent, results: Iterator[list[Series]]) -> list[list[Series]]:
         """Take the results of one part off the iterator and check them. Raises InvalidReply."""
         part_results = [next(results) for _ in part.queries]
         for query, result in zip(part.queries, part_results, strict=True):
--- a/gingervane/fronts/read_reply.py
+++ b/gingervane/fronts/read_reply.py
@@ -76,8 +76,8 @@
         """Merge the series of each query; a child keeps the shard label for its parent."""
         by_query: list[list[list[Series]]] = [[] for _ in request.queries]
         for by_index in result.series_by_leaf.values():
-            for index, found in by_index.items():
-                by_query[index].append(found)
+            for index, leaf_series in by_index.items():
+                by_query[index].append(leaf_series)
         if not self._keep_label and request.context is None:
             label = self._shards.label
             by_query = [
@@ -96,7 +96,7 @@
 def _subtree_fields(request: ReadRequest, result: ReadResult) -> list[tuple[str, str]]:
     """Return the headers by which a child proves to its parent what it received."""
     series_counts = {
-        name: sum(len(found) for found in by_index.values())
+        name: sum(len(leaf_series) for leaf_series in by_index.values())
         for name, by_index in result.series_by_leaf.items()
     }
     bitmap, counts = coverage.encode(sorted(request.leaves), series_counts)
--- a/gingervane/fronts/remote_read.py
+++ b/gingervane/fronts/remote_read.py
@@ -90,7 +90,7 @@
         body: bytes,
         arrived: float,
         client: http_server.Exchange,
-        words: dict[str, str],  # noqa: ARG002 - of a route's handler
+        path_parameters: dict[str, str],  # noqa: ARG002 - of a route's handler
     ) -> Reply:
         """Handle one request, from its bytes to its reply."""
         latest = arrived + self._max_deadline
@@ -104,8 +104,8 @@
         except PatternError as error:
             return plain(400, f"matchers: {error}")
         if not read_request.parts:
-            nothing = ReadResult(t.QueryStatus.COMPLETE, {}, 1.0, 0.0, "", [], 0, lambda: None)
-            return self._reply_encoder.answer(read_request, nothing)
+            empty_result = ReadResult(t.QueryStatus.COMPLETE, {}, 1.0, 0.0, "", [], 0, lambda: None)
+            return self._reply_encoder.answer(read_request, empty_result)
         return self._run(read_request, client)
 
     def _run(self, request: ReadRequest, client: http_server.Exchange) -> Reply:
@@ -121,9 +121,9 @@
             return rejection(0.0, str(error), request.deadline, proof=True)
         try:
             if subtree_plan.subtrees and self._tree:
-                result = self._ask_tree(request, task, subtree_plan, self._tree, client)
+                result = self._query_subtrees(request, task, subtree_plan, self._tree, client)
             else:
-                result = self._ask_leaves(request, task, request.deadline - reserve, client)
+                result = self._query_leaves(request, task, request.deadline - reserve, client)
         except Rejected as error:
             return rejection(error.retry_after, str(error), request.deadline, proof=True)
         try:
@@ -152,7 +152,7 @@
             positions = plan.available_positions(peers, task.trail, limits)
             return plan.plan_query(task, positions, next(self._rotation), limits, costs)
 
-    def _ask_leaves(
+    def _query_leaves(
         self, request: ReadRequest, task: plan.QueryTask, deadline: float, client: http_server.Exchange
     ) -> ReadResult:
         """Ask the leaves directly, as the decision engine decides. Raises Rejected."""
@@ -184,7 +184,7 @@
             dispatched.release,
         )
 
-    def _ask_tree(
+    def _query_subtrees(
         self,
         request: ReadRequest,
         task: plan.QueryTask,
--- a/gingervane/fronts/routing.py
+++ b/gingervane/fronts/routing.py
@@ -62,14 +62,14 @@
 
     def find(self, method: str, path: str) -> tuple[Route, dict[str, str]] | Reply:
         """Return the route for a request and the named words of its path, or the reply that there is none."""
-        words = path.split("/")
+        segments = path.split("/")
         allowed: list[str] = []
         for route, pattern in self._routes:
-            named = _match_path(pattern, words)
-            if named is None:
+            parameters = _match_path(pattern, segments)
+            if parameters is None:
                 continue
             if route.method == method:
-                return route, named
+                return route, parameters
             allowed.append(route.method)
         if allowed:
             fields = (("Allow", ", ".join(sorted(allowed))),)
@@ -77,17 +77,17 @@
         return plain(404, f"no such page: {path}")
 
 
-def _match_path(pattern: Sequence[str], words: Sequence[str]) -> dict[str, str] | None:
+def _match_path(pattern: Sequence[str], segments: Sequence[str]) -> dict[str, str] | None:
     """Return the named words of a path; None if it does not match."""
-    if len(words) != len(pattern):
+    if len(segments) != len(pattern):
         return None
-    named: dict[str, str] = {}
-    for expected, word in zip(pattern, words, strict=True):
+    parameters: dict[str, str] = {}
+    for expected, segment in zip(pattern, segments, strict=True):
         if expected[:1] == "{":
-            named[expected[1:-1]] = word
-        elif expected != word:
+            parameters[expected[1:-1]] = segment
+        elif expected != segment:
             return None
-    return named
+    return parameters
 
 
 def duration(text: str, where: str) -> float:
@@ -101,27 +101,30 @@
 
 def flag(text: str, where: str) -> bool:
     """Return the value of `true`, `1`, `false` or `0`. Raises HttpError."""
-    found = {"true": True, "1": True, "false": False, "0": False}.get(text)
-    if found is None:
+    value = {"true": True, "1": True, "false": False, "0": False}.get(text)
+    if value is None:
         raise HttpError(400, f"{where}: {text!r} is neither true nor false", True)
-    return found
+    return value
 
 
 def rejection(
-    wait: float,
-    why: str,
-    until: float,
+    retry_after: float,
+    reason: str,
+    deadline: float,
     done: Callable[[], None] = lambda: None,
     proof: bool = False,
 ) -> Reply:
     """Return a 503: a retry is harmless, and nothing of the query goes on. `proof`: nothing of it ever began."""
-    reply = plain(503, f"refused: {why}", fields=rejection_headers(wait, proof))
-    return reply._replace(until=until, done=done)
+    reply = plain(503, f"refused: {reason}", fields=rejection_headers(retry_after, proof))
+    return reply._replace(until=deadline, done=done)
 
 
-def rejection_headers(wait: float, proof: bool) -> tuple[tuple[str, str], ...]:
+def rejection_headers(retry_after: float, proof: bool) -> tuple[tuple[str, str], ...]:
     """Return the headers of a rejection: when to retry, in seconds and exactly, and whether nothing ever began."""
-    fields = (("Retry-After", str(max(math.ceil(wait), 1))), (RETRY_HEADER, str(math.ceil(wait * 1000))))
+    fields = (
+        ("Retry-After", str(max(math.ceil(retry_after), 1))),
+        (RETRY_HEADER, str(math.ceil(retry_after * 1000))),
+    )
     return (*fields, (BEGAN_HEADER, "no")) if proof else fields
 
 
--- a/gingervane/fronts/subtree_codec.py
+++ b/gingervane/fronts/subtree_codec.py
@@ -111,7 +111,7 @@
         except coverage.CoverageError as error:
             raise t.InvalidReply(f"coverage: {error}") from None
         received = {name: by_leaf.get(name, {}) for name in series_counts}
-        return [SubtreeResult(received, _read_used(header(USED.lower())))]
+        return [SubtreeResult(received, _read_attempts_used(header(USED.lower())))]
 
     def _group_by_leaf(
         self, subtree: SubtreeQuery, results: list[list[Series]]
@@ -154,6 +154,6 @@
         )
 
 
-def _read_used(text: str) -> int | None:
+def _read_attempts_used(text: str) -> int | None:
     valid = text.isascii() and text.isdigit() and len(text) <= _MAX_USED_DIGITS
     return int(text) if valid else None
--- a/gingervane/telemetry/daemon_metrics.py
+++ b/gingervane/telemetry/daemon_metrics.py
@@ -14,31 +14,31 @@
 from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily, SummaryMetricFamily
 
 _QUANTILES = (0.5, 0.9, 0.99, 0.999)
-_MOST_US = 600_000_000
+_MAX_MICROSECONDS = 600_000_000
 
 
 class Latencies:
     """One HDR histogram of microseconds, to two digits, for each key."""
 
     def __init__(self) -> None:
-        self._all: dict[tuple[str, ...], tuple[HdrHistogram, list[float]]] = {}
+        self._histograms: dict[tuple[str, ...], tuple[HdrHistogram, list[float]]] = {}
 
     def add(self, key: tuple[str, ...], seconds: float) -> None:
         """Record one duration under a key."""
-        if key not in self._all:
-            self._all[key] = HdrHistogram(1, _MOST_US, 2), [0.0]
-        histogram, total = self._all[key]
-        histogram.record_value(min(max(int(seconds * 1e6), 1), _MOST_US))
+        if key not in self._histograms:
+            self._histograms[key] = HdrHistogram(1, _MAX_MICROSECONDS, 2), [0.0]
+        histogram, total = self._histograms[key]
+        histogram.record_value(min(max(int(seconds * 1e6), 1), _MAX_MICROSECONDS))
         total[0] += seconds
 
     def family(self, name: str, help_text: str, labels: list[str]) -> SummaryMetricFamily:
         """Read all histograms out as one metric; `labels` name the words of the keys."""
         family = SummaryMetricFamily(name, help_text, labels=labels)
-        for key, (histogram, total) in list(self._all.items()):
+        for key, (histogram, total) in list(self._histograms.items()):
             family.add_metric(list(key), histogram.get_total_count(), total[0])
-            for q in _QUANTILES:
-                values = dict(zip(labels, key, strict=True)) | {"quantile": str(q)}
-                family.add_sample(name, values, histogram.get_value_at_percentile(q * 100) / 1e6)
+            for quantile in _QUANTILES:
+                values = dict(zip(labels, key, strict=True)) | {"quantile": str(quantile)}
+                family.add_sample(name, values, histogram.get_value_at_percentile(quantile * 100) / 1e6)
         return family
 
 
--- a/gingervane/telemetry/log_format.py
+++ b/gingervane/telemetry/log_format.py
@@ -31,9 +31,9 @@
         words = [
             f"{_wall_clock(record)} mono={monotonic:.3f}{self._origin}",
             f"level={record.levelname.lower()}",
-            f"event={_one_word(record.getMessage())}",
+            f"event={_format_value(record.getMessage())}",
         ]
-        words += [f"{key}={_one_word(value)}" for key, value in _fields(record).items()]
+        words += [f"{key}={_format_value(value)}" for key, value in _fields(record).items()]
         return " ".join(words)
 
 
@@ -69,7 +69,7 @@
     return f"{seconds}.{int(record.msecs):03d}Z"
 
 
-def _one_word(value: FieldValue) -> str:
+def _format_value(value: FieldValue) -> str:
     """Write a value on one line; in quotes where it would not be one word."""
     if isinstance(value, Enum):
         value = str(value.value)
--- a/gingervane/telemetry/log_handler.py
+++ b/gingervane/telemetry/log_handler.py
@@ -32,8 +32,8 @@
 
     def allows(self, event: str, now: float) -> bool:
         """Whether one more line of this event may be written at `now` (monotonic seconds)."""
-        tokens, at = self._buckets.get(event, (float(self._burst), now))
-        tokens = min(float(self._burst), tokens + (now - at) * self._rate)
+        tokens, updated_at = self._buckets.get(event, (float(self._burst), now))
+        tokens = min(float(self._burst), tokens + (now - updated_at) * self._rate)
         allowed = tokens >= 1.0
         self._buckets[event] = (tokens - allowed, now)
         return allowed
--- a/gingervane/tree/coverage.py
+++ b/gingervane/tree/coverage.py
@@ -21,11 +21,11 @@
     """The coverage that a child reports is malformed or contradicts its answer."""
 
 
-def encode(asked: Sequence[str], series_counts: dict[str, int]) -> tuple[str, str]:
+def encode(requested: Sequence[str], series_counts: dict[str, int]) -> tuple[str, str]:
     """Return the bitmap and the encoded series counts of the leaves in `series_counts`."""
-    bits = bytearray((len(asked) + 7) // 8)
+    bits = bytearray((len(requested) + 7) // 8)
     runs: list[list[int]] = []  # [count, repeated]
-    for index, leaf in enumerate(asked):
+    for index, leaf in enumerate(requested):
         if leaf not in series_counts:
             continue
         bits[index // 8] |= 1 << index % 8
@@ -37,26 +37,26 @@
     return base64.b64encode(bytes(bits)).decode(), counts
 
 
-def decode(asked: Sequence[str], bitmap: str, counts: str) -> dict[str, int]:
+def decode(requested: Sequence[str], bitmap: str, counts: str) -> dict[str, int]:
     """Return the series count of each leaf that a child reports as received. Raises CoverageError."""
-    if len(asked) > MAX_LEAVES:
-        raise CoverageError(f"{len(asked)} leaves asked, over the bound of {MAX_LEAVES}")
-    received = _decode_bitmap(asked, bitmap)
+    if len(requested) > MAX_LEAVES:
+        raise CoverageError(f"{len(requested)} leaves asked, over the bound of {MAX_LEAVES}")
+    received = _decode_bitmap(requested, bitmap)
     series_counts = _decode_counts(counts, len(received))
     return dict(zip(received, series_counts, strict=True))
 
 
-def _decode_bitmap(asked: Sequence[str], bitmap: str) -> list[str]:
+def _decode_bitmap(requested: Sequence[str], bitmap: str) -> list[str]:
     """Return the leaves whose bits are set. Raises CoverageError."""
     try:
         bits = base64.b64decode(bitmap, validate=True)
     except (binascii.Error, ValueError):
         raise CoverageError("bitmap: not base64") from None
-    if len(bits) != (len(asked) + 7) // 8:
-        raise CoverageError(f"bitmap: {len(bits)} bytes for {len(asked)} leaves")
-    if len(asked) % 8 and bits[-1] >> len(asked) % 8:
+    if len(bits) != (len(requested) + 7) // 8:
+        raise CoverageError(f"bitmap: {len(bits)} bytes for {len(requested)} leaves")
+    if len(requested) % 8 and bits[-1] >> len(requested) % 8:
         raise CoverageError("bitmap: a leaf past the last one asked for")
-    return [leaf for index, leaf in enumerate(asked) if bits[index // 8] >> index % 8 & 1]
+    return [leaf for index, leaf in enumerate(requested) if bits[index // 8] >> index % 8 & 1]
 
 
 def _decode_counts(counts: str, expected: int) -> list[int]:
@@ -82,27 +82,27 @@
 
 def verify(series_counts: dict[str, int], series_leaves: Iterable[str]) -> None:
     """Compare the reported counts with the leaf of each series in the answer. Raises CoverageError."""
-    found = Counter(series_leaves)
-    for leaf, count in found.items():
+    received_counts = Counter(series_leaves)
+    for leaf, count in received_counts.items():
         if leaf not in series_counts:
             raise CoverageError(f"a series of {leaf!r}, which the child does not hold or was not asked for")
         if series_counts[leaf] != count:
             raise CoverageError(f"{count} series of {leaf!r}, the child says {series_counts[leaf]}")
     for leaf, count in series_counts.items():
-        if count and not found[leaf]:
+        if count and not received_counts[leaf]:
             raise CoverageError(f"no series of {leaf!r}, the child says {count}")
 
 
-def leaves_with_series(asked: Sequence[str], series_leaves: Iterable[str]) -> dict[str, int]:
+def leaves_with_series(requested: Sequence[str], series_leaves: Iterable[str]) -> dict[str, int]:
     """Return the leaves that an answer without coverage headers proves, with their numbers of series.
 
     A leaf without series may be empty or missing, and nothing proves which. It does not count as received, so that
     it is asked directly. Raises CoverageError for a leaf that was not asked for.
     """
-    found = Counter(series_leaves)
-    if unexpected := set(found) - set(asked):
+    received_counts = Counter(series_leaves)
+    if unexpected := set(received_counts) - set(requested):
         raise CoverageError(f"a series of {min(unexpected)!r}, which was not asked for")
-    return dict(found)
+    return dict(received_counts)
 
 
 class LeafCoverage:
--- a/gingervane/tree/wide_query.py
+++ b/gingervane/tree/wide_query.py
@@ -206,8 +206,8 @@
             return self._finish(QueryStatus.COMPLETE)
         weight = 1.0 / max(len(self.task.leaves), 1)
         possible_share = 1.0 - weight * len(self._unreachable)
-        hopeless = possible_share < self.rules.required_share - SHARE_ROUNDING
-        if (hopeless and not self.rules.accepts_any_share) or not self._subqueries:
+        share_is_unreachable = possible_share < self.rules.required_share - SHARE_ROUNDING
+        if (share_is_unreachable and not self.rules.accepts_any_share) or not self._subqueries:
             return self._finish_with_received(final=not self._subqueries)
         return []
 
@@ -219,8 +219,8 @@
             return self._finish(QueryStatus.PARTIAL)
         # What is in flight may still execute: only an idempotent query may be rejected then.
         may_execute = self._may_have_executed or bool(self._subqueries)
-        harmless = self.rules.retry_safety is RetrySafety.IDEMPOTENT or not may_execute
-        return self._finish(QueryStatus.REJECTED if harmless else QueryStatus.FAILED)
+        retry_is_safe = self.rules.retry_safety is RetrySafety.IDEMPOTENT or not may_execute
+        return self._finish(QueryStatus.REJECTED if retry_is_safe else QueryStatus.FAILED)
 
     def _is_share_enough(self) -> bool:
         share = self.coverage.share
--- a/gingervane/tree/wide_query_runner.py
+++ b/gingervane/tree/wide_query_runner.py
@@ -103,15 +103,15 @@
 
     def run(self) -> WideQueryOutcome:
         """Block until the result is known and every pending query is complete."""
-        result = self._carry_out(self._wide_query.start(time.monotonic()))
+        result = self._execute(self._wide_query.start(time.monotonic()))
         while result is None or self._subquery_ids:
             event = self._next_event(timed=result is None)
             if event is None:
-                result = self._carry_out(self._wide_query.expire(time.monotonic())) or result
+                result = self._execute(self._wide_query.expire(time.monotonic())) or result
             elif event is _CLIENT_DISCONNECTED:
-                result = self._carry_out(self._wide_query.client_disconnected()) or result
+                result = self._execute(self._wide_query.client_disconnected()) or result
             else:
-                result = self._take_result(*event) or result
+                result = self._handle_result(*event) or result
         return WideQueryOutcome(result, self._results, self._attempts, self._detail)
 
     def _next_event(self, timed: bool) -> Any:
@@ -126,7 +126,7 @@
         except Empty:
             return None
 
-    def _carry_out(self, actions: Sequence[Action]) -> WideQueryResult | None:
+    def _execute(self, actions: Sequence[Action]) -> WideQueryResult | None:
         """Carry out actions, and those that follow from them; return the result if it is among them."""
         result: WideQueryResult | None = None
         remaining = list(actions)
@@ -134,7 +134,7 @@
             action = remaining.pop(0)
             match action:
                 case QuerySubtree() | QueryLeaves():
-                    remaining += self._send(action)
+                    remaining += self._submit(action)
                 case CancelSubquery(subquery_id):
                     if subquery_id in self._in_flight:
                         self._in_flight[subquery_id].pending.abandon()
@@ -142,7 +142,7 @@
                     result = action
         return result
 
-    def _send(self, action: QuerySubtree | QueryLeaves) -> list[Action]:
+    def _submit(self, action: QuerySubtree | QueryLeaves) -> list[Action]:
         """Submit a subquery; return what follows if it is rejected at once."""
         try:
             pending = (
@@ -191,7 +191,7 @@
         context = SubqueryContext(task.levels - 1, attempts, trail)
         return SubtreeQuery(queries, leaves, self._config.query_class, context)
 
-    def _take_result(self, pending: PendingQuery, result: t.QueryResult) -> WideQueryResult | None:
+    def _handle_result(self, pending: PendingQuery, result: t.QueryResult) -> WideQueryResult | None:
         """Report the result of a subquery, and keep the series of the leaves that count from it."""
         subquery_id = self._subquery_ids.pop(pending)
         action = self._in_flight.pop(subquery_id).action
@@ -215,7 +215,7 @@
             if sources_before[name] is None and coverage.source(name) == subquery_id:
                 self._results[name] = by_query
         pending.release()
-        return self._carry_out(actions)
+        return self._execute(actions)
 
     def _subtree_result(self, action: QuerySubtree, result: t.QueryResult) -> _SubqueryResult:
         answered = result.status in (t.QueryStatus.COMPLETE, t.QueryStatus.PARTIAL)
@@ -254,7 +254,7 @@
     """Group the results of parts by leaf, and count the attempts that ran."""
     executed = Counter(attempt.shard for attempt in result.attempts if not attempt.never_ran)
     results_by_leaf: dict[str, dict[int, Any]] = {}
-    for index, found in result.results.items():
+    for index, part_results in result.results.items():
         content = leaf_subquery(parts[index].content)
-        results_by_leaf[content.leaf] = dict(zip(content.query_indexes, found, strict=True))
+        results_by_leaf[content.leaf] = dict(zip(content.query_indexes, part_results, strict=True))
     return LeafResults(results_by_leaf, max(executed.values(), default=0))
