--- a/gingervane/fronts/__init__.py
+++ b/gingervane/fronts/__init__.py
@@ -1,1 +1,1 @@
-"""Client protocols: bytes to a plan of parts, and a final answer back to bytes."""
+"""Protocol fronts: parse a client's request into a plan of parts, and encode the final answer."""
--- a/gingervane/fronts/client.py
+++ b/gingervane/fronts/client.py
@@ -12,10 +12,10 @@
 from gingervane.wire.pool import Pool, exchange
 from gingervane.wire.remote_read import Query, Series
 
-LIMITS = Limits(head=16384, body=256 << 20)  # bytes of a reply
+LIMITS = Limits(head=16384, body=256 << 20)  # maximum bytes of a reply
 _MAX_IDLE_CONNECTIONS = 64
 _MAX_IDLE_AGE = 30.0  # seconds
-_MAX_RESULTS = 4096  # of one reply
+_MAX_RESULTS = 4096  # in one reply
 
 
 class Answer(NamedTuple):
@@ -28,14 +28,14 @@
 
 
 class Client:
-    """A client that keeps its connections open; safe for use from many threads."""
+    """A client that pools its connections; safe to use from several threads."""
 
     def __init__(self, address: tuple[str, int]) -> None:
         self.address = address
         self._pool = Pool(LIMITS, _MAX_IDLE_CONNECTIONS, _MAX_IDLE_AGE)
 
     def request(self, queries: list[Query], params: dict[str, str]) -> bytes:
-        """Return the bytes of a request."""
+        """Encode a request."""
         body = snappy.compress(remote_read.write_request([remote_read.write_query(q) for q in queries]))
         target = PATH + ("?" + urlencode(params) if params else "")
         fields = [
@@ -52,7 +52,7 @@
         return self.send(self.request(queries, params), timeout)
 
     def send(self, data: bytes, timeout: float) -> Answer:
-        """Send the bytes of a request and read its reply, decoded if it is a 200."""
+        """Send an encoded request and read its reply, which is decoded if its status is 200."""
         status, headers, body = self.exchange(data, timeout)
         results = None
         if status == 200:
@@ -60,7 +60,7 @@
         return Answer(status, headers, body, results)
 
     def exchange(self, data: bytes, timeout: float) -> tuple[int, Headers, bytes]:
-        """Send the bytes of a request and return its reply undecoded: status, headers and body."""
+        """Send an encoded request and return the status, headers and undecoded body of its reply."""
         return exchange(self._pool, self.address, data, time.monotonic() + timeout)
 
     def close(self) -> None:
--- a/gingervane/fronts/client_connection.py
+++ b/gingervane/fronts/client_connection.py
@@ -1,7 +1,7 @@
-"""One client connection as its manager sees it: its phase, its timestamps, and why it was closed.
+"""The state of one client connection: its phase, its timestamps, and why it was closed.
 
-Nothing here decides anything; `connections.py` owns every transition. The probes at the end look at a socket without
-consuming any of its data.
+`connections.py` makes every transition between phases. `has_unread_data` and `is_disconnected` examine a
+socket without consuming its data.
 """
 
 from __future__ import annotations
@@ -15,15 +15,16 @@
 
 from gingervane.wire.local_failures import is_transient
 
-_MAX_SEND_ATTEMPTS = 20  # of a rejection, where memory is short
+_MAX_SEND_ATTEMPTS = 20  # to send a rejection while the system is short of memory
 
 
 class ConnectionLimits(NamedTuple):
-    """How many client connections are kept, and for how long. Times are in seconds.
+    """Limits on the number of client connections and on their idle time. Times are in seconds.
 
-    `max_connections` bounds those that are not closing. A connection is idle for at most `idle_timeout`, and may take
-    `first_byte_timeout` to send its first byte (None: `idle_timeout` applies). With more than `crowd_threshold` open,
-    those that have been idle for `min_idle` may be closed.
+    `max_connections` bounds the connections that are not closing. A connection is idle for at most
+    `idle_timeout`, and may take `first_byte_timeout` to send its first byte (None: `idle_timeout` applies).
+    When more than `crowd_threshold` connections are open, those that have been idle for `min_idle` may be
+    closed.
     """
 
     max_connections: int
@@ -39,7 +40,7 @@
 
 
 class CloseReason(Enum):
-    """Why a client connection was closed from this side, or found closed. The values are metric labels."""
+    """Why a client connection was closed, by the server or by the client. The values are metric labels."""
 
     IDLE_TIMEOUT = "idle"
     FIRST_BYTE_TIMEOUT = "no first byte"
@@ -54,15 +55,15 @@
 
 
 class NextStep(Enum):
-    """What becomes of a connection once its requests have been served."""
+    """What the manager does with a connection once its requests have been served."""
 
     KEEP_ALIVE = 0
-    CLOSE = 1
-    DISCONNECTED = 2  # there is no client left to close it with
+    CLOSE = 1  # shut down the sending side first, so that the client reads its last reply
+    DISCONNECTED = 2  # close at once, as reading or writing failed
 
 
 class Phase(Enum):
-    """The phase of a connection."""
+    """The phase of a connection; see `connections.py`."""
 
     IDLE = 0
     ACTIVE = 1
@@ -70,40 +71,38 @@
 
 
 def ignore_disconnect() -> None:
-    """Do nothing: nobody asked to be notified when the client disconnects."""
+    """Do nothing. The callback of a connection whose disconnect is not watched."""
 
 
 class ClientConnection:
     """A client connection.
 
-    A worker that serves it may use `sock`, `request_started`, `last_reply` and `worker_state`. The other attributes
-    belong to the connection manager and are guarded by its lock.
+    A worker that serves it may use `sock`, `request_started`, `last_reply` and `worker_state`. The other
+    attributes belong to the connection manager and are guarded by its lock.
     """
 
     def __init__(self, sock: socket.socket, now: float) -> None:
         self.sock = sock
         self.number = sock.fileno()
         self.idle_since = now  # when it was accepted, or its previous request was finished
-        self.request_started = now  # when the first byte of the present request was seen
-        self.last_reply = -inf  # when the previous request was finished; never, for the first
-        self.worker_state: object = None  # what its worker keeps between requests
+        self.request_started = now  # when the first byte of the current request arrived
+        self.last_reply = -inf  # when the previous request was finished; -inf before the first request
+        self.worker_state: object = None  # state that the worker keeps between requests
         self.registered = False  # with the poller
-        self.waiting_for_thread_since = (
-            0.0  # when a request began that no thread could be had for; 0: none waits
-        )
+        self.waiting_for_thread_since = 0.0  # start of a request for which no thread was available; 0: none
         self.phase = Phase.IDLE
         self.on_disconnect: Callable[[], None] = ignore_disconnect
         self.close_deadline = inf
         self.discarded_bytes = 0  # received while closing
 
     def send_rejection(self, rejection: bytes, on_failure: Callable[[OSError], None]) -> None:
-        """Send a reply to a request that was not read, as far as that succeeds.
+        """Try to send a reply to a request that was not read.
 
-        `on_failure` gets each failure of this machine, after which sending is tried again.
+        `on_failure` is called with each failure that is transient on this host; the send is then retried.
         """
         for _ in range(_MAX_SEND_ATTEMPTS):
             try:
-                self.sock.send(rejection)  # complete in one call: nothing was written there before
+                self.sock.send(rejection)  # one call is enough, as the send buffer is still empty
                 break
             except OSError as error:
                 if not is_transient(error):
@@ -112,10 +111,10 @@
 
 
 def has_unread_data(sock: socket.socket) -> bool | None:
-    """Whether a non-blocking socket has data to read: None for nothing yet, False for its end.
+    """Whether a non-blocking socket has data to read.
 
-    Where the call fails for want of this machine's resources it is None too: the caller looks again for what is to
-    come.
+    None if there is none yet, or the call fails for lack of resources on this host: the caller polls the
+    socket again. False at end of stream or on another error.
     """
     try:
         return bool(sock.recv(1, socket.MSG_PEEK))
@@ -124,20 +123,20 @@
 
 
 def is_disconnected(sock: socket.socket) -> bool:
-    """Whether the other side has closed, or shut down its sending side, even behind unread data."""
+    """Whether the peer has closed its side or shut down sending, even if unread data precedes that."""
     poll = select.poll()
     try:
         poll.register(sock, select.POLLRDHUP | select.POLLHUP)
-    except ValueError:  # the socket is closed here
+    except ValueError:  # the socket is already closed on this side
         return True
     try:
         return bool(poll.poll(0))
-    except OSError:  # of this machine: nothing is known of the client
+    except OSError:  # a local failure says nothing about the client
         return False
 
 
 def oldest(group: dict[ClientConnection, None], count: int = 1) -> list[ClientConnection]:
-    """Return the first connections of a group, oldest first."""
+    """Return the first `count` connections of a group, which is ordered from the oldest on."""
     return [connection for connection, _ in zip(group, range(count), strict=False)]
 
 
--- a/gingervane/fronts/connection_poller.py
+++ b/gingervane/fronts/connection_poller.py
@@ -1,7 +1,8 @@
-"""Polls client connections and their listener for events, each of which is reported once.
+"""Polls client connections and their listener through epoll; each event must be requested (armed) anew.
 
-An event that could not be requested, for want of something on this machine, is requested again after a pause. The
-caller holds the connection manager's lock over all calls but `wait`, which the polling thread makes alone.
+An event that could not be requested, for lack of resources on this host, is requested again after a pause.
+The caller holds the connection manager's lock during all calls except `wait`, which only the polling thread
+calls.
 """
 
 from __future__ import annotations
@@ -16,16 +17,16 @@
 
 
 class ConnectionPoller:
-    """One epoll instance, and the connections whose next event could not be requested yet."""
+    """One epoll instance, and the connections whose next event is still to be requested."""
 
     def __init__(self, listener_number: int) -> None:
         self._epoll = retry_local_failures(select.epoll)
         self._listener_number = listener_number
         self._unarmed = dict[ClientConnection, None]()
-        self.failures: Counter[str] = Counter()  # of system calls, by call and error
+        self.failures: Counter[str] = Counter()  # failed system calls, by call and error
 
     def start(self) -> None:
-        """Register the listener. Raises OSError if that still fails after a while."""
+        """Register the listener, retrying transient failures. Raises OSError if they persist."""
         retry_local_failures(
             lambda: self._epoll.register(self._listener_number, select.EPOLLIN | select.EPOLLONESHOT)
         )
@@ -34,11 +35,11 @@
         """Wait up to `timeout` seconds for events; return each as a file number and its event mask."""
         try:
             return self._epoll.poll(timeout)
-        except OSError:  # guards the only thread that accepts connections
+        except OSError:  # must not end the only thread that accepts connections
             return []
 
     def arm(self, connection: ClientConnection) -> None:
-        """Request the next event that the connection's phase waits for."""
+        """Request the next event of the connection: a disconnect if it is active, otherwise also input."""
         active = connection.phase is Phase.ACTIVE
         events = select.EPOLLRDHUP if active else select.EPOLLIN | select.EPOLLRDHUP
         request = self._epoll.modify if connection.registered else self._epoll.register
@@ -47,25 +48,25 @@
             connection.registered = True
         except OSError as error:
             self.count_failure("epoll", error)
-            self.arm_later(connection)  # what has come by then is reported then
+            self.arm_later(connection)  # an event that occurs before then is reported then
 
     def arm_later(self, connection: ClientConnection) -> None:
-        """Have the connection returned by the next `take_unarmed`."""
+        """Add the connection to those that the next `take_unarmed` returns."""
         self._unarmed[connection] = None
 
     @property
     def has_unarmed(self) -> bool:
-        """Whether connections wait for their event to be requested again."""
+        """Whether there are connections whose event is to be requested again."""
         return bool(self._unarmed)
 
     def take_unarmed(self) -> dict[ClientConnection, None]:
-        """Return the connections whose event is to be requested again, and forget them."""
+        """Return and remove the connections whose event is to be requested again."""
         unarmed = self._unarmed
         self._unarmed = {}
         return unarmed
 
     def arm_listener(self) -> bool:
-        """Request an event for the next connection that comes; False if that failed."""
+        """Request an event for the next incoming connection; return False if that failed."""
         try:
             self._epoll.modify(self._listener_number, select.EPOLLIN | select.EPOLLONESHOT)
         except OSError as error:
@@ -74,10 +75,10 @@
         return True
 
     def remove_listener(self) -> None:
-        """Poll the listener no more."""
+        """Stop polling the listener."""
         with contextlib.suppress(OSError):
             self._epoll.unregister(self._listener_number)
 
     def count_failure(self, call: str, error: OSError) -> None:
-        """Count a system call that failed for want of something on this machine."""
+        """Count a system call that failed for lack of resources on this host."""
         self.failures[f"{call} {errno.errorcode.get(error.errno or 0, 'unknown')}"] += 1
--- a/gingervane/fronts/connection_workers.py
+++ b/gingervane/fronts/connection_workers.py
@@ -1,4 +1,4 @@
-"""Threads that serve active client connections, started as they are needed and reused for a while."""
+"""Threads that serve active client connections, started on demand and reused until idle for some time."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 
 
 class ConnectionWorkers:
-    """Calls `serve` with each submitted connection, on a thread that serves nothing else meanwhile."""
+    """Calls `serve` with each submitted connection, on a thread that serves no other one meanwhile."""
 
     def __init__(self, serve: Callable[[ClientConnection], None], lock: threading.Lock) -> None:
         self._serve = serve
         self._lock = lock
         self._queue: SimpleQueue[ClientConnection] = SimpleQueue()
-        self._idle_threads = 0  # less the connections in the queue
+        self._idle_threads = 0  # waiting threads, minus the connections in the queue
 
     def submit(self, connection: ClientConnection) -> bool:
-        """Serve a connection; False if no thread can be had now. The caller does not hold the lock."""
+        """Serve a connection; return False if no thread can be started. The caller must not hold the lock."""
         with self._lock:
             has_idle_thread = self._idle_threads > 0
             self._idle_threads -= has_idle_thread
@@ -31,7 +31,7 @@
             return True
         try:
             threading.Thread(target=self._run, args=(connection,), name="client", daemon=True).start()
-        except RuntimeError:  # no more threads for now
+        except RuntimeError:  # the system's limit on threads is reached
             return False
         return True
 
@@ -41,7 +41,7 @@
             connection = self._next_connection()
 
     def _next_connection(self) -> ClientConnection | None:
-        """Wait for another connection; None once the thread has been idle for too long."""
+        """Wait for another connection; None once the thread has been idle for `_IDLE_THREAD_TIMEOUT`."""
         with self._lock:
             self._idle_threads += 1
         while True:
@@ -51,4 +51,4 @@
                 if self._idle_threads > 0:
                     self._idle_threads -= 1
                     return None
-            # No thread is idle: a connection is on its way to this one.
+            # `submit` has reserved this thread and is about to queue a connection.
--- a/gingervane/fronts/connections.py
+++ b/gingervane/fronts/connections.py
@@ -1,17 +1,19 @@
-"""The life of client connections: accepted, idle between requests, active, closing. No HTTP here.
-
-The manager alone decides what each connection does next: a phase changes only under its lock. So of two events that
-race (a request arrives as its connection is closed, a client disconnects as its reply is written, a reply ends as the
-server shuts down) one is first, and the other finds the phase that the first one left. The lock is held only over
-calls that never wait, on sockets that are not active.
-
-- *Idle*: no byte of a request has been read. Only here is a connection closed for want of use or of capacity, and
-  only while no data lies unread on it.
-- *Active*: a request has begun; one worker thread has the socket. Nobody else reads, writes or shuts it down.
-- *Closing*: our sending side is shut down. What still arrives is discarded, never read as a request, within bounds on
-  time, bytes and number; so that no reset takes the last reply with it, as a close over unread data does.
-
-One thread (`_run`) polls all that are idle, closing or may disconnect; worker threads are started as they are needed.
+"""The life cycle of client connections: idle between requests, active, closing. Independent of HTTP.
+
+Only the manager changes the phase of a connection, and only under its lock. So two racing events (a request
+arrives while its connection is closed, a client disconnects while its reply is written, a reply ends while
+the server shuts down) are handled one after the other, and the second sees the phase that the first has set.
+The lock is held only during calls that do not block, on sockets that are not active.
+
+- *Idle*: no byte of a request has been read. Only in this phase is a connection closed because it is unused
+  or because capacity is short, and only while it has no unread data.
+- *Active*: a request has begun; one worker thread owns the socket. No other thread reads, writes or shuts it
+  down.
+- *Closing*: the server's sending side is shut down. Input is discarded, never read as a request, within
+  bounds on time, bytes and number of such connections. This keeps a reset from destroying the last reply, as
+  happens when a socket is closed with unread data.
+
+One thread (`_run`) polls all connections; worker threads are started on demand.
 """
 
 from __future__ import annotations
@@ -41,22 +43,22 @@
 from gingervane.fronts.connection_workers import ConnectionWorkers
 from gingervane.wire.local_failures import is_transient, start_thread
 
-CLOSE_TIMEOUT = 0.5  # seconds that a closing connection may still take
-MAX_DISCARDED_BYTES = 1 << 20  # bytes that a closing connection may still send
-MAX_CLOSING = 16  # closing connections, beyond the limit on the others
-_RETRY_PAUSE = 0.05  # seconds without accepting, out of descriptors
+CLOSE_TIMEOUT = 0.5  # seconds that a connection may be closing
+MAX_DISCARDED_BYTES = 1 << 20  # bytes read from a closing connection before it is closed
+MAX_CLOSING = 16  # closing connections, which do not count towards `max_connections`
+_RETRY_PAUSE = 0.05  # seconds before a system call is retried that failed for lack of resources
 _THREAD_WAIT_TIMEOUT = 0.3  # seconds that a request waits for a thread before it is rejected
 _MIN_POLL_TIMEOUT = 0.001  # seconds
-_MAX_POLL_TIMEOUT = 0.5  # seconds: what other threads put in meanwhile is looked at no later
+_MAX_POLL_TIMEOUT = 0.5  # seconds; bounds the delay until a timeout that another thread has set is noticed
 _RECEIVE_BYTES = 65536
-_EVICTIONS_PER_ACCEPT = 2  # for each connection accepted: more than come, so that a crowd shrinks
+_EVICTIONS_PER_ACCEPT = 2  # more than one, so that the number of connections shrinks
 
 
 class ConnectionManager:
     """All client connections of a listener.
 
-    `serve` is called on a worker thread with a connection whose next request has begun, and returns what is to become
-    of it. `rejection` is the reply to a connection over the limit.
+    `serve` is called on a worker thread with a connection on which a request has begun, and returns what the
+    manager does with it next. `rejection` is the encoded reply to a connection that is over the limit.
     """
 
     def __init__(
@@ -77,7 +79,7 @@
         self._poller = ConnectionPoller(self._listener_number)
         self._workers = ConnectionWorkers(self._serve, self._lock)
         self._open: dict[int, ClientConnection] = {}
-        # Each with its oldest first.
+        # Each of these groups is ordered from its oldest connection on.
         self._awaiting_first_byte = dict[ClientConnection, None]()
         self._idle = dict[ClientConnection, None]()
         self._closing = dict[ClientConnection, None]()
@@ -85,32 +87,33 @@
         self._accepting = True
         self._shutting_down = False
         self._stopped = threading.Event()
-        self.rejected = 0  # over the limit, or without a thread
+        self.rejected = 0  # connections over the limit, or for which no thread was available
         self.close_reasons: Counter[str] = Counter()  # by `CloseReason`; changed under the lock
 
     @property
     def failures(self) -> Counter[str]:
-        """System calls that failed for want of something on this machine; changed under the lock."""
+        """System calls that failed for lack of resources on this host; changed under the lock."""
         return self._poller.failures
 
     @property
     def shutting_down(self) -> bool:
-        """Whether every reply now closes its connection."""
+        """Whether shutdown has begun, so that every reply closes its connection."""
         return self._shutting_down
 
     def __len__(self) -> int:
-        """Count the connections that are not closing."""
+        """Return the number of connections that are not closing."""
         return len(self._open) - len(self._closing)
 
     def start(self) -> None:
-        """Accept connections from now on."""
+        """Start to accept connections."""
         self._poller.start()
         start_thread(self._run, "connections")
 
     def begin_shutdown(self) -> None:
-        """Go on accepting and serving, but let each reply close its connection, and close those that are idle now.
+        """Close idle connections, and close each other one after its next reply; new ones are still accepted.
 
-        A request that has arrived by now is served; of one that arrives later no byte is read as such.
+        A request that has already arrived on an idle connection is served; one that arrives later is
+        discarded.
         """
         with self._lock:
             self._shutting_down = True
@@ -118,11 +121,11 @@
                 self._close_unless_requested(connection, CloseReason.SHUTDOWN)
 
     def stop_accepting(self) -> None:
-        """Begin shutdown, and accept no new connection but those that the system has accepted already."""
+        """Begin shutdown, and close the listener after accepting the connections in its backlog."""
         with self._lock:
             if not self._accepting:
                 return
-            # Guards against requests on connections that were not accepted yet: closing the listener resets them.
+            # Closing the listener resets the connections in its backlog, and requests on them would be lost.
             self._accept_pending()
             self._accepting = False
             self._poller.remove_listener()
@@ -130,14 +133,14 @@
         self.begin_shutdown()
 
     def stop(self, grace: float) -> None:
-        """Stop accepting, and give active and closing connections `grace` seconds."""
+        """Stop accepting, and wait up to `grace` seconds for active and closing connections to close."""
         self.stop_accepting()
         with self._lock:
             self._all_closed.wait_for(lambda: not self._open, grace)
         self._stopped.set()
 
     def watch(self, connection: ClientConnection, on_disconnect: Callable[[], None]) -> None:
-        """Have `on_disconnect` called, once, if the client disconnects while the connection is active."""
+        """Call `on_disconnect` once if the client disconnects while the connection is active."""
         with self._lock:
             connection.on_disconnect = on_disconnect
             self._poller.arm(connection)
@@ -176,7 +179,10 @@
         return min(max(seconds, _MIN_POLL_TIMEOUT), _MAX_POLL_TIMEOUT)
 
     def _handle_event(self, number: int) -> None:
-        """Handle an event of a connection. Its number may be a newer one's by now, so the socket itself is asked."""
+        """Handle an event of the connection with this file descriptor.
+
+        The descriptor may belong to a newer connection by now, so the state of the socket itself is checked.
+        """
         on_disconnect = ignore_disconnect
         requested = None
         with self._lock:
@@ -198,7 +204,7 @@
                 self._retry_or_reject(requested)
 
     def _handle_timeouts(self) -> None:
-        """Close what has waited too long, and request again the events that could not be requested."""
+        """Close connections whose timeout has passed, and retry to request events where that had failed."""
         limits = self._limits
         now = time.monotonic()
         with self._lock:
@@ -217,9 +223,9 @@
     # ---- accepting; under the lock
 
     def _accept_pending(self) -> None:
-        """Accept the connections that have come."""
+        """Accept all connections in the backlog."""
         while self._accepting:
-            if len(self._closing) >= MAX_CLOSING:  # so that there is a descriptor for one more
+            if len(self._closing) >= MAX_CLOSING:  # frees a descriptor for the next connection
                 self._close_oldest()
             try:
                 sock, _ = self._listener.accept()
@@ -228,21 +234,21 @@
                 return
             except ConnectionAbortedError:
                 continue
-            except OSError as error:  # out of descriptors, for instance: those in use must be closed first
+            except OSError as error:  # for instance, no descriptors until other connections close
                 self._poller.count_failure("accept", error)
                 self._accept_paused_until = time.monotonic() + _RETRY_PAUSE
                 return
             self._add(sock)
 
     def _arm_listener(self) -> None:
-        """Have the next connection that comes reported; tried again after a pause if that fails now."""
+        """Request an event for the next incoming connection; retried after a pause if that fails."""
         if self._poller.arm_listener():
             self._accept_paused_until = 0.0
         else:
             self._accept_paused_until = time.monotonic() + _RETRY_PAUSE
 
     def _add(self, sock: socket.socket) -> None:
-        """Take in an accepted connection, or reject it where there are too many."""
+        """Add an accepted connection, or reject it if there are too many."""
         connection = ClientConnection(sock, time.monotonic())
         sock.setblocking(False)
         with contextlib.suppress(OSError):
@@ -258,14 +264,14 @@
             self._evict_long_idle()
 
     def _evict_long_idle(self) -> None:
-        """Close those that have been idle for the longest time, if for long enough."""
+        """Close the connections that have been idle for the longest time, if that is at least `min_idle`."""
         idle_before = time.monotonic() - self._limits.min_idle
         candidates = oldest(self._idle, _EVICTIONS_PER_ACCEPT)
         for connection in [candidate for candidate in candidates if candidate.idle_since < idle_before]:
             self._close_unless_requested(connection, CloseReason.OVER_CROWD_THRESHOLD)
 
     def _evict_silent(self) -> bool:
-        """Close the oldest connection that has sent nothing. Guards against hundreds of those keeping all out."""
+        """Close the oldest connection that has sent nothing, as hundreds of those would use up the limit."""
         if (
             self._limits.first_byte_timeout is None
         ):  # here a connection may be silent before its first request
@@ -282,7 +288,7 @@
     # ---- phases; under the lock
 
     def _begin_request(self, connection: ClientConnection) -> bool:
-        """Make an idle connection active if a request begins on it; return whether one does."""
+        """Make an idle connection active if it has unread data; return whether it does."""
         has_data = has_unread_data(connection.sock)
         if has_data is None:
             self._poller.arm(connection)
@@ -296,7 +302,7 @@
         return bool(has_data)
 
     def _close_unless_requested(self, connection: ClientConnection, reason: CloseReason) -> bool:
-        """Close an idle connection, unless a request has arrived on it: that is served. Return whether it closes."""
+        """Close an idle connection unless a request has arrived on it; return whether it is closed."""
         has_data = has_unread_data(connection.sock)
         if has_data is None:
             self._begin_close(connection, reason)
@@ -309,7 +315,7 @@
         self._close(connection)
 
     def _begin_close(self, connection: ClientConnection, reason: CloseReason) -> None:
-        """Shut down the sending side, and discard what still arrives for a while."""
+        """Shut down the sending side, and discard input until the client closes or `CLOSE_TIMEOUT` passes."""
         self.close_reasons[reason.value] += 1
         self._awaiting_first_byte.pop(connection, None)
         self._idle.pop(connection, None)
@@ -322,18 +328,18 @@
             self._poller.arm(connection)
         except OSError:
             self._close(connection)
-        if self._stopped.is_set() and connection in self._closing:  # the polling thread is gone
+        if self._stopped.is_set() and connection in self._closing:  # the polling thread has ended
             self._close(connection)
         if len(self._closing) > MAX_CLOSING:
             self._close_oldest()
 
     def _close_oldest(self) -> None:
-        """Wait no longer for the one that has been closing for the longest time."""
+        """Close at once the connection that has been closing for the longest time."""
         for connection in oldest(self._closing):
             self._close(connection)
 
     def _discard_input(self, connection: ClientConnection) -> None:
-        """Read and discard what has arrived on a closing connection; close it at its end or past the bound."""
+        """Discard input of a closing connection; close it at end of stream or past the bound on bytes."""
         try:
             data = connection.sock.recv(_RECEIVE_BYTES)
         except OSError as error:
@@ -348,19 +354,19 @@
             self._close(connection)
 
     def _close(self, connection: ClientConnection) -> None:
-        """Close the socket and forget the connection."""
+        """Close the socket and remove the connection."""
         for group in (self._awaiting_first_byte, self._idle, self._closing):
             group.pop(connection, None)
         del self._open[connection.number]
         if connection.phase is Phase.CLOSING:
-            with contextlib.suppress(OSError):  # a close over unread data has the system reset the connection
+            with contextlib.suppress(OSError):  # closing a socket with unread data would reset the connection
                 connection.sock.recv(_RECEIVE_BYTES)
-        connection.sock.close()  # which removes it from the poller too
+        connection.sock.close()  # also removes it from the poller
         if not self._open:
             self._all_closed.notify_all()
 
     def _retry_or_reject(self, connection: ClientConnection) -> None:
-        """Retry a request that no thread can serve after a pause, and reject it in the end."""
+        """Retry a request for which no thread could be started; reject it after `_THREAD_WAIT_TIMEOUT`."""
         self._poller.failures["thread"] += 1
         connection.waiting_for_thread_since = (
             connection.waiting_for_thread_since or connection.request_started
@@ -383,7 +389,7 @@
             self._finish_request(connection, next_step)
 
     def _finish_request(self, connection: ClientConnection, next_step: NextStep) -> None:
-        """Move a connection on from its active phase."""
+        """End the active phase of a connection: keep it open or close it."""
         with self._lock:
             connection.on_disconnect = ignore_disconnect
             connection.waiting_for_thread_since = 0.0
@@ -393,7 +399,7 @@
                 self._close(connection)
             elif next_step is NextStep.CLOSE:
                 self._begin_close(connection, CloseReason.AFTER_REPLY)
-            elif self._shutting_down:  # also where shutdown began after its reply was written
+            elif self._shutting_down:  # also if shutdown began after the reply was written
                 self._begin_close(connection, CloseReason.SHUTDOWN)
             else:
                 connection.phase = Phase.IDLE
--- a/gingervane/fronts/http_server.py
+++ b/gingervane/fronts/http_server.py
@@ -1,8 +1,8 @@
-"""A bounded HTTP/1.1 server on threads with small stacks.
+"""An HTTP/1.1 server with bounded resources, on threads with small stacks.
 
-`connections.py` decides what each connection does next; while a request is open on one, a thread of its own reads the
-request, waits for its reply and writes it, so pipelined requests are answered in order. A client that shuts down its
-sending side counts as disconnected, as in Go's server.
+`connections.py` manages the phases of connections. While a connection is active, one thread reads its
+request, waits for the reply and writes it, so pipelined requests are answered in order. A client that shuts
+down its sending side counts as disconnected, as in Go's server.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 from gingervane.wire.local_failures import retry_local_failures, start_thread
 from gingervane.wire.socket_recorder import SOCKET_RECORDER
 
-_BACKLOG = 512  # connections that the system holds until they are accepted
+_BACKLOG = 512  # connections that the system queues until they are accepted
 _FIRST_ERROR_STATUS = 400
 _CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
@@ -31,9 +31,9 @@
 class ServerLimits(NamedTuple):
     """Limits on clients. Times are in seconds.
 
-    `idle_timeout`: between messages; `head_timeout`, `body_timeout`: to read one; `write_timeout`: for a reply;
-    `first_byte_timeout`: to send a first byte, where that is not `idle_timeout`. With more than `crowd_threshold`
-    connections open, those idle for `min_idle` may be closed.
+    `idle_timeout`: between requests; `head_timeout`, `body_timeout`: to read a request; `write_timeout`: to
+    write a reply; `first_byte_timeout`: until a client's first byte (None: `idle_timeout` applies). When more
+    than `crowd_threshold` connections are open, those that have been idle for `min_idle` may be closed.
     """
 
     max_connections: int = 2000
@@ -48,7 +48,7 @@
     min_idle: float = 2.0
 
     def for_connections(self) -> ConnectionLimits:
-        """Return the limits that the connection manager keeps."""
+        """Return the limits that the connection manager enforces."""
         return ConnectionLimits(
             self.max_connections,
             self.idle_timeout,
@@ -73,36 +73,41 @@
     fields: list[tuple[str, str]]
     body: bytes
     close: bool = False
-    until: float | None = None  # the client's time: after it a failure takes this reply's place
-    done: Callable[[], None] = _nothing_to_release  # called once the reply is written, or cannot be
+    until: float | None = None  # the client's deadline, after which a failure is sent instead of a result
+    done: Callable[[], None] = (
+        _nothing_to_release  # called once the reply has been written or writing it failed
+    )
 
 
 class Exchange(Protocol):
-    """What a handler may use while it works."""
+    """A handler's access to the client of its request."""
 
     @property
     def peer(self) -> int:
         """The client's port."""
 
     def watch(self, on_disconnect: Callable[[], None]) -> None:
-        """Have `gone` called, once, if the client disconnects before the reply."""
+        """Call `on_disconnect` once if the client disconnects before the reply."""
 
     def is_disconnected(self) -> bool:
-        """Whether the client has disconnected by now."""
+        """Whether the client has disconnected."""
 
     def send_raw(self, data: bytes) -> None:
-        """Write bytes as they are, in place of a reply (whose `until` must then be past); for fake servers."""
+        """Write raw bytes instead of a reply; the handler's reply must then have an `until` in the past.
+
+        For fake servers.
+        """
 
 
 class Handler(Protocol):
-    """Answers one request, which began to arrive at `arrived`."""
+    """Answers one request, whose first byte arrived at `arrived`."""
 
     def __call__(self, request: Request, body: bytes, arrived: float, client: Exchange) -> Reply:
-        """Return the reply. Called on the thread of the request's connection."""
+        """Return the reply. Called on the thread that serves the connection."""
 
 
 class _ActiveConnection:
-    """An active connection, for the handler's use."""
+    """The `Exchange` of a request on an active connection."""
 
     def __init__(self, connection: ClientConnection, connections: ConnectionManager) -> None:
         self._connection = connection
@@ -125,8 +130,8 @@
 class _RequestReader:
     """Reads the requests of one connection.
 
-    Guards memory: nothing in it refers back to the connection, or each connection that is closed would hold its
-    buffers until the cycle collector runs.
+    It must not refer back to the connection: such a reference cycle would keep the buffers of each closed
+    connection in memory until the garbage collector runs.
     """
 
     def __init__(self, sock: socket.socket, limits: ServerLimits) -> None:
@@ -137,11 +142,11 @@
 
     @property
     def has_input(self) -> bool:
-        """Whether bytes of a further request have been received."""
+        """Whether bytes of a further request are buffered."""
         return bool(self._reader.has_buffered)
 
     def read(self, started: float) -> tuple[Request, bytes]:
-        """Read a request, whose first byte came at `started`, and its body.
+        """Read a request, whose first byte arrived at `started`, and its body.
 
         Raises HttpError, ConnectionClosedError or OSError.
         """
@@ -185,15 +190,15 @@
         self.on_handler_failure: Callable[[BaseException], None] = _ignore_failure
 
     def start(self) -> None:
-        """Accept connections and serve requests from now on."""
+        """Start to accept connections and to serve requests."""
         threading.stack_size(self._limits.thread_stack_bytes)
         self._connections.start()
         start_thread(self._tick, "ticker")
 
     def stop(self, grace: float) -> None:
-        """Accept no more and close idle connections.
+        """Stop accepting and close idle connections.
 
-        The others get `grace` seconds to write their replies and to have them read.
+        The other connections have `grace` seconds to write their replies and to be closed.
         """
         self._connections.stop(grace)
         self._stop.set()
@@ -204,31 +209,31 @@
 
     @property
     def process_pauses(self) -> int:
-        """Times that this process was paused."""
+        """Number of process pauses detected."""
         return self._pauses.count
 
     @property
     def connections(self) -> int:
-        """Connections that are not closing."""
+        """Number of connections that are not closing."""
         return len(self._connections)
 
     @property
     def close_reasons(self) -> Mapping[str, int]:
-        """Connections closed, by `CloseReason`."""
+        """Number of closed connections, by the value of `CloseReason`."""
         return self._connections.close_reasons
 
     @property
     def failures(self) -> Mapping[str, int]:
-        """System calls that failed for want of something on this machine, by call and error."""
+        """System calls that failed for lack of resources on this host, by call and error."""
         return self._connections.failures
 
     @property
     def rejected(self) -> int:
-        """Connections over the limit, or without a thread."""
+        """Number of connections rejected over the limit or because no thread was available."""
         return self._connections.rejected
 
     def _serve(self, connection: ClientConnection) -> NextStep:
-        """Serve the request that has begun on a connection, and those that came behind it."""
+        """Serve the request that has begun on a connection, and those pipelined after it."""
         if not isinstance(connection.worker_state, _RequestReader):
             connection.worker_state = _RequestReader(connection.sock, self._limits)
         reader = connection.worker_state
@@ -246,7 +251,10 @@
     def _serve_request(
         self, connection: ClientConnection, reader: _RequestReader, started: float, last_reply: float
     ) -> NextStep:
-        """Serve one request. Its first byte came at `started`; the one before it was finished at `last_reply`."""
+        """Serve a request whose first byte arrived at `started`.
+
+        The previous request of the connection was finished at `last_reply`.
+        """
         sock = connection.sock
         arrived = self._pauses.arrival_time(started, last_reply)
         try:
@@ -258,7 +266,7 @@
             SOCKET_RECORDER.record("request", *_ports(sock))
         try:
             reply = self._handler(request, body, arrived, _ActiveConnection(connection, self._connections))
-        # A bug must not leave a request that has been read without an answer.
+        # A request that has been read must be answered even if its handler has a bug.
         except Exception as error:  # noqa: BLE001
             self.handler_failures += 1
             self.on_handler_failure(error)
@@ -267,14 +275,13 @@
         return self._reply(sock, reply, request.keep_alive)
 
     def _reply(self, sock: socket.socket, reply: Reply, keep_alive: bool) -> NextStep:
-        """Write a reply, or a failure in its place if the client's time is over."""
+        """Write a reply, or a failure instead of a result if the client's deadline has passed."""
         try:
             is_late = reply.until is not None and time.monotonic() >= reply.until
-            if (
-                is_late and reply.status < _FIRST_ERROR_STATUS
-            ):  # a failure or a rejection stays as its front has it
-                # The result comes too late to count; a request that has been read is answered all the same, with a
-                # failure that promises nothing.
+            # Failures and rejections are sent unchanged. A result is too late to be of use, but a request
+            # that has been read must be answered: it gets a failure that does not promise that nothing was
+            # executed.
+            if is_late and reply.status < _FIRST_ERROR_STATUS:
                 reply = plain(504, "failed: its time is up", close=True)._replace(done=reply.done)
             close = reply.close or not keep_alive or self._connections.shutting_down
             self._write(sock, reply._replace(close=close))
@@ -295,6 +302,6 @@
 
 
 def plain(status: int, text: str, close: bool = False, fields: tuple[tuple[str, str], ...] = ()) -> Reply:
-    """Make a reply of one line of text."""
+    """Return a reply whose body is one line of text."""
     content_type = ("Content-Type", "text/plain; charset=utf-8")
     return Reply(status, [content_type, *fields], text.encode() + b"\n", close)
--- a/gingervane/fronts/leaf_codec.py
+++ b/gingervane/fronts/leaf_codec.py
@@ -1,4 +1,4 @@
-"""Wire codec of parts sent to replicas: Prometheus remote read, and the checks of a reply before it counts."""
+"""Wire codec of parts sent to replicas as Prometheus remote read requests, and the checks of replies."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 TIMEOUT_HEADER = "Gingervane-Timeout-Ms"
 PATH_HEADER = "Gingervane-Path"
 
-# Estimates of memory, in bytes, besides the samples and the messages themselves.
+# Estimated memory in bytes of each object, besides the encoded message of a histogram.
 _SERIES_BYTES = 200
 _LABEL_BYTES = 100
 _SAMPLE_BYTES = 16
@@ -31,27 +31,27 @@
     """One query of a client's request as it is sent to one leaf."""
 
     query_index: int  # of the query in the client's request
-    body: bytes  # the Query message
+    body: bytes  # the encoded Query message
     start_ms: int
     end_ms: int
 
 
 class LeafContent(NamedTuple):
-    """The content of one part: a leaf (a shard by its name) and the queries for it."""
+    """The content of one part: the name of a leaf (a shard) and the queries for it."""
 
     leaf: str
     queries: tuple[LeafQuery, ...]
 
 
 class RemoteReadCodec:
-    """Encodes the parts of a batch as one remote read request and verifies the reply before any of it counts."""
+    """Encodes the parts of a batch as one remote read request, and decodes and verifies the reply."""
 
     def __init__(self, label: str, max_reply_bytes: int) -> None:
         self._label = label
         self._max_reply_bytes = max_reply_bytes
 
     def encode(self, contents: list[Any], seconds_left: list[float], address: tuple[str, int]) -> bytes:
-        """Return the bytes of one request for all parts."""
+        """Encode one request for all parts."""
         queries = [query.body for part in contents for query in part.queries]
         body = snappy.compress(remote_read.write_request(queries, (Accepts.SAMPLES,)))
         fields = [
@@ -75,7 +75,7 @@
         return [self._decode_part(part, results) for part in contents]
 
     def _decode_part(self, part: LeafContent, results: Iterator[list[Series]]) -> list[list[Series]]:
-        """Take the results of one part off the iterator and check them. Raises InvalidReply."""
+        """Consume the results of one part from the iterator and check them. Raises InvalidReply."""
         part_results = [next(results) for _ in part.queries]
         for query, result in zip(part.queries, part_results, strict=True):
             if any((self._label, part.leaf) not in series.labels for series in result):
@@ -84,7 +84,7 @@
         return part_results
 
     def result_size(self, result: list[list[Series]]) -> int:
-        """Return roughly how many bytes the results of one part hold in memory."""
+        """Return approximately how many bytes of memory the results of one part take."""
         return sum(memory_size(series) for series in result)
 
 
@@ -100,7 +100,7 @@
 
 
 def check_status(status: int, header: Callable[[str], str]) -> None:
-    """Raise InvalidReply unless a reply's head is that of an answer."""
+    """Raise InvalidReply unless a reply has status 200 and the content type and encoding of an answer."""
     if status != 200:
         not_executed = header(BEGAN_HEADER.lower()) == "no" and status in (429, 503, 508)
         raise t.InvalidReply(
@@ -124,7 +124,7 @@
 
 
 def memory_size(result: list[Series]) -> int:
-    """Return roughly how many bytes series hold in memory."""
+    """Return approximately how many bytes of memory the series take."""
     return sum(
         _SERIES_BYTES
         + _LABEL_BYTES * len(series.labels)
--- a/gingervane/fronts/read_reply.py
+++ b/gingervane/fronts/read_reply.py
@@ -1,4 +1,4 @@
-"""Encoding of replies to remote read requests: merged series and their coverage, or why there are none."""
+"""Encoding of replies to remote read requests: merged series with their coverage, or an error."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class ReadResult(NamedTuple):
-    """What a request came to, whether its leaves were asked directly or through children."""
+    """The result of a request, whether its leaves were queried directly or through children."""
 
     status: t.QueryStatus
     series_by_leaf: dict[str, dict[int, list[Series]]]  # by leaf, then by index of the query
@@ -28,8 +28,8 @@
     retry_after: float
     detail: str
     attempts: list[t.AttemptRecord]
-    attempts_used: int  # the most that may have run for any leaf
-    release: Callable[[], None]  # called once the reply is written or cannot be
+    attempts_used: int  # maximum over the leaves of the attempts that may have run
+    release: Callable[[], None]  # called once the reply has been written or writing it failed
 
 
 class ReadReplyEncoder:
@@ -40,14 +40,15 @@
         self._keep_label = keep_label
 
     def reply(self, request: ReadRequest, result: ReadResult, retry_safety: RetrySafety) -> Reply:
-        """Return the reply for any result."""
+        """Return the reply to a request with this result: an answer, a rejection or a failure."""
         match result.status:
             case t.QueryStatus.COMPLETE:
                 return self.answer(request, result)
             case t.QueryStatus.PARTIAL if request.parameters.partial_allowed:
                 return self.answer(request, result)
             case t.QueryStatus.REJECTED:
-                # A query that is not idempotent is rejected only on proof that nothing of it ran.
+                # A query that is not idempotent has this status only if it is proved that nothing was
+                # executed.
                 proof = retry_safety is not RetrySafety.IDEMPOTENT
                 detail = result.detail or "refused"
                 return rejection(result.retry_after, detail, request.deadline, result.release, proof)
@@ -56,7 +57,7 @@
                 return plain(502, detail)._replace(until=request.deadline, done=result.release)
 
     def answer(self, request: ReadRequest, result: ReadResult) -> Reply:
-        """Return the reply of a complete or partial result."""
+        """Return the reply with a complete or partial result."""
         body = self._encode_series(request, result)
         complete = result.status is t.QueryStatus.COMPLETE
         missing = (name for name in request.leaves if name not in result.series_by_leaf)
@@ -73,7 +74,7 @@
         return Reply(200, fields, body, until=request.deadline, done=result.release)
 
     def _encode_series(self, request: ReadRequest, result: ReadResult) -> bytes:
-        """Merge the series of each query; a child keeps the shard label for its parent."""
+        """Merge and encode the series of each query; a child keeps the shard label for its parent."""
         by_query: list[list[list[Series]]] = [[] for _ in request.queries]
         for by_index in result.series_by_leaf.values():
             for index, leaf_series in by_index.items():
@@ -94,7 +95,7 @@
 
 
 def _subtree_fields(request: ReadRequest, result: ReadResult) -> list[tuple[str, str]]:
-    """Return the headers by which a child proves to its parent what it received."""
+    """Return the headers in which a child reports to its parent the received leaves and the attempts used."""
     series_counts = {
         name: sum(len(leaf_series) for leaf_series in by_index.values())
         for name, by_index in result.series_by_leaf.items()
--- a/gingervane/fronts/read_request.py
+++ b/gingervane/fronts/read_request.py
@@ -1,4 +1,4 @@
-"""Parsing of remote read requests: parameters, context, queries, and the part of each shard that they touch."""
+"""Parsing of remote read requests: parameters, context, queries, and a part for each shard they touch."""
 
 from __future__ import annotations
 
@@ -21,27 +21,27 @@
 
 
 class FrontLimits(NamedTuple):
-    """Bounds of one request."""
+    """Bounds on one request."""
 
     max_message_bytes: int  # after decompression
     max_queries: int
-    max_matchers: int  # of one query
+    max_matchers: int  # in one query
 
 
 class ReadParameters(NamedTuple):
-    """The parameters of a request's target."""
+    """The parameters in the target of a request."""
 
     query_class: str
     timeout: float | None  # seconds
     partial_allowed: bool
-    attempts_listed: bool  # whether the reply lists the attempts
+    attempts_listed: bool  # whether the reply is to list the attempts
 
 
 class ReadRequest(NamedTuple):
     """A remote read request that has been parsed."""
 
     parameters: ReadParameters
-    context: SubqueryContext | None  # of a parent co-ordinator; None from a client
+    context: SubqueryContext | None  # sent by a parent co-ordinator; None if a client sent the request
     queries: Sequence[Query]
     parts: list[t.PartPlan]
     leaves: tuple[str, ...]  # of the parts, in order
@@ -101,13 +101,13 @@
         return request.queries
 
     def _plan_parts(self, queries: Sequence[Query], matching_shards: list[list[int]]) -> list[t.PartPlan]:
-        """Return a part for each shard that any query touches, with all queries that do."""
+        """Return a part for each shard that any query touches, with all queries that touch the shard."""
         by_shard: dict[int, list[LeafQuery]] = {}
         label = self._shards.label
         for index, (query, shards) in enumerate(zip(queries, matching_shards, strict=True)):
             other_matchers = tuple(matcher for matcher in query.matchers if matcher.name != label)
             for shard in shards:
-                # The shard satisfies every matcher on its label: one that names it stands for them all.
+                # The shard satisfies every matcher on the shard label: one equality matcher replaces them.
                 leaf_matcher = Matcher(Match.EQUAL, label, self._shards.names[shard])
                 body = remote_read.write_query(query._replace(matchers=(*other_matchers, leaf_matcher)))
                 by_shard.setdefault(shard, []).append(LeafQuery(index, body, query.start_ms, query.end_ms))
@@ -119,7 +119,7 @@
 
 
 def _check_headers(headers: Headers) -> None:
-    """Raise HttpError for a body in a form that this front does not read."""
+    """Raise HttpError if the body's content type, encoding or protocol version is not supported."""
     content_type = headers.get("content-type", CONTENT_TYPE).partition(";")[0].strip().lower()
     if content_type != CONTENT_TYPE:
         raise HttpError(415, f"header Content-Type: {content_type!r} is not {CONTENT_TYPE}", True)
--- a/gingervane/fronts/remote_read.py
+++ b/gingervane/fronts/remote_read.py
@@ -1,8 +1,9 @@
-"""The Prometheus remote read front: plans a parsed request, has its leaves or children asked, and replies.
+"""The Prometheus remote read front: plans a request, queries its leaves or children, and replies.
 
-A client that does not know the coverage headers can never take a partial answer for a complete one: partial answers
-go only to clients that ask with `partial_response=true`, and then headers say what is missing. For all others the
-query runs in a strict variant of its class, for which the decision engine does not accept less than all parts.
+A client that does not know the coverage headers must not take a partial answer for a complete one. So partial
+answers go only to clients that send `partial_response=true`, with headers that name what is missing. For all
+other clients the query runs in a strict variant of its class, for which the decision engine requires all
+parts.
 """
 
 from __future__ import annotations
@@ -41,12 +42,12 @@
 
 
 class TreeConfig(NamedTuple):
-    """What a co-ordinator needs besides to split queries into subtrees."""
+    """What a co-ordinator needs in addition to split queries into subtrees."""
 
     subtree_coordinator: QueryCoordinator
     coordinator_name: str
     limits: plan.TreeLimits
-    peers: Callable[[], plan.PeerCoordinators]  # all others, as listed now
+    peers: Callable[[], plan.PeerCoordinators]  # returns all others in the current endpoint list
 
 
 class RemoteReadFront:
@@ -75,7 +76,7 @@
         self._leaf_codec = RemoteReadCodec(shards.label, reply_bytes)
         self._subtree_codec = SubtreeCodec(shards.label, reply_bytes)
         self._dispatcher = QueryDispatcher(core, classes)
-        self._lock = Lock()  # of the cost models and the planning
+        self._lock = Lock()  # guards the cost models and the planning
         self._costs = {name: CostModels() for name in classes}
         self._rotation = itertools.count(random.SystemRandom().randrange(1 << 16))
         self.queries_split = 0  # queries that were split into subtrees
@@ -90,9 +91,9 @@
         body: bytes,
         arrived: float,
         client: http_server.Exchange,
-        path_parameters: dict[str, str],  # noqa: ARG002 - of a route's handler
+        path_parameters: dict[str, str],  # noqa: ARG002 - required by Route.handle
     ) -> Reply:
-        """Handle one request, from its bytes to its reply."""
+        """Parse and run one request, and return its reply."""
         latest = arrived + self._max_deadline
         try:
             with self._gate.slot(NAME, latest):
@@ -109,7 +110,7 @@
         return self._run(read_request, client)
 
     def _run(self, request: ReadRequest, client: http_server.Exchange) -> Reply:
-        """Plan the query, ask for it, and encode its result."""
+        """Plan the query, run it, and encode its result."""
         name = request.parameters.query_class
         reserve = self._dispatcher.reserve(name, len(request.parts), request.deadline - request.arrived)
         task = self._task(request, request.deadline - reserve - time.monotonic())
@@ -155,7 +156,7 @@
     def _query_leaves(
         self, request: ReadRequest, task: plan.QueryTask, deadline: float, client: http_server.Exchange
     ) -> ReadResult:
-        """Ask the leaves directly, as the decision engine decides. Raises Rejected."""
+        """Query the leaves directly through the decision engine. Raises Rejected."""
         name = request.parameters.query_class
         query_class = self._classes[name]
         parts = request.parts
@@ -192,7 +193,7 @@
         tree: TreeConfig,
         client: http_server.Exchange,
     ) -> ReadResult:
-        """Ask through child co-ordinators, and directly for what they do not return."""
+        """Query child co-ordinators, and directly the leaves that they do not return."""
         name = request.parameters.query_class
         self.queries_split += 1
         wide_query = WideQuery(
--- a/gingervane/fronts/routing.py
+++ b/gingervane/fronts/routing.py
@@ -1,7 +1,7 @@
-"""What all HTTP fronts share: routes, parameters, and the headers of rejections and partial answers.
+"""Shared by all HTTP fronts: routes, parameters, and the headers of rejections and partial answers.
 
-With `coordinator.dispatch`, which submits a query and waits for its result, this is all that a front needs; neither
-knows a protocol.
+A front needs only this module and `coordinator.dispatch`, which submits a query and waits for its result.
+Neither depends on a particular protocol.
 """
 
 from __future__ import annotations
@@ -20,26 +20,29 @@
 COVERAGE_HEADER = "Gingervane-Coverage"
 MISSING_HEADER = "Gingervane-Missing"
 
-_MAX_HEADER_LENGTH = 4000  # characters of a value
+_MAX_HEADER_LENGTH = 4000  # characters in a header's value
 _MAX_DURATION = 1e6  # seconds
 _DURATION = re.compile(r"([0-9]+(?:\.[0-9]+)?)(ms|s|m)?\Z")
 _UNITS = {"ms": 0.001, "s": 1.0, "m": 60.0, None: 1.0}
 
 
 class FrontQueryClass(NamedTuple):
-    """A query class, with the indexes of its variants in the decision engines."""
+    """A query class, with the indexes of its variants in the decision engines.
 
-    strict_class: int  # answers only if complete
-    partial_class: int  # answers from `required_share` on
-    collecting_class: int  # answers with any share, for a parent that sums
-    subtree_class: int  # in the decision engine of children
+    The first three variants differ in the least share of the parts that makes an answer.
+    """
+
+    strict_class: int  # all parts
+    partial_class: int  # `required_share`
+    collecting_class: int  # any share, for a parent that adds up the shares of its children
+    subtree_class: int  # the class for subtrees, in the decision engine that queries children
     deadline: float  # seconds
     retry_safety: RetrySafety
     required_share: float
 
 
 class Route(NamedTuple):
-    """A method and a path that a front handles. Words of `path` in braces are passed to `handle` by name."""
+    """A method and a path that a front handles. Segments of `path` in braces are parameters of `handle`."""
 
     method: str
     path: str
@@ -50,18 +53,18 @@
     """One protocol over HTTP."""
 
     def routes(self) -> Iterable[Route]:
-        """Return the routes that it handles."""
+        """Return the routes that this front handles."""
         ...
 
 
 class Router:
-    """The routes of all fronts; the first that matches is taken."""
+    """The routes of all fronts; the first matching route handles a request."""
 
     def __init__(self, routes: Iterable[Route]) -> None:
         self._routes = [(route, tuple(route.path.split("/"))) for route in routes]
 
     def find(self, method: str, path: str) -> tuple[Route, dict[str, str]] | Reply:
-        """Return the route for a request and the named words of its path, or the reply that there is none."""
+        """Return the route of a request and its path parameters, or an error reply if no route matches."""
         segments = path.split("/")
         allowed: list[str] = []
         for route, pattern in self._routes:
@@ -78,7 +81,7 @@
 
 
 def _match_path(pattern: Sequence[str], segments: Sequence[str]) -> dict[str, str] | None:
-    """Return the named words of a path; None if it does not match."""
+    """Return the parameters in a path by name; None if it does not match the pattern."""
     if len(segments) != len(pattern):
         return None
     parameters: dict[str, str] = {}
@@ -91,7 +94,7 @@
 
 
 def duration(text: str, where: str) -> float:
-    """Return the seconds of a duration such as `500ms`, `2s` or `1.5`. Raises HttpError."""
+    """Parse a duration such as `500ms`, `2s` or `1.5` into seconds. Raises HttpError."""
     match = _DURATION.match(text)
     seconds = float(match[1]) * _UNITS[match[2]] if match else 0.0
     if not 0 < seconds < _MAX_DURATION:
@@ -100,7 +103,7 @@
 
 
 def flag(text: str, where: str) -> bool:
-    """Return the value of `true`, `1`, `false` or `0`. Raises HttpError."""
+    """Parse `true`, `1`, `false` or `0`. Raises HttpError."""
     value = {"true": True, "1": True, "false": False, "0": False}.get(text)
     if value is None:
         raise HttpError(400, f"{where}: {text!r} is neither true nor false", True)
@@ -114,13 +117,19 @@
     done: Callable[[], None] = lambda: None,
     proof: bool = False,
 ) -> Reply:
-    """Return a 503: a retry is harmless, and nothing of the query goes on. `proof`: nothing of it ever began."""
+    """Return a 503, which promises that the client may retry and that no work on the query continues.
+
+    `proof`: also promise that nothing of the query was ever executed.
+    """
     reply = plain(503, f"refused: {reason}", fields=rejection_headers(retry_after, proof))
     return reply._replace(until=deadline, done=done)
 
 
 def rejection_headers(retry_after: float, proof: bool) -> tuple[tuple[str, str], ...]:
-    """Return the headers of a rejection: when to retry, in seconds and exactly, and whether nothing ever began."""
+    """Return the headers of a rejection: the retry delay, in seconds and in milliseconds, and the proof.
+
+    `proof`: nothing of the query was ever executed.
+    """
     fields = (
         ("Retry-After", str(max(math.ceil(retry_after), 1))),
         (RETRY_HEADER, str(math.ceil(retry_after * 1000))),
@@ -129,13 +138,13 @@
 
 
 def coverage_fields(whole: bool, share: float, missing: Iterable[str]) -> list[tuple[str, str]]:
-    """Return the headers of coverage; the share is rounded down, so that it never appears to reach a bound."""
+    """Return the coverage headers; the share is rounded down, so that it never appears to reach a bound."""
     fields = [(COVERAGE_HEADER, "1" if whole else f"{math.floor(share * 1e6) / 1e6:g}")]
     return fields if whole else [*fields, (MISSING_HEADER, bounded_header_value(list(missing)))]
 
 
 def bounded_header_value(words: list[str]) -> str:
-    """Join words into one header value; those that do not fit are counted."""
+    """Join words by commas into a header value of bounded length; it ends in the number of words left out."""
     fitting: list[str] = []
     remaining = _MAX_HEADER_LENGTH
     for index, word in enumerate(words):
--- a/gingervane/fronts/shard_matching.py
+++ b/gingervane/fronts/shard_matching.py
@@ -1,4 +1,4 @@
-"""Selection of the shards that a remote read query touches, by its matchers on the shard label. Free of I/O."""
+"""Selects the shards that a remote read query touches, by its matchers on the shard label. Free of I/O."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
     """A regular expression that RE2 rejects."""
 
 
-_CACHED_PATTERNS = 512  # results of patterns kept by a shard index
-_LITERALS = re.compile(r"[^\\.+*?()\[\]{}^$]*\Z")  # no special character but the bar
+_CACHED_PATTERNS = 512  # patterns whose matching shards a shard index caches
+_LITERALS = re.compile(r"[^\\.+*?()\[\]{}^$]*\Z")  # no special character except `|`
 
 _options = re2.Options()
 _options.log_errors = False
@@ -25,7 +25,7 @@
 
 @lru_cache(maxsize=1024)
 def compile_pattern(pattern: str) -> re2._Regexp[str]:
-    """Compile a pattern as Prometheus does: RE2, anchored at both ends. Matching takes linear time.
+    """Compile a pattern as Prometheus does: with RE2, anchored at both ends. Matching takes linear time.
 
     Raises PatternError.
     """
@@ -60,19 +60,19 @@
         self.label = label
         self.names = tuple(names)
         self._number = {name: i for i, name in enumerate(names)}
-        # Dashboards repeat the same patterns; the shards that one matches do not change.
+        # Dashboards repeat the same patterns, and the shards that a pattern matches do not change.
         self._matched = lru_cache(maxsize=_CACHED_PATTERNS)(self._match_all)
 
     def _match_all(self, pattern: str) -> frozenset[int]:
-        if _LITERALS.match(pattern):  # names with bars between them need no matching
+        if _LITERALS.match(pattern):  # an alternation of plain names: look them up
             return frozenset(self._number[name] for name in pattern.split("|") if name in self._number)
         matcher = Matcher(Match.REGEX, self.label, pattern)
         return frozenset(i for i, name in enumerate(self.names) if matches(matcher, name))
 
     def matching_shards(self, matchers: Sequence[Matcher]) -> list[int]:
-        """Return the numbers of the shards that can hold a match.
+        """Return the numbers of the shards that may hold matching series.
 
-        Raises PatternError, for patterns on any label.
+        Raises PatternError for an invalid pattern on any label.
         """
         candidates: Sequence[int] = range(len(self.names))
         for matcher in matchers:
--- a/gingervane/fronts/subtree_codec.py
+++ b/gingervane/fronts/subtree_codec.py
@@ -2,9 +2,10 @@
 
 Request headers: `Gingervane-Levels` (levels of co-ordinators allowed below the child), `Gingervane-Attempts`
 (attempts allowed for each leaf), `Gingervane-Trail` (names of the co-ordinators above, root first), and
-`Gingervane-Timeout-Ms`: durations are sent, never times of day. Reply headers: `Gingervane-Leaves` and
-`Gingervane-Counts` (see `tree.coverage`), `Gingervane-Used`. A reply without them comes from a plain server: it
-proves only the leaves of which it holds series.
+`Gingervane-Timeout-Ms` (a duration, as wall clocks differ between hosts). Reply headers: `Gingervane-Leaves`
+and `Gingervane-Counts` (see `tree.coverage`), `Gingervane-Used` (the most attempts used for any leaf). A
+reply without them comes from a plain remote read server: it proves coverage only of the leaves whose series
+it holds.
 """
 
 from __future__ import annotations
@@ -34,11 +35,11 @@
 _MAX_LEVELS = 16
 _MAX_ATTEMPTS = 16
 _MAX_TRAIL_HEADER = 2000  # characters
-_MAX_USED_DIGITS = 3  # a longer number in `Gingervane-Used` counts as none
+_MAX_USED_DIGITS = 3  # a longer number in `Gingervane-Used` is treated as missing
 
 
 def read_context(headers: Headers) -> SubqueryContext | None:
-    """Read the context that a parent sent in a request's headers; None if no parent sent it. Raises HttpError."""
+    """Read the context that a parent sends in a request's headers; None for a client. Raises HttpError."""
     if not headers.get_all(LEVELS.lower()):
         return None
     levels_left = _read_number(headers, LEVELS, _MAX_LEVELS)
@@ -57,14 +58,14 @@
 
 
 class SubtreeCodec:
-    """Encodes one subtree a request and verifies its reply leaf by leaf before any of it counts."""
+    """Encodes one subtree per request, and decodes and verifies the reply leaf by leaf."""
 
     def __init__(self, label: str, max_reply_bytes: int) -> None:
         self._label = label
         self._max_reply_bytes = max_reply_bytes
 
     def encode(self, contents: list[Any], seconds_left: list[float], address: tuple[str, int]) -> bytes:
-        """Return the bytes of the request for the one subtree in `contents`."""
+        """Encode the request for the one subtree in `contents`."""
         subtree: SubtreeQuery
         (subtree,) = contents
         queries = [self._encode_query(query, leaves) for _, query, leaves in subtree.queries]
@@ -91,7 +92,7 @@
         return http1.encode_head(f"POST {leaf_codec.PATH}?{urlencode(parameters)} HTTP/1.1", fields) + body
 
     def _encode_query(self, query: Query, leaves: Sequence[str]) -> bytes:
-        """Encode a query with one matcher on the shard label, which names the leaves of the subtree."""
+        """Encode a query, with its matchers on the shard label replaced by one that selects the leaves."""
         other_matchers = tuple(matcher for matcher in query.matchers if matcher.name != self._label)
         leaf_pattern = "|".join(re2.escape(name) for name in leaves)
         leaf_matcher = Matcher(Match.REGEX, self._label, leaf_pattern)
@@ -116,7 +117,7 @@
     def _group_by_leaf(
         self, subtree: SubtreeQuery, results: list[list[Series]]
     ) -> tuple[dict[str, dict[int, list[Series]]], list[str]]:
-        """Group series by leaf and query, and name the leaf of each series. Raises InvalidReply."""
+        """Return the series by leaf and query, and the leaf of each series. Raises InvalidReply."""
         by_leaf: dict[str, dict[int, list[Series]]] = {}
         series_leaves: list[str] = []
         for (query_index, query, leaves), result in zip(subtree.queries, results, strict=True):
@@ -133,7 +134,7 @@
     def _verified_counts(
         self, subtree: SubtreeQuery, header: Callable[[str], str], series_leaves: Sequence[str]
     ) -> dict[str, int]:
-        """Return the number of series of each leaf that the reply proves to hold. Raises CoverageError."""
+        """Return the number of series of each leaf that the reply provably covers. Raises CoverageError."""
         bitmap = header(LEAVES.lower())
         if not bitmap:
             return coverage.leaves_with_series(subtree.leaves, series_leaves)
@@ -146,7 +147,7 @@
         return counts
 
     def result_size(self, result: SubtreeResult) -> int:
-        """Return roughly how many bytes a result holds in memory."""
+        """Return approximately how many bytes of memory a result takes."""
         return sum(
             leaf_codec.memory_size(series)
             for by_query in result.results_by_leaf.values()
--- a/gingervane/fronts/timed_socket.py
+++ b/gingervane/fronts/timed_socket.py
@@ -1,6 +1,6 @@
 """Receiving and sending on a socket up to a deadline.
 
-Calls that fail for want of memory on this machine are retried.
+Calls that fail because this host is short of memory are retried.
 """
 
 from __future__ import annotations
@@ -24,21 +24,22 @@
         self.deadline = 0.0
 
     def receive(self, max_bytes: int) -> bytes:
-        """Receive some bytes; none at the end. Raises TimeoutError at the deadline, or OSError."""
+        """Receive up to `max_bytes`; none at end of stream. Raises TimeoutError at `deadline`, or OSError."""
         return _call_until(self._sock, self.deadline, lambda: self._sock.recv(max_bytes))
 
 
 def send_all(sock: socket.socket, data: bytes, deadline: float) -> None:
-    """Write all of it. Raises OSError if the other side is gone, or has not taken it by `deadline`."""
+    """Send all of `data`. Raises OSError if the peer has disconnected, TimeoutError at `deadline`."""
     view = memoryview(data)
     while view:
         view = view[_call_until(sock, deadline, partial(sock.send, view)) :]
 
 
 def _call_until(sock: socket.socket, deadline: float, call: Callable[[], T]) -> T:
-    """Return what a call on a socket returns, retried where it fails for want of memory on this machine.
+    """Return the result of a call on a socket, which is retried while this host is short of memory.
 
-    What a client has been promised is not lost for that. Raises TimeoutError at `deadline`, or OSError.
+    Otherwise a request that has been accepted could go unanswered. Raises TimeoutError at `deadline`, or
+    OSError.
     """
     while True:
         seconds_left = deadline - time.monotonic()
--- a/gingervane/telemetry/__init__.py
+++ b/gingervane/telemetry/__init__.py
@@ -1,1 +1,1 @@
-"""Logs, counters and metrics of both programs."""
+"""Logs, counters and metrics of the daemon and the node."""
--- a/gingervane/telemetry/counters.py
+++ b/gingervane/telemetry/counters.py
@@ -1,4 +1,4 @@
-"""Totals by name and reason."""
+"""Counters by name and reason."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Counters:
-    """Totals by name and reason since the process started. Exact: each change is made under a lock."""
+    """Totals by name and reason since the process started. Thread-safe and exact."""
 
     def __init__(self) -> None:
         self._lock = Lock()
@@ -20,12 +20,12 @@
             self._totals[_key(name, reason)] += count
 
     def get(self, name: str, reason: Enum | str) -> int:
-        """Return one total; 0 if nothing was added to it."""
+        """Return one total; 0 if nothing has been added to it."""
         with self._lock:
             return self._totals[_key(name, reason)]
 
     def snapshot(self) -> dict[tuple[str, str], int]:
-        """Return all totals as they are now, by name and reason."""
+        """Return a copy of all totals, by name and reason."""
         with self._lock:
             return dict(self._totals)
 
--- a/gingervane/telemetry/daemon_log.py
+++ b/gingervane/telemetry/daemon_log.py
@@ -1,6 +1,7 @@
-"""The daemon's log on standard error: a JSON object or a line of `key=value` words for each event.
+"""The daemon's log on standard error: one line for each event, a JSON object or `key=value` pairs.
 
-Built on `logging`. Before `configure`, only warnings and errors are written, as of any library.
+Built on `logging`. Before `configure` is called, only warnings and errors are written, by the defaults of
+`logging`.
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
 
 
 def configure(style: LogStyle, level: str) -> None:
-    """Set up logging for the process; `level` is the name of the least that is written."""
+    """Set up logging for the process; `level` is the name of the lowest level that is written."""
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(JsonFormatter() if style == "json" else KeyValueFormatter())
     _logger.handlers = [handler]
@@ -33,17 +34,17 @@
 
 
 class DaemonLog:
-    """Logs events with fields that all of its lines carry."""
+    """Logs events; its own fields are added to each of them."""
 
     def __init__(self, **fields: FieldValue) -> None:
         self._fields = fields
 
     def debug(self, event: LogEvent, **fields: FieldValue) -> None:
-        """Log an event that matters to who looks into one query only."""
+        """Log an event that is useful only when a single query is investigated."""
         self._log(logging.DEBUG, event, fields)
 
     def info(self, event: LogEvent, **fields: FieldValue) -> None:
-        """Log an event of normal service."""
+        """Log an event of normal operation."""
         self._log(logging.INFO, event, fields)
 
     def error(self, event: LogEvent, **fields: FieldValue) -> None:
@@ -51,7 +52,7 @@
         self._log(logging.ERROR, event, fields)
 
     def exception(self, event: LogEvent, error: BaseException, **fields: FieldValue) -> None:
-        """Log a fault with its exception and where that came from."""
+        """Log a fault with its exception and the stack trace."""
         self._log(logging.ERROR, event, fields | error_fields(error))
 
     def _log(self, level: int, event: LogEvent, fields: dict[str, FieldValue]) -> None:
@@ -60,5 +61,5 @@
 
 
 def get(part: str, **fields: FieldValue) -> DaemonLog:
-    """Return a log whose lines name their part of the program, and carry `fields`."""
+    """Return a log whose lines name the part of the program, and contain `fields`."""
     return DaemonLog(part=part, **fields)
--- a/gingervane/telemetry/daemon_metrics.py
+++ b/gingervane/telemetry/daemon_metrics.py
@@ -1,7 +1,7 @@
-"""Metrics in the Prometheus text format. Latencies are kept in HDR histograms and read out as quantiles.
+"""Metrics in the Prometheus text format. Latencies are recorded in HDR histograms and exported as quantiles.
 
-Owners: each histogram is written by one decision thread only; a reader of /metrics may see it mid-change, off by
-the one value being added.
+Threads: each histogram is written by one decision thread only. A reader of /metrics may see it during an
+update, off by the one value that is being added.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class Latencies:
-    """One HDR histogram of microseconds, to two digits, for each key."""
+    """An HDR histogram of microseconds, with two significant digits, for each key."""
 
     def __init__(self) -> None:
         self._histograms: dict[tuple[str, ...], tuple[HdrHistogram, list[float]]] = {}
@@ -32,7 +32,7 @@
         total[0] += seconds
 
     def family(self, name: str, help_text: str, labels: list[str]) -> SummaryMetricFamily:
-        """Read all histograms out as one metric; `labels` name the words of the keys."""
+        """Export all histograms as one metric; `labels` are the label names of the elements of a key."""
         family = SummaryMetricFamily(name, help_text, labels=labels)
         for key, (histogram, total) in list(self._histograms.items()):
             family.add_metric(list(key), histogram.get_total_count(), total[0])
@@ -43,14 +43,14 @@
 
 
 class Metrics:
-    """Collects from the program's own counts each time they are asked for."""
+    """Collector for the Prometheus client, which reads the program's counts at each request of /metrics."""
 
     def __init__(self) -> None:
         self.query_seconds, self.attempt_seconds = Latencies(), Latencies()
         self.subtree_seconds, self.child_seconds = Latencies(), Latencies()
         self.vector_seconds, self.vector_attempt_seconds = Latencies(), Latencies()
-        self.read: Callable[[], Any] = lambda: None  # the driver's counts
-        self.gauges: Callable[[], dict[str, float]] = dict
+        self.read: Callable[[], Any] = lambda: None  # returns the driver's `Counts`
+        self.gauges: Callable[[], dict[str, float]] = dict  # returns values by name
         self._registry = CollectorRegistry()
         self._registry.register(self)
 
@@ -59,11 +59,11 @@
         return generate_latest(self._registry)
 
     def describe(self) -> Iterator[Any]:
-        """Describe nothing: metrics are known once they are collected."""
+        """Return no descriptions, so that registering does not collect the metrics."""
         return iter(())
 
     def collect(self) -> Iterator[Any]:
-        """Yield all metrics as they are now."""
+        """Yield all metrics with their current values."""
         counts = self.read()
         if counts is not None:
             for name in (
--- a/gingervane/telemetry/events.py
+++ b/gingervane/telemetry/events.py
@@ -2,13 +2,14 @@
 
 Fields are keyword arguments of the call that logs the event. The same thing has the same name in every event:
 
-- `replica`, `coordinator`, `core`, `address`, `discovery`: where. A replica goes by its host's name in the node and
-  by its number in the daemon.
-- `query`, `request`, `query_class`: this process's number of the query, the client's identifier of it, its class.
+- `replica`, `coordinator`, `core`, `address`, `discovery`: the component concerned. A replica is identified
+  by its host's name in the node and by its number in the daemon.
+- `query`, `request`, `query_class`: this process's number of the query, the client's identifier of it, its
+  class.
 - `status`, `outcome`, `reason`: how a query, an attempt or anything else ended; values of `QueryStatus`,
   `AttemptOutcome` and of the enumeration of reasons that belongs to the event.
-- `detail`: further text for people, which nothing should match against.
-- `error`, `trace`: an exception's type and text, and its stack.
+- `detail`: further text for human readers; programs should not match it.
+- `error`, `trace`: an exception's type and text, and its stack trace.
 - durations end in `_seconds`, counts are plain plurals (`parts_requested`, `attempts_in_flight`).
 """
 
@@ -18,12 +19,12 @@
 
 
 class LogEvent(StrEnum):
-    """Name of an event as it stands in the log; `meaning` says what it tells."""
+    """Name of an event as written to the log; `meaning` describes when it is logged."""
 
     meaning: str
 
     def __new__(cls, name: str, meaning: str) -> LogEvent:
-        """Make a member whose value is its name alone."""
+        """Create a member whose value is `name` alone."""
         member = str.__new__(cls, name)
         member._value_ = name
         member.meaning = meaning
--- a/gingervane/telemetry/log_format.py
+++ b/gingervane/telemetry/log_format.py
@@ -1,4 +1,4 @@
-"""Forms of a log line, the same for daemon and node: `key=value` words, or a JSON object."""
+"""Formats of a log line, shared by the daemon and the node: `key=value` pairs, or a JSON object."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 FieldValue = str | int | float | bool | None | Enum
 
-# Attributes of a log record that carry what `logging` itself has no place for.
+# Attributes added to a `logging.LogRecord`: the event's fields, and the monotonic time in seconds.
 FIELDS_ATTRIBUTE = "fields"
 MONOTONIC_ATTRIBUTE = "monotonic"
 
@@ -19,14 +19,17 @@
 
 
 class KeyValueFormatter(logging.Formatter):
-    """`2026-12-02T10:42:28.123Z mono=123.456 node=n0 level=info event=... key=value`; `node` only where named."""
+    """`2026-12-02T10:42:28.123Z mono=123.456 node=n0 level=info event=... key=value`.
+
+    `node` is left out if it has no name.
+    """
 
     def __init__(self, node: str = "") -> None:
         super().__init__()
         self._origin = f" node={node}" if node else ""
 
     def format(self, record: logging.LogRecord) -> str:
-        """Write the clocks, the origin, the level, the event and its fields on one line."""
+        """Format the clocks, the node, the level, the event and its fields as one line."""
         monotonic: float = getattr(record, MONOTONIC_ATTRIBUTE, None) or time.monotonic()
         words = [
             f"{_wall_clock(record)} mono={monotonic:.3f}{self._origin}",
@@ -38,10 +41,10 @@
 
 
 class JsonFormatter(logging.Formatter):
-    """An object a line: the event's fields, then `event`, `level` and `timestamp`."""
+    """One JSON object per line: the event's fields, then `event`, `level` and `timestamp`."""
 
     def format(self, record: logging.LogRecord) -> str:
-        """Write the record as one JSON object."""
+        """Format the record as one JSON object."""
         entry = dict(_fields(record))
         entry |= {
             "event": record.getMessage(),
@@ -52,7 +55,7 @@
 
 
 def error_fields(error: BaseException) -> dict[str, FieldValue]:
-    """Describe an exception by the fields `error` and `trace`."""
+    """Return the fields `error` and `trace` of an exception."""
     return {
         "error": f"{type(error).__name__}: {error}",
         "trace": "".join(traceback.format_exception(error)),
@@ -70,7 +73,7 @@
 
 
 def _format_value(value: FieldValue) -> str:
-    """Write a value on one line; in quotes where it would not be one word."""
+    """Format a value without line breaks; quoted unless it is a single plain word."""
     if isinstance(value, Enum):
         value = str(value.value)
     if isinstance(value, float):
--- a/gingervane/telemetry/log_handler.py
+++ b/gingervane/telemetry/log_handler.py
@@ -1,4 +1,4 @@
-"""A log handler whose callers never wait: lines are bounded, queued and written by a thread of its own."""
+"""A log handler whose callers never block: lines are rate-limited, queued and written by a thread."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
 IDLE_INTERVAL = 10.0  # seconds between two calls of `on_idle`
 MAX_QUEUED_LINES = 2048
 RATE_LIMIT_BURST = 60  # lines of one event at once
-RATE_LIMIT_PER_SECOND = 20.0  # lines of one event in the long run
+RATE_LIMIT_PER_SECOND = 20.0  # lines of one event on average
 FLUSH_TIMEOUT = 0.5  # seconds that `finish` waits for the last lines
 MIN_POLL = 0.01  # seconds
-UNWRITABLE = "unwritable"  # stands for the event where a line could not be written
+UNWRITABLE = "unwritable"  # key in `dropped` for lines that could not be written to the stream
 
 
 class EventRateLimiter:
-    """A token bucket for each event name. Not locked: called by the handler under its own lock."""
+    """A token bucket for each event name. Not thread-safe: the handler calls it under its own lock."""
 
     def __init__(self, burst: int = RATE_LIMIT_BURST, rate: float = RATE_LIMIT_PER_SECOND) -> None:
         self._burst = burst
         self._rate = rate
-        self._buckets: dict[str, tuple[float, float]] = {}  # event -> tokens left, and when that was
+        self._buckets: dict[str, tuple[float, float]] = {}  # event -> tokens, and the time of that count
 
     def allows(self, event: str, now: float) -> bool:
         """Whether one more line of this event may be written at `now` (monotonic seconds)."""
@@ -40,7 +40,7 @@
 
 
 class BackgroundHandler(logging.Handler):
-    """Queues lines for its own thread, which writes them and calls `on_idle` every `IDLE_INTERVAL` seconds."""
+    """Queues lines for a thread, which writes them and calls `on_idle` every `IDLE_INTERVAL` seconds."""
 
     def __init__(self, stream: TextIO, on_idle: Callable[[], None] = lambda: None) -> None:
         super().__init__()
@@ -53,11 +53,11 @@
         self.dropped: Counter[str] = Counter()  # lines not written, by event
 
     def start(self) -> None:
-        """Start the writing thread. Lines that came before wait for it."""
+        """Start the writing thread. Lines logged before stay queued until then."""
         self._thread = start_thread(self._run, "log")
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Queue a record's line, or drop and count it. Runs under the handler's lock."""
+        """Queue a record's line, or drop and count it. Called under the handler's lock."""
         now = time.monotonic()
         event = record.getMessage()
         if record.levelno < logging.ERROR and not self._limiter.allows(event, now):
@@ -70,7 +70,7 @@
             self.dropped[event] += 1
 
     def finish(self) -> None:
-        """Write what is queued and end the thread; give up after `FLUSH_TIMEOUT` seconds."""
+        """Write the queued lines and end the thread; return after `FLUSH_TIMEOUT` seconds at the latest."""
         try:
             self._queue.put_nowait(None)
         except Full:
@@ -81,7 +81,7 @@
     def _run(self) -> None:
         idle_at = time.monotonic() + IDLE_INTERVAL
         while True:
-            if time.monotonic() >= idle_at:  # also where lines never cease to come
+            if time.monotonic() >= idle_at:  # called even if the queue is never empty
                 self._on_idle()
                 idle_at = time.monotonic() + IDLE_INTERVAL
             try:
@@ -97,5 +97,5 @@
         try:
             self._stream.write(line + "\n")
             self._stream.flush()
-        except (OSError, ValueError):  # nobody reads the log any more: the service goes on without it
+        except (OSError, ValueError):  # the stream is closed: the service continues without a log
             self.dropped[UNWRITABLE] += 1
--- a/gingervane/telemetry/node_telemetry.py
+++ b/gingervane/telemetry/node_telemetry.py
@@ -1,11 +1,11 @@
-"""Logs and counters of a node: one line for each event, in `key=value` form, written by a thread of its own.
+"""Logs and counters of a node: one line for each event, as `key=value` pairs, written by a separate thread.
 
-A line holds the wall clock and the monotonic clock (the wall clock may be stepped), the node's name, the event and
-its fields, of which `reason` comes from a closed set (an enumeration). Callers never wait: a full queue drops the
-line and counts it, and each kind of event has a rate beyond which its lines are counted and not written. Counters are
-exact and are written every `IDLE_INTERVAL` seconds where something has changed, on SIGUSR1 and at the end.
+A line has the wall clock and the monotonic clock (the wall clock may be stepped), the node's name, the event
+and its fields, of which `reason` is a value of an enumeration. Callers never block: a line is dropped and
+counted if the queue is full, or if the rate limit of its event is exceeded. Counters are exact; they are
+written every `IDLE_INTERVAL` seconds if one has changed, on SIGUSR1 and at shutdown.
 
-Built on `logging`, whose records carry the fields. Every function may be called from any thread.
+Built on `logging`, whose records hold the fields. Every function may be called from any thread.
 """
 
 from __future__ import annotations
@@ -20,25 +20,25 @@
 from gingervane.telemetry.log_format import FIELDS_ATTRIBUTE, FieldValue, KeyValueFormatter
 from gingervane.telemetry.log_handler import BackgroundHandler
 
-UNNAMED = "-"  # the node's name in lines that come before its configuration is read
+UNNAMED = "-"  # the node's name in lines that are logged before its configuration is read
 
 
 class Log(Protocol):
-    """Takes one event with its fields; never waits. `event`: the value of a `LogEvent`."""
+    """Logs one event with its fields, without blocking. `event`: the value of a `LogEvent`."""
 
     def __call__(self, event: str, **fields: FieldValue) -> None:
-        """Take the event."""
+        """Log the event."""
 
 
 class Telemetry:
     """The log and the counters of one node."""
 
     def __init__(self, stream: TextIO | None = None, level: int = logging.INFO) -> None:
-        """`stream`: standard error if none is given. Lines that come before `start` wait."""
+        """`stream`: standard error by default. Lines logged before `start` are queued."""
         self.counters = Counters()
         self._handler = BackgroundHandler(stream or sys.stderr, self.dump)
         self._handler.setFormatter(KeyValueFormatter(UNNAMED))
-        # A logger of its own: no other code adds handlers to it.
+        # Not registered with `logging`, so that no other code adds handlers to it.
         self._logger = logging.Logger("gingervane.node", level)
         self._logger.addHandler(self._handler)
         self._dumped: dict[tuple[str, str], int] = {}
@@ -46,45 +46,45 @@
         self.add_source("log_lines_dropped", lambda: self._handler.dropped)
 
     def name(self, node: str) -> None:
-        """Put this node's name into the lines that follow."""
+        """Set the node's name in all further lines."""
         self._handler.setFormatter(KeyValueFormatter(node))
 
     def add_source(self, name: str, totals: Callable[[], Mapping[str, int]]) -> None:
-        """Dump totals by reason that another owner keeps; what is read may be one change behind."""
+        """Add counters by reason that another object maintains; a value read may lag by one change."""
         self._sources.append((name, totals))
 
     def start(self) -> None:
-        """Begin to write. To be called after signals are blocked, as the thread inherits the mask."""
+        """Start the writing thread. Call this after signals are blocked, as the thread inherits the mask."""
         self._handler.start()
 
     def stop(self) -> None:
-        """Write the counters and all lines that wait, then end the writing thread."""
+        """Write the counters and all queued lines, then end the writing thread."""
         self.dump()
         self._handler.finish()
 
     @property
     def debug_on(self) -> bool:
-        """Whether lines at debug level are written."""
+        """Whether events at debug level are logged."""
         return self._logger.isEnabledFor(logging.DEBUG)
 
     def debug(self, event: str, **fields: FieldValue) -> None:
-        """Log an event that matters to who looks into one query only."""
+        """Log an event that is useful only when a single query is investigated."""
         self._log(logging.DEBUG, event, fields)
 
     def info(self, event: str, **fields: FieldValue) -> None:
-        """Log an event of normal service."""
+        """Log an event of normal operation."""
         self._log(logging.INFO, event, fields)
 
     def warning(self, event: str, **fields: FieldValue) -> None:
-        """Log a fault that the node goes on without."""
+        """Log a fault despite which the node continues."""
         self._log(logging.WARNING, event, fields)
 
     def error(self, event: str, **fields: FieldValue) -> None:
-        """Log a fault of this program. Such lines are not limited in rate."""
+        """Log a fault of this program. Such lines are not rate-limited."""
         self._log(logging.ERROR, event, fields)
 
     def dump(self) -> None:
-        """Write the counters, if any has changed since they were last written."""
+        """Log the counters if any has changed since they were last logged."""
         totals = self.counters.snapshot()
         for name, read in self._sources:
             totals |= {(name, reason): count for reason, count in list(read().items())}
--- a/gingervane/tree/__init__.py
+++ b/gingervane/tree/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions about wide queries: splitting into subtrees, attempts and deadlines by level, coverage of leaves."""
+"""Wide queries: splitting into subtrees, attempts and deadlines at each level, coverage of leaves."""
--- a/gingervane/tree/cost.py
+++ b/gingervane/tree/cost.py
@@ -1,8 +1,9 @@
-"""Cost models of wide queries, learned from the latency of earlier answers. Free of I/O.
+"""Cost models of wide queries, fitted to the latency of earlier answers. Free of I/O.
 
-Latency is modelled as `base + seconds per leaf * leaves`, by least squares over the latest answers with exponentially
-decaying weights. One model is kept for asking leaves directly and one for a subtree as its parent sees it. Until a
-model has seen enough answers it is not reliable, and the planner keeps to its fan-out bound alone.
+Latency is modelled as `base + seconds per leaf * leaves`, by least squares over the answers so far with
+exponentially decaying weights. One model is for querying leaves directly and one for a subtree as its parent
+sees it. A model is unreliable until it has recorded enough answers; until then the planner applies only its
+fan-out bound.
 """
 
 from __future__ import annotations
@@ -10,9 +11,9 @@
 from math import sqrt
 
 DECAY = 0.98  # weight of an answer relative to the next one
-MIN_ANSWERS = 8.0  # sum of weights from which a model is reliable
+MIN_ANSWERS = 8.0  # sum of weights from which on a model is reliable
 STANDARD_DEVIATIONS = 2.0  # added to the expected latency for an upper estimate
-_MIN_RELATIVE_SPREAD = 1e-9  # of the numbers of leaves, under which the slope is undetermined
+_MIN_RELATIVE_SPREAD = 1e-9  # of the numbers of leaves; below it the slope is undetermined
 
 
 class LinearModel:
@@ -37,12 +38,12 @@
 
     @property
     def is_reliable(self) -> bool:
-        """Whether the model has seen enough answers."""
+        """Whether the model has recorded enough answers."""
         return self._weight >= MIN_ANSWERS
 
     @property
     def seconds_per_leaf(self) -> float:
-        """Seconds that each leaf adds; 0 where all answers had one size, which leaves the slope undetermined."""
+        """Seconds that each leaf adds; 0 if all answers had the same size and the slope is undetermined."""
         spread = self._weight * self._sum_leaves_squared - self._sum_leaves * self._sum_leaves
         if spread <= _MIN_RELATIVE_SPREAD * max(self._sum_leaves_squared, 1.0):
             return 0.0
@@ -51,7 +52,7 @@
 
     @property
     def base_seconds(self) -> float:
-        """Seconds that every answer takes, whatever its number of leaves."""
+        """Seconds that every answer takes, independent of its number of leaves."""
         if not self._weight:
             return 0.0
         return max((self._sum_seconds - self.seconds_per_leaf * self._sum_leaves) / self._weight, 0.0)
@@ -61,7 +62,7 @@
         return self.base_seconds + self.seconds_per_leaf * leaves
 
     def likely_seconds(self, leaves: float) -> float:
-        """Return a latency within which most answers of that size come."""
+        """Return an upper estimate of the latency of most answers from `leaves` leaves."""
         if not self._weight:
             return 0.0
         mean = self._sum_seconds / self._weight
@@ -82,10 +83,10 @@
         self.subtree = LinearModel()
 
     def flat_seconds(self, leaves: int) -> float:
-        """Return the expected latency of asking `leaves` leaves directly."""
+        """Return the expected latency of querying `leaves` leaves directly."""
         return self.flat.expected_seconds(leaves)
 
     def tree_seconds(self, leaves: int, subtrees: int) -> float:
-        """Return the expected latency of asking them through `subtrees` children in parallel."""
+        """Return the expected latency of querying `leaves` leaves through `subtrees` children in parallel."""
         largest_subtree = -(-leaves // subtrees)
         return self.subtree.expected_seconds(largest_subtree)
--- a/gingervane/tree/coverage.py
+++ b/gingervane/tree/coverage.py
@@ -1,8 +1,9 @@
-"""Coverage of an answer by leaf: reported by a child in headers, verified and summed by its parent. Free of I/O.
+"""Coverage of an answer by leaf, reported by a child and verified and summed by its parent. Free of I/O.
 
-A child is asked for a list of leaves in an order that both sides know. It answers with a bitmap over that list (bit
-i of byte i // 8, lowest first, in base64) and with the number of series that it holds of each received leaf, run
-length encoded. The numbers make a bitmap verifiable: the series of the answer must agree with it.
+A parent requests a list of leaves in an order that both sides know. The child reports, in headers, a bitmap
+over that list (leaf i is bit i % 8 of byte i // 8, lowest bit first, in base64) and the run-length encoded
+number of series of each received leaf. The numbers make the bitmap verifiable: the series in the answer must
+agree with them.
 """
 
 from __future__ import annotations
@@ -12,19 +13,19 @@
 from collections import Counter
 from collections.abc import Iterable, Sequence
 
-MAX_LEAVES = 20_000  # of one bitmap
+MAX_LEAVES = 20_000  # in one bitmap
 _MAX_COUNT_DIGITS = 9
 _MAX_REPEAT_DIGITS = 6
 
 
 class CoverageError(ValueError):
-    """The coverage that a child reports is malformed or contradicts its answer."""
+    """The coverage reported by a child is malformed or contradicts its answer."""
 
 
 def encode(requested: Sequence[str], series_counts: dict[str, int]) -> tuple[str, str]:
     """Return the bitmap and the encoded series counts of the leaves in `series_counts`."""
     bits = bytearray((len(requested) + 7) // 8)
-    runs: list[list[int]] = []  # [count, repeated]
+    runs: list[list[int]] = []  # pairs of a count and how often it is repeated
     for index, leaf in enumerate(requested):
         if leaf not in series_counts:
             continue
@@ -81,7 +82,7 @@
 
 
 def verify(series_counts: dict[str, int], series_leaves: Iterable[str]) -> None:
-    """Compare the reported counts with the leaf of each series in the answer. Raises CoverageError."""
+    """Check the reported counts against the leaf of each series in the answer. Raises CoverageError."""
     received_counts = Counter(series_leaves)
     for leaf, count in received_counts.items():
         if leaf not in series_counts:
@@ -94,10 +95,10 @@
 
 
 def leaves_with_series(requested: Sequence[str], series_leaves: Iterable[str]) -> dict[str, int]:
-    """Return the leaves that an answer without coverage headers proves, with their numbers of series.
+    """Return the leaves that an answer without coverage headers provably covers, and their numbers of series.
 
-    A leaf without series may be empty or missing, and nothing proves which. It does not count as received, so that
-    it is asked directly. Raises CoverageError for a leaf that was not asked for.
+    A leaf without series may be empty or missing, and the answer does not tell which. It does not count as
+    received, so that it is queried directly. Raises CoverageError for a leaf that was not requested.
     """
     received_counts = Counter(series_leaves)
     if unexpected := set(received_counts) - set(requested):
@@ -106,9 +107,9 @@
 
 
 class LeafCoverage:
-    """The received leaves of one wide query: each counts once, whichever subquery returned it.
+    """The received leaves of one wide query; each leaf counts once, even if several subqueries return it.
 
-    `weights` sum to 1. The share is the sum over leaves, never over children.
+    `weights`: the weight of each leaf; they sum to 1.
     """
 
     def __init__(self, weights: dict[str, float]) -> None:
@@ -117,7 +118,7 @@
 
     @property
     def share(self) -> float:
-        """The weight of the received leaves."""
+        """The sum of the weights of the received leaves."""
         return 1.0 if self.complete else sum(self._weights[leaf] for leaf in self._source)
 
     @property
@@ -126,16 +127,16 @@
         return len(self._source) == len(self._weights)
 
     def missing_leaves(self) -> list[str]:
-        """Return the leaves that have not been received, in order."""
+        """Return the leaves that have not been received, in the order of `weights`."""
         return [leaf for leaf in self._weights if leaf not in self._source]
 
     def add(self, source: int, received: Iterable[str]) -> set[str]:
-        """Add the leaves of an answer and return the new ones. The caller keeps the series of these only."""
+        """Add the leaves of an answer; return the new ones. The caller must keep only the series of these."""
         new = {leaf for leaf in received if leaf in self._weights and leaf not in self._source}
         for leaf in new:
             self._source[leaf] = source
         return new
 
     def source(self, leaf: str) -> int | None:
-        """Return the subquery that a leaf was received from, or None."""
+        """Return the id of the subquery that first returned a leaf; None if it has not been received."""
         return self._source.get(leaf)
--- a/gingervane/tree/plan.py
+++ b/gingervane/tree/plan.py
@@ -1,12 +1,12 @@
 """Planning of wide queries: whether to split a query into subtrees, and how. Free of I/O.
 
-Leaves are asked directly (a flat plan) where that is better: within the fan-out bound unless the measured models say
-that a tree is clearly faster, and always where no child is ready, no level is left, or too little time is. Past the
-bound a query is split, whatever the models say, as long as a child can take the subtrees.
+Up to the fan-out bound, the leaves are queried directly (a flat plan) unless the cost models predict that a
+tree is clearly faster. Above the bound a query is split whatever the models predict. A plan is always flat if
+no child is available, or if no level or no attempt remains.
 
-Splits follow the ring of shards, so that the leaves of a subtree share replicas and requests. Each subtree gets a
-position on the ring of co-ordinators that differs by query, so that concurrent wide queries do not all load one
-co-ordinator. Which of the co-ordinators at that position takes it is the decision engine's choice, not made here.
+Splits follow the ring of shards, so that the leaves of a subtree share replicas and requests. The position of
+each subtree on the ring of co-ordinators differs by query, so that concurrent wide queries do not all load
+the same co-ordinator. The decision engine chooses among the co-ordinators that serve a position.
 """
 
 from __future__ import annotations
@@ -16,33 +16,33 @@
 
 from gingervane.tree.cost import CostModels
 
-TREE_TIME_THRESHOLD = 0.8  # of the flat latency, under which a tree is clearly faster
-MAX_TRAIL_LENGTH = 16  # names in a trail, past which a query is rejected
-_MAX_PLANNED_LEVELS = 3  # levels whose reach counts in the number of subtrees
+TREE_TIME_THRESHOLD = 0.8  # fraction of the flat latency below which a tree is clearly faster
+MAX_TRAIL_LENGTH = 16  # names in a trail; a query with a longer one is rejected
+_MAX_PLANNED_LEVELS = 3  # levels of co-ordinators that count when the reach of a child is computed
 
-# Parts of the time left that are kept for asking leaves directly.
+# Fractions of the remaining time that are reserved for querying missing leaves directly.
 _MIN_FALLBACK_SHARE = 1 / 8
 _TIGHT_FALLBACK_SHARE = 1 / 4
 _MAX_FALLBACK_SHARE = 1 / 2
 
 
 class TreeLimits(NamedTuple):
-    """Bounds of the tree of co-ordinators."""
+    """Bounds on the tree of co-ordinators."""
 
-    fan_out: int  # leaves that one co-ordinator asks directly
+    fan_out: int  # leaves that one co-ordinator queries directly
     levels: int  # of co-ordinators below a root
     ring_size: int  # positions on the ring of co-ordinators
-    placement_width: int  # positions whose co-ordinators may take a subtree: its own and the next ones
+    placement_width: int  # consecutive positions, from a subtree's own on, whose co-ordinators may serve it
     leaf_attempts: int  # attempts that may run at a leaf for one part of a root's query, over all paths
 
 
 class QueryTask(NamedTuple):
-    """A query as a co-ordinator received it."""
+    """A query as received by a co-ordinator."""
 
     leaves: tuple[str, ...]
     seconds_left: float  # until the answer must be written
-    levels: int  # of co-ordinators that may still stand below this one
-    attempts: int  # that may run for each leaf below here
+    levels: int  # of co-ordinators allowed below this one
+    attempts: int  # that may run for each leaf
     trail: tuple[str, ...] = ()  # names of the co-ordinators above, root first
 
 
@@ -54,14 +54,14 @@
 
 
 class SubtreePlan(NamedTuple):
-    """The subtrees of a query; none for a flat plan. `reason` is for logs and tests."""
+    """The subtrees of a query; none for a flat plan. `reason` explains the choice in logs and tests."""
 
     subtrees: tuple[Subtree, ...]
     reason: str
 
 
 class TaskRejectedError(Exception):
-    """A task that must not be taken: `is_loop` for a cycle or runaway depth, else for lack of time."""
+    """A task is rejected: `is_loop` for a cycle or too many levels, otherwise for lack of time."""
 
     def __init__(self, detail: str, is_loop: bool) -> None:
         super().__init__(detail)
@@ -69,12 +69,12 @@
 
 
 def admit(task: QueryTask, name: str, limits: TreeLimits, costs: CostModels) -> None:
-    """Reject at once what cannot or must not be done by the co-ordinator `name`. Raises TaskRejectedError."""
+    """Check that the co-ordinator `name` may and can run a task. Raises TaskRejectedError if not."""
     if name in task.trail:
         raise TaskRejectedError(f"a cycle: {name!r} is above itself in {'/'.join(task.trail)}", True)
     if len(task.trail) > MAX_TRAIL_LENGTH or task.levels > limits.levels:
         raise TaskRejectedError(f"{task.levels} levels below here, {limits.levels} at most", True)
-    # Half of the usual latency of the cheapest plan: under it even a lucky answer comes too late.
+    # With less than half of the expected latency of the cheapest plan, even a fast answer would be too late.
     required = min(costs.flat_seconds(len(task.leaves)), costs.flat_seconds(limits.fan_out)) / 2
     if task.trail and costs.flat.is_reliable and task.seconds_left < required:
         raise TaskRejectedError(f"{task.seconds_left:.3f} s left, about {2 * required:.3f} s needed", False)
@@ -88,9 +88,9 @@
 
 
 def available_positions(peers: PeerCoordinators, trail: Sequence[str], limits: TreeLimits) -> list[int]:
-    """Return the ring positions that a ready co-ordinator serves and none of the trail does.
+    """Return the ring positions served by a ready co-ordinator and by none in the trail.
 
-    A subtree sent to one of them cannot come back to a co-ordinator above.
+    A subtree sent to such a position cannot reach a co-ordinator above again.
     """
     excluded = {peers.ring_positions[name] for name in trail if name in peers.ring_positions}
     ready = {peers.ring_positions[name] for name in peers.ready}
@@ -108,7 +108,7 @@
 def plan_query(
     task: QueryTask, positions: Sequence[int], rotation: int, limits: TreeLimits, costs: CostModels
 ) -> SubtreePlan:
-    """Plan a query, flat or as subtrees at the available `positions`.
+    """Return a flat plan, or one with subtrees at the available `positions`.
 
     `rotation`: a number that differs by query and spreads the subtrees of concurrent queries over the ring.
     """
@@ -131,7 +131,7 @@
 
 
 def _faster_subtree_count(leaves: int, positions: int, costs: CostModels) -> int | None:
-    """Return the number of subtrees that is clearly faster than a flat plan; None if none is."""
+    """Return the number of subtrees of the fastest tree; None if a flat plan is about as fast."""
     if not (costs.flat.is_reliable and costs.subtree.is_reliable):
         return None
     best = min(range(2, max(positions, 2) + 1), key=lambda count: costs.tree_seconds(leaves, count))
@@ -141,9 +141,11 @@
 
 
 def _required_subtree_count(task: QueryTask, positions: int, limits: TreeLimits) -> int:
-    """Return the number of subtrees past the fan-out bound.
+    """Return the number of subtrees above the fan-out bound.
 
-    As few as keep each within a child's own bound, but no fewer than two, to share the work.
+    Each subtree must be within reach of a child and its levels, and there are at least two, to share the
+    work. Up to the number of positions, more subtrees are used so that each stays within a child's own
+    fan-out bound.
     """
     leaves = len(task.leaves)
     child_reach = (
@@ -155,7 +157,7 @@
 def split_leaves(
     leaves: Sequence[str], count: int, rotation: int, positions: Sequence[int]
 ) -> tuple[Subtree, ...]:
-    """Split leaves into `count` runs whose lengths differ by one at most, at positions spread over the ring."""
+    """Split leaves into `count` runs whose lengths differ by at most one, spread over the ring."""
     subtrees = []
     start = 0
     for index in range(count):
@@ -167,17 +169,17 @@
 
 
 class TimeSplit(NamedTuple):
-    """The time left at a level: for subtrees to answer, and then for asking missing leaves directly."""
+    """The remaining time at a level: for subtrees to answer, then for querying missing leaves directly."""
 
     subtree_seconds: float
     fallback_seconds: float
 
 
 def split_time(seconds_left: float, largest_subtree: int, costs: CostModels) -> TimeSplit:
-    """Keep enough of the time left to ask the leaves of the largest subtree directly, if it is lost.
+    """Reserve enough of the remaining time to query the leaves of the largest subtree directly if it fails.
 
-    Where that and a subtree do not both fit, the subtree gets three quarters: an answer that is late because its
-    leaves were asked again is worth no more than none.
+    If that takes at least half of the time, the subtree still gets three quarters, as an answer that is too
+    late because its leaves were queried again is worth no more than none.
     """
     if costs.flat.is_reliable:
         needed = costs.flat.likely_seconds(largest_subtree)
--- a/gingervane/tree/wide_query.py
+++ b/gingervane/tree/wide_query.py
@@ -1,13 +1,14 @@
-"""State machine of one wide query at one co-ordinator, from its plan to its one result. Free of I/O.
+"""State machine of one wide query at one co-ordinator, from its plan to its only result. Free of I/O.
 
-The query is split into subtrees (`plan.plan_query`), each of which is one *subquery*. What a subquery returns is
-summed by leaf (`coverage.LeafCoverage`); leaves that it does not return are asked directly, in the time that was kept
-back, if attempts are left (`attempt_quota.AttemptQuota`) and the class allows it. Received leaves are kept.
+The query is split into subtrees (`plan.plan_query`), each of which is one *subquery*. The leaves that
+subqueries return are collected (`coverage.LeafCoverage`). Leaves that a child does not return are queried
+directly, in the time reserved for that, if attempts remain (`attempt_quota.AttemptQuota`) and the query class
+allows it.
 
-Each leaf has at most two subqueries, one through a child and one direct, so that every query ends. Which child takes
-a subtree, when a request is hedged and which child is ejected is decided below this, by the decision engine.
+Each leaf has at most two subqueries, one through a child and one direct, so that every query ends. The
+decision engine decides which child serves a subtree, when a request is hedged and which child is ejected.
 
-Threads: owned by its caller, one thread for one query.
+Threads: not thread-safe; one thread owns a query.
 """
 
 from __future__ import annotations
@@ -28,7 +29,7 @@
 
 
 class QuerySubtree(NamedTuple):
-    """Ask a child for a subtree."""
+    """Send a subtree to a child."""
 
     subquery_id: int
     subtree: Subtree
@@ -39,7 +40,7 @@
 
 
 class QueryLeaves(NamedTuple):
-    """Ask leaves directly."""
+    """Query leaves directly."""
 
     subquery_id: int
     leaves: tuple[str, ...]
@@ -48,18 +49,18 @@
 
 
 class CancelSubquery(NamedTuple):
-    """Cancel a subquery whose outcome is no longer needed, down to its leaves."""
+    """Cancel a subquery whose outcome is no longer needed, at all levels down to its leaves."""
 
     subquery_id: int
 
 
 class WideQueryResult(NamedTuple):
-    """The one result of a wide query."""
+    """The only result of a wide query."""
 
     status: QueryStatus
     share: float
     missing: tuple[str, ...]
-    retry_after: float  # seconds, the longest that a subquery was told
+    retry_after: float  # seconds; the longest delay among the rejections of subqueries
     attempts_used: int  # the most attempts that may have run for any leaf
 
 
@@ -71,42 +72,42 @@
 
     received_leaves: frozenset[str] = frozenset()
     attempts_used: int | None = None  # the most that may have run for any leaf; None if unknown
-    never_executed: bool = False  # proof that nothing of it ran
-    retry_after: float | None = None  # of a rejection; None if it was none
+    never_executed: bool = False  # whether it is proved that nothing of it was executed
+    retry_after: float | None = None  # seconds, if it was rejected; None otherwise
 
 
 @dataclass
 class _Subquery:
     leaves: tuple[str, ...]
-    direct: bool  # asks the leaves themselves, not a child
+    direct: bool  # queries the leaves themselves, not a child
     started_at: float = 0.0
 
 
 @dataclass
 class CompletionRules:
-    """What the query class and the client allow."""
+    """The conditions under which a query may be retried or answered in part."""
 
     retry_safety: RetrySafety
     required_share: float
-    accepts_any_share: bool = False  # because the parent sums
+    accepts_any_share: bool = False  # for a parent, which adds up the shares of its children
 
 
 @dataclass
 class WideQuery:
-    """One wide query. Each event returns actions to carry out; the last one is a WideQueryResult."""
+    """One wide query. Each event returns actions for the caller to execute; the last is a WideQueryResult."""
 
     task: QueryTask
     rules: CompletionRules
     limits: TreeLimits
     costs: CostModels
-    plan: SubtreePlan  # of `plan.plan_query`, for this task
+    plan: SubtreePlan  # returned by `plan.plan_query` for this task
     result: WideQueryResult | None = None
     _subqueries: dict[int, _Subquery] = field(default_factory=dict)  # in flight, by id
     _next_id: int = 1
     _deadline: float = inf
     _may_have_executed: bool = False
     _retry_after: float = 0.0
-    _unreachable: set[str] = field(default_factory=set)  # leaves that no subquery is left for
+    _unreachable: set[str] = field(default_factory=set)  # missing leaves without a subquery in flight
 
     def __post_init__(self) -> None:
         weight = 1.0 / max(len(self.task.leaves), 1)
@@ -115,7 +116,7 @@
 
     @property
     def deadline(self) -> float:
-        """When `expire` is due."""
+        """The time at which `expire` must be called."""
         return self._deadline
 
     def start(self, now: float) -> list[Action]:
@@ -128,7 +129,7 @@
         return [self._query_subtree(now, subtree, seconds) for subtree in self.plan.subtrees]
 
     def subquery_finished(self, now: float, subquery_id: int, outcome: SubqueryOutcome) -> list[Action]:
-        """Record how a subquery ended, and ask directly for the leaves that a child did not return."""
+        """Record how a subquery ended, and query directly the leaves that a child did not return."""
         subquery = self._subqueries.pop(subquery_id, None)
         if subquery is None or self.result:
             return []
@@ -143,17 +144,17 @@
         return actions + self._finish_if_decided()
 
     def expire(self, now: float) -> list[Action]:
-        """At the deadline, finish with what has been received."""
+        """Finish with the received leaves if the deadline has passed."""
         return [] if self.result or now < self._deadline else self._finish_with_received(final=True)
 
     def client_disconnected(self) -> list[Action]:
-        """Finish without an answer, as there is no client any more."""
+        """Finish without an answer, as the client has disconnected."""
         return [] if self.result else self._finish(QueryStatus.CLIENT_DISCONNECTED)
 
     def _record_outcome(
         self, now: float, subquery_id: int, subquery: _Subquery, outcome: SubqueryOutcome
     ) -> None:
-        """Update quota, coverage and cost models by one outcome."""
+        """Update quota, coverage and cost models with the outcome of a subquery."""
         self.quota.release(subquery_id, 0 if outcome.never_executed else outcome.attempts_used)
         self._may_have_executed = self._may_have_executed or not outcome.never_executed
         if outcome.retry_after is not None:
@@ -171,7 +172,7 @@
         return subquery_id
 
     def _query_subtree(self, now: float, subtree: Subtree, seconds: float) -> QuerySubtree:
-        """Send a subtree to a child, with one attempt for each leaf held back for a further execution."""
+        """Send a subtree to a child, with one attempt per leaf reserved for a further execution."""
         first = self.quota.offer(subtree.leaves, last=False)
         held_back = self.quota.max_attempts - first
         attempts_by_execution = (first, held_back) if held_back else (first,)
@@ -179,10 +180,10 @@
         return QuerySubtree(subquery_id, subtree, seconds, attempts_by_execution)
 
     def _query_leaves(self, now: float, leaves: tuple[str, ...]) -> list[Action]:
-        """Ask leaves directly, grouped by the number of attempts that they have left.
+        """Query leaves directly, grouped by the number of attempts that they have left.
 
-        The groups stay within the fan-out bound and each is a subquery of its own: what is rejected or lost of one
-        group takes nothing from the others, and their answers count as they come.
+        Each group is within the fan-out bound and is a separate subquery, so that a rejection or failure of
+        one group does not affect the others and each answer counts as soon as it is received.
         """
         seconds_left = self._deadline - now
         if seconds_left <= 0:
@@ -201,7 +202,7 @@
         return actions
 
     def _finish_if_decided(self) -> list[Action]:
-        """Finish at once a query that is complete, cannot cover enough, or has nothing in flight."""
+        """Finish a query that is complete, cannot reach the required share, or has nothing in flight."""
         if self.coverage.complete:
             return self._finish(QueryStatus.COMPLETE)
         weight = 1.0 / max(len(self.task.leaves), 1)
@@ -212,12 +213,12 @@
         return []
 
     def _finish_with_received(self, final: bool) -> list[Action]:
-        """Finish by what has been received. `final`: no more can be received, so that a part may be enough."""
+        """Finish with the received leaves. `final`: no more will be received, so a partial answer may do."""
         if self.coverage.complete:
             return self._finish(QueryStatus.COMPLETE)
         if final and self._is_share_enough():
             return self._finish(QueryStatus.PARTIAL)
-        # What is in flight may still execute: only an idempotent query may be rejected then.
+        # Subqueries in flight may still be executed; then only an idempotent query may be rejected.
         may_execute = self._may_have_executed or bool(self._subqueries)
         retry_is_safe = self.rules.retry_safety is RetrySafety.IDEMPOTENT or not may_execute
         return self._finish(QueryStatus.REJECTED if retry_is_safe else QueryStatus.FAILED)
@@ -239,22 +240,22 @@
 
 
 class ExecutionUse(NamedTuple):
-    """The attempts for each leaf that one execution of a subtree was granted, and what is known of their use."""
+    """The attempts for each leaf that one execution of a subtree was granted and reported as used."""
 
     granted: int
-    never_executed: bool  # proof that it did not run
-    reported: int | None  # what the child says it used, if it answered
+    never_executed: bool  # whether it is proved that it was not executed
+    reported: int | None  # attempts used as reported by the child, if it answered
 
 
 class TotalUse(NamedTuple):
-    """The attempts that a subtree's executions used at most for any leaf, and whether none of them ran."""
+    """The most attempts that the executions of a subtree used for any leaf, and whether none was executed."""
 
     attempts: int
     never_executed: bool
 
 
 def total_attempts_used(executions: Iterable[ExecutionUse]) -> TotalUse:
-    """Sum the attempts that the executions of one subtree used."""
+    """Add up the attempts that the executions of one subtree used."""
     total = 0
     never_executed = True
     for execution in executions:
--- a/gingervane/tree/wide_query_runner.py
+++ b/gingervane/tree/wide_query_runner.py
@@ -1,8 +1,9 @@
 """Runs one wide query of any protocol: submits its subqueries and reports their results to `WideQuery`.
 
-Threads: owned by the client's connection thread from the first subquery to the last. It waits in one place, for the
-results of all its pending queries and for the client to disconnect; the decisions are WideQuery's. It returns only
-when every pending query is complete, so that nothing of the query is sent from here after its reply is written.
+Threads: the thread of the client's connection runs the query from the first subquery to the last. It waits on
+one queue for the results of all pending queries and for the client to disconnect; `WideQuery` makes the
+decisions. `run` returns only when every pending query is complete, so that nothing is sent for the query
+after its reply.
 """
 
 from __future__ import annotations
@@ -34,20 +35,20 @@
 
 
 class RunnerConfig(NamedTuple):
-    """What a wide query needs of its co-ordinator."""
+    """What a wide query needs from its co-ordinator."""
 
-    leaf_coordinator: QueryCoordinator  # asks leaves
-    subtree_coordinator: QueryCoordinator  # asks children
+    leaf_coordinator: QueryCoordinator  # queries leaves
+    subtree_coordinator: QueryCoordinator  # queries children
     leaf_codec: t.HttpCodec
     subtree_codec: t.HttpCodec
     coordinator_name: str
     query_class: str
-    leaf_class: int  # index of the class that collects, for the decision engine of leaves
-    subtree_class: int  # index of the class, for the decision engine of children
+    leaf_class: int  # index of the class variant that accepts any share, in the decision engine for leaves
+    subtree_class: int  # index of the class in the decision engine for children
 
 
 class WideQueryOutcome(NamedTuple):
-    """What a wide query came to."""
+    """The result of a wide query, with the received data and all attempts."""
 
     result: WideQueryResult
     results_by_leaf: dict[str, dict[int, Any]]  # by leaf, then by index of the client's query
@@ -63,7 +64,7 @@
 
 
 class _SubqueryResult(NamedTuple):
-    """What one subquery returned."""
+    """What one subquery returned, whether through a child or from leaves directly."""
 
     results_by_leaf: dict[str, dict[int, Any]]
     attempts_used: int
@@ -73,8 +74,8 @@
 class WideQueryRunner:
     """Runs one wide query.
 
-    `queries`: the client's queries, each with the leaves that it touches. `leaf_part` makes the part of a leaf, and
-    `leaf_subquery` describes a part's content.
+    `queries`: the client's queries, each with the leaves that it touches. `leaf_part` returns the part of a
+    leaf, and `leaf_subquery` the leaf and the query indexes of a part's content.
     """
 
     def __init__(
@@ -98,7 +99,7 @@
         self._detail = ""
 
     def client_disconnected(self) -> None:
-        """Stop the query, as its client has disconnected; safe from any thread."""
+        """Stop the query because its client has disconnected; may be called from any thread."""
         self._events.put(_CLIENT_DISCONNECTED)
 
     def run(self) -> WideQueryOutcome:
@@ -115,7 +116,7 @@
         return WideQueryOutcome(result, self._results, self._attempts, self._detail)
 
     def _next_event(self, timed: bool) -> Any:
-        """Return the next event; None once the deadline is reached, if `timed`."""
+        """Wait for the next event; if `timed`, return None once the deadline has passed."""
         seconds_left = self._wide_query.deadline - time.monotonic()
         if not timed:
             return self._events.get()
@@ -127,7 +128,7 @@
             return None
 
     def _execute(self, actions: Sequence[Action]) -> WideQueryResult | None:
-        """Carry out actions, and those that follow from them; return the result if it is among them."""
+        """Execute actions and those that follow from them; return the result if it is among them."""
         result: WideQueryResult | None = None
         remaining = list(actions)
         while remaining:
@@ -143,7 +144,7 @@
         return result
 
     def _submit(self, action: QuerySubtree | QueryLeaves) -> list[Action]:
-        """Submit a subquery; return what follows if it is rejected at once."""
+        """Submit a subquery; return the actions that follow if it is rejected at once."""
         try:
             pending = (
                 self._submit_leaves(action)
@@ -178,7 +179,7 @@
         return config.subtree_coordinator.submit(plan, self._events)
 
     def _subtree_query(self, action: QuerySubtree, attempts: int) -> SubtreeQuery:
-        """Return the content of one execution of a subtree, with so many attempts for each leaf."""
+        """Return the content of one execution of a subtree; `attempts` is its grant for each leaf."""
         leaves = tuple(sorted(action.subtree.leaves))
         inside = frozenset(leaves)
         queries = tuple(
@@ -192,7 +193,7 @@
         return SubtreeQuery(queries, leaves, self._config.query_class, context)
 
     def _handle_result(self, pending: PendingQuery, result: t.QueryResult) -> WideQueryResult | None:
-        """Report the result of a subquery, and keep the series of the leaves that count from it."""
+        """Report the result of a subquery, and keep the data of the leaves that it is the first to return."""
         subquery_id = self._subquery_ids.pop(pending)
         action = self._in_flight.pop(subquery_id).action
         self._attempts += result.attempts
@@ -240,7 +241,7 @@
 
 
 class LeafResults(NamedTuple):
-    """What leaves that were asked directly returned."""
+    """The results of leaves that were queried directly."""
 
     results_by_leaf: dict[str, dict[int, Any]]  # by leaf, then by index of the client's query
     attempts_used: int  # the most that ran for any leaf
@@ -251,7 +252,7 @@
     result: t.QueryResult,
     leaf_subquery: Callable[[Any], LeafSubquery],
 ) -> LeafResults:
-    """Group the results of parts by leaf, and count the attempts that ran."""
+    """Group the results of parts by leaf, and count the attempts that were executed."""
     executed = Counter(attempt.shard for attempt in result.attempts if not attempt.never_ran)
     results_by_leaf: dict[str, dict[int, Any]] = {}
     for index, part_results in result.results.items():
