--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -46,26 +46,28 @@
     sock.shutdown(socket.SHUT_WR)
 
 
-LEAVING = [closes, resets, closes_behind_bytes, shuts_its_side]
+DISCONNECTS = [closes, resets, closes_behind_bytes, shuts_its_side]
 
 
-@pytest.mark.parametrize("leave", LEAVING)
-def test_a_client_that_leaves_with_a_part_out(tmp_path: Path, leave: Callable[[socket.socket], None]) -> None:
-    silent = Replica(0, lambda wire, part: None)
-    platform = Platform(tmp_path, silent)
+@pytest.mark.parametrize("leave", DISCONNECTS)
+def test_a_client_that_disconnects_with_a_part_in_flight(
+    tmp_path: Path, leave: Callable[[socket.socket], None]
+) -> None:
+    unresponsive = Replica(0, lambda wire, part: None)
+    platform = Platform(tmp_path, unresponsive)
     sock = platform.client()
     sock.sendall(query("q", {0: 1.0}))
-    silent.parts.wait(1, lambda part: part.id == "q.0")
+    unresponsive.parts.wait(1, lambda part: part.id == "q.0")
     leave(sock)
-    assert silent.cancels.wait() == ["q.0"]
+    assert unresponsive.cancels.wait() == ["q.0"]
     until(lambda: not connections_of(platform)._open, "its connection is gone")
     assert asked(platform) == ["q.0"], "what came behind it is nobody's any more"
     sock.close()
     platform.close()
 
 
-@pytest.mark.parametrize("leave", LEAVING)
-def test_a_client_that_left_before_its_request_was_read(
+@pytest.mark.parametrize("leave", DISCONNECTS)
+def test_a_client_that_disconnected_before_its_request_was_read(
     platform: Platform,
     looking: Held,
     leave: Callable[[socket.socket], None],
@@ -82,38 +84,38 @@
     sock.close()
 
 
-def test_a_client_that_left_while_it_waited_for_the_decision_thread(
+def test_a_client_that_disconnects_while_its_query_waits_for_the_decision_thread(
     platform: Platform,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    turning = Held(monkeypatch, QueryCoordinator, "_turn")
-    left, leave = Waiter(), QueryCoordinator.client_disconnected
+    decision_turn = Held(monkeypatch, QueryCoordinator, "_turn")
+    disconnected, leave = Waiter(), QueryCoordinator.client_disconnected
 
-    def note(self: QueryCoordinator, number: int) -> None:
+    def record_disconnect(self: QueryCoordinator, number: int) -> None:
         leave(self, number)
-        left.put(number)
+        disconnected.put(number)
 
-    monkeypatch.setattr(QueryCoordinator, "client_disconnected", note)
-    turning.hold()
-    assert turning.entered.wait(PATIENCE)
+    monkeypatch.setattr(QueryCoordinator, "client_disconnected", record_disconnect)
+    decision_turn.hold()
+    assert decision_turn.entered.wait(PATIENCE)
     sock = platform.client()
     sock.sendall(query("q", {0: 1.0}))
     until(lambda: platform.node.core.admission.open, "the query is in the inbox")
     sock.close()
-    left.wait()
-    turning.let_go()
+    disconnected.wait()
+    decision_turn.let_go()
     assert platform.ask("after", {0: 1.0})[0] == 200
     assert asked(platform) == ["after.0"]
 
 
 # What is about to be decided as the client leaves: the next step, a copy, a retry.
-NEXT = ["its second step", "a copy", "a retry"]
+NEXT_SENDS = ["its second step", "a copy", "a retry"]
 
 
 @pytest.mark.parametrize("cancelling", [True, False])
 @pytest.mark.parametrize("first", ["leaves", "is due", "stays"])
-@pytest.mark.parametrize("due", NEXT)
-def test_a_client_that_leaves_as_more_is_about_to_be_sent_for_it(
+@pytest.mark.parametrize("due", NEXT_SENDS)
+def test_a_client_that_disconnects_as_a_further_send_is_due(
     tmp_path: Path,
     monkeypatch: pytest.MonkeyPatch,
     due: str,
@@ -129,44 +131,44 @@
         if part.id.startswith("after"):
             wire.answer(part.id)
 
-    turning, left, leave = (
+    decision_turn, disconnected, leave = (
         Held(monkeypatch, QueryCoordinator, "_turn"),
         Waiter(),
         QueryCoordinator.client_disconnected,
     )
-    turning.go.set()
+    decision_turn.go.set()
 
-    def note(self: QueryCoordinator, number: int) -> None:
+    def record_disconnect(self: QueryCoordinator, number: int) -> None:
         leave(self, number)
-        left.put(number)
+        disconnected.put(number)
 
-    monkeypatch.setattr(QueryCoordinator, "client_disconnected", note)
+    monkeypatch.setattr(QueryCoordinator, "client_disconnected", record_disconnect)
     limits = SETTINGS["Limits"] | {"Cancelling": cancelling}
     replicas = Replica(0, behave), Replica(0, behave)
     platform = Platform(tmp_path, *replicas, settings=SETTINGS | {"Limits": limits})
     core, sock = platform.node.core, platform.client()
-    turning.go.clear()
+    decision_turn.go.clear()
     module: Any = core._driver._module
     module.latency.samples[0].extend([0.4] * 25)  # after which a copy follows
 
-    def out() -> list[tuple[Replica, Part]]:
+    def sent_parts() -> list[tuple[Replica, Part]]:
         return [(replica, part) for replica in replicas for part in replica.parts.items]
 
-    def hold_the_next_turn() -> None:
-        turning.hold()
+    def block_next_turn() -> None:
+        decision_turn.hold()
         core._inbox.put([])
-        assert turning.entered.wait(PATIENCE)
+        assert decision_turn.entered.wait(PATIENCE)
 
-    sock.sendall(query("q", {0: 1.0}, "/rank" if due == NEXT[0] else "/look"))
-    until(out, "its part is out")
-    hold_the_next_turn()
-    ((replica, part),) = out()
+    sock.sendall(query("q", {0: 1.0}, "/rank" if due == NEXT_SENDS[0] else "/look"))
+    until(sent_parts, "its part is out")
+    block_next_turn()
+    ((replica, part),) = sent_parts()
 
-    def goes() -> None:
+    def disconnect() -> None:
         sock.close()
-        left.wait()
+        disconnected.wait()
 
-    def comes() -> None:
+    def trigger_next_send() -> None:
         if due == "a copy":
             until(lambda: core._driver.next_due() < time.monotonic(), "it is due")
             return
@@ -174,45 +176,49 @@
             replica.wires[0].reset()
         else:
             replica.wires[0].answer(part.id)
-        until(lambda: core._inbox.qsize() > len(left.items), "its end is told")
-
-    acts = {"leaves": [goes, comes], "is due": [comes, goes], "stays": [comes]}
-    for act in acts[first]:
-        act()
-    turning.let_go()
+        until(lambda: core._inbox.qsize() > len(disconnected.items), "its end is told")
+
+    actions_by_order = {
+        "leaves": [disconnect, trigger_next_send],
+        "is due": [trigger_next_send, disconnect],
+        "stays": [trigger_next_send],
+    }
+    for action in actions_by_order[first]:
+        action()
+    decision_turn.let_go()
     if first == "stays":
-        until(lambda: len(out()) > 1, "more is sent")
+        until(lambda: len(sent_parts()) > 1, "more is sent")
     else:
         assert platform.ask("after", {0: 1.0})[0] == 200
-        assert [part.id for _, part in out() if not part.id.startswith("after")] == ["q.0"]
+        assert [part.id for _, part in sent_parts() if not part.id.startswith("after")] == ["q.0"]
     sock.close()
     platform.close()
 
 
-def test_a_client_s_leaving_is_looked_for_again_after_news_that_was_none(
+def test_a_connection_is_watched_again_after_an_event_that_was_no_disconnect(
     tmp_path: Path,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Each piece of news comes once; one that proved to be none left its connection unwatched."""
-    silent, asks = Replica(0, lambda wire, part: None), Waiter()
+    unresponsive, checks = Replica(0, lambda wire, part: None), Waiter()
 
-    def not_at_first(sock: socket.socket) -> bool:
-        asks.put(sock)
-        return len(asks.items) > 1 and is_disconnected(sock)
+    def connected_at_first_check(sock: socket.socket) -> bool:
+        checks.put(sock)
+        return len(checks.items) > 1 and is_disconnected(sock)
 
-    platform = Platform(tmp_path, silent)
+    platform = Platform(tmp_path, unresponsive)
     sock = platform.client()
     sock.sendall(query("q", {0: 1.0}))
-    silent.parts.wait()
-    monkeypatch.setattr("gingervane.fronts.connections.is_disconnected", not_at_first)
+    unresponsive.parts.wait()
+    monkeypatch.setattr("gingervane.fronts.connections.is_disconnected", connected_at_first_check)
     sock.close()
-    assert silent.cancels.wait() == ["q.0"] and len(asks.items) == 2
+    assert unresponsive.cancels.wait() == ["q.0"] and len(checks.items) == 2
     platform.close()
 
 
-def test_a_client_that_leaves_as_its_reply_is_written_harms_nobody(platform: Platform) -> None:
-    left = [platform.client() for _ in range(30)]
-    for number, sock in enumerate(left):
+def test_clients_that_disconnect_before_their_replies_leave_nothing_open(platform: Platform) -> None:
+    disconnected = [platform.client() for _ in range(30)]
+    for number, sock in enumerate(disconnected):
         sock.sendall(query(f"q{number}", {0: 1.0}))
         sock.close()
     until(lambda: not connections_of(platform)._open, "all are gone")
--- a/tests/test_connection_limits.py
+++ b/tests/test_connection_limits.py
@@ -33,14 +33,14 @@
 ROOT = Path(__file__).parent.parent
 
 
-def test_idle_clients_take_every_descriptor_while_discovery_is_down_and_a_replica_drains(
+def test_idle_clients_take_all_descriptors_while_discovery_is_down_and_a_replica_drains(
     tmp_path: Path,
 ) -> None:
     """A process of its own, whose limit the system holds; all clients have spoken and rest."""
-    platform, calls, limit = Platform(tmp_path), Calls(), 128
+    platform, discovery, limit = Platform(tmp_path), Calls(), 128
     reserved = ReservedPort()
     data = json.loads(platform.path.read_text()) | {
-        "discovery": "{}:{}".format(*calls.where),
+        "discovery": "{}:{}".format(*discovery.where),
         "limits": {"sockets": limit},
         "listen": f"127.0.0.1:{reserved.port}",
     }
@@ -57,31 +57,31 @@
     assert program.stderr is not None
     read_until(program.stderr, "listening")
     where = "127.0.0.1", int(data["listen"].rpartition(":")[2])
-    drains, stays = platform.replicas
-    calls.sock(1).sendall(HEAD + chunk(line(1, host(drains), host(stays))))
-    calls.close()  # down
+    draining, remaining = platform.replicas
+    discovery.sock(1).sendall(HEAD + chunk(line(1, host(draining), host(remaining))))
+    discovery.close()  # down
     assert "closed" in read_until(program.stderr, "watch_state_changed old=following new=idle")
-    idle, heard = [], []
+    clients, statuses = [], []
     for _ in range(2 * limit):
-        idle.append(sock := socket.create_connection(where, PATIENCE))
+        clients.append(sock := socket.create_connection(where, PATIENCE))
         sock.sendall(b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n")
-        heard.append(reply(sock)[0])
-    assert heard.count(200) >= limit // 4 and set(heard) == {200, 503}
-    again = Calls(calls.where[1])
-    again.sock(1).sendall(HEAD + chunk(line(2, host(drains, health="DRAINING"), whole=False)))
-    again.sock(1).sendall(chunk(b"{no JSON}\n"))  # behind the drain, and told of in the log
+        statuses.append(reply(sock)[0])
+    assert statuses.count(200) >= limit // 4 and set(statuses) == {200, 503}
+    restarted_discovery = Calls(discovery.where[1])
+    restarted_discovery.sock(1).sendall(HEAD + chunk(line(2, host(draining, health="DRAINING"), whole=False)))
+    restarted_discovery.sock(1).sendall(chunk(b"{no JSON}\n"))  # behind the drain, and told of in the log
     read_until(program.stderr, "endpoint_list_invalid")
-    sock, after = idle[heard.index(200)], len(drains.parts.items)
+    sock, parts_before = clients[statuses.index(200)], len(draining.parts.items)
     for number in range(20):
         sock.sendall(query(f"q{number}", {0: 1.0}))
         assert reply(sock)[0] == 200
-    assert len(drains.parts.items) == after and program.poll() is None
+    assert len(draining.parts.items) == parts_before and program.poll() is None
     program.kill()
     program.wait()
     program.stderr.close()
-    for sock in idle:
+    for sock in clients:
         sock.close()
-    again.close()
+    restarted_discovery.close()
     reserved.close()
     platform.close()
 
@@ -93,14 +93,17 @@
 
     for sockets in (256, 1024, 4096):
         platform = Platform(tmp_path, sockets=sockets)
-        links = platform.node.core._transport
-        assert isinstance(links, ReplicaConnections)
+        replica_connections = platform.node.core._transport
+        assert isinstance(replica_connections, ReplicaConnections)
         clients = connections_of(platform)._limits.max_connections + MAX_CLOSING
-        assert clients + links._limits.max_connections + SPARE_DESCRIPTORS + OWN_DESCRIPTORS == sockets
+        assert (
+            clients + replica_connections._limits.max_connections + SPARE_DESCRIPTORS + OWN_DESCRIPTORS
+            == sockets
+        )
         platform.close()
 
 
-def test_settled_queries_leave_no_thread_behind(tmp_path: Path) -> None:
+def test_idle_connections_keep_no_thread(tmp_path: Path) -> None:
     """Threads are made by need: connections at rest hold none."""
 
     def behave(wire: Wire, part: Part) -> None:
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -31,7 +31,7 @@
 # ---- a request, and the end of its connection
 
 
-def test_a_request_that_lies_unread_as_its_connection_is_to_end_is_served(
+def test_an_unread_request_is_served_when_shutdown_begins(
     platform: Platform,
     looking: Held,
 ) -> None:
@@ -48,7 +48,7 @@
     sock.close()
 
 
-def test_a_request_that_comes_after_the_end_of_its_connection_reaches_nobody(platform: Platform) -> None:
+def test_a_request_after_its_connection_was_closed_is_not_executed(platform: Platform) -> None:
     sock = rested(platform)
     platform.node.server.begin_shutdown()
     sock.sendall(query("q", {0: 1.0}))  # it has not looked for the end yet
@@ -57,99 +57,99 @@
     sock.close()
 
 
-def test_the_end_comes_between_a_request_s_first_and_last_byte(platform: Platform) -> None:
-    whole, sock = query("q", {0: 1.0}), platform.client()
-    sock.sendall(whole[:50])
+def test_shutdown_between_the_first_and_the_last_byte_of_a_request(platform: Platform) -> None:
+    request, sock = query("q", {0: 1.0}), platform.client()
+    sock.sendall(request[:50])
     until(lambda: not connections_of(platform)._awaiting_first_byte, "the request has begun")
-    ending = in_background(platform.node.end)
+    shutdown_thread = in_background(platform.node.end)
     until(lambda: connections_of(platform).shutting_down, "the end has begun")
-    sock.sendall(whole[50:])
+    sock.sendall(request[50:])
     status, fields, _ = reply(sock)
     assert status == 503 and fields["connection"] == "close" and not asked(platform)
     ends_cleanly(sock)
-    ending.join()
+    shutdown_thread.join()
     sock.close()
 
 
-def test_a_request_that_is_read_while_connections_are_ended_is_refused(
+def test_a_request_that_is_read_as_shutdown_begins_is_rejected(
     platform: Platform,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    sock, heard = platform.client(), Waiter()
+    sock, statuses = platform.client(), Waiter()
     begin_shutdown = ConnectionManager.begin_shutdown
 
     def after_a_request(self: ConnectionManager) -> None:
         sock.sendall(query("q", {0: 1.0}))
-        heard.put(reply(sock)[0])
+        statuses.put(reply(sock)[0])
         begin_shutdown(self)
 
     monkeypatch.setattr(ConnectionManager, "begin_shutdown", after_a_request)
     platform.node.end()
-    assert heard.items == [503] and not asked(platform)
+    assert statuses.items == [503] and not asked(platform)
     sock.close()
 
 
-def test_a_connection_that_nobody_has_taken_yet_is_served_at_the_end(
+def test_a_connection_in_the_backlog_is_served_at_shutdown(
     platform: Platform,
     looking: Held,
 ) -> None:
     """Closing the listener would reset it, and the request that was written to it would be lost."""
-    waiting = rested(platform)
+    waiting_client = rested(platform)
     looking.hold()
-    waiting.sendall(query("held", {0: 1.0}))
+    waiting_client.sendall(query("held", {0: 1.0}))
     looking.entered.wait(PATIENCE)  # from here on nobody takes connections
     sock = platform.client()
     sock.sendall(query("q", {0: 1.0}))
     platform.node.server.stop_accepting()
     looking.let_go()
-    assert reply(sock)[0] == reply(waiting)[0] == 200
-    for one in (sock, waiting):
-        ends_cleanly(one)
-        one.close()
+    assert reply(sock)[0] == reply(waiting_client)[0] == 200
+    for client_socket in (sock, waiting_client):
+        ends_cleanly(client_socket)
+        client_socket.close()
 
 
-def test_a_query_that_was_admitted_as_the_end_came_is_settled(
+def test_a_query_admitted_as_shutdown_begins_is_answered(
     platform: Platform,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """It was put into the inbox of a decision thread that had ended, and its client waited for ever."""
-    entering = Held(monkeypatch, Admission, "admit", after=True)
+    admitting = Held(monkeypatch, Admission, "admit", after=True)
     closing = Held(monkeypatch, QueryCoordinator, "close")
     closing.go.set()
-    entering.hold()
+    admitting.hold()
     closing.hold()
     sock = platform.client()
     sock.sendall(query("q", {0: 1.0}))
-    assert entering.entered.wait(PATIENCE)
-    ending = in_background(platform.node.end)
+    assert admitting.entered.wait(PATIENCE)
+    shutdown_thread = in_background(platform.node.end)
     assert closing.entered.wait(PATIENCE)
-    entering.let_go()
+    admitting.let_go()
     assert reply(sock)[0] in (200, 503)
-    ending.join()
+    shutdown_thread.join()
     sock.close()
 
 
-def test_a_query_that_waits_for_the_decision_thread_as_the_end_comes_is_refused_and_not_sent(
+def test_a_query_that_waits_for_the_decision_thread_at_shutdown_is_rejected_and_not_sent(
     platform: Platform,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    turning = Held(monkeypatch, QueryCoordinator, "_turn")
-    turning.hold()
-    assert turning.entered.wait(PATIENCE)
+    decision_turn = Held(monkeypatch, QueryCoordinator, "_turn")
+    decision_turn.hold()
+    assert decision_turn.entered.wait(PATIENCE)
     sock = platform.client()
     sock.sendall(query("q", {0: 1.0}))
     until(lambda: platform.node.core.admission.open, "the query is in the inbox")
-    ending = in_background(platform.node.end)
+    shutdown_thread = in_background(platform.node.end)
     until(lambda: platform.node.core._stop.is_set(), "the end lies behind it")
-    turning.let_go()
+    decision_turn.let_go()
     status, fields, _ = reply(sock)
     assert status == 503 and fields["connection"] == "close"
-    ending.join()
+    shutdown_thread.join()
     assert not asked(platform)
     sock.close()
 
 
-def test_a_reply_written_as_the_server_winds_down_ends_its_connection(platform: Platform) -> None:
+def test_a_reply_written_as_shutdown_begins_closes_its_connection(platform: Platform) -> None:
     """Winding down comes after it was decided that the connection stays: nobody would end it any more."""
     sock, connections = platform.client(), connections_of(platform)
     finish_request = connections._finish_request
@@ -165,7 +165,7 @@
     sock.close()
 
 
-def test_a_reply_half_written_to_a_slow_reader_at_the_end_comes_whole(tmp_path: Path) -> None:
+def test_a_reply_to_a_slow_reader_is_complete_despite_shutdown(tmp_path: Path) -> None:
     shards = 600
     extra = SETTINGS["Extra"] | {"Shards": shards}
     platform = Platform(tmp_path, settings=SETTINGS | {"Extra": extra})
@@ -177,16 +177,16 @@
     sock.connect(platform.node.server.address)
     sock.sendall(query("q", dict.fromkeys(range(shards), 1 / shards)))
     until(lambda: platform.node.core.admission.reserved_bytes, "the answer is being written")
-    ending = in_background(platform.node.end)
+    shutdown_thread = in_background(platform.node.end)
     until(lambda: connections_of(platform).shutting_down, "the end has begun")
     status, _, body = reply(sock)
     assert status == 200 and len(body["pieces"]) == shards
-    ending.join()
+    shutdown_thread.join()
     sock.close()
     platform.close()
 
 
-def test_the_end_comes_between_an_answer_and_its_write(
+def test_shutdown_between_an_answer_and_its_write(
     platform: Platform,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
@@ -195,19 +195,19 @@
     sock = platform.client()
     sock.sendall(query("q", {0: 1.0}))
     assert writing.entered.wait(PATIENCE)
-    ending = in_background(platform.node.end)
+    shutdown_thread = in_background(platform.node.end)
     until(lambda: connections_of(platform).shutting_down, "the end has begun")
     writing.let_go()
     assert reply(sock)[0] == 200
     ends_cleanly(sock)
-    ending.join()
+    shutdown_thread.join()
     sock.close()
 
 
-def test_the_end_comes_while_discovery_moves_to_an_address_that_says_nothing(platform: Platform) -> None:
-    with socket.create_server(("127.0.0.1", 0)) as mute:
-        platform.node.watch.change_address(mute.getsockname()[:2])
-        sock, _ = mute.accept()  # its call has come and is never answered
+def test_shutdown_while_discovery_moves_to_an_address_that_does_not_answer(platform: Platform) -> None:
+    with socket.create_server(("127.0.0.1", 0)) as silent_server:
+        platform.node.watch.change_address(silent_server.getsockname()[:2])
+        sock, _ = silent_server.accept()  # its call has come and is never answered
         in_background(platform.node.end).join(PATIENCE)
         assert sock.recv(4096).startswith(b"GET") and sock.recv(1) == b"", "the call ends with the process"
         sock.close()
@@ -218,20 +218,24 @@
 # ---- the start
 
 
-def test_nobody_is_told_that_it_is_ready_before_it_decides_and_what_came_before_is_served(
+def test_readiness_is_reported_once_decisions_run_and_earlier_requests_are_served(
     tmp_path: Path,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    starting, listening, serve = Held(monkeypatch, QueryCoordinator, "start"), Waiter(), HttpServer.start
-
-    def note(self: HttpServer) -> None:
-        serve(self)
+    starting, listening, start_server = (
+        Held(monkeypatch, QueryCoordinator, "start"),
+        Waiter(),
+        HttpServer.start,
+    )
+
+    def record_address(self: HttpServer) -> None:
+        start_server(self)
         listening.put(self.address)
 
-    monkeypatch.setattr(HttpServer, "start", note)
+    monkeypatch.setattr(HttpServer, "start", record_address)
     starting.hold()
-    made = Waiter()
-    start = in_background(lambda: made.put(Platform(tmp_path)))
+    platforms = Waiter()
+    startup_thread = in_background(lambda: platforms.put(Platform(tmp_path)))
     assert starting.entered.wait(PATIENCE)
     with socket.create_connection(listening.wait()[0], PATIENCE) as sock:
         for _ in range(2):
@@ -243,10 +247,10 @@
             assert reply(other)[0] == 503, "still, with a query that waits"
             starting.let_go()
             assert reply(sock)[0] == 200, "it was taken, and it is served"
-            start.join()
+            startup_thread.join()
             other.sendall(b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n")
             assert reply(other)[0] == 200
-    platform: Platform = made.items[0]
+    platform: Platform = platforms.items[0]
     assert asked(platform) == ["early.0"]
     platform.close()
 
@@ -256,51 +260,53 @@
 
 def test_bytes_behind_the_last_request_do_not_reset_its_reply(platform: Platform) -> None:
     sock = platform.client()
-    closes = query("q", {0: 1.0}).replace(b"Host: x\r\n", b"Host: x\r\nConnection: close\r\n")
-    sock.sendall(closes + b"x" * 200_000)
+    last_request = query("q", {0: 1.0}).replace(b"Host: x\r\n", b"Host: x\r\nConnection: close\r\n")
+    sock.sendall(last_request + b"x" * 200_000)
     assert reply(sock)[0] == 200
     ends_cleanly(sock)
     sock.close()
 
 
-def test_a_client_past_the_bound_hears_so_whatever_it_has_sent(tmp_path: Path, looking: Held) -> None:
+def test_clients_over_the_limit_get_a_rejection_whatever_they_have_sent(
+    tmp_path: Path, looking: Held
+) -> None:
     platform = Platform(tmp_path, sockets=64)
-    held = []
+    idle_clients = []
     for number in range(8):  # each rests, too short a time to be sent away
-        held.append(platform.client())
-        assert platform.ask(f"q{number}", {0: 1.0}, sock=held[-1])[0] == 200
+        idle_clients.append(platform.client())
+        assert platform.ask(f"q{number}", {0: 1.0}, sock=idle_clients[-1])[0] == 200
     until(lambda: len(connections_of(platform)._idle) == 8, "all rest")
     looking.hold()
-    held[0].sendall(query("held", {0: 1.0}))
+    idle_clients[0].sendall(query("held", {0: 1.0}))
     assert looking.entered.wait(PATIENCE)  # from here on nobody takes connections
-    late = [platform.client() for _ in range(40)]
-    for number, sock in enumerate(late):
+    late_clients = [platform.client() for _ in range(40)]
+    for number, sock in enumerate(late_clients):
         sock.sendall(query(f"late{number}", {0: 1.0}))
     looking.let_go()
-    found = [reply(sock)[0] for sock in late]
-    assert set(found) == {200, 503} and found.count(503) > 2 * MAX_CLOSING
-    for sock, status in zip(late, found, strict=True):
+    statuses = [reply(sock)[0] for sock in late_clients]
+    assert set(statuses) == {200, 503} and statuses.count(503) > 2 * MAX_CLOSING
+    for sock, status in zip(late_clients, statuses, strict=True):
         if status == 503:
             ends_cleanly(sock)
-    for sock in [*held, *late]:
+    for sock in [*idle_clients, *late_clients]:
         sock.close()
     platform.close()
 
 
-def test_what_ends_is_bounded_in_bytes_and_in_number(platform: Platform) -> None:
+def test_closing_connections_are_bounded_in_bytes_and_in_number(platform: Platform) -> None:
     connections = connections_of(platform)
-    flood = platform.client()
-    flood.settimeout(PATIENCE)
-    flood.sendall(b"no HTTP\r\n\r\n")
+    flooding_client = platform.client()
+    flooding_client.settimeout(PATIENCE)
+    flooding_client.sendall(b"no HTTP\r\n\r\n")
     with pytest.raises(ConnectionError):  # over the bound in bytes it is closed over what is left
         for _ in range(MAX_DISCARDED_BYTES // 65536 * 200):
-            flood.sendall(b"x" * 65536)
-    crowd = [platform.client() for _ in range(3 * MAX_CLOSING)]
-    for sock in crowd:
+            flooding_client.sendall(b"x" * 65536)
+    other_clients = [platform.client() for _ in range(3 * MAX_CLOSING)]
+    for sock in other_clients:
         sock.sendall(b"no HTTP\r\n\r\n")
-    for sock in crowd:
+    for sock in other_clients:
         assert reply(sock)[0] == 400
         assert len(connections._closing) <= MAX_CLOSING + 1
     assert platform.ask("q", {0: 1.0})[0] == 200
-    for sock in [flood, *crowd]:
+    for sock in [flooding_client, *other_clients]:
         sock.close()
--- a/tests/test_first.py
+++ b/tests/test_first.py
@@ -32,11 +32,13 @@
     assert answer.status == 200 and answer.headers.get("gingervane-coverage") == "1"
     assert answer.results is not None
     for query, result in zip(queries, answer.results, strict=True):
-        asked = query.matchers[0]
-        tiles = fleet.grid.tiles[:4] if asked.kind is Match.REGEX else fleet.grid.tiles
-        tiles = [] if asked.value == "no such tile" else tiles
-        wanted = sorted((s for tile in tiles for s in data.answer(tile, query)), key=lambda s: s.labels)
-        assert [s.labels for s in result] == [s.labels for s in wanted]
-        for got, want in zip(result, wanted, strict=True):
-            assert np.array_equal(got.timestamps, want.timestamps) and np.array_equal(got.values, want.values)
+        matcher = query.matchers[0]
+        tiles = fleet.grid.tiles[:4] if matcher.kind is Match.REGEX else fleet.grid.tiles
+        tiles = [] if matcher.value == "no such tile" else tiles
+        expected = sorted((s for tile in tiles for s in data.answer(tile, query)), key=lambda s: s.labels)
+        assert [s.labels for s in result] == [s.labels for s in expected]
+        for series, expected_series in zip(result, expected, strict=True):
+            assert np.array_equal(series.timestamps, expected_series.timestamps) and np.array_equal(
+                series.values, expected_series.values
+            )
     client.close()
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -21,15 +21,15 @@
     short=st.sampled_from([0.2, 0.8]),
 )
 SETTINGS = st.builds(
-    lambda first, second, copies, cancels, budget, batch, cells, ask, many: BASE._replace(
-        coordinator_count=many,
+    lambda first, second, hedging, cancelling, budget, batch, cells, polled, coordinators: BASE._replace(
+        coordinator_count=coordinators,
         query_classes=(first, second),
-        hedging_allowed=copies,
-        cancellation_allowed=cancels,
+        hedging_allowed=hedging,
+        cancellation_allowed=cancelling,
         cell_count=cells,
         cells_per_replica=min(2, cells),
         max_parts_per_request=batch,
-        membership_polled=ask,
+        membership_polled=polled,
         retry_budget_free=2.0 if budget else None,
         retry_budget_share=0.2 if budget else None,
         retry_budget_window=budget,
@@ -55,27 +55,29 @@
 )
 
 
-def play(settings: api.Settings, steps: list[tuple[str, int, api.AttemptOutcome]]) -> Host:
+def run_events(settings: api.Settings, steps: list[tuple[str, int, api.AttemptOutcome]]) -> Host:
     host = Host(settings, replicas=2 * settings.cell_count)
-    for what, n, outcome in steps:
-        if what == "query":
+    for kind, value, outcome in steps:
+        if kind == "query":
             host.query(
-                *(i % settings.cell_count for i in range(n % 4 + 1)), query_class=n % 2, time=1.0 + n % 3
+                *(i % settings.cell_count for i in range(value % 4 + 1)),
+                query_class=value % 2,
+                time=1.0 + value % 3,
             )
-        elif what == "end" and host.out:
-            part, attempt = sorted(host.out)[n % len(host.out)]
+        elif kind == "end" and host.out:
+            part, attempt = sorted(host.out)[value % len(host.out)]
             if outcome is not api.AttemptOutcome.CANCELLED or (part, attempt) in host.cancelled:
                 host.finish(part, outcome, attempt)
-        elif what == "wait":
-            host.wait(n % 50 / 20)
-        elif what == "stall":
-            host.stall(n % 60 / 20)
-        elif what == "member":
-            number = 10 + n % (2 * settings.cell_count)
-            state = list(api.ReplicaState)[n % 3]
-            row = replica(number, host.states[number].cell, number, state, host.now if n % 2 else 0.0)
+        elif kind == "wait":
+            host.wait(value % 50 / 20)
+        elif kind == "stall":
+            host.stall(value % 60 / 20)
+        elif kind == "member":
+            number = 10 + value % (2 * settings.cell_count)
+            state = list(api.ReplicaState)[value % 3]
+            row = replica(number, host.states[number].cell, number, state, host.now if value % 2 else 0.0)
             host.members(api.MembershipUpdateKind.DELTA, row)
-        elif what == "fail list" and settings.membership_polled:
+        elif kind == "fail list" and settings.membership_polled:
             host.members(api.MembershipUpdateKind.FAILED)
         feed_second_steps(host)
     host.wait(20.0)
@@ -92,7 +94,7 @@
 
 @given(SETTINGS, STEPS)
 def test_no_rule_is_broken(settings: api.Settings, steps: list[tuple[str, int, api.AttemptOutcome]]) -> None:
-    host = play(settings, steps)
+    host = run_events(settings, steps)
     assert set(host.ended) == set(host.classes), "a query got no final answer"
 
 
@@ -100,4 +102,4 @@
 def test_same_events_same_actions(
     settings: api.Settings, steps: list[tuple[str, int, api.AttemptOutcome]]
 ) -> None:
-    assert play(settings, steps).log == play(settings, steps).log
+    assert run_events(settings, steps).log == run_events(settings, steps).log
--- a/tests/test_telemetry.py
+++ b/tests/test_telemetry.py
@@ -37,21 +37,21 @@
 
 
 @pytest.fixture
-def written() -> Iterator[tuple[Telemetry, Lines]]:
+def telemetry_and_stream() -> Iterator[tuple[Telemetry, Lines]]:
     stream = Lines()
-    made = Telemetry(stream)
-    made.name("n7")
-    made.start()
-    yield made, stream
-    made.stop()
+    telemetry = Telemetry(stream)
+    telemetry.name("n7")
+    telemetry.start()
+    yield telemetry, stream
+    telemetry.stop()
 
 
 def test_a_line_holds_both_clocks_the_node_the_event_and_its_fields(
-    written: tuple[Telemetry, Lines],
+    telemetry_and_stream: tuple[Telemetry, Lines],
 ) -> None:
-    log, stream = written
-    why = api.QueryEndReason.PARTS_LOST
-    log.info(LogEvent.QUERY_COMPLETED, request='a b="c"\n', reason=why, seconds=0.25, whole=True)
+    log, stream = telemetry_and_stream
+    end_reason = api.QueryEndReason.PARTS_LOST
+    log.info(LogEvent.QUERY_COMPLETED, request='a b="c"\n', reason=end_reason, seconds=0.25, whole=True)
     until(stream.lines, "a line")
     (line,) = stream.lines()
     assert "node=n7 level=info event=query_completed" in line and 'reason="too many parts lost"' in line
@@ -61,52 +61,54 @@
     assert LINE.match(stream.lines()[1])
 
 
-def test_lines_of_one_event_are_bounded_and_the_rest_is_counted(written: tuple[Telemetry, Lines]) -> None:
-    log, stream = written
+def test_lines_of_one_event_are_bounded_and_the_rest_is_counted(
+    telemetry_and_stream: tuple[Telemetry, Lines],
+) -> None:
+    log, stream = telemetry_and_stream
     for _ in range(RATE_LIMIT_BURST + 40):
         log.info("storm")
     log.info("rare")
     until(lambda: any("event=rare" in line for line in stream.lines()), "the rare line")
-    storm = sum("event=storm" in line for line in stream.lines())
-    assert RATE_LIMIT_BURST <= storm < RATE_LIMIT_BURST + 40
+    storm_lines = sum("event=storm" in line for line in stream.lines())
+    assert RATE_LIMIT_BURST <= storm_lines < RATE_LIMIT_BURST + 40
     log.dump()
     until(lambda: any("event=counters" in line for line in stream.lines()), "counters")
-    assert f"log_lines_dropped[storm]={RATE_LIMIT_BURST + 40 - storm}" in stream.getvalue()
+    assert f"log_lines_dropped[storm]={RATE_LIMIT_BURST + 40 - storm_lines}" in stream.getvalue()
 
 
-def test_tokens_come_back_at_the_rate() -> None:
+def test_tokens_are_replenished_at_the_rate() -> None:
     limiter = EventRateLimiter(burst=2, rate=10.0)
     assert [limiter.allows("e", 1.0) for _ in range(3)] == [True, True, False]
     assert limiter.allows("other", 1.0)
     assert limiter.allows("e", 1.11) and not limiter.allows("e", 1.11)
 
 
-class Stuck(io.StringIO):
+class UnreadPipe(io.StringIO):
     """A log that nobody reads: a write does not come back."""
 
     def __init__(self) -> None:
         super().__init__()
-        read, self.fill = os.pipe()
-        self._read = read
+        read, self.write_end = os.pipe()
+        self._read_end = read
 
     def write(self, text: str) -> int:
-        os.read(self._read, 1)
+        os.read(self._read_end, 1)
         return len(text)
 
 
-def test_nobody_waits_for_a_log_that_is_not_read(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_callers_do_not_wait_for_a_log_that_is_not_read(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(log_handler, "FLUSH_TIMEOUT", 0.05)
-    stream = Stuck()
+    stream = UnreadPipe()
     log = Telemetry(stream)
     log.start()
     for number in range(MAX_QUEUED_LINES + 500):
         log.info(f"event-{number}")  # each of its own rate
     log.stop()  # does not wait for ever either
     assert sum(log._handler.dropped.values()) >= 499
-    os.close(stream.fill)
+    os.close(stream.write_end)
 
 
-def test_a_log_that_cannot_be_written_ends_nothing() -> None:
+def test_a_log_that_cannot_be_written_stops_nothing() -> None:
     stream = Lines()
     log = Telemetry(stream)
     log.start()
@@ -118,9 +120,9 @@
 
 
 def test_counters_are_by_name_and_reason_and_written_only_when_they_change(
-    written: tuple[Telemetry, Lines],
+    telemetry_and_stream: tuple[Telemetry, Lines],
 ) -> None:
-    log, stream = written
+    log, stream = telemetry_and_stream
     log.counters.add("queries_failed", api.QueryEndReason.PARTS_LOST, 2)
     log.counters.add("queries_failed", "other")
     log.dump()
@@ -133,16 +135,18 @@
     assert Counters().get("x", "y") == 0
 
 
-def test_a_program_tells_its_settings_and_its_end(tmp_path: Path) -> None:
+def test_a_node_logs_its_settings_and_its_shutdown(tmp_path: Path) -> None:
     """Found in the incident: no line said when, which settings held, or why a query ended as it did."""
     platform = Platform(tmp_path)
     program = start_node(platform.path)
     assert program.stderr is not None
-    said = read_until(program.stderr, "class_settings")
-    assert "query_class=look retry_safety=safe" in said and "required_coverage=1 complete_coverage=1" in said
-    listens = read_until(program.stderr, "listening")
-    found = re.search(r"address=([0-9.]+):(\d+)", listens)
-    assert found
+    output = read_until(program.stderr, "class_settings")
+    assert (
+        "query_class=look retry_safety=safe" in output and "required_coverage=1 complete_coverage=1" in output
+    )
+    listening_line = read_until(program.stderr, "listening")
+    address = re.search(r"address=([0-9.]+):(\d+)", listening_line)
+    assert address
     program.send_signal(signal.SIGTERM)
     read_until(program.stderr, "shutdown_started")
     assert program.wait(PATIENCE) == 0
@@ -150,7 +154,7 @@
     platform.close()
 
 
-def test_what_went_wrong_with_a_query_and_with_its_replica_is_logged(
+def test_a_rejected_query_and_an_ejected_replica_are_logged(
     tmp_path: Path,
     capfd: pytest.CaptureFixture[str],
 ) -> None:
@@ -159,9 +163,9 @@
     assert platform.ask("q1", {0: 1.0})[0] == 503
     platform.close()
     lines = capfd.readouterr().err.splitlines()
-    (settled,) = [line for line in lines if "event=query_completed" in line]
-    assert "request=q1" in settled and "status=refused" in settled
-    assert 'reason="too many parts lost"' in settled
+    (completed,) = [line for line in lines if "event=query_completed" in line]
+    assert "request=q1" in completed and "status=refused" in completed
+    assert 'reason="too many parts lost"' in completed
     (ejected,) = [line for line in lines if "event=replica_ejected" in line]
     assert any(f"replica=s-{replica.port} " in ejected for replica in replicas) and "reason=error" in ejected
     counters = [line for line in lines if "event=counters" in line][-1]
@@ -187,18 +191,20 @@
 ) -> None:
     """It is answered with 500, and so nothing else would tell of it."""
 
-    def breaks(*args: object) -> None:
+    def raise_error(*args: object) -> None:
         raise KeyError("a bug")
 
     platform = Platform(tmp_path)
-    monkeypatch.setattr(platform.node.front, "_read_query", breaks)
+    monkeypatch.setattr(platform.node.front, "_read_query", raise_error)
     assert platform.ask("q1", {0: 1.0})[0] == 500
     platform.close()
-    said = capfd.readouterr().err
-    assert "level=error event=request_handler_failed" in said and "a bug" in said and "Traceback" in said
+    output = capfd.readouterr().err
+    assert (
+        "level=error event=request_handler_failed" in output and "a bug" in output and "Traceback" in output
+    )
 
 
-def test_counters_are_written_where_lines_never_cease(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_counters_are_written_while_lines_keep_coming(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(log_handler, "IDLE_INTERVAL", 0.0)  # due at each line
     stream = Lines()
     log = Telemetry(stream)
@@ -248,7 +254,7 @@
     logger.setLevel(level)
 
 
-def test_the_daemon_logs_words_in_the_node_form(
+def test_the_daemon_logs_pairs_in_the_format_of_the_node(
     daemon_logger: logging.Logger, capfd: pytest.CaptureFixture[str]
 ) -> None:
     daemon_log.configure("console", "info")
--- a/tests/test_toy_front.py
+++ b/tests/test_toy_front.py
@@ -22,11 +22,11 @@
 from gingervane.wire import http1
 from gingervane.wire.pool import Pool, exchange
 
-TEXTS = {"a": 3, "b": 4}  # words and what replicas count for them
-LOOK = api.QueryClass(1.0, 3.0, api.RetrySafety.IDEMPOTENT, None, 0, 1.0, 1.0, None, 0.0, 1.0)
+WORD_COUNTS = {"a": 3, "b": 4}  # words and what replicas count for them
+LOOKUP_CLASS = api.QueryClass(1.0, 3.0, api.RetrySafety.IDEMPOTENT, None, 0, 1.0, 1.0, None, 0.0, 1.0)
 SETTINGS = BASE._replace(
     coordinator_count=1,
-    query_classes=(LOOK,),
+    query_classes=(LOOKUP_CLASS,),
     cell_count=2,
     cells_per_replica=2,
     max_parts_per_request=8,
@@ -57,7 +57,7 @@
 
 def count_replica(request: Any, body: bytes, arrived: float, client: Any) -> Reply:
     words = request.target.removeprefix("/count/").split("+")
-    return plain(200, " ".join(str(TEXTS[word]) for word in words))
+    return plain(200, " ".join(str(WORD_COUNTS[word]) for word in words))
 
 
 def count_front(core: QueryCoordinator) -> Handler:
@@ -75,15 +75,15 @@
     router = Router([Route("GET", "/total/{texts}", total)])
 
     def front(request: Any, body: bytes, arrived: float, client: Any) -> Reply:
-        found = router.find(request.method, request.target)
-        if isinstance(found, Reply):
-            return found
-        return found[0].handle(request, body, arrived, client, found[1])
+        match = router.find(request.method, request.target)
+        if isinstance(match, Reply):
+            return match
+        return match[0].handle(request, body, arrived, client, match[1])
 
     return front
 
 
-def test_a_toy_front_needs_nothing_of_the_core() -> None:
+def test_a_front_of_another_protocol_needs_only_dispatcher_and_coordinator() -> None:
     """A third protocol: words counted at replicas that speak plain lines."""
     pool = Pool(http1.Limits(4096, 4096), 4, 30.0)
     core = QueryCoordinator(
@@ -106,14 +106,14 @@
     for server in servers:
         server.start()
     try:
-        for method, path, status, said in (
+        for method, path, status, expected_body in (
             ("GET", "/total/a+b", 200, b"7\n"),
             ("GET", "/total", 404, b"no such page: /total\n"),
             ("PUT", "/total/a", 405, b"/total/a: only GET is spoken here\n"),
         ):
             data = http1.encode_head(f"{method} {path} HTTP/1.1", [("Host", "x")])
-            got = exchange(pool, servers[-1].address, data, time.monotonic() + 10.0)
-            assert (got[0], got[2]) == (status, said)
+            answer = exchange(pool, servers[-1].address, data, time.monotonic() + 10.0)
+            assert (answer[0], answer[2]) == (status, expected_body)
     finally:
         core.stop(1.0)
         for server in servers:
--- a/tests/test_tree.py
+++ b/tests/test_tree.py
@@ -50,31 +50,31 @@
 
 
 @given(names, st.data())
-def test_coverage_comes_back(asked: list[str], data: st.DataObject) -> None:
-    held = {name: data.draw(st.integers(0, 3)) for name in asked if data.draw(st.booleans())}
-    bitmap, counts = coverage.encode(asked, held)
-    assert coverage.decode(asked, bitmap, counts) == held
-    met = [name for name, count in held.items() for _ in range(count)]
-    coverage.verify(held, met)
-    if met:
-        for lie in (met[1:], [*met, met[0]], [*met, "|"]):
+def test_coverage_survives_encoding_and_decoding(requested: list[str], data: st.DataObject) -> None:
+    held = {name: data.draw(st.integers(0, 3)) for name in requested if data.draw(st.booleans())}
+    bitmap, counts = coverage.encode(requested, held)
+    assert coverage.decode(requested, bitmap, counts) == held
+    series_leaves = [name for name, count in held.items() for _ in range(count)]
+    coverage.verify(held, series_leaves)
+    if series_leaves:
+        for wrong_leaves in (series_leaves[1:], [*series_leaves, series_leaves[0]], [*series_leaves, "|"]):
             with pytest.raises(CoverageError):
-                coverage.verify(held, lie)
+                coverage.verify(held, wrong_leaves)
 
 
 @given(names, st.binary(max_size=8), st.text(max_size=12))
-def test_any_claim_is_read_or_refused(asked: list[str], bits: bytes, counts: str) -> None:
+def test_any_reported_coverage_is_decoded_or_rejected(requested: list[str], bits: bytes, counts: str) -> None:
     for bitmap in (bits.hex(), base64.b64encode(bits).decode()):
         try:
-            held = coverage.decode(asked, bitmap, counts)
+            held = coverage.decode(requested, bitmap, counts)
         except CoverageError:
             continue
-        assert set(held) <= set(asked)
+        assert set(held) <= set(requested)
 
 
-def test_lies_about_coverage_are_caught() -> None:
-    asked = ["a", "b", "c"]
-    for bitmap, counts, what in (
+def test_invalid_coverage_is_rejected() -> None:
+    requested = ["a", "b", "c"]
+    for bitmap, counts, error in (
         ("!", "", "base64"),
         ("Bw==", "1.1", "2 for 3"),
         ("Dw==", "1x4", "past the last"),
@@ -83,11 +83,11 @@
         ("Bw==", "1.-1.1", "no run"),
         ("Bw==", "9999999999x3", "no run"),
     ):
-        with pytest.raises(CoverageError, match=what):
-            coverage.decode(asked, bitmap, counts)
+        with pytest.raises(CoverageError, match=error):
+            coverage.decode(requested, bitmap, counts)
     with pytest.raises(CoverageError, match="not asked for"):
-        coverage.leaves_with_series(asked, ["a", "z"])
-    assert coverage.leaves_with_series(asked, ["a", "a"]) == {
+        coverage.leaves_with_series(requested, ["a", "z"])
+    assert coverage.leaves_with_series(requested, ["a", "a"]) == {
         "a": 2
     }, "what has no series is not proved to be held"
 
@@ -99,9 +99,9 @@
     seen: set[str] = set()
     for source, answer in enumerate(answers):
         held = {f"l{i}" for i in answer}
-        fresh = total.add(source, held)
-        assert fresh == (held & set(leaves)) - seen, "none twice, none that was not asked for"
-        seen |= fresh
+        new = total.add(source, held)
+        assert new == (held & set(leaves)) - seen, "none twice, none that was not asked for"
+        seen |= new
     assert total.share == pytest.approx(
         sum((i + 1) for i in range(count) if f"l{i}" in seen) / sum(range(1, count + 1))
     )
@@ -122,32 +122,32 @@
 
 
 @given(tasks, st.lists(st.integers(0, 5), unique=True).map(sorted), st.integers(0, 99), costs)
-def test_a_cut_is_a_partition_within_bounds(
-    task: QueryTask, free: list[int], spin: int, seen: list[tuple[int, float, float]]
+def test_a_split_is_a_partition_within_bounds(
+    task: QueryTask, positions: list[int], rotation: int, seen: list[tuple[int, float, float]]
 ) -> None:
-    learned = CostModels()
+    cost_models = CostModels()
     for leaves, flat, subtree in seen:
-        learned.flat.record(leaves, flat)
-        learned.subtree.record(leaves, subtree)
-    plan = plan_query(task, free, spin, LIMITS, learned)
+        cost_models.flat.record(leaves, flat)
+        cost_models.subtree.record(leaves, subtree)
+    plan = plan_query(task, positions, rotation, LIMITS, cost_models)
     if not plan.subtrees:
-        assert task.levels == 0 or not free or len(task.leaves) <= LIMITS.fan_out or task.attempts < 1
+        assert task.levels == 0 or not positions or len(task.leaves) <= LIMITS.fan_out or task.attempts < 1
         return
     assert task.levels > 0 and task.attempts > 0
     assert [leaf for subtree in plan.subtrees for leaf in subtree.leaves] == list(task.leaves)
     sizes = [len(subtree.leaves) for subtree in plan.subtrees]
     assert 2 <= len(sizes) <= LIMITS.fan_out and min(sizes) >= 1 and max(sizes) - min(sizes) <= 1
-    assert all(subtree.ring_position in free for subtree in plan.subtrees)
+    assert all(subtree.ring_position in positions for subtree in plan.subtrees)
     if len(task.leaves) <= LIMITS.fan_out:  # cut below the bound: then a tree must be the better one
-        best = min(learned.tree_seconds(len(task.leaves), k) for k in range(2, len(task.leaves) + 1))
-        assert best <= learned.flat_seconds(len(task.leaves))
+        best = min(cost_models.tree_seconds(len(task.leaves), k) for k in range(2, len(task.leaves) + 1))
+        assert best <= cost_models.flat_seconds(len(task.leaves))
 
 
-def test_wide_queries_of_many_roots_do_not_pile_on_one_place() -> None:
+def test_wide_queries_of_many_roots_spread_over_the_ring() -> None:
     task = QueryTask(tuple(f"t{i}" for i in range(16)), 4.0, 2, 3)
     load = [0] * 6
-    for spin in range(60):
-        for subtree in plan_query(task, range(6), spin, LIMITS, CostModels()).subtrees:
+    for rotation in range(60):
+        for subtree in plan_query(task, range(6), rotation, LIMITS, CostModels()).subtrees:
             load[subtree.ring_position] += 1
     assert max(load) == min(load)
 
@@ -157,32 +157,38 @@
     st.sets(st.sampled_from("abcdefgh")),
     st.lists(st.sampled_from("abcdefghz"), max_size=4),
 )
-def test_no_place_leads_back_up(places: dict[str, int], ready: set[str], trail: list[str]) -> None:
-    peers = PeerCoordinators(places, frozenset(ready & set(places)))
-    for place in available_positions(peers, trail, LIMITS):
-        holders = {n for n, at in places.items() if (at - place) % LIMITS.ring_size < LIMITS.placement_width}
-        assert not holders & set(trail) and holders & ready
-
-
-def test_what_must_not_be_taken_is_refused() -> None:
-    learned = CostModels()
+def test_no_available_position_leads_back_to_the_trail(
+    ring_positions: dict[str, int], ready: set[str], trail: list[str]
+) -> None:
+    peers = PeerCoordinators(ring_positions, frozenset(ready & set(ring_positions)))
+    for position in available_positions(peers, trail, LIMITS):
+        serving = {
+            n
+            for n, at in ring_positions.items()
+            if (at - position) % LIMITS.ring_size < LIMITS.placement_width
+        }
+        assert not serving & set(trail) and serving & ready
+
+
+def test_inadmissible_tasks_are_rejected() -> None:
+    cost_models = CostModels()
     for _ in range(20):
-        learned.flat.record(4, 0.1)
+        cost_models.flat.record(4, 0.1)
     task = QueryTask(("a", "b", "c", "d"), 1.0, 1, 1, ("r", "m"))
-    admit(task, "x", LIMITS, learned)
-    for bad, name, loop in (
+    admit(task, "x", LIMITS, cost_models)
+    for rejected_task, name, is_cycle in (
         (task, "m", True),
         (task._replace(levels=3), "x", True),
         (task._replace(seconds_left=0.02), "x", False),
         (task._replace(trail=tuple("abcdefghijklmnopq")), "x", True),
     ):
         with pytest.raises(TaskRejectedError) as caught:
-            admit(bad, name, LIMITS, learned)
-        assert caught.value.is_loop == loop
+            admit(rejected_task, name, LIMITS, cost_models)
+        assert caught.value.is_loop == is_cycle
 
 
 @given(st.lists(st.tuples(st.integers(1, 60), st.floats(0, 0.01)), min_size=12, max_size=60))
-def test_the_line_is_learned(points: list[tuple[int, float]]) -> None:
+def test_the_cost_model_learns_a_line(points: list[tuple[int, float]]) -> None:
     model = LinearModel()
     for leaves, noise in points:
         model.record(leaves, 0.05 + 0.002 * leaves + noise)
@@ -194,10 +200,10 @@
 
 @given(st.floats(0.01, 30.0), st.integers(1, 100), st.one_of(st.none(), st.floats(0.001, 20.0)))
 def test_time_is_split_within_what_is_left(left: float, largest: int, usual: float | None) -> None:
-    learned = CostModels()
+    cost_models = CostModels()
     for _ in range(10 if usual else 0):
-        learned.flat.record(largest, usual or 0.0)
-    share = split_time(left, largest, learned)
+        cost_models.flat.record(largest, usual or 0.0)
+    share = split_time(left, largest, cost_models)
     assert (
         share.subtree_seconds > 0
         and share.fallback_seconds > 0
@@ -206,26 +212,26 @@
     assert share.subtree_seconds >= left / 2 - 1e-9
 
 
-said = st.one_of(st.none(), st.integers(0, 6))
+reported_uses = st.one_of(st.none(), st.integers(0, 6))
 
 
-@given(st.integers(1, 5), st.lists(st.tuples(st.booleans(), said), max_size=8))
-def test_grants_never_exceed_what_was_handed_down(most: int, ways: list[tuple[bool, int | None]]) -> None:
-    grants, ran = AttemptQuota(("a", "b"), most), 0
-    for way, (last, used) in enumerate(ways):
-        offered = grants.offer(("a", "b"), last)
+@given(st.integers(1, 5), st.lists(st.tuples(st.booleans(), reported_uses), max_size=8))
+def test_grants_never_exceed_the_quota(max_attempts: int, subqueries: list[tuple[bool, int | None]]) -> None:
+    quota, ran = AttemptQuota(("a", "b"), max_attempts), 0
+    for subquery_id, (last, used) in enumerate(subqueries):
+        offered = quota.offer(("a", "b"), last)
         if not offered:
             with pytest.raises(ValueError):
-                grants.reserve(way, ("a",), 1)
+                quota.reserve(subquery_id, ("a",), 1)
             break
-        grants.reserve(way, ("a", "b"), offered)
-        actually = offered if used is None else min(used, offered)  # what a child may do with it
-        ran += actually
-        grants.release(way, used)
-        assert ran <= grants.max_used <= most
+        quota.reserve(subquery_id, ("a", "b"), offered)
+        executed = offered if used is None else min(used, offered)  # what a child may do with it
+        ran += executed
+        quota.release(subquery_id, used)
+        assert ran <= quota.max_used <= max_attempts
 
 
-def test_used_of_attempts() -> None:
+def test_total_attempts_used() -> None:
     idle = (ExecutionUse(2, True, None), ExecutionUse(1, True, None))
     assert total_attempts_used(idle) == (0, True)
     assert total_attempts_used([ExecutionUse(2, False, None), ExecutionUse(1, False, 1)]) == (3, False)
@@ -236,116 +242,118 @@
 # ---- one query's life, in all orders
 
 LEAVES = ("a", "b", "c")
-CUT = SubtreePlan((Subtree(("a", "b"), 0), Subtree(("c",), 1)), "test")
-ENDINGS = ("all", "none", "idle", "refused", "lie")
+PLAN = SubtreePlan((Subtree(("a", "b"), 0), Subtree(("c",), 1)), "test")
+OUTCOMES = ("all", "none", "idle", "refused", "lie")
 
 
-class Life:
+class QueryRun:
     """A query at two levels, with what the leaves really gave and how often they really ran."""
 
     def __init__(self, rules: CompletionRules, attempts: int) -> None:
         task = QueryTask(LEAVES, 4.0, 1, attempts)
-        self.query, self.rules, self.now = WideQuery(task, rules, LIMITS, CostModels(), CUT), rules, 0.0
-        self.out: dict[int, tuple[tuple[str, ...], int]] = {}
-        self.gave: set[str] = set()
+        self.query, self.rules, self.now = WideQuery(task, rules, LIMITS, CostModels(), PLAN), rules, 0.0
+        self.in_flight: dict[int, tuple[tuple[str, ...], int]] = {}
+        self.returned_leaves: set[str] = set()
         self.ran = dict.fromkeys(LEAVES, 0)
-        self.finals: list[WideQueryResult] = []
-        self.around = 0
-        self.do(self.query.start(0.0))
+        self.results: list[WideQueryResult] = []
+        self.direct_queries = 0
+        self.execute(self.query.start(0.0))
 
-    def do(self, actions: Sequence[object]) -> None:
+    def execute(self, actions: Sequence[object]) -> None:
         for action in actions:
-            assert not self.finals, "something after the final answer"
+            assert not self.results, "something after the final answer"
             match action:
-                case QuerySubtree(way, subtree, seconds, runs):
+                case QuerySubtree(subquery_id, subtree, seconds, runs):
                     assert 0 < seconds < 4.0
-                    self.out[way] = subtree.leaves, sum(runs)
-                case QueryLeaves(way, leaves, seconds, granted):
+                    self.in_flight[subquery_id] = subtree.leaves, sum(runs)
+                case QueryLeaves(subquery_id, leaves, seconds, granted):
                     ran = any(self.ran[leaf] for leaf in leaves)
                     assert self.rules.retry_safety is RetrySafety.IDEMPOTENT or not ran
                     assert seconds <= 4.0 - self.now
-                    self.out[way] = leaves, granted
-                    self.around += 1
-                case CancelSubquery(way):
-                    del self.out[way]
+                    self.in_flight[subquery_id] = leaves, granted
+                    self.direct_queries += 1
+                case CancelSubquery(subquery_id):
+                    del self.in_flight[subquery_id]
                 case WideQueryResult():
-                    self.finals.append(action)
+                    self.results.append(action)
 
-    def moves(self) -> Iterator[tuple[str, int, tuple[str, ...]]]:
-        for way, (leaves, _) in self.out.items():
-            for ending in ENDINGS:
-                yield ending, way, leaves
+    def possible_events(self) -> Iterator[tuple[str, int, tuple[str, ...]]]:
+        for subquery_id, (leaves, _) in self.in_flight.items():
+            for ending in OUTCOMES:
+                yield ending, subquery_id, leaves
             for size in range(1, len(leaves)):
                 for part in combinations(leaves, size):
-                    yield "some", way, part
+                    yield "some", subquery_id, part
         yield "expire", 0, ()
         yield "leave", 0, ()
 
-    def move(self, kind: str, way: int, part: tuple[str, ...]) -> None:
+    def apply(self, kind: str, subquery_id: int, part: tuple[str, ...]) -> None:
         self.now += 0.1
         if kind == "expire":
             self.now = 4.0
-            self.do(list(self.query.expire(self.now)))
-            assert self.finals, "the time is up, and no answer"
+            self.execute(list(self.query.expire(self.now)))
+            assert self.results, "the time is up, and no answer"
             return
         if kind == "leave":
-            self.do(list(self.query.client_disconnected()))
+            self.execute(list(self.query.client_disconnected()))
             return
-        leaves, granted = self.out.pop(way)
+        leaves, granted = self.in_flight.pop(subquery_id)
         held = frozenset(part if kind in ("all", "some") else ())
         if kind == "idle" or kind == "refused":
-            brought = SubqueryOutcome(never_executed=True, retry_after=0.5 if kind == "refused" else None)
+            outcome = SubqueryOutcome(never_executed=True, retry_after=0.5 if kind == "refused" else None)
         else:  # a child that says nothing of what it used may have used all
             used = 1 if kind in ("all", "some") else None
-            brought = SubqueryOutcome(held if kind != "lie" else frozenset({"z"}), used)
+            outcome = SubqueryOutcome(held if kind != "lie" else frozenset({"z"}), used)
             for leaf in leaves:
                 self.ran[leaf] += granted if used is None else used
-        self.gave |= held
-        self.do(list(self.query.subquery_finished(self.now, way, brought)))
+        self.returned_leaves |= held
+        self.execute(list(self.query.subquery_finished(self.now, subquery_id, outcome)))
 
     def check(self, attempts: int) -> None:
-        assert len(self.finals) <= 1
+        assert len(self.results) <= 1
         assert all(count <= attempts for count in self.ran.values()), "more ran than was handed down"
-        for final in self.finals:
-            share = len(self.gave) / len(LEAVES)
+        for final in self.results:
+            share = len(self.returned_leaves) / len(LEAVES)
             assert final.share <= share + 1e-9, "a share over what leaves gave"
-            assert final.status is not QueryStatus.COMPLETE or self.gave == set(LEAVES)
+            assert final.status is not QueryStatus.COMPLETE or self.returned_leaves == set(LEAVES)
             enough = final.share >= self.rules.required_share - 1e-9 or self.rules.accepts_any_share
             assert final.status is not QueryStatus.PARTIAL or enough
-            assert set(final.missing) >= set(LEAVES) - self.gave
+            assert set(final.missing) >= set(LEAVES) - self.returned_leaves
             ran = any(self.ran.values())
             assert (
                 final.status is not QueryStatus.REJECTED
                 or self.rules.retry_safety is RetrySafety.IDEMPOTENT
                 or not ran
             )
-            assert not self.out
-        assert self.finals or self.out, "neither an answer nor anything to wait for"
+            assert not self.in_flight
+        assert self.results or self.in_flight, "neither an answer nor anything to wait for"
 
 
 @pytest.mark.parametrize("semantics", [RetrySafety.IDEMPOTENT, RetrySafety.NOT_IDEMPOTENT])
 @pytest.mark.parametrize("least,collect", [(1.0, False), (0.6, False), (1.0, True)])
 @pytest.mark.parametrize("attempts", [1, 2, 3])
-def test_every_order_of_one_life(semantics: RetrySafety, least: float, collect: bool, attempts: int) -> None:
-    start = Life(CompletionRules(semantics, least, collect), attempts)
-    todo, explored, ends = [start], 0, set[QueryStatus]()
-    while todo:
-        life = todo.pop()
-        life.check(attempts)
+def test_every_order_of_events_of_one_query(
+    semantics: RetrySafety, least: float, collect: bool, attempts: int
+) -> None:
+    start = QueryRun(CompletionRules(semantics, least, collect), attempts)
+    pending, explored, final_statuses = [start], 0, set[QueryStatus]()
+    while pending:
+        run = pending.pop()
+        run.check(attempts)
         explored += 1
-        if life.finals:
-            ends.add(life.finals[0].status)
+        if run.results:
+            final_statuses.add(run.results[0].status)
             continue
-        for kind, way, part in life.moves():
-            following = copy.deepcopy(life)
-            following.move(kind, way, tuple(part))
-            todo.append(following)
-    assert explored > 100 and {QueryStatus.COMPLETE, QueryStatus.CLIENT_DISCONNECTED} <= ends
-    assert (QueryStatus.PARTIAL in ends) == (least < 1.0 or collect)
-    assert (QueryStatus.FAILED in ends) == (semantics is RetrySafety.NOT_IDEMPOTENT)
+        for kind, subquery_id, part in run.possible_events():
+            following = copy.deepcopy(run)
+            following.apply(kind, subquery_id, tuple(part))
+            pending.append(following)
+    assert explored > 100 and {QueryStatus.COMPLETE, QueryStatus.CLIENT_DISCONNECTED} <= final_statuses
+    assert (QueryStatus.PARTIAL in final_statuses) == (least < 1.0 or collect)
+    assert (QueryStatus.FAILED in final_statuses) == (semantics is RetrySafety.NOT_IDEMPOTENT)
 
 
-def test_what_is_asked_around_goes_in_groups() -> None:
+def test_direct_queries_are_sent_in_groups() -> None:
     leaves = tuple(f"t{i}" for i in range(11))
     plan = SubtreePlan((Subtree(leaves[:10], 0), Subtree(leaves[10:], 1)), "test")
     query = WideQuery(
@@ -353,8 +361,8 @@
     )
     first, _ = query.start(0.0)
     assert isinstance(first, QuerySubtree)
-    around = query.subquery_finished(
+    direct_queries = query.subquery_finished(
         0.1, first.subquery_id, SubqueryOutcome(never_executed=True, retry_after=0.2)
     )
-    groups = [action.leaves for action in around if isinstance(action, QueryLeaves)]
+    groups = [action.leaves for action in direct_queries if isinstance(action, QueryLeaves)]
     assert [len(group) for group in groups] == [4, 4, 2] and sum(groups, ()) == leaves[:10]
--- a/tests/test_tree_sockets.py
+++ b/tests/test_tree_sockets.py
@@ -31,21 +31,21 @@
 
     def __init__(
         self,
-        behind: tuple[str, int],
+        upstream: tuple[str, int],
         change: Change,
         strip: bool = False,
-        cut_off: str = "",
+        blocked_root: str = "",
     ) -> None:
-        self._cut_off = cut_off  # a root whose calls do not get through
-        self._client, self._change, self._strip = Client(behind), change, strip
-        self.asked, self.released = 0, threading.Event()
+        self._blocked_root = blocked_root  # a root whose calls do not get through
+        self._client, self._change, self._strip = Client(upstream), change, strip
+        self.request_count, self.released = 0, threading.Event()
         self.server = HttpServer("127.0.0.1", 0, self._handle, ServerLimits())
         self.server.start()
 
     def _handle(self, request: Request, body: bytes, arrived: float, client: Exchange) -> Reply:
-        if self._cut_off and self._cut_off in request.headers.get("gingervane-trail").split(","):
+        if self._blocked_root and self._blocked_root in request.headers.get("gingervane-trail").split(","):
             self.released.wait(PATIENCE)
-        self.asked += 1
+        self.request_count += 1
         skip = ("host", "content-length")
         fields = [
             (k, v)
@@ -55,9 +55,9 @@
         head = http1.encode_head(
             f"POST {request.target} HTTP/1.1", [("Host", "x"), ("Content-Length", str(len(body))), *fields]
         )
-        status, headers, got = self._client.exchange(head + body, PATIENCE)
+        status, headers, reply_body = self._client.exchange(head + body, PATIENCE)
         kept = [(k, v) for k, v in headers.pairs if k != "content-length"]
-        return self._change(Reply(status, kept, got), self)
+        return self._change(Reply(status, kept, reply_body), self)
 
     def close(self) -> None:
         self.released.set()
@@ -65,7 +65,7 @@
         self._client.close()
 
 
-def as_it_is(reply: Reply, child: Child) -> Reply:
+def unchanged(reply: Reply, child: Child) -> Reply:
     return reply
 
 
@@ -82,7 +82,7 @@
     return plain(508, "a cycle", fields=(("Gingervane-Began", "no"),))
 
 
-def edited(reply: Reply, edit: Callable[[list[Series]], list[Series]], **fields: str) -> Reply:
+def with_edited_series(reply: Reply, edit: Callable[[list[Series]], list[Series]], **fields: str) -> Reply:
     (found,) = remote_read.read_response(snappy.decompress(reply.body, 1 << 26), 1)
     body = snappy.compress(remote_read.write_response([edit(found)]))
     kept = [(k, fields.get(k.replace("-", "_"), v)) for k, v in reply.fields]
@@ -94,28 +94,28 @@
 
 
 def lacks_a_tile(reply: Reply, child: Child) -> Reply:
-    return edited(reply, lambda found: [s for s in found if tile(s) != tile(found[0])])
+    return with_edited_series(reply, lambda found: [s for s in found if tile(s) != tile(found[0])])
 
 
 def says_whole(reply: Reply, child: Child) -> Reply:
     """Honest bitmap of nothing, and yet whole."""
-    return edited(reply, lambda found: [], gingervane_leaves="AAA=", gingervane_counts="")
+    return with_edited_series(reply, lambda found: [], gingervane_leaves="AAA=", gingervane_counts="")
 
 
 def counts_twice(reply: Reply, child: Child) -> Reply:
-    return edited(reply, lambda found: [found[0], *found])
+    return with_edited_series(reply, lambda found: [found[0], *found])
 
 
 def answers_for_others(reply: Reply, child: Child) -> Reply:
     def rename(s: Series) -> Series:
         return s._replace(labels=tuple((k, "t999" if k == "tile" else v) for k, v in s.labels), raw=None)
 
-    return edited(reply, lambda found: [rename(found[0]), *found[1:]])
+    return with_edited_series(reply, lambda found: [rename(found[0]), *found[1:]])
 
 
 def short(reply: Reply, child: Child) -> Reply:
     """An older child that lost a tile on its way and does not say so: what has no series is not counted."""
-    return edited(
+    return with_edited_series(
         reply,
         lambda found: [s for s in found if tile(s) != tile(found[0])],
         gingervane_leaves="",
@@ -136,7 +136,7 @@
     embedded.close()
 
 
-def place(fleet: Embedded, *addresses: tuple[str, int]) -> None:
+def list_children(fleet: Embedded, *addresses: tuple[str, int]) -> None:
     """List these as the only children of the root; the real co-ordinator behind them is listed as gone."""
     rows = [
         list_row(10 + i, f"{host}:{port}", ZONES[i], i + 2, "ready", 1.0, "coordinator", f"x{i}")
@@ -147,7 +147,7 @@
     eventually(lambda: fleet.app.peers.ready == names)
 
 
-def runs(tmp_path: Path) -> Counter[tuple[int, str]]:
+def executions_by_leaf(tmp_path: Path) -> Counter[tuple[int, str]]:
     """How often each leaf part of each query was begun by any node."""
     found: Counter[tuple[int, str]] = Counter()
     for path in tmp_path.glob("*.jsonl"):
@@ -158,14 +158,14 @@
     return found
 
 
-def wide(index: int) -> Query:
+def wide_query(index: int) -> Query:
     return ALL._replace(start_ms=ALL.start_ms + index)
 
 
-def children(fleet: Embedded, *changes: Change, strip: bool = False) -> list[Child]:
-    made = [Child(fleet.apps[1].address, change, strip) for change in changes]
-    place(fleet, *[child.server.address for child in made])
-    return made
+def start_children(fleet: Embedded, *changes: Change, strip: bool = False) -> list[Child]:
+    children = [Child(fleet.apps[1].address, change, strip) for change in changes]
+    list_children(fleet, *[child.server.address for child in children])
+    return children
 
 
 BAD = (silent, refuses, loops, lacks_a_tile, says_whole, counts_twice, answers_for_others, short)
@@ -173,19 +173,19 @@
 
 @pytest.mark.parametrize("change", BAD, ids=lambda f: str(f.__name__))
 def test_one_child_of_two_is_bad(fleet: Embedded, tmp_path: Path, change: Change) -> None:
-    made = children(fleet, change, as_it_is)
+    children = start_children(fleet, change, unchanged)
     try:
         for index in range(4):
-            answer = ask(fleet, wide(index), "area-report", timeout="4s")
+            answer = ask(fleet, wide_query(index), "area-report", timeout="4s")
             assert answer.status == 200 and answer.headers.get("gingervane-coverage") == "1"
-            assert is_right(answer, fleet.grid.tiles, wide(index))
-        assert made[0].asked and made[1].asked
+            assert is_right(answer, fleet.grid.tiles, wide_query(index))
+        assert children[0].request_count and children[1].request_count
     finally:
-        for child in made:
+        for child in children:
             child.close()
     for node in fleet.grid.nodes:
         node._recorder.close()
-    counted = runs(tmp_path)
+    counted = executions_by_leaf(tmp_path)
     assert len(counted) == 4 * 12 and max(counted.values()) <= 3, "over what was granted from the root"
 
 
@@ -195,61 +195,61 @@
 
     What a liar says that it used is not believed: two may have used all, and then nothing is left to ask by.
     """
-    made = children(fleet, *bad)
+    children = start_children(fleet, *bad)
     try:
         answer = ask(fleet, ALL, "area-report", timeout="4s")
-        liars = lacks_a_tile in bad
-        assert answer.status == 200 or (liars and answer.status == 503)
+        invalid_replies = lacks_a_tile in bad
+        assert answer.status == 200 or (invalid_replies and answer.status == 503)
         assert answer.status != 200 or is_right(answer, fleet.grid.tiles)
     finally:
-        for child in made:
+        for child in children:
             child.close()
 
 
 def test_an_older_child_knows_no_headers(fleet: Embedded) -> None:
-    def forget(reply: Reply, child: Child) -> Reply:
+    def drop_headers(reply: Reply, child: Child) -> Reply:
         return reply._replace(fields=[(k, v) for k, v in reply.fields if not k.startswith("gingervane")])
 
-    made = children(fleet, forget, forget, strip=True)
+    children = start_children(fleet, drop_headers, drop_headers, strip=True)
     try:
         answer = ask(fleet, ALL, "area-report")
         assert answer.status == 200 and is_right(answer, fleet.grid.tiles)
-        assert made[0].asked + made[1].asked >= 3
-        cut = fleet.apps[1]._front.queries_split
-        assert cut == 0, "its own orders are its own affair, and it had none to cut by"
+        assert children[0].request_count + children[1].request_count >= 3
+        splits = fleet.apps[1]._front.queries_split
+        assert splits == 0, "its own orders are its own affair, and it had none to cut by"
     finally:
-        for child in made:
+        for child in children:
             child.close()
 
 
-def test_a_plain_server_is_a_leaf_anywhere(fleet: Embedded) -> None:
+def test_a_plain_server_can_stand_in_for_a_child(fleet: Embedded) -> None:
     """A remote read server that holds all tiles stands in the place of a child."""
     grid = fleet.grid
     grid.nodes[0].tiles = frozenset(grid.tiles)
-    place(fleet, grid.nodes[0].address)
+    list_children(fleet, grid.nodes[0].address)
     answer = ask(fleet, ALL, "area-report")
     assert answer.status == 200 and is_right(answer, grid.tiles)
     assert {step.split("/")[2] for step in answer.headers.get("gingervane-path").split(",")} == {"10"}
 
 
 def test_a_dead_child(fleet: Embedded) -> None:
-    made = children(fleet, as_it_is)
+    children = start_children(fleet, unchanged)
     dead = ReservedPort()
-    place(fleet, dead.address, made[0].server.address)
+    list_children(fleet, dead.address, children[0].server.address)
     try:
         for index in range(3):
-            assert ask(fleet, wide(index), "area-report").status == 200
+            assert ask(fleet, wide_query(index), "area-report").status == 200
     finally:
-        made[0].close()
+        children[0].close()
         dead.close()
 
 
-def test_a_middle_is_reached_from_one_root_only(tmp_path: Path) -> None:
+def test_a_child_that_only_one_root_reaches(tmp_path: Path) -> None:
     """Each root goes by what it sees itself: one by the middle, the other around it."""
     tree = {"ring": 5, "width": 5, "fan_out": 4, "levels": 1}
     fleet = Embedded(nodes=6, tiles=12, coordinators=3, tree=tree)
-    middle = Child(fleet.apps[1].address, as_it_is, cut_off="c0")
-    host, port = middle.server.address
+    child = Child(fleet.apps[1].address, unchanged, blocked_root="c0")
+    host, port = child.server.address
     row = list_row(10, f"{host}:{port}", ZONES[0], 4, "ready", 1.0, "coordinator", "x")
     try:
         fleet.write_list(coordinators={0: "gone", 1: "gone", 2: "gone"}, extra=row)
@@ -260,40 +260,40 @@
             client.close()
             assert answer.status == 200 and is_right(answer, fleet.grid.tiles)
         assert (
-            middle.asked >= 6
+            child.request_count >= 6
             and fleet.apps[0]._front.queries_split == fleet.apps[2]._front.queries_split == 2
         )
     finally:
-        middle.close()
+        child.close()
         fleet.close()
 
 
 def test_a_child_is_drained_in_mid_query(fleet: Embedded) -> None:
-    hold = threading.Event()
+    unblock = threading.Event()
 
     def slow(reply: Reply, child: Child) -> Reply:
-        hold.wait(PATIENCE)
+        unblock.wait(PATIENCE)
         return reply
 
-    made = children(fleet, slow)
+    children = start_children(fleet, slow)
     try:
         answers: list[Answer] = []
         thread = threading.Thread(target=lambda: answers.append(ask(fleet, ALL, "area-report", timeout="4s")))
         thread.start()
-        eventually(lambda: made[0].asked > 0)
+        eventually(lambda: children[0].request_count > 0)
         fleet.write_list(coordinators={1: "gone"})
         eventually(lambda: not fleet.app.peers.ready)
-        asked = made[0].asked
-        hold.set()
+        request_count = children[0].request_count
+        unblock.set()
         thread.join(PATIENCE)
         assert answers[0].status == 200 and is_right(answers[0], fleet.grid.tiles)
-        assert ask(fleet, ALL, "area-report").status == 200 and made[0].asked == asked
+        assert ask(fleet, ALL, "area-report").status == 200 and children[0].request_count == request_count
     finally:
-        hold.set()
-        made[0].close()
+        unblock.set()
+        children[0].close()
 
 
-def test_time_too_short_for_a_leaf_is_refused_below() -> None:
+def test_a_child_rejects_a_query_with_too_little_time() -> None:
     """All leaves take well over 140 ms, and half of that is required: 40 are too short, and long enough for
     the refusal to be written. Once the client's time is up its connection ends without one."""
     tree = {"ring": 4, "width": 4, "fan_out": 4, "levels": 1}
@@ -302,7 +302,7 @@
     client = Client(fleet.apps[1].address)
     body = snappy.compress(remote_read.write_request([remote_read.write_query(ALL)]))
 
-    def from_above(timeout: str) -> bytes:
+    def request_from_parent(timeout: str) -> bytes:
         return http1.encode_head(
             f"POST /api/v1/read?class=area-report&timeout={timeout} HTTP/1.1",
             [
@@ -315,12 +315,12 @@
         )
 
     for _ in range(10):  # from which the child learns what it needs
-        assert client.exchange(from_above("4s") + body, PATIENCE)[0] == 200
-    head = from_above("40ms")
+        assert client.exchange(request_from_parent("4s") + body, PATIENCE)[0] == 200
+    head = request_from_parent("40ms")
     status, headers, text = client.exchange(head + body, PATIENCE)
     assert status == 503 and headers.get("gingervane-began") == "no" and b"needed" in text
-    looped = head.replace(b"Trail: c0", b"Trail: c0,c1")
-    assert client.exchange(looped + body, PATIENCE)[0] == 508
+    head_with_cycle = head.replace(b"Trail: c0", b"Trail: c0,c1")
+    assert client.exchange(head_with_cycle + body, PATIENCE)[0] == 508
     for bad in (b"Levels: x", b"Levels: 99"):
         status, _, text = client.exchange(head.replace(b"Levels: 0", bad) + body, PATIENCE)
         assert status == 400 and b"Gingervane-Levels" in text
@@ -328,7 +328,7 @@
     fleet.close()
 
 
-def test_cancel_runs_down_the_tree() -> None:
+def test_cancellation_reaches_all_levels_of_the_tree() -> None:
     """The client leaves; nothing stays at any level."""
     fleet = Embedded(
         nodes=6,
@@ -355,14 +355,14 @@
         fleet.close()
 
 
-def test_unsafe_queries_are_never_asked_twice(fleet: Embedded, tmp_path: Path) -> None:
-    made = children(fleet, lacks_a_tile, lacks_a_tile)
+def test_unsafe_queries_are_never_executed_twice(fleet: Embedded, tmp_path: Path) -> None:
+    children = start_children(fleet, lacks_a_tile, lacks_a_tile)
     try:
         query = Query(ALL.start_ms, ALL.end_ms, (Matcher(Match.REGEX, "tile", ".*"),))
         assert ask(fleet, query, "unsafe-read").status == 502
     finally:
-        for child in made:
+        for child in children:
             child.close()
     for node in fleet.grid.nodes:
         node._recorder.close()
-    assert max(runs(tmp_path).values()) == 1
+    assert max(executions_by_leaf(tmp_path).values()) == 1
