--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -1,4 +1,4 @@
-"""Clients that disconnect: before, while and after something is sent for them."""
+"""Clients that disconnect before, while and after their query is sent to replicas."""
 
 from __future__ import annotations
 
@@ -60,8 +60,8 @@
     unresponsive.parts.wait(1, lambda part: part.id == "q.0")
     leave(sock)
     assert unresponsive.cancels.wait() == ["q.0"]
-    until(lambda: not connections_of(platform)._open, "its connection is gone")
-    assert asked(platform) == ["q.0"], "what came behind it is nobody's any more"
+    until(lambda: not connections_of(platform)._open, "its connection is closed")
+    assert asked(platform) == ["q.0"], "the request pipelined before the disconnect is not executed"
     sock.close()
     platform.close()
 
@@ -75,10 +75,10 @@
     sock = rested(platform)
     looking.hold()
     sock.sendall(query("q", {0: 1.0}))
-    until(lambda: lies_unread(platform), "the request lies unread")
+    until(lambda: lies_unread(platform), "the request is unread")
     leave(sock)
     looking.let_go()
-    until(lambda: not connections_of(platform)._open, "its connection is gone")
+    until(lambda: not connections_of(platform)._open, "its connection is closed")
     assert platform.ask("after", {0: 1.0})[0] == 200
     assert asked(platform) == ["first.0", "after.0"]
     sock.close()
@@ -108,7 +108,7 @@
     assert asked(platform) == ["after.0"]
 
 
-# What is about to be decided as the client leaves: the next step, a copy, a retry.
+# The next send that is due as the client disconnects: of the second step, a hedged request or a retry.
 NEXT_SENDS = ["its second step", "a copy", "a retry"]
 
 
@@ -122,9 +122,9 @@
     first: str,
     cancelling: bool,
 ) -> None:
-    """Both lie before the decision thread in the same turn, in either order: nothing more is sent.
+    """The disconnect and the event that makes the send due reach the decision thread in one batch.
 
-    For a client that stays it is, so that the others prove something.
+    In either order, nothing more is sent. In the control case the client stays, and more is sent.
     """
 
     def behave(wire: Wire, part: Part) -> None:
@@ -149,7 +149,7 @@
     core, sock = platform.node.core, platform.client()
     decision_turn.go.clear()
     module: Any = core._driver._module
-    module.latency.samples[0].extend([0.4] * 25)  # after which a copy follows
+    module.latency.samples[0].extend([0.4] * 25)  # seconds; latencies that make a hedged request due
 
     def sent_parts() -> list[tuple[Replica, Part]]:
         return [(replica, part) for replica in replicas for part in replica.parts.items]
@@ -160,7 +160,7 @@
         assert decision_turn.entered.wait(PATIENCE)
 
     sock.sendall(query("q", {0: 1.0}, "/rank" if due == NEXT_SENDS[0] else "/look"))
-    until(sent_parts, "its part is out")
+    until(sent_parts, "its part is sent")
     block_next_turn()
     ((replica, part),) = sent_parts()
 
@@ -170,13 +170,13 @@
 
     def trigger_next_send() -> None:
         if due == "a copy":
-            until(lambda: core._driver.next_due() < time.monotonic(), "it is due")
+            until(lambda: core._driver.next_due() < time.monotonic(), "the hedged request is due")
             return
         if due == "a retry":
             replica.wires[0].reset()
         else:
             replica.wires[0].answer(part.id)
-        until(lambda: core._inbox.qsize() > len(disconnected.items), "its end is told")
+        until(lambda: core._inbox.qsize() > len(disconnected.items), "the outcome is in the inbox")
 
     actions_by_order = {
         "leaves": [disconnect, trigger_next_send],
@@ -199,7 +199,7 @@
     tmp_path: Path,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Each piece of news comes once; one that proved to be none left its connection unwatched."""
+    """Each event must be requested anew; after an event that was no disconnect, none was requested."""
     unresponsive, checks = Replica(0, lambda wire, part: None), Waiter()
 
     def connected_at_first_check(sock: socket.socket) -> bool:
@@ -221,6 +221,6 @@
     for number, sock in enumerate(disconnected):
         sock.sendall(query(f"q{number}", {0: 1.0}))
         sock.close()
-    until(lambda: not connections_of(platform)._open, "all are gone")
-    until(lambda: not platform.node.core.admission.open, "nothing is held for them")
+    until(lambda: not connections_of(platform)._open, "all connections are closed")
+    until(lambda: not platform.node.core.admission.open, "no query is open for them")
     assert platform.ask("after", {0: 1.0})[0] == 200
--- a/tests/test_connection_limits.py
+++ b/tests/test_connection_limits.py
@@ -1,4 +1,4 @@
-"""Descriptors and threads that client connections take, and their limits."""
+"""Limits on the descriptors and threads that client connections use."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 def test_idle_clients_take_all_descriptors_while_discovery_is_down_and_a_replica_drains(
     tmp_path: Path,
 ) -> None:
-    """A process of its own, whose limit the system holds; all clients have spoken and rest."""
+    """The node runs in a separate process, as the system limits descriptors by process."""
     platform, discovery, limit = Platform(tmp_path), Calls(), 128
     reserved = ReservedPort()
     data = json.loads(platform.path.read_text()) | {
@@ -59,7 +59,7 @@
     where = "127.0.0.1", int(data["listen"].rpartition(":")[2])
     draining, remaining = platform.replicas
     discovery.sock(1).sendall(HEAD + chunk(line(1, host(draining), host(remaining))))
-    discovery.close()  # down
+    discovery.close()
     assert "closed" in read_until(program.stderr, "watch_state_changed old=following new=idle")
     clients, statuses = [], []
     for _ in range(2 * limit):
@@ -69,7 +69,7 @@
     assert statuses.count(200) >= limit // 4 and set(statuses) == {200, 503}
     restarted_discovery = Calls(discovery.where[1])
     restarted_discovery.sock(1).sendall(HEAD + chunk(line(2, host(draining, health="DRAINING"), whole=False)))
-    restarted_discovery.sock(1).sendall(chunk(b"{no JSON}\n"))  # behind the drain, and told of in the log
+    restarted_discovery.sock(1).sendall(chunk(b"{no JSON}\n"))  # logged after the drain is read
     read_until(program.stderr, "endpoint_list_invalid")
     sock, parts_before = clients[statuses.index(200)], len(draining.parts.items)
     for number in range(20):
@@ -87,7 +87,7 @@
 
 
 def test_descriptors_add_up_to_the_limit(tmp_path: Path) -> None:
-    """Clients, those at their end, links, links at their end and the node's own are all that there can be."""
+    """Client and replica connections, open or closing, and the node's own descriptors use the whole limit."""
     from gingervane.node.descriptor_budget import OWN_DESCRIPTORS
     from gingervane.node.replica_connections import SPARE_DESCRIPTORS, ReplicaConnections
 
@@ -104,7 +104,7 @@
 
 
 def test_idle_connections_keep_no_thread(tmp_path: Path) -> None:
-    """Threads are made by need: connections at rest hold none."""
+    """Threads are started on demand; an idle connection keeps none."""
 
     def behave(wire: Wire, part: Part) -> None:
         wire.answer(part.id)
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -1,7 +1,7 @@
-"""Client connections where two events cross: requests, the end of their connection, their client's leaving.
+"""Races on client connections: a request arrives while its connection is closed or the server shuts down.
 
-Each order is forced: a hook holds the thread that waits for connections, the decision thread or a front until
-the other event has happened.
+Each order is forced: a hook blocks the thread that polls connections, the decision thread or a front until
+the other event has occurred.
 """
 
 from __future__ import annotations
@@ -28,18 +28,18 @@
 from gingervane.fronts.connections import MAX_CLOSING, MAX_DISCARDED_BYTES, ConnectionManager
 from gingervane.fronts.http_server import HttpServer
 
-# ---- a request, and the end of its connection
+# ---- a request while its connection is closed
 
 
 def test_an_unread_request_is_served_when_shutdown_begins(
     platform: Platform,
     looking: Held,
 ) -> None:
-    """Our receiving side was shut before: the kernel then reports what looks like a client that left."""
+    """If the server shut down its receiving side, the kernel would report the same as for a disconnect."""
     sock = rested(platform)
     looking.hold()
     sock.sendall(query("q", {0: 1.0}))
-    until(lambda: lies_unread(platform), "the request lies unread")
+    until(lambda: lies_unread(platform), "the request is unread")
     platform.node.server.begin_shutdown()
     looking.let_go()
     status, fields, _ = reply(sock)
@@ -51,7 +51,7 @@
 def test_a_request_after_its_connection_was_closed_is_not_executed(platform: Platform) -> None:
     sock = rested(platform)
     platform.node.server.begin_shutdown()
-    sock.sendall(query("q", {0: 1.0}))  # it has not looked for the end yet
+    sock.sendall(query("q", {0: 1.0}))  # the client has not yet noticed that the server closes
     ends_cleanly(sock)
     assert asked(platform) == ["first.0"]
     sock.close()
@@ -62,7 +62,7 @@
     sock.sendall(request[:50])
     until(lambda: not connections_of(platform)._awaiting_first_byte, "the request has begun")
     shutdown_thread = in_background(platform.node.end)
-    until(lambda: connections_of(platform).shutting_down, "the end has begun")
+    until(lambda: connections_of(platform).shutting_down, "shutdown has begun")
     sock.sendall(request[50:])
     status, fields, _ = reply(sock)
     assert status == 503 and fields["connection"] == "close" and not asked(platform)
@@ -93,11 +93,11 @@
     platform: Platform,
     looking: Held,
 ) -> None:
-    """Closing the listener would reset it, and the request that was written to it would be lost."""
+    """Closing the listener would reset the connection, and the request on it would be lost."""
     waiting_client = rested(platform)
     looking.hold()
     waiting_client.sendall(query("held", {0: 1.0}))
-    looking.entered.wait(PATIENCE)  # from here on nobody takes connections
+    looking.entered.wait(PATIENCE)  # from here on no connection is accepted
     sock = platform.client()
     sock.sendall(query("q", {0: 1.0}))
     platform.node.server.stop_accepting()
@@ -112,7 +112,7 @@
     platform: Platform,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It was put into the inbox of a decision thread that had ended, and its client waited for ever."""
+    """The query was put into the inbox of a decision thread that had ended, and was never answered."""
     admitting = Held(monkeypatch, Admission, "admit", after=True)
     closing = Held(monkeypatch, QueryCoordinator, "close")
     closing.go.set()
@@ -140,7 +140,7 @@
     sock.sendall(query("q", {0: 1.0}))
     until(lambda: platform.node.core.admission.open, "the query is in the inbox")
     shutdown_thread = in_background(platform.node.end)
-    until(lambda: platform.node.core._stop.is_set(), "the end lies behind it")
+    until(lambda: platform.node.core._stop.is_set(), "the stop is requested after it")
     decision_turn.let_go()
     status, fields, _ = reply(sock)
     assert status == 503 and fields["connection"] == "close"
@@ -150,7 +150,7 @@
 
 
 def test_a_reply_written_as_shutdown_begins_closes_its_connection(platform: Platform) -> None:
-    """Winding down comes after it was decided that the connection stays: nobody would end it any more."""
+    """Shutdown begins after the reply was written with keep-alive; the connection must not stay open."""
     sock, connections = platform.client(), connections_of(platform)
     finish_request = connections._finish_request
 
@@ -178,7 +178,7 @@
     sock.sendall(query("q", dict.fromkeys(range(shards), 1 / shards)))
     until(lambda: platform.node.core.admission.reserved_bytes, "the answer is being written")
     shutdown_thread = in_background(platform.node.end)
-    until(lambda: connections_of(platform).shutting_down, "the end has begun")
+    until(lambda: connections_of(platform).shutting_down, "shutdown has begun")
     status, _, body = reply(sock)
     assert status == 200 and len(body["pieces"]) == shards
     shutdown_thread.join()
@@ -196,7 +196,7 @@
     sock.sendall(query("q", {0: 1.0}))
     assert writing.entered.wait(PATIENCE)
     shutdown_thread = in_background(platform.node.end)
-    until(lambda: connections_of(platform).shutting_down, "the end has begun")
+    until(lambda: connections_of(platform).shutting_down, "shutdown has begun")
     writing.let_go()
     assert reply(sock)[0] == 200
     ends_cleanly(sock)
@@ -207,7 +207,7 @@
 def test_shutdown_while_discovery_moves_to_an_address_that_does_not_answer(platform: Platform) -> None:
     with socket.create_server(("127.0.0.1", 0)) as silent_server:
         platform.node.watch.change_address(silent_server.getsockname()[:2])
-        sock, _ = silent_server.accept()  # its call has come and is never answered
+        sock, _ = silent_server.accept()  # the discovery call arrives and is never answered
         in_background(platform.node.end).join(PATIENCE)
         assert sock.recv(4096).startswith(b"GET") and sock.recv(1) == b"", "the call ends with the process"
         sock.close()
@@ -215,7 +215,7 @@
         platform.client()
 
 
-# ---- the start
+# ---- start-up
 
 
 def test_readiness_is_reported_once_decisions_run_and_earlier_requests_are_served(
@@ -244,9 +244,9 @@
         sock.sendall(query("early", {0: 1.0}))
         with socket.create_connection(listening.items[0], PATIENCE) as other:
             other.sendall(b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n")
-            assert reply(other)[0] == 503, "still, with a query that waits"
+            assert reply(other)[0] == 503, "not ready while a query waits"
             starting.let_go()
-            assert reply(sock)[0] == 200, "it was taken, and it is served"
+            assert reply(sock)[0] == 200, "the query was admitted, and it is answered"
             startup_thread.join()
             other.sendall(b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n")
             assert reply(other)[0] == 200
@@ -255,7 +255,7 @@
     platform.close()
 
 
-# ---- closing over bytes that lie unread
+# ---- closing with unread bytes
 
 
 def test_bytes_behind_the_last_request_do_not_reset_its_reply(platform: Platform) -> None:
@@ -272,13 +272,13 @@
 ) -> None:
     platform = Platform(tmp_path, sockets=64)
     idle_clients = []
-    for number in range(8):  # each rests, too short a time to be sent away
+    for number in range(8):  # each connection is idle, but not for long enough to be evicted
         idle_clients.append(platform.client())
         assert platform.ask(f"q{number}", {0: 1.0}, sock=idle_clients[-1])[0] == 200
-    until(lambda: len(connections_of(platform)._idle) == 8, "all rest")
+    until(lambda: len(connections_of(platform)._idle) == 8, "all connections are idle")
     looking.hold()
     idle_clients[0].sendall(query("held", {0: 1.0}))
-    assert looking.entered.wait(PATIENCE)  # from here on nobody takes connections
+    assert looking.entered.wait(PATIENCE)  # from here on no connection is accepted
     late_clients = [platform.client() for _ in range(40)]
     for number, sock in enumerate(late_clients):
         sock.sendall(query(f"late{number}", {0: 1.0}))
@@ -298,7 +298,7 @@
     flooding_client = platform.client()
     flooding_client.settimeout(PATIENCE)
     flooding_client.sendall(b"no HTTP\r\n\r\n")
-    with pytest.raises(ConnectionError):  # over the bound in bytes it is closed over what is left
+    with pytest.raises(ConnectionError):  # past the bound on bytes, closing with unread data resets it
         for _ in range(MAX_DISCARDED_BYTES // 65536 * 200):
             flooding_client.sendall(b"x" * 65536)
     other_clients = [platform.client() for _ in range(3 * MAX_CLOSING)]
--- a/tests/test_first.py
+++ b/tests/test_first.py
@@ -1,4 +1,4 @@
-"""The whole path, thin: a query through a co-ordinator to stand-ins and back."""
+"""A query from a client through a co-ordinator to fake replicas, checked against recomputed data."""
 
 from __future__ import annotations
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""Random legal event sequences under random settings: the host raises when an action breaks a rule."""
+"""Random valid event sequences and settings; `Host` raises if an action of the engine breaks a rule."""
 
 from __future__ import annotations
 
@@ -85,7 +85,7 @@
 
 
 def feed_second_steps(host: Host) -> None:
-    """An answer to a first step brings the parts of the second in the next batch."""
+    """Deliver the parts of the second step, in the batch after the answer to the first step."""
     for query in sorted(host.step_parts):
         if host.steps[query] == 2 and not host.step_parts[query] and query not in host.ended:
             number = next(i for i, q in enumerate(sorted(host.classes)) if q == query)
--- a/tests/test_telemetry.py
+++ b/tests/test_telemetry.py
@@ -1,4 +1,4 @@
-"""Logs of daemon and node, counters of a node: lines, bounds, and that nobody waits for a reader."""
+"""Logs of daemon and node, counters of the node: format, rate limits, and callers that never block."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class Lines(io.StringIO):
-    """A stream that keeps what is written to it."""
+    """A stream that keeps the lines written to it."""
 
     def lines(self) -> list[str]:
         return self.getvalue().splitlines()
@@ -84,7 +84,7 @@
 
 
 class UnreadPipe(io.StringIO):
-    """A log that nobody reads: a write does not come back."""
+    """A stream that nobody reads: a write blocks until its pipe is closed."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -102,8 +102,8 @@
     log = Telemetry(stream)
     log.start()
     for number in range(MAX_QUEUED_LINES + 500):
-        log.info(f"event-{number}")  # each of its own rate
-    log.stop()  # does not wait for ever either
+        log.info(f"event-{number}")  # each event has a rate limit of its own
+    log.stop()  # returns after `FLUSH_TIMEOUT`
     assert sum(log._handler.dropped.values()) >= 499
     os.close(stream.write_end)
 
@@ -136,7 +136,7 @@
 
 
 def test_a_node_logs_its_settings_and_its_shutdown(tmp_path: Path) -> None:
-    """Found in the incident: no line said when, which settings held, or why a query ended as it did."""
+    """In an incident, no line told the time, the settings in force, or why a query had ended as it did."""
     platform = Platform(tmp_path)
     program = start_node(platform.path)
     assert program.stderr is not None
@@ -189,7 +189,7 @@
 def test_a_request_that_breaks_is_logged_with_its_trace(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capfd: pytest.CaptureFixture[str]
 ) -> None:
-    """It is answered with 500, and so nothing else would tell of it."""
+    """The client gets status 500, so the log is the only report of the fault."""
 
     def raise_error(*args: object) -> None:
         raise KeyError("a bug")
@@ -205,7 +205,7 @@
 
 
 def test_counters_are_written_while_lines_keep_coming(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(log_handler, "IDLE_INTERVAL", 0.0)  # due at each line
+    monkeypatch.setattr(log_handler, "IDLE_INTERVAL", 0.0)  # counters are due at each line
     stream = Lines()
     log = Telemetry(stream)
     log.counters.add("queries_failed", "x")
@@ -217,7 +217,7 @@
 
 
 def _logged_event_names(path: Path) -> Iterator[str]:
-    """Names of events that a module logs by a literal instead of by a member of the enumeration."""
+    """Yield the names of events that a module logs by a literal instead of a member of the enumeration."""
     log_methods = {"info", "warning", "error", "debug", "_log"}
     for call in ast.walk(ast.parse(path.read_text())):
         if not isinstance(call, ast.Call) or not isinstance(call.func, ast.Attribute) or not call.args:
@@ -246,7 +246,7 @@
 
 @pytest.fixture
 def daemon_logger() -> Iterator[logging.Logger]:
-    """The logger of the daemon, which is put back as it was."""
+    """The logger of the daemon, which is restored after the test."""
     logger = logging.getLogger("gingervane.daemon")
     handlers, level, propagate = logger.handlers, logger.level, logger.propagate
     yield logger
--- a/tests/test_toy_front.py
+++ b/tests/test_toy_front.py
@@ -1,4 +1,4 @@
-"""A toy protocol over the same dispatcher and coordinator: a front needs nothing else."""
+"""A front for a toy protocol needs only the query dispatcher and the co-ordinator."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from gingervane.wire import http1
 from gingervane.wire.pool import Pool, exchange
 
-WORD_COUNTS = {"a": 3, "b": 4}  # words and what replicas count for them
+WORD_COUNTS = {"a": 3, "b": 4}  # the count of each word that the replicas return
 LOOKUP_CLASS = api.QueryClass(1.0, 3.0, api.RetrySafety.IDEMPOTENT, None, 0, 1.0, 1.0, None, 0.0, 1.0)
 SETTINGS = BASE._replace(
     coordinator_count=1,
@@ -35,7 +35,7 @@
 
 
 class CountCodec:
-    """Asks for the counts of words, as plain lines."""
+    """Requests the counts of words, as plain text."""
 
     def encode(self, contents: list[Any], seconds_left: list[float], address: tuple[str, int]) -> bytes:
         return http1.encode_head(f"GET /count/{'+'.join(contents)} HTTP/1.1", [("Host", "x")])
@@ -61,7 +61,7 @@
 
 
 def count_front(core: QueryCoordinator) -> Handler:
-    """The handler of the toy front, which adds the counts up."""
+    """Return the handler of the toy front, which adds up the counts."""
     dispatcher = QueryDispatcher(core, ["look"])
 
     def total(request: Any, body: bytes, arrived: float, client: Any, words: dict[str, str]) -> Reply:
@@ -84,7 +84,7 @@
 
 
 def test_a_front_of_another_protocol_needs_only_dispatcher_and_coordinator() -> None:
-    """A third protocol: words counted at replicas that speak plain lines."""
+    """The toy protocol counts words at replicas that answer in plain text."""
     pool = Pool(http1.Limits(4096, 4096), 4, 30.0)
     core = QueryCoordinator(
         DecisionEngine(SETTINGS, 1),
--- a/tests/test_tree.py
+++ b/tests/test_tree.py
@@ -1,4 +1,4 @@
-"""Wide queries: the planner, coverage and grants against brute force, and every order of one query's life."""
+"""Wide queries: properties of planner, coverage, quota and cost models; all orders of events of a query."""
 
 from __future__ import annotations
 
@@ -51,25 +51,25 @@
 
 @given(names, st.data())
 def test_coverage_survives_encoding_and_decoding(requested: list[str], data: st.DataObject) -> None:
-    held = {name: data.draw(st.integers(0, 3)) for name in requested if data.draw(st.booleans())}
-    bitmap, counts = coverage.encode(requested, held)
-    assert coverage.decode(requested, bitmap, counts) == held
-    series_leaves = [name for name, count in held.items() for _ in range(count)]
-    coverage.verify(held, series_leaves)
+    received = {name: data.draw(st.integers(0, 3)) for name in requested if data.draw(st.booleans())}
+    bitmap, counts = coverage.encode(requested, received)
+    assert coverage.decode(requested, bitmap, counts) == received
+    series_leaves = [name for name, count in received.items() for _ in range(count)]
+    coverage.verify(received, series_leaves)
     if series_leaves:
         for wrong_leaves in (series_leaves[1:], [*series_leaves, series_leaves[0]], [*series_leaves, "|"]):
             with pytest.raises(CoverageError):
-                coverage.verify(held, wrong_leaves)
+                coverage.verify(received, wrong_leaves)
 
 
 @given(names, st.binary(max_size=8), st.text(max_size=12))
 def test_any_reported_coverage_is_decoded_or_rejected(requested: list[str], bits: bytes, counts: str) -> None:
     for bitmap in (bits.hex(), base64.b64encode(bits).decode()):
         try:
-            held = coverage.decode(requested, bitmap, counts)
+            received = coverage.decode(requested, bitmap, counts)
         except CoverageError:
             continue
-        assert set(held) <= set(requested)
+        assert set(received) <= set(requested)
 
 
 def test_invalid_coverage_is_rejected() -> None:
@@ -89,7 +89,7 @@
         coverage.leaves_with_series(requested, ["a", "z"])
     assert coverage.leaves_with_series(requested, ["a", "a"]) == {
         "a": 2
-    }, "what has no series is not proved to be held"
+    }, "a leaf without series is not proved to be covered"
 
 
 @given(st.lists(st.sets(st.integers(0, 9)), max_size=8), st.integers(1, 10))
@@ -98,9 +98,9 @@
     total = LeafCoverage({name: (i + 1) / sum(range(1, count + 1)) for i, name in enumerate(leaves)})
     seen: set[str] = set()
     for source, answer in enumerate(answers):
-        held = {f"l{i}" for i in answer}
-        new = total.add(source, held)
-        assert new == (held & set(leaves)) - seen, "none twice, none that was not asked for"
+        received = {f"l{i}" for i in answer}
+        new = total.add(source, received)
+        assert new == (received & set(leaves)) - seen, "each requested leaf once, and no other leaf"
         seen |= new
     assert total.share == pytest.approx(
         sum((i + 1) for i in range(count) if f"l{i}" in seen) / sum(range(1, count + 1))
@@ -138,7 +138,7 @@
     sizes = [len(subtree.leaves) for subtree in plan.subtrees]
     assert 2 <= len(sizes) <= LIMITS.fan_out and min(sizes) >= 1 and max(sizes) - min(sizes) <= 1
     assert all(subtree.ring_position in positions for subtree in plan.subtrees)
-    if len(task.leaves) <= LIMITS.fan_out:  # cut below the bound: then a tree must be the better one
+    if len(task.leaves) <= LIMITS.fan_out:  # a split within the bound: then a tree must be faster
         best = min(cost_models.tree_seconds(len(task.leaves), k) for k in range(2, len(task.leaves) + 1))
         assert best <= cost_models.flat_seconds(len(task.leaves))
 
@@ -225,29 +225,29 @@
                 quota.reserve(subquery_id, ("a",), 1)
             break
         quota.reserve(subquery_id, ("a", "b"), offered)
-        executed = offered if used is None else min(used, offered)  # what a child may do with it
+        executed = offered if used is None else min(used, offered)  # the most that the child may execute
         ran += executed
         quota.release(subquery_id, used)
         assert ran <= quota.max_used <= max_attempts
 
 
 def test_total_attempts_used() -> None:
-    idle = (ExecutionUse(2, True, None), ExecutionUse(1, True, None))
-    assert total_attempts_used(idle) == (0, True)
+    not_executed = (ExecutionUse(2, True, None), ExecutionUse(1, True, None))
+    assert total_attempts_used(not_executed) == (0, True)
     assert total_attempts_used([ExecutionUse(2, False, None), ExecutionUse(1, False, 1)]) == (3, False)
     assert total_attempts_used([ExecutionUse(2, False, 1)]) == (1, False)
     assert total_attempts_used([ExecutionUse(2, False, 9)]) == (2, False)
 
 
-# ---- one query's life, in all orders
+# ---- all orders of events of one query
 
 LEAVES = ("a", "b", "c")
 PLAN = SubtreePlan((Subtree(("a", "b"), 0), Subtree(("c",), 1)), "test")
-OUTCOMES = ("all", "none", "idle", "refused", "lie")
+OUTCOMES = ("all", "none", "not executed", "rejected", "wrong leaf")
 
 
 class QueryRun:
-    """A query at two levels, with what the leaves really gave and how often they really ran."""
+    """A query at two levels, with the leaves that were returned and the attempts that were executed."""
 
     def __init__(self, rules: CompletionRules, attempts: int) -> None:
         task = QueryTask(LEAVES, 4.0, 1, attempts)
@@ -261,7 +261,7 @@
 
     def execute(self, actions: Sequence[object]) -> None:
         for action in actions:
-            assert not self.results, "something after the final answer"
+            assert not self.results, "an action after the result"
             match action:
                 case QuerySubtree(subquery_id, subtree, seconds, runs):
                     assert 0 < seconds < 4.0
@@ -279,42 +279,42 @@
 
     def possible_events(self) -> Iterator[tuple[str, int, tuple[str, ...]]]:
         for subquery_id, (leaves, _) in self.in_flight.items():
-            for ending in OUTCOMES:
-                yield ending, subquery_id, leaves
+            for outcome_kind in OUTCOMES:
+                yield outcome_kind, subquery_id, leaves
             for size in range(1, len(leaves)):
                 for part in combinations(leaves, size):
                     yield "some", subquery_id, part
         yield "expire", 0, ()
-        yield "leave", 0, ()
+        yield "disconnect", 0, ()
 
     def apply(self, kind: str, subquery_id: int, part: tuple[str, ...]) -> None:
         self.now += 0.1
         if kind == "expire":
             self.now = 4.0
             self.execute(list(self.query.expire(self.now)))
-            assert self.results, "the time is up, and no answer"
+            assert self.results, "no result at the deadline"
             return
-        if kind == "leave":
+        if kind == "disconnect":
             self.execute(list(self.query.client_disconnected()))
             return
         leaves, granted = self.in_flight.pop(subquery_id)
-        held = frozenset(part if kind in ("all", "some") else ())
-        if kind == "idle" or kind == "refused":
-            outcome = SubqueryOutcome(never_executed=True, retry_after=0.5 if kind == "refused" else None)
-        else:  # a child that says nothing of what it used may have used all
+        received = frozenset(part if kind in ("all", "some") else ())
+        if kind == "not executed" or kind == "rejected":
+            outcome = SubqueryOutcome(never_executed=True, retry_after=0.5 if kind == "rejected" else None)
+        else:  # a child that does not report its use may have used all attempts
             used = 1 if kind in ("all", "some") else None
-            outcome = SubqueryOutcome(held if kind != "lie" else frozenset({"z"}), used)
+            outcome = SubqueryOutcome(received if kind != "wrong leaf" else frozenset({"z"}), used)
             for leaf in leaves:
                 self.ran[leaf] += granted if used is None else used
-        self.returned_leaves |= held
+        self.returned_leaves |= received
         self.execute(list(self.query.subquery_finished(self.now, subquery_id, outcome)))
 
     def check(self, attempts: int) -> None:
         assert len(self.results) <= 1
-        assert all(count <= attempts for count in self.ran.values()), "more ran than was handed down"
+        assert all(count <= attempts for count in self.ran.values()), "more attempts ran than were granted"
         for final in self.results:
             share = len(self.returned_leaves) / len(LEAVES)
-            assert final.share <= share + 1e-9, "a share over what leaves gave"
+            assert final.share <= share + 1e-9, "the share exceeds the returned leaves"
             assert final.status is not QueryStatus.COMPLETE or self.returned_leaves == set(LEAVES)
             enough = final.share >= self.rules.required_share - 1e-9 or self.rules.accepts_any_share
             assert final.status is not QueryStatus.PARTIAL or enough
@@ -326,7 +326,7 @@
                 or not ran
             )
             assert not self.in_flight
-        assert self.results or self.in_flight, "neither an answer nor anything to wait for"
+        assert self.results or self.in_flight, "neither a result nor a subquery in flight"
 
 
 @pytest.mark.parametrize("semantics", [RetrySafety.IDEMPOTENT, RetrySafety.NOT_IDEMPOTENT])
--- a/tests/test_tree_sockets.py
+++ b/tests/test_tree_sockets.py
@@ -1,4 +1,7 @@
-"""Trees on sockets: children that die, hang, lie, are old or drained; what reaches the leaves is counted."""
+"""Trees on sockets, with children that fail, stall, send wrong replies, are older or are drained.
+
+The executions at the leaves are counted.
+"""
 
 from __future__ import annotations
 
@@ -27,7 +30,7 @@
 
 
 class Child:
-    """A child co-ordinator as its parent sees it: a real one behind it, what it replies changed."""
+    """A child co-ordinator that forwards requests to a real one and changes its replies."""
 
     def __init__(
         self,
@@ -36,7 +39,7 @@
         strip: bool = False,
         blocked_root: str = "",
     ) -> None:
-        self._blocked_root = blocked_root  # a root whose calls do not get through
+        self._blocked_root = blocked_root  # a root whose requests are not answered
         self._client, self._change, self._strip = Client(upstream), change, strip
         self.request_count, self.released = 0, threading.Event()
         self.server = HttpServer("127.0.0.1", 0, self._handle, ServerLimits())
@@ -98,7 +101,7 @@
 
 
 def says_whole(reply: Reply, child: Child) -> Reply:
-    """Honest bitmap of nothing, and yet whole."""
+    """An accurate bitmap without leaves, but a coverage header that claims a complete answer."""
     return with_edited_series(reply, lambda found: [], gingervane_leaves="AAA=", gingervane_counts="")
 
 
@@ -114,7 +117,7 @@
 
 
 def short(reply: Reply, child: Child) -> Reply:
-    """An older child that lost a tile on its way and does not say so: what has no series is not counted."""
+    """An older child that lost a tile without reporting it: a leaf without series does not count."""
     return with_edited_series(
         reply,
         lambda found: [s for s in found if tile(s) != tile(found[0])],
@@ -137,7 +140,7 @@
 
 
 def list_children(fleet: Embedded, *addresses: tuple[str, int]) -> None:
-    """List these as the only children of the root; the real co-ordinator behind them is listed as gone."""
+    """List these as the only children of the root, and the real co-ordinator behind them as gone."""
     rows = [
         list_row(10 + i, f"{host}:{port}", ZONES[i], i + 2, "ready", 1.0, "coordinator", f"x{i}")
         for i, (host, port) in enumerate(addresses)
@@ -148,7 +151,7 @@
 
 
 def executions_by_leaf(tmp_path: Path) -> Counter[tuple[int, str]]:
-    """How often each leaf part of each query was begun by any node."""
+    """Count the executions of each query at each leaf, by query start time and leaf, over all nodes."""
     found: Counter[tuple[int, str]] = Counter()
     for path in tmp_path.glob("*.jsonl"):
         for line in path.read_text().splitlines():
@@ -186,14 +189,15 @@
     for node in fleet.grid.nodes:
         node._recorder.close()
     counted = executions_by_leaf(tmp_path)
-    assert len(counted) == 4 * 12 and max(counted.values()) <= 3, "over what was granted from the root"
+    assert len(counted) == 4 * 12 and max(counted.values()) <= 3, "more attempts than the root granted"
 
 
 @pytest.mark.parametrize("bad", [(refuses, refuses), (loops, refuses), (lacks_a_tile, lacks_a_tile)])
 def test_all_children_are_bad(fleet: Embedded, bad: tuple[Change, Change]) -> None:
-    """Around them: the leaves themselves, in the time kept back, as far as attempts are left.
+    """The root queries the leaves directly, in the time reserved for that and if attempts remain.
 
-    What a liar says that it used is not believed: two may have used all, and then nothing is left to ask by.
+    The attempts that an invalid reply reports as used are ignored. Two children with such replies may have
+    used all attempts, and then the root has none left for the leaves.
     """
     children = start_children(fleet, *bad)
     try:
@@ -216,14 +220,14 @@
         assert answer.status == 200 and is_right(answer, fleet.grid.tiles)
         assert children[0].request_count + children[1].request_count >= 3
         splits = fleet.apps[1]._front.queries_split
-        assert splits == 0, "its own orders are its own affair, and it had none to cut by"
+        assert splits == 0, "without a context the child applies its own bounds, which allow a flat plan"
     finally:
         for child in children:
             child.close()
 
 
 def test_a_plain_server_can_stand_in_for_a_child(fleet: Embedded) -> None:
-    """A remote read server that holds all tiles stands in the place of a child."""
+    """A remote read server that holds all tiles is listed as a child."""
     grid = fleet.grid
     grid.nodes[0].tiles = frozenset(grid.tiles)
     list_children(fleet, grid.nodes[0].address)
@@ -245,7 +249,7 @@
 
 
 def test_a_child_that_only_one_root_reaches(tmp_path: Path) -> None:
-    """Each root goes by what it sees itself: one by the middle, the other around it."""
+    """Each root decides by its own observations: only one of them gets answers through the child."""
     tree = {"ring": 5, "width": 5, "fan_out": 4, "levels": 1}
     fleet = Embedded(nodes=6, tiles=12, coordinators=3, tree=tree)
     child = Child(fleet.apps[1].address, unchanged, blocked_root="c0")
@@ -294,8 +298,11 @@
 
 
 def test_a_child_rejects_a_query_with_too_little_time() -> None:
-    """All leaves take well over 140 ms, and half of that is required: 40 are too short, and long enough for
-    the refusal to be written. Once the client's time is up its connection ends without one."""
+    """All leaves take well over 140 ms, and a query with less than half of that is rejected.
+
+    40 ms are too short for the query, and long enough for the rejection to be written: after the client's
+    deadline the connection would be closed without a reply.
+    """
     tree = {"ring": 4, "width": 4, "fan_out": 4, "levels": 1}
     fleet = Embedded(nodes=6, tiles=12, coordinators=2, tree=tree, model=Model(work=0.06))
     assert ask(fleet, ALL, "area-report").status == 200
@@ -314,7 +321,7 @@
             ],
         )
 
-    for _ in range(10):  # from which the child learns what it needs
+    for _ in range(10):  # answers to which the child fits its cost model
         assert client.exchange(request_from_parent("4s") + body, PATIENCE)[0] == 200
     head = request_from_parent("40ms")
     status, headers, text = client.exchange(head + body, PATIENCE)
@@ -329,7 +336,7 @@
 
 
 def test_cancellation_reaches_all_levels_of_the_tree() -> None:
-    """The client leaves; nothing stays at any level."""
+    """After the client disconnects, no query and no request stays open at any level."""
     fleet = Embedded(
         nodes=6,
         tiles=24,
