--- a/gingervane/fronts/connections.py
+++ b/gingervane/fronts/connections.py
@@ -272,9 +272,7 @@
 
     def _evict_silent(self) -> bool:
         """Close the oldest connection that has sent nothing, as hundreds of those would use up the limit."""
-        if (
-            self._limits.first_byte_timeout is None
-        ):  # here a connection may be silent before its first request
+        if self._limits.first_byte_timeout is None:  # clients may connect before they have a request
             return False
         silent = list(self._awaiting_first_byte)
         return any(self._close_unless_requested(connection, CloseReason.EVICTED) for connection in silent)
--- a/gingervane/fronts/http_server.py
+++ b/gingervane/fronts/http_server.py
@@ -74,9 +74,7 @@
     body: bytes
     close: bool = False
     until: float | None = None  # the client's deadline, after which a failure is sent instead of a result
-    done: Callable[[], None] = (
-        _nothing_to_release  # called once the reply has been written or writing it failed
-    )
+    done: Callable[[], None] = _nothing_to_release  # called once the reply is written or has failed
 
 
 class Exchange(Protocol):
--- a/gingervane/tree/wide_query.py
+++ b/gingervane/tree/wide_query.py
@@ -34,9 +34,7 @@
     subquery_id: int
     subtree: Subtree
     seconds: float  # time limit
-    attempts_by_execution: tuple[
-        int, ...
-    ]  # attempts for each leaf: for the first execution and each further one
+    attempts_by_execution: tuple[int, ...]  # for each leaf, in the first execution and each further one
 
 
 class QueryLeaves(NamedTuple):
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -89,10 +89,10 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     decision_turn = Held(monkeypatch, QueryCoordinator, "_turn")
-    disconnected, leave = Waiter(), QueryCoordinator.client_disconnected
+    disconnected, original = Waiter(), QueryCoordinator.client_disconnected
 
     def record_disconnect(self: QueryCoordinator, number: int) -> None:
-        leave(self, number)
+        original(self, number)
         disconnected.put(number)
 
     monkeypatch.setattr(QueryCoordinator, "client_disconnected", record_disconnect)
@@ -131,7 +131,7 @@
         if part.id.startswith("after"):
             wire.answer(part.id)
 
-    decision_turn, disconnected, leave = (
+    decision_turn, disconnected, original = (
         Held(monkeypatch, QueryCoordinator, "_turn"),
         Waiter(),
         QueryCoordinator.client_disconnected,
@@ -139,7 +139,7 @@
     decision_turn.go.set()
 
     def record_disconnect(self: QueryCoordinator, number: int) -> None:
-        leave(self, number)
+        original(self, number)
         disconnected.put(number)
 
     monkeypatch.setattr(QueryCoordinator, "client_disconnected", record_disconnect)
