--- a/benchmarks/cold_sum.py
+++ b/benchmarks/cold_sum.py
@@ -27,30 +27,30 @@
 from gingervane import interface as api
 from gingervane.decisions.engine import DecisionEngine
 
-TOOK, CAPACITY, LOAD, PARTS = (
+PART_SECONDS, CAPACITY, LOAD, PARTS = (
     0.1,
     10.0,
     0.6,
     4,
 )  # seconds; parts a second of a ready replica; of capacity; of a query
-WARM, MOST_AGAIN = 12.0, 3  # seconds before the starts; times that a client comes again
+WARM_UP_SECONDS, MAX_RETRIES = 12.0, 3  # seconds before the starts; times that a client comes again
 
 
-class Rules(NamedTuple):
+class SlowStartRules(NamedTuple):
     """Of one deployment."""
 
-    start: float
-    ramp: float
-    fall: float
-    multiple: float
-    copies: bool = True
-    cancel: bool = True
+    start_capacity: float
+    ramp_time: float
+    fall_time: float
+    fall_multiple: float
+    hedging: bool = True
+    cancellation: bool = True
 
 
 DEPLOYMENTS = {
-    "4 in 1.5 s": Rules(0.17, 16.0, 1.5, 4.0),
-    "2.5 in 1 s": Rules(0.22, 17.0, 1.0, 2.5),
-    "1.7 in 4 s": Rules(0.08, 24.0, 4.0, 1.7, copies=False),
+    "4 in 1.5 s": SlowStartRules(0.17, 16.0, 1.5, 4.0),
+    "2.5 in 1 s": SlowStartRules(0.22, 17.0, 1.0, 2.5),
+    "1.7 in 4 s": SlowStartRules(0.08, 24.0, 4.0, 1.7, hedging=False),
 }
 
 
@@ -58,31 +58,31 @@
     """`cold`: share of the replicas that start together; `rate`: times the traffic, by seconds since the start;
     `again`: clients come again at once; `anew`: co-ordinators restart so long after; `late`: lists, at most."""
 
-    cold: float
-    rate: Callable[[float], float] = lambda since: 1.0
-    again: bool = False
-    anew: float | None = None
-    late: float = 0.2
+    cold_share: float
+    rate_factor: Callable[[float], float] = lambda since: 1.0
+    clients_retry: bool = False
+    restart_after: float | None = None
+    max_list_delay: float = 0.2
 
 
 SCENARIOS = {
     "steady, one in ten": Scenario(0.1),
     "a burst of 2.5": Scenario(0.1, lambda since: 2.5 if 1.0 < since < 4.0 else 1.0),
-    "clients come again": Scenario(0.1, lambda since: 1.5, again=True),
-    "all restarted at once": Scenario(0.1, anew=0.5),
-    "lists late by up to 4 s": Scenario(0.1, late=4.0),
+    "clients come again": Scenario(0.1, lambda since: 1.5, clients_retry=True),
+    "all restarted at once": Scenario(0.1, restart_after=0.5),
+    "lists late by up to 4 s": Scenario(0.1, max_list_delay=4.0),
     "a third starts together": Scenario(0.34),
     "all start together": Scenario(1.0),
-    "all start, clients come again": Scenario(1.0, lambda since: 1.5, again=True),
+    "all start, clients come again": Scenario(1.0, lambda since: 1.5, clients_retry=True),
 }
 
 
 class Run:
     """One fleet from `WARM` before the starts to the end of the ramp."""
 
-    def __init__(self, rules: Rules, scenario: Scenario, coordinators: int, seed: int) -> None:
+    def __init__(self, rules: SlowStartRules, scenario: Scenario, coordinators: int, seed: int) -> None:
         self.rules, self.scenario, self.random = rules, scenario, random.Random(seed)
-        self.count, self.servers = coordinators, max(12, min(coordinators, 100))
+        self.fleet_size, self.replica_count = coordinators, max(12, min(coordinators, 100))
         kind = api.QueryClass(1.0, 3.0, api.RetrySafety.IDEMPOTENT, None, 0, 1.0, 1.0, None, 0.0, 1.0)
         self.settings = api.Settings(
             coordinator_count=coordinators,
@@ -90,134 +90,152 @@
             query_classes=(kind,),
             tenant_quotas=(),
             timer_granularity=0.005,
-            cell_count=self.servers,
+            cell_count=self.replica_count,
             cells_per_replica=3,
             max_parts_per_request=1,
             max_attempts=3,
-            cancellation_allowed=rules.cancel,
+            cancellation_allowed=rules.cancellation,
             gossip_allowed=False,
-            hedging_allowed=rules.copies,
+            hedging_allowed=rules.hedging,
             retry_after_allowed=True,
             max_retry_after=0.5,
             membership_polled=False,
-            slow_start_capacity=rules.start,
-            slow_start_duration=rules.ramp,
-            overload_window=rules.fall,
-            overload_multiple=rules.multiple,
+            slow_start_capacity=rules.start_capacity,
+            slow_start_duration=rules.ramp_time,
+            overload_window=rules.fall_time,
+            overload_multiple=rules.fall_multiple,
             retry_budget_free=None,
             retry_budget_share=None,
             retry_budget_window=None,
         )
-        self.born = 100.0 + WARM
-        cold = round(scenario.cold * self.servers)
-        self.cold = set(self.random.sample(range(self.servers), cold))
-        self.modules = [
+        self.started_at = 100.0 + WARM_UP_SECONDS
+        cold_count = round(scenario.cold_share * self.replica_count)
+        self.cold_replicas = set(self.random.sample(range(self.replica_count), cold_count))
+        self.engines = [
             DecisionEngine(self.settings, self.random.getrandbits(32)) for _ in range(coordinators)
         ]
-        self.told = [self.born + self.random.random() * scenario.late for _ in range(coordinators)]
+        self.notified_at = [
+            self.started_at + self.random.random() * scenario.max_list_delay for _ in range(coordinators)
+        ]
         self.sent: dict[int, list[float]] = defaultdict(list)  # to cold replicas, by who had been told
-        self.made: dict[tuple[int, int], int] = defaultdict(int)
-        self.ids, self.order = itertools.count(1), itertools.count()
-        self.queue: list[tuple[float, int, Callable[[float], None]]] = []
-        self.again: dict[tuple[int, int], int] = {}  # queries -> how often their clients came
-
-    def rows(self, state: Callable[[int], float]) -> tuple[api.Replica, ...]:
-        return tuple(api.Replica(n, n, 0, 1.0, api.ReplicaState.READY, state(n)) for n in range(self.servers))
+        self.attempts_sent: dict[tuple[int, int], int] = defaultdict(int)
+        self.id_counter, self.event_order = itertools.count(1), itertools.count()
+        self.event_queue: list[tuple[float, int, Callable[[float], None]]] = []
+        self.retry_counts: dict[tuple[int, int], int] = {}  # queries -> how often their clients came
+
+    def list_replicas(self, start_of: Callable[[int], float]) -> tuple[api.Replica, ...]:
+        return tuple(
+            api.Replica(n, n, 0, 1.0, api.ReplicaState.READY, start_of(n)) for n in range(self.replica_count)
+        )
 
-    def at(self, when: float, what: Callable[[float], None]) -> None:
-        heapq.heappush(self.queue, (when, next(self.order), what))
+    def schedule(self, when: float, callback: Callable[[float], None]) -> None:
+        heapq.heappush(self.event_queue, (when, next(self.event_order), callback))
 
-    def feed(self, who: int, now: float, *events: api.Event) -> None:
-        module = self.modules[who]
-        for action in module.handle(now, events):
+    def deliver(self, coordinator: int, now: float, *events: api.Event) -> None:
+        engine = self.engines[coordinator]
+        for action in engine.handle(now, events):
             match action:
                 case api.Send(part, replica, _):
-                    self.send(who, now, part, replica)
+                    self.send(coordinator, now, part, replica)
                 case api.SetTimer(delay, label):
-                    self.later(who, now + delay, api.TimerFired(label))
+                    self.schedule_event(coordinator, now + delay, api.TimerFired(label))
                 case api.Reject(query, _) | api.Fail(query):
-                    self.come_again(who, now, query)
+                    self.retry_query(coordinator, now, query)
 
-    def later(self, who: int, when: float, event: api.Event) -> None:
-        module = self.modules[who]
+    def schedule_event(self, coordinator: int, when: float, event: api.Event) -> None:
+        engine = self.engines[coordinator]
 
-        def due(now: float) -> None:
-            if self.modules[who] is module:  # else it ended with its process
-                self.feed(who, now, event)
+        def deliver_event(now: float) -> None:
+            if self.engines[coordinator] is engine:  # else it ended with its process
+                self.deliver(coordinator, now, event)
 
-        self.at(when, due)
+        self.schedule(when, deliver_event)
 
-    def send(self, who: int, now: float, part: int, replica: int) -> None:
-        attempt = self.made[who, part]
-        self.made[who, part] += 1
-        took = TOOK * self.random.uniform(0.6, 1.6)
-        if replica in self.cold and now >= self.born:
-            took /= self.capacity(now) / CAPACITY
-            if now >= self.told[who]:
+    def send(self, coordinator: int, now: float, part: int, replica: int) -> None:
+        attempt = self.attempts_sent[coordinator, part]
+        self.attempts_sent[coordinator, part] += 1
+        duration = PART_SECONDS * self.random.uniform(0.6, 1.6)
+        if replica in self.cold_replicas and now >= self.started_at:
+            duration /= self.capacity(now) / CAPACITY
+            if now >= self.notified_at[coordinator]:
                 self.sent[replica].append(now)
-        self.later(who, now + took, api.AttemptEnded(part, attempt, replica, api.AttemptOutcome.OK, took))
+        self.schedule_event(
+            coordinator,
+            now + duration,
+            api.AttemptEnded(part, attempt, replica, api.AttemptOutcome.OK, duration),
+        )
 
-    def come_again(self, who: int, now: float, query: int) -> None:
-        times = self.again.pop((who, query), 0)
-        if self.scenario.again and times < MOST_AGAIN:
+    def retry_query(self, coordinator: int, now: float, query: int) -> None:
+        retries = self.retry_counts.pop((coordinator, query), 0)
+        if self.scenario.clients_retry and retries < MAX_RETRIES:
             at = now + 0.01
-            self.at(at, lambda when: self.ask(self.random.randrange(self.count), when, times + 1))
+            self.schedule(
+                at,
+                lambda when: self.send_query(self.random.randrange(self.fleet_size), when, retries + 1),
+            )
 
     def capacity(self, now: float) -> float:
-        share = self.rules.start + (1.0 - self.rules.start) * min((now - self.born) / self.rules.ramp, 1.0)
+        share = self.rules.start_capacity + (1.0 - self.rules.start_capacity) * min(
+            (now - self.started_at) / self.rules.ramp_time, 1.0
+        )
         return CAPACITY * share
 
-    def ask(self, who: int, now: float, times: int) -> None:
-        query, shard = next(self.ids), self.random.randrange(self.servers)
-        self.again[who, query] = times
-        arrived = api.QueryArrived(query, query, 0, 0, PARTS, now + 3.0, times > 0, 0.0)
+    def send_query(self, coordinator: int, now: float, retries: int) -> None:
+        query, shard = next(self.id_counter), self.random.randrange(self.replica_count)
+        self.retry_counts[coordinator, query] = retries
+        arrived = api.QueryArrived(query, query, 0, 0, PARTS, now + 3.0, retries > 0, 0.0)
         parts = [
-            api.PartArrived(next(self.ids), query, (shard + 3 * i) % self.servers, 1 / PARTS)
+            api.PartArrived(next(self.id_counter), query, (shard + 3 * i) % self.replica_count, 1 / PARTS)
             for i in range(PARTS)
         ]
-        self.feed(who, now, arrived, *parts)
+        self.deliver(coordinator, now, arrived, *parts)
 
-    def come(self, now: float) -> None:
+    def client_arrives(self, now: float) -> None:
         """A client, and when the next one comes. Traffic is uneven: some get several times the mean."""
-        self.ask(min(int(self.random.random() ** 1.5 * self.count), self.count - 1), now, 0)
-        rate = LOAD * CAPACITY * self.servers / PARTS
-        rate *= self.scenario.rate(now - self.born) if now >= self.born else 1.0
-        self.at(now + self.random.expovariate(rate), self.come)
+        self.send_query(min(int(self.random.random() ** 1.5 * self.fleet_size), self.fleet_size - 1), now, 0)
+        rate = LOAD * CAPACITY * self.replica_count / PARTS
+        rate *= self.scenario.rate_factor(now - self.started_at) if now >= self.started_at else 1.0
+        self.schedule(now + self.random.expovariate(rate), self.client_arrives)
 
-    def tell(self, who: int, now: float) -> None:
-        rows = self.rows(lambda n: self.born if n in self.cold else 0.0)
-        self.feed(who, now, api.MembershipChanged(api.MembershipUpdateKind.FULL, rows))
+    def notify(self, coordinator: int, now: float) -> None:
+        replicas = self.list_replicas(lambda n: self.started_at if n in self.cold_replicas else 0.0)
+        self.deliver(coordinator, now, api.MembershipChanged(api.MembershipUpdateKind.FULL, replicas))
 
-    def restart(self, who: int, now: float) -> None:
-        self.modules[who] = DecisionEngine(self.settings, self.random.getrandbits(32))
-        self.tell(who, now)
+    def restart(self, coordinator: int, now: float) -> None:
+        self.engines[coordinator] = DecisionEngine(self.settings, self.random.getrandbits(32))
+        self.notify(coordinator, now)
 
     def play(self) -> float:
         """The most that a cold replica got in a span, of what it may get."""
-        for who in range(self.count):
-            self.feed(
-                who, 100.0, api.MembershipChanged(api.MembershipUpdateKind.FULL, self.rows(lambda n: 0.0))
+        for coordinator in range(self.fleet_size):
+            self.deliver(
+                coordinator,
+                100.0,
+                api.MembershipChanged(api.MembershipUpdateKind.FULL, self.list_replicas(lambda n: 0.0)),
             )
-            self.at(self.told[who], partial(self.tell, who))
-            if self.scenario.anew is not None:
-                when = max(self.told[who], self.born + self.scenario.anew) + 0.2 * self.random.random()
-                self.at(when, partial(self.restart, who))
-        self.at(100.0, self.come)
-        end = self.born + self.rules.ramp
-        while self.queue[0][0] < end:
-            now, _, what = heapq.heappop(self.queue)
-            what(now)
-        return max((self.worst(times) for times in self.sent.values()), default=0.0)
-
-    def worst(self, times: list[float]) -> float:
-        span, most = deque[float](), 0.0
-        for at in times:
+            self.schedule(self.notified_at[coordinator], partial(self.notify, coordinator))
+            if self.scenario.restart_after is not None:
+                when = (
+                    max(self.notified_at[coordinator], self.started_at + self.scenario.restart_after)
+                    + 0.2 * self.random.random()
+                )
+                self.schedule(when, partial(self.restart, coordinator))
+        self.schedule(100.0, self.client_arrives)
+        end = self.started_at + self.rules.ramp_time
+        while self.event_queue[0][0] < end:
+            now, _, callback = heapq.heappop(self.event_queue)
+            callback(now)
+        return max((self.highest_share(sent_at) for sent_at in self.sent.values()), default=0.0)
+
+    def highest_share(self, sent_at: list[float]) -> float:
+        span, shares = deque[float](), 0.0
+        for at in sent_at:
             span.append(at)
-            while span[0] <= at - self.rules.fall:
+            while span[0] <= at - self.rules.fall_time:
                 span.popleft()
-            may = self.rules.multiple * self.capacity(span[0]) * self.rules.fall
-            most = max(most, len(span) / (may + 2 * math.sqrt(may) + 2))
-        return most
+            allowed = self.rules.fall_multiple * self.capacity(span[0]) * self.rules.fall_time
+            shares = max(shares, len(span) / (allowed + 2 * math.sqrt(allowed) + 2))
+        return shares
 
 
 def play(job: tuple[str, str, int, int]) -> float:
@@ -230,16 +248,18 @@
     parser.add_argument("--seeds", type=int, default=5)
     parser.add_argument("--processes", type=int, default=4)
     parser.add_argument("--of", default="3,20,30,200,230")
-    chosen = parser.parse_args()
-    sizes = [int(size) for size in chosen.of.split(",")]
+    arguments = parser.parse_args()
+    sizes = [int(size) for size in arguments.of.split(",")]
     cells = list(itertools.product(DEPLOYMENTS, SCENARIOS, sizes))
-    jobs = [(*cell, seed) for cell in cells for seed in range(chosen.seeds)]
-    with ProcessPoolExecutor(chosen.processes) as pool:
-        found = iter(list(pool.map(play, jobs)))
+    jobs = [(*cell, seed) for cell in cells for seed in range(arguments.seeds)]
+    with ProcessPoolExecutor(arguments.processes) as pool:
+        results = iter(list(pool.map(play, jobs)))
     for deployment, scenario, size in cells:
-        most = [next(found) for _ in range(chosen.seeds)]
-        past = sum(share > 1.0 for share in most)
-        print(f"{deployment:10}  {scenario:30}  {size:4}  {past} of {len(most)} past, most {max(most):.2f}")
+        most = [next(results) for _ in range(arguments.seeds)]
+        over_limit = sum(share > 1.0 for share in most)
+        print(
+            f"{deployment:10}  {scenario:30}  {size:4}  {over_limit} of {len(most)} past, most {max(most):.2f}"
+        )
 
 
 if __name__ == "__main__":
--- a/benchmarks/common.py
+++ b/benchmarks/common.py
@@ -129,10 +129,10 @@
                 with lock:
                     counts[1] += 1
                 continue
-            took = time.monotonic() - start
+            duration = time.monotonic() - start
             with lock:
                 counts[0] += 1
-                histogram.record_value(max(int(took * 1e6), 1))
+                histogram.record_value(max(int(duration * 1e6), 1))
 
     threads = [threading.Thread(target=run, args=(i,), daemon=True) for i in range(clients)]
     for thread in threads:
--- a/benchmarks/idle.py
+++ b/benchmarks/idle.py
@@ -14,7 +14,7 @@
 COUNT = 1000
 
 
-def resident(pid: int) -> float:
+def resident_mib(pid: int) -> float:
     """MiB of memory that a process holds."""
     with Path(f"/proc/{pid}/status").open() as file:
         line = next(row for row in file if row.startswith("VmRSS"))
@@ -26,12 +26,12 @@
     with Fleet() as fleet:
         query = Query(1_764_600_000_000, 1_764_600_300_000, (Matcher(Match.EQUAL, "tile", "t001"),))
         data = Client(fleet.address).request([query], {})
-        before = resident(fleet.coordinator.pid)
+        before = resident_mib(fleet.coordinator.pid)
         sockets = [socket.create_connection(fleet.address) for _ in range(COUNT)]
         for sock in sockets:  # each has asked once and been answered, then stays
             sock.sendall(data)
             assert sock.recv(1 << 20).startswith(b"HTTP/1.1 200")
         time.sleep(1.0)
-        after = resident(fleet.coordinator.pid)
-        each = (after - before) * 1024 / COUNT
-        print(f"{COUNT} idle connections: {before:.1f} to {after:.1f} MiB, {each:.1f} KiB each")
+        after = resident_mib(fleet.coordinator.pid)
+        kib_per_connection = (after - before) * 1024 / COUNT
+        print(f"{COUNT} idle connections: {before:.1f} to {after:.1f} MiB, {kib_per_connection:.1f} KiB each")
--- a/benchmarks/latency.py
+++ b/benchmarks/latency.py
@@ -33,31 +33,31 @@
     )
 
 
-def added() -> None:
+def measure_added_latency() -> None:
     """Direct and through the co-ordinator by turns in one run, one part a query."""
     with Fleet(model=MODEL) as fleet:
         direct = [Client(("127.0.0.1", port)) for port in fleet.ports]
         through, rng = Client(fleet.address), random.Random(4)
-        found = {"direct": HdrHistogram(1, 60_000_000, 3), "through": HdrHistogram(1, 60_000_000, 3)}
+        histograms = {"direct": HdrHistogram(1, 60_000_000, 3), "through": HdrHistogram(1, 60_000_000, 3)}
         lock = threading.Lock()
         picks = [(rng.randrange(24), rng.randrange(3)) for _ in range(int(RATE * 4 * SECONDS))]
 
         def work(index: int) -> None:
             tile, replica = picks[index]
-            asked = [query(f"t{tile:03d}")]
+            queries = [query(f"t{tile:03d}")]
             name = ("direct", "through")[index % 2]
             client = direct[(tile + replica) % 12] if name == "direct" else through
             start = time.monotonic()
-            data = client.request(asked, {})
+            data = client.request(queries, {})
             assert client.exchange(data, 10.0)[0] == 200
             with lock:
-                found[name].record_value(int((time.monotonic() - start) * 1e6))
+                histograms[name].record_value(int((time.monotonic() - start) * 1e6))
 
         # Half of 12 nodes x 2 cores / 22 ms a part.
         _, _, errors = open_loop(RATE * 4, SECONDS, work)
-        for name, histogram in found.items():
+        for name, histogram in histograms.items():
             print(f"{name:8} {histogram.get_total_count():5} queries: {quantiles(histogram)}")
-        through_us, direct_us = found["through"], found["direct"]
+        through_us, direct_us = histograms["through"], histograms["direct"]
         extra = [
             through_us.get_value_at_percentile(q) - direct_us.get_value_at_percentile(q) for q in (50, 99)
         ]
@@ -66,11 +66,11 @@
         )
 
 
-def copies(on: bool) -> None:
+def measure_hedging(hedging_allowed: bool) -> None:
     """One of twelve nodes ten times slower; with copies off the same module is not allowed to send any."""
     patch = (
         ""
-        if on
+        if hedging_allowed
         else "from gingervane.settings.daemon_settings import Config as C; f = C.module_settings; "
         "C.module_settings = lambda s: f(s)._replace(may_copy=False); "
     )
@@ -80,12 +80,12 @@
     }
     with Fleet(model=MODEL, faults=slow, prefix=[sys.executable, "-c", code]) as fleet:
         client = Client(fleet.address)
-        began, late = time.monotonic(), HdrHistogram(1, 60_000_000, 3)
+        began, slow_phase = time.monotonic(), HdrHistogram(1, 60_000_000, 3)
         lock = threading.Lock()
 
         def work(index: int) -> None:
             tiles = [f"t{(index * 7 + i) % 24:03d}" for i in range(3)]
-            asked = Query(
+            queries = Query(
                 END - 300_000,
                 END,
                 (
@@ -94,18 +94,18 @@
                 ),
             )
             start = time.monotonic()
-            assert client.exchange(client.request([asked], {}), 10.0)[0] == 200
+            assert client.exchange(client.request([queries], {}), 10.0)[0] == 200
             if start - began > 9:  # the slow node has been slow for a second
                 with lock:
-                    late.record_value(int((time.monotonic() - start) * 1e6))
+                    slow_phase.record_value(int((time.monotonic() - start) * 1e6))
 
         _, _, errors = open_loop(40.0, 40.0, work)
-        name, count = "on " if on else "off", late.get_total_count()
-        print(f"copies {name}: {count} queries of 3 parts: {quantiles(late)}; errors {errors}")
+        name, count = "on " if hedging_allowed else "off", slow_phase.get_total_count()
+        print(f"copies {name}: {count} queries of 3 parts: {quantiles(slow_phase)}; errors {errors}")
 
 
 if __name__ == "__main__":
     print(machine())
-    added()
-    copies(True)
-    copies(False)
+    measure_added_latency()
+    measure_hedging(True)
+    measure_hedging(False)
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -78,22 +78,22 @@
 def worker(agents: list[list[Any]], count: int) -> None:
     """`count` co-ordinators' watchers; prints for each the moment at which its module was told of a drain."""
     lock = threading.Lock()
-    made = []
+    all_sources = []
     for number in range(count):
         seen: dict[int, api.ReplicaState] = {}
 
-        def tell(
+        def on_update(
             listed: EndpointsUpdated, number: int = number, seen: dict[int, api.ReplicaState] = seen
         ) -> None:
             now = time.monotonic()
             for replica in listed.membership.replicas:
-                was, seen[replica.id] = seen.get(replica.id), replica.state
-                if replica.state is api.ReplicaState.DRAINING and was is not replica.state:
+                previous_state, seen[replica.id] = seen.get(replica.id), replica.state
+                if replica.state is api.ReplicaState.DRAINING and previous_state is not replica.state:
                     with lock:
                         print("told", now, number, replica.id, flush=True)
 
-        sources = EndpointSources(("consul",), MassRemovalGuard(), tell, lambda what: None)
-        place = ConsulService(tuple((host, port) for host, port in agents), "grid", backoff=Backoff())
+        sources = EndpointSources(("consul",), MassRemovalGuard(), on_update, lambda what: None)
+        service = ConsulService(tuple((host, port) for host, port in agents), "grid", backoff=Backoff())
 
         def report(
             members: tuple[Member, ...],
@@ -104,10 +104,12 @@
         ) -> None:
             to.report("consul", members, age, index, sure)
 
-        for watcher in create_watchers(place, ZONES, NODES, 0.0, report, lambda what: None, random.Random()):
+        for watcher in create_watchers(
+            service, ZONES, NODES, 0.0, report, lambda what: None, random.Random()
+        ):
             watcher.start()
-        made.append(sources)
-    for sources in made:
+        all_sources.append(sources)
+    for sources in all_sources:
         sources.start(30.0)
     print("ready", flush=True)
     sys.stdin.read()
@@ -115,9 +117,9 @@
 
 def call_rates(calls: list[float], start: float, end: float) -> str:
     """Return the average and the greatest rate of calls in a span."""
-    found = np.array([t for t in calls if start <= t < end])
-    most = max((int(np.searchsorted(found, t + 1.0) - i) for i, t in enumerate(found)), default=0)
-    return f"{len(found) / (end - start):.1f}/s on average, {most} in the busiest second"
+    call_times = np.array([t for t in calls if start <= t < end])
+    most = max((int(np.searchsorted(call_times, t + 1.0) - i) for i, t in enumerate(call_times)), default=0)
+    return f"{len(call_times) / (end - start):.1f}/s on average, {most} in the busiest second"
 
 
 class WatcherFleet:
--- a/benchmarks/sampler.py
+++ b/benchmarks/sampler.py
@@ -22,11 +22,13 @@
         for ident, frame in sys._current_frames().items():
             if ident == own:
                 continue
-            stack, at = [], frame
-            while at is not None:
-                code = at.f_code
-                stack.append(f"{code.co_filename.rpartition('gingervane/')[2]}:{code.co_name}:{at.f_lineno}")
-                at = at.f_back  # type: ignore[assignment]
+            stack, current = [], frame
+            while current is not None:
+                code = current.f_code
+                stack.append(
+                    f"{code.co_filename.rpartition('gingervane/')[2]}:{code.co_name}:{current.f_lineno}"
+                )
+                current = current.f_back  # type: ignore[assignment]
             counts[";".join(reversed(stack))] += 1
         if time.monotonic() - last > 2:
             last = time.monotonic()
--- a/benchmarks/throughput.py
+++ b/benchmarks/throughput.py
@@ -20,7 +20,7 @@
 
 END = 1_764_600_000_000
 SECONDS = 8.0
-FREE = Model(cores=64, work=1e-6, call_work=1e-6, queue=100_000)
+FREE_NODES = Model(cores=64, work=1e-6, call_work=1e-6, queue=100_000)
 
 
 def load(address: tuple[str, int], tiles: int, clients: int, seconds: float, out: Any) -> None:
@@ -46,7 +46,7 @@
 
 def measure(tiles: int, processes: int, clients: int, prefix: list[str] | None = None) -> None:
     open_parts = {"limits": {"open": 20_000}}
-    with Fleet(nodes=12, tiles=24, model=FREE, table=open_parts, prefix=prefix) as fleet:
+    with Fleet(nodes=12, tiles=24, model=FREE_NODES, table=open_parts, prefix=prefix) as fleet:
         out: Any = multiprocessing.Queue()
         load(fleet.address, tiles, 4, 1.0, out)
         out.get()
@@ -57,15 +57,15 @@
         ]
         for job in jobs:
             job.start()
-        found = [out.get() for _ in jobs]
+        results = [out.get() for _ in jobs]
         took, used = time.monotonic() - before, cpu_of(fleet.coordinator.pid) - cpu
         for job in jobs:
             job.join()
-        queries = sum(f[0] for f in found)
+        queries = sum(f[0] for f in results)
         print(
             f"{tiles:3} parts a query, {processes * clients:3} clients: {queries * tiles / took:7.0f} parts/s, "
-            f"{queries / took:6.0f} queries/s, p50 {max(f[1] for f in found) / 1000:6.1f} ms, "
-            f"p99 {max(f[2] for f in found) / 1000:6.1f} ms, errors {sum(f[3] for f in found)}, "
+            f"{queries / took:6.0f} queries/s, p50 {max(f[1] for f in results) / 1000:6.1f} ms, "
+            f"p99 {max(f[2] for f in results) / 1000:6.1f} ms, errors {sum(f[3] for f in results)}, "
             f"{used / took:.2f} cores, {used / max(queries * tiles, 1) * 1e6:.0f} us of CPU a part"
         )
 
--- a/benchmarks/timers.py
+++ b/benchmarks/timers.py
@@ -31,7 +31,7 @@
     print(machine())
     for rate in (500.0, 2000.0, 10000.0):
         for name, timers in (("heap", HeapTimers()), ("wheel", WheelTimers(0.005))):
-            each, wakes = play(timers, 100_000, rate)
+            seconds, wakes = play(timers, 100_000, rate)
             print(
-                f"{rate:6.0f} parts/s  {name:5}  {each * 1e6:5.2f} us a part, {wakes / 100_000:.3f} wakes a part"
+                f"{rate:6.0f} parts/s  {name:5}  {seconds * 1e6:5.2f} us a part, {wakes / 100_000:.3f} wakes a part"
             )
--- a/benchmarks/tree.py
+++ b/benchmarks/tree.py
@@ -18,7 +18,7 @@
 SECONDS, RATE = 10.0, 3.0
 
 
-def day(nodes: int, levels: int) -> dict[str, Any]:
+def scenario_table(nodes: int, levels: int) -> dict[str, Any]:
     """`levels` of co-ordinators: 1 is flat. Fan-outs are set so that each level is used."""
     tiles = nodes
     fan_out = {1: tiles, 2: max(-(-tiles // 5), 2), 3: max(round((tiles / 4) ** 0.5) + 1, 2)}[levels]
@@ -49,14 +49,14 @@
     )
     for nodes in (12, 60, 150):
         for levels in (1, 2, 3):
-            scenario = validate(Scenario, day(nodes, levels), Path("benchmark"))
+            scenario = validate(Scenario, scenario_table(nodes, levels), Path("benchmark"))
             report = ScenarioRun(scenario, out / f"{nodes}-{levels}").run()
             row, count = (
                 report["latency_ms"].get("wide", {"count": 0, "p50": 0, "p99": 0}),
                 max(report["tries"], 1),
             )
-            usage = {int(n): use for n, use in report["usage"].items()}
-            cpu = sum(use["cpu_s"] for use in usage.values())
+            usage = {int(n): process_usage for n, process_usage in report["usage"].items()}
+            cpu = sum(process_usage["cpu_s"] for process_usage in usage.values())
             root = next(v for tap, v in report["bytes_exchanged"].items() if tap.startswith("tap-0-"))
             kept = "" if report["kept"] else "  RULES BROKEN"
             print(
--- a/benchmarks/vectors.py
+++ b/benchmarks/vectors.py
@@ -54,14 +54,14 @@
             built, plain = [], []
             for _ in range(5):
                 began = time.perf_counter()
-                found = merge_hits(lists, 0, k, True)
+                merged = merge_hits(lists, 0, k, True)
                 built.append(time.perf_counter() - began)
                 began = time.perf_counter()
-                best = sorted(
+                expected = sorted(
                     (p for one in lists for p in one), key=lambda p: (-p["score"], order_of(p["id"]))
                 )[:k]
                 plain.append(time.perf_counter() - began)
-                assert found == best
+                assert merged == expected
             print(f"  {k}, {shards}: {np.median(built) * 1000:.2f}, {np.median(plain) * 1000:.2f}")
 
 
@@ -222,27 +222,27 @@
     norms = np.linalg.norm(vectors, axis=1)
     wrong = 0
     for _ in range(200):
-        wanted = rng.normal(size=dims)
-        found = client.search(wanted.tolist())
-        best = np.argsort(-(vectors @ wanted) / norms, kind="stable")[:10]
-        wrong += [point["id"] for point in found] != best.tolist()
+        query_vector = rng.normal(size=dims)
+        hits = client.search(query_vector.tolist())
+        expected = np.argsort(-(vectors @ query_vector) / norms, kind="stable")[:10]
+        wrong += [point["id"] for point in hits] != expected.tolist()
     print(f"{points} points, {nodes} shards, k 10: {200 - wrong} of 200 searches equal brute force")
 
 
-def measure_searches(client: CollectionClient, wanted: list[float], ports: list[int]) -> None:
+def measure_searches(client: CollectionClient, query_vector: list[float], ports: list[int]) -> None:
     """Measure searches of all shards against one shard asked directly."""
     shard = shard_of(0, len(ports))
     direct = ("127.0.0.1", ports[shard])
     works: dict[str, Callable[[int], Any]] = {
-        "one shard of one node": lambda _: client.search_shard(direct, wanted, shard),
-        "search of all shards": lambda _: client.search(wanted),
+        "one shard of one node": lambda _: client.search_shard(direct, query_vector, shard),
+        "search of all shards": lambda _: client.search(query_vector),
     }
     for clients in (1, 8, 32):
         for name, work in works.items():
             print_load(f"{clients} clients, {name}", *closed_loop(clients, LOAD_SECONDS, work))
 
 
-def measure_both_fronts(client: CollectionClient, wanted: list[float]) -> None:
+def measure_both_fronts(client: CollectionClient, query_vector: list[float]) -> None:
     """Measure remote reads and searches, each alone and beside the other."""
     tile = Query(1_764_600_000_000, 1_764_600_300_000, (Matcher(Match.EQUAL, "tile", "t001"),))
     reader = Client(client.coordinator)
@@ -252,7 +252,7 @@
             raise OSError("not 200")
 
     def search(_index: int) -> None:
-        client.search(wanted)
+        client.search(query_vector)
 
     print_load("8 clients, remote read alone", *closed_loop(8, LOAD_SECONDS, read))
     print_load("8 clients, search alone", *closed_loop(8, LOAD_SECONDS, search))
@@ -264,12 +264,12 @@
     print_load("8 clients, search beside 8 of remote read", *beside[0])
 
 
-def measure_upserts(client: CollectionClient, wanted: list[float], points: int) -> None:
+def measure_upserts(client: CollectionClient, query_vector: list[float], points: int) -> None:
     """Measure upserts of new points, whose ids follow those of the first `points`."""
     ids = itertools.count(points + 1)
 
     def upsert(_index: int) -> None:
-        client.upsert([{"id": next(ids), "vector": wanted}])
+        client.upsert([{"id": next(ids), "vector": query_vector}])
 
     for clients in (1, 16):
         print_load(f"{clients} clients, upserts", *closed_loop(clients, LOAD_SECONDS, upsert))
@@ -305,10 +305,10 @@
     with Fleet(nodes=6, tiles=12, table=coordinator_table(folder, nodes, dims)) as fleet:
         client = CollectionClient(fleet.address)
         check_searches(client, vectors, rng, nodes)
-        wanted = rng.normal(size=dims).tolist()
-        measure_searches(client, wanted, ports)
-        measure_both_fronts(client, wanted)
-        measure_upserts(client, wanted, points)
+        query_vector = rng.normal(size=dims).tolist()
+        measure_searches(client, query_vector, ports)
+        measure_both_fronts(client, query_vector)
+        measure_upserts(client, query_vector, points)
     for process in processes:
         assert process.stdin
         process.stdin.close()
--- a/gingervane/cli/main.py
+++ b/gingervane/cli/main.py
@@ -30,23 +30,23 @@
     """Aggregate queries over replicated shards."""
 
 
-def _fail(message: str) -> NoReturn:
+def _exit_invalid(message: str) -> NoReturn:
     """End the process, as it was given something that makes no sense."""
     click.echo(message, err=True)
     sys.exit(EXIT_INVALID_INPUT)
 
 
 @contextmanager
-def _failing_on(*errors: type[Exception]) -> Iterator[None]:
+def _exit_on_error(*errors: type[Exception]) -> Iterator[None]:
     """Let these errors end the process with their text."""
     try:
         yield
     except errors as error:
-        _fail(str(error))
+        _exit_invalid(str(error))
 
 
-def _load(path: Path) -> daemon_settings.Config:
-    with _failing_on(daemon_settings.SettingsError):
+def _load_settings(path: Path) -> daemon_settings.Config:
+    with _exit_on_error(daemon_settings.SettingsError):
         return daemon_settings.load(path)
 
 
@@ -60,7 +60,7 @@
     from gingervane.daemon.app import App
     from gingervane.membership.endpoint_file import EndpointFileError
 
-    config = _load(path)
+    config = _load_settings(path)
     daemon_log.configure(config.log.format, config.log.level)
     if tap:
         SOCKET_RECORDER.open(tap)
@@ -68,14 +68,14 @@
         sys.exit(App(config).run())
     except (EndpointFileError, OSError) as error:
         where = config.membership.file or path if isinstance(error, EndpointFileError) else path
-        _fail("\n".join(f"{where}: {line}" for line in str(error).splitlines()))
+        _exit_invalid("\n".join(f"{where}: {line}" for line in str(error).splitlines()))
 
 
 @main.command("check-config")
 @click.argument("path", type=_SETTINGS_FILE)
 def check_config(path: Path) -> None:
     """Check a settings file; say all that is wrong with it."""
-    config = _load(path)
+    config = _load_settings(path)
     click.echo(f"{path}: good: {len(config.classes)} classes, {len(config.shards.names)} shards")
 
 
@@ -91,7 +91,7 @@
     stop = threading.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, lambda *_: stop.set())
-    with demonstration.fleet() as embedded:
+    with demonstration.embedded_fleet() as embedded:
         click.echo(f"listening on {embedded.address[0]}:{embedded.address[1]}")
         sys.stdout.flush()
         stop.wait()
@@ -132,7 +132,7 @@
         params["class"] = query_class
     if partial:
         params["partial_response"] = "true"
-    sys.exit(demonstration.ask((host, int(port)), matchers, milliseconds, params, timeout))
+    sys.exit(demonstration.run_query((host, int(port)), matchers, milliseconds, params, timeout))
 
 
 _SCENARIO_ARGUMENT = click.argument("scenario", required=False)
@@ -172,7 +172,7 @@
         raise click.UsageError("give a SCENARIO or --from-day, one of the two")
     if out.exists() and any(out.iterdir()) and not (out / "facts.json").exists():
         raise click.BadParameter(f"{out} holds something other than a rehearsal", param_hint="--out")
-    with _failing_on(daemon_settings.SettingsError, ScenarioRunError):
+    with _exit_on_error(daemon_settings.SettingsError, ScenarioRunError):
         day = bench_day_import.convert(from_day) if from_day else scenarios.load(str(scenario))
         if notice:
             click.echo(notice, err=True)
@@ -199,17 +199,17 @@
     from gingervane.experiments.store import Run, StoreBusy
 
     world: experiments.World = "sockets" if sockets else "emulator"
-    with _failing_on(daemon_settings.SettingsError, StoreBusy):
-        found, scenario, _ = experiments.load(experiment)
+    with _exit_on_error(daemon_settings.SettingsError, StoreBusy):
+        loaded, scenario, _ = experiments.load(experiment)
         with Progress() as progress:
-            task = progress.add_task(found.name, total=None)
+            task = progress.add_task(loaded.name, total=None)
 
             def show_progress(done: int, total: int, run: Run | None) -> None:
                 progress.update(task, completed=done, total=total)
                 if run and run.error:
                     progress.console.print(f"failed: {run.cell}, seed {run.seed}: {run.error}", markup=False)
 
-            failed = experiments.run(found, scenario, out, world, workers, show_progress)
+            failed = experiments.run(loaded, scenario, out, world, workers, show_progress)
     sys.exit(1 if failed else 0)
 
 
@@ -222,15 +222,15 @@
     from gingervane.experiments import figures
     from gingervane.experiments.store import RunStore, StoreBusy
 
-    with _failing_on(daemon_settings.SettingsError, StoreBusy):
-        found, _, _ = experiments.load(experiment)
+    with _exit_on_error(daemon_settings.SettingsError, StoreBusy):
+        loaded, _, _ = experiments.load(experiment)
         store = RunStore(out / "runs.duckdb")
-    runs = store.runs(found.name)
+    runs = store.runs(loaded.name)
     store.close()
     if not runs:
-        _fail(f"{out}: no run of {found.name}")
+        _exit_invalid(f"{out}: no run of {loaded.name}")
     click.echo(figures.table(runs))
-    click.echo(str(figures.page(found.name, found.expect, runs, out / found.name)))
+    click.echo(str(figures.page(loaded.name, loaded.expect, runs, out / loaded.name)))
 
 
 @lab.command("compare")
@@ -245,7 +245,7 @@
     from gingervane.experiments import figures
     from gingervane.experiments.store import RunStore, StoreBusy
 
-    with _failing_on(StoreBusy, ValueError):
+    with _exit_on_error(StoreBusy, ValueError):
         store = RunStore(out / "runs.duckdb")
         sides = [store.runs(*name.split("@")[:3]) for name in (a, b)]
         store.close()
--- a/gingervane/experiments/bench_day_import.py
+++ b/gingervane/experiments/bench_day_import.py
@@ -16,12 +16,18 @@
 from gingervane.settings.daemon_settings import SettingsError, validate
 
 _MICROSECONDS = 1e6  # in a second; a day file has its times in microseconds
-_RATE = 40.0  # queries a second, which one machine bears
-_CORES = 2  # of a node
+_QUERY_RATE = 40.0  # queries a second, which one machine bears
+_CORES_PER_NODE = 2  # of a node
 # By kind: the same fault here.
-_SAME = {"crash": "crash", "vanish": "vanish", "slow": "slow", "ageing": "ageing", "flapping": "flapping"}
+_SAME_KIND = {
+    "crash": "crash",
+    "vanish": "vanish",
+    "slow": "slow",
+    "ageing": "ageing",
+    "flapping": "flapping",
+}
 # By kind: the fault here, from the size there.
-_BY_SIZE: dict[str, Callable[[float], dict[str, Any]]] = {
+_MAPPED_BY_SIZE: dict[str, Callable[[float], dict[str, Any]]] = {
     "shared_slow": lambda size: {"kind": "slow", "size": size, "share": 1.0},
     "hang": lambda _: {"kind": "hang", "size": 1.0},
     "fast_errors": lambda size: {"kind": "fail_fast", "size": min(size, 1.0)},
@@ -32,7 +38,7 @@
 }
 _COORDINATOR_KINDS = {"balancer_crash": "coordinator_kill", "balancer_stall": "coordinator_stall"}
 # Why a kind has no equivalent.
-_UNMAPPED = {
+_UNMAPPED_REASONS = {
     "report_late": "replicas here report no load",
     "false_reports": "replicas here report no load",
     "heavy_tail": "work here does not differ by query",
@@ -57,25 +63,25 @@
 
 def _table(day: dict[str, Any], nodes: int, coordinators: int, seconds: float) -> dict[str, Any]:
     """Build the scenario's table."""
-    length, fam = day["length"] / _MICROSECONDS, day["fam"]
-    squeeze = min(seconds / length, 1.0)  # of times of faults; latency objectives and deadlines stay
+    day_seconds, family = day["length"] / _MICROSECONDS, day["fam"]
+    time_scale = min(seconds / day_seconds, 1.0)  # of times of faults; latency objectives and deadlines stay
     nodes = min(nodes, len(day["servers"]))
-    tiles = min(fam["shards"], 4 * nodes)
+    tiles = min(family["shards"], 4 * nodes)
     classes = [
-        _class(found, asks, max(round(tiles * asks["parts"] / fam["shards"]), 1))
-        for found, asks in zip(day["classes"], fam["asks"], strict=True)
+        _class(day_class, fan_out, max(round(tiles * fan_out["parts"] / family["shards"]), 1))
+        for day_class, fan_out in zip(day["classes"], family["asks"], strict=True)
     ]
-    faults, unmapped = _faults(day, squeeze, coordinators)
+    faults, unmapped = _faults(day, time_scale, coordinators)
     return {
         "name": f"{day['site']}-{day['kind']}",
         "seed": day["noise"] % (1 << 31),
-        "seconds": length * squeeze,
+        "seconds": day_seconds * time_scale,
         "nodes": {
             "count": nodes,
             "tiles": tiles,
-            "width": min(fam["replicas"], nodes),
+            "width": min(family["replicas"], nodes),
             "zones": list(day["zones"]),
-            **_capacity(day, nodes, classes, squeeze),
+            **_capacity(day, nodes, classes, time_scale),
         },
         "list": _listing(day),
         "coordinators": {
@@ -83,7 +89,7 @@
             "notice": day["front_notice"] / _MICROSECONDS,
             "limits": {
                 "most_attempts": day["allow"]["max_attempts"],
-                "parts_per_call": max(fam["batch"], 1),
+                "parts_per_call": max(family["batch"], 1),
             },
         },
         "clients": _clients(day["clients"]),
@@ -93,39 +99,39 @@
     }
 
 
-def _class(found: dict[str, Any], asks: dict[str, Any], tiles: int) -> dict[str, Any]:
+def _class(day_class: dict[str, Any], fan_out: dict[str, Any], tiles: int) -> dict[str, Any]:
     """Build a class whose queries need so many tiles."""
     table = {
-        "name": found["name"],
-        "share": found["share"],
-        "aim": found["aim"] / _MICROSECONDS,
-        "deadline": found["deadline"] / _MICROSECONDS,
-        "worth": found["worth"],
-        "late_worth": found["late_worth"],
-        "semantics": found["effect"],
-        "least_share": asks["floor"],
-        "partial": asks["floor"] < 1.0,
+        "name": day_class["name"],
+        "share": day_class["share"],
+        "aim": day_class["aim"] / _MICROSECONDS,
+        "deadline": day_class["deadline"] / _MICROSECONDS,
+        "worth": day_class["worth"],
+        "late_worth": day_class["late_worth"],
+        "semantics": day_class["effect"],
+        "least_share": fan_out["floor"],
+        "partial": fan_out["floor"] < 1.0,
         "tiles": [tiles, tiles],
     }
-    if found["effect"] == "keyed":
-        table["repeat_window"] = found["window"] / _MICROSECONDS
+    if day_class["effect"] == "keyed":
+        table["repeat_window"] = day_class["window"] / _MICROSECONDS
     return table
 
 
 def _capacity(
-    day: dict[str, Any], nodes: int, classes: list[dict[str, Any]], squeeze: float
+    day: dict[str, Any], nodes: int, classes: list[dict[str, Any]], time_scale: float
 ) -> dict[str, Any]:
     """Set the work of a part so that the day's load (share of what all cores can do) comes at the rate."""
     mean_tiles = sum(c["share"] * c["tiles"][0] for c in classes) / sum(c["share"] for c in classes)
-    work = day["traffic"]["load"] * nodes * _CORES / (_RATE * mean_tiles)
-    kind = day["tiers"][0]["kinds"][0]
+    work = day["traffic"]["load"] * nodes * _CORES_PER_NODE / (_QUERY_RATE * mean_tiles)
+    replica_kind = day["tiers"][0]["kinds"][0]
     return {
-        "cores": _CORES,
+        "cores": _CORES_PER_NODE,
         "work": work,
         "call_work": work * 0.05,
-        "queue": kind["queue"],
-        "start_capacity": kind["cold_from"],
-        "ramp_time": max(kind["cold"] / _MICROSECONDS * squeeze, 1.0),
+        "queue": replica_kind["queue"],
+        "start_capacity": replica_kind["cold_from"],
+        "ramp_time": max(replica_kind["cold"] / _MICROSECONDS * time_scale, 1.0),
         "fall_multiple": day["fall_multiple"],
         "fall_time": day["fall_for"] / _MICROSECONDS,
     }
@@ -143,7 +149,7 @@
 
 def _clients(clients: dict[str, Any]) -> dict[str, Any]:
     return {
-        "rate": _RATE,
+        "rate": _QUERY_RATE,
         "retries": clients["retries"],
         "backoff": clients["backoff_us"] / _MICROSECONDS,
         "honour": clients["honour"],
@@ -154,35 +160,35 @@
 
 def _faults(
     day: dict[str, Any],
-    squeeze: float,
+    time_scale: float,
     coordinators: int,
 ) -> tuple[list[dict[str, Any]], list[str]]:
     """Build the faults that have an equivalent here, and name the others."""
     mapped: list[dict[str, Any]] = []
     unmapped: list[str] = []
     for fault in day["troubles"]:
-        kind = fault["kind"]
-        base: dict[str, Any] = {
-            "at": fault["at"] / _MICROSECONDS * squeeze,
-            "seconds": max(fault["len"] / _MICROSECONDS * squeeze, 0.1),
+        fault_kind = fault["kind"]
+        common_fields: dict[str, Any] = {
+            "at": fault["at"] / _MICROSECONDS * time_scale,
+            "seconds": max(fault["len"] / _MICROSECONDS * time_scale, 0.1),
             "share": min(len(fault["on"]) / len(day["servers"]), 1.0),
         }
-        if kind in _SAME:
-            mapped.append(base | _same_fault(fault))
-        elif kind in _BY_SIZE:
-            mapped.append(base | _BY_SIZE[kind](fault["size"]))
-        elif kind == "zone_loss":
-            mapped.append(base | _zone_loss(day, fault))
-        elif kind in _COORDINATOR_KINDS:
-            mapped.append(base | _coordinator_fault(day, fault, coordinators))
+        if fault_kind in _SAME_KIND:
+            mapped.append(common_fields | _same_kind_fault(fault))
+        elif fault_kind in _MAPPED_BY_SIZE:
+            mapped.append(common_fields | _MAPPED_BY_SIZE[fault_kind](fault["size"]))
+        elif fault_kind == "zone_loss":
+            mapped.append(common_fields | _zone_loss(day, fault))
+        elif fault_kind in _COORDINATOR_KINDS:
+            mapped.append(common_fields | _coordinator_fault(day, fault, coordinators))
         else:
-            unmapped.append(f"{kind}: {_UNMAPPED.get(kind, 'no twin here')}")
+            unmapped.append(f"{fault_kind}: {_UNMAPPED_REASONS.get(fault_kind, 'no twin here')}")
     return mapped, unmapped
 
 
-def _same_fault(fault: dict[str, Any]) -> dict[str, Any]:
+def _same_kind_fault(fault: dict[str, Any]) -> dict[str, Any]:
     how = {"silence": "vanish", "hang": "hang"}.get(fault.get("how", ""), "crash")
-    return {"kind": _SAME[fault["kind"]], "size": max(fault["size"], 0.1), "how": how}
+    return {"kind": _SAME_KIND[fault["kind"]], "size": max(fault["size"], 0.1), "how": how}
 
 
 def _zone_loss(day: dict[str, Any], fault: dict[str, Any]) -> dict[str, Any]:
@@ -195,11 +201,11 @@
 def _coordinator_fault(day: dict[str, Any], fault: dict[str, Any], coordinators: int) -> dict[str, Any]:
     """Build a fault of co-ordinators; one of them at least is spared."""
     balancers = len(day["balancers"])
-    hit = sorted({n * coordinators // balancers for n in fault["on"] if n < balancers})
+    affected = sorted({n * coordinators // balancers for n in fault["on"] if n < balancers})
     is_stall = fault["kind"] == "balancer_stall"
     return {
         "kind": _COORDINATOR_KINDS[fault["kind"]],
-        "coordinators": hit[: max(coordinators - 1, 1)],
+        "coordinators": affected[: max(coordinators - 1, 1)],
         "share": 0.0,
         "size": max(fault["size"], 1.0) / 1000 if is_stall else 1.0,
     }
--- a/gingervane/experiments/child_process.py
+++ b/gingervane/experiments/child_process.py
@@ -12,7 +12,7 @@
 from typing import IO
 
 _LINE_TIMEOUT = 30.0  # seconds
-_END_TIMEOUT = 20.0  # seconds
+_EXIT_TIMEOUT = 20.0  # seconds
 
 
 class ScenarioRunError(Exception):
@@ -33,19 +33,19 @@
         )
         self._lines: queue.SimpleQueue[str] = queue.SimpleQueue()
         assert self.child.stdout is not None
-        threading.Thread(target=self._read, args=(self.child.stdout,), daemon=True).start()
+        threading.Thread(target=self._read_lines, args=(self.child.stdout,), daemon=True).start()
 
-    def _read(self, out: IO[bytes]) -> None:
+    def _read_lines(self, out: IO[bytes]) -> None:
         for line in out:
             self._lines.put(line.decode())
         self._lines.put("")
 
     def line(self, prefix: str, timeout: float = _LINE_TIMEOUT) -> str:
         """Wait for the first line with a prefix and return the rest of it. Raises ScenarioRunError."""
-        until = time.monotonic() + timeout
+        deadline = time.monotonic() + timeout
         while True:
             try:
-                line = self._lines.get(timeout=max(until - time.monotonic(), 0.01))
+                line = self._lines.get(timeout=max(deadline - time.monotonic(), 0.01))
             except queue.Empty:
                 raise ScenarioRunError(f"{self._name}: no line {prefix!r} in {timeout:g} s") from None
             if line.startswith(prefix):
@@ -58,13 +58,13 @@
         if self.child.stdin:
             self.child.stdin.close()
 
-    def finish(self, timeout: float = _END_TIMEOUT) -> None:
+    def finish(self, timeout: float = _EXIT_TIMEOUT) -> None:
         """Wait until it ends by itself, and end it if it does not."""
         with contextlib.suppress(subprocess.TimeoutExpired):
             self.child.wait(timeout)
         self.end()
 
-    def end(self, hard: bool = False, timeout: float = _END_TIMEOUT) -> int:
+    def end(self, hard: bool = False, timeout: float = _EXIT_TIMEOUT) -> int:
         """End it by SIGTERM, or by SIGKILL if `hard`; return its exit status."""
         if self.child.poll() is None:
             self.child.send_signal(signal.SIGKILL if hard else signal.SIGTERM)
--- a/gingervane/experiments/clients.py
+++ b/gingervane/experiments/clients.py
@@ -97,7 +97,7 @@
         params = {"class": kind.name, "timeout": f"{int(timeout * 1000)}ms"}
         if kind.partial:
             params["partial_response"] = "true"
-        leaves = rng.random() < clients.impatient
+        disconnects_early = rng.random() < clients.impatient
         data = Client(address).request([query], params)
         record: dict[str, Any] = {
             "demand": demand.number,
@@ -111,34 +111,34 @@
             "partial": kind.partial,
             "target": urlencode(params),
         }
-        patience = timeout * (rng.random() if leaves else 1.0)
-        return self._exchange(address, data, record, patience, leaves)
+        answer_timeout = timeout * (rng.random() if disconnects_early else 1.0)
+        return self._exchange(address, data, record, answer_timeout, disconnects_early)
 
     def _exchange(
         self,
         address: tuple[str, int],
         data: bytes,
         record: dict[str, Any],
-        patience: float,
-        leaves: bool,
+        answer_timeout: float,
+        disconnects_early: bool,
     ) -> float | None:
         """Send a request and read the answer; `patience` is the time in seconds that the client waits for it."""
         connection: Connection | None = None
         record["sent"] = sent = time.monotonic()
-        slack = 0.0 if leaves else _LATE_ANSWER_WAIT
+        late_answer_wait = 0.0 if disconnects_early else _LATE_ANSWER_WAIT
         try:
             connection = self._pool.acquire_idle(address) or self._pool.connect(address, _CONNECT_TIMEOUT)
             record["port"] = connection.local_port
-            connection.deadline = sent + patience + slack
+            connection.deadline = sent + answer_timeout + late_answer_wait
             connection.write(data)
             reply = connection.reader.response()
             body = connection.reader.body(reply.headers, is_response=True)
         except (OSError, ConnectionClosedError, HttpError) as error:
             if connection:
                 connection.close()
-            outcome = _outcome_of(error, connection is not None, leaves)
+            outcome = _outcome_of(error, connection is not None, disconnects_early)
             self._recorder.put("try", outcome=outcome, ended=time.monotonic(), why=str(error), **record)
-            return None if leaves and isinstance(error, TimeoutError) else 0.0
+            return None if disconnects_early and isinstance(error, TimeoutError) else 0.0
         record["ended"] = time.monotonic()
         record["extra"] = connection.reader.has_buffered
         if reply.keep_alive and not record["extra"]:
@@ -168,10 +168,10 @@
         )
 
 
-def _outcome_of(error: Exception, is_connected: bool, leaves: bool) -> str:
+def _outcome_of(error: Exception, is_connected: bool, disconnects_early: bool) -> str:
     """Name how an attempt ended that got no answer."""
     if not is_connected:
         return "unreached"
     if isinstance(error, TimeoutError):
-        return "left" if leaves else "timeout"
+        return "left" if disconnects_early else "timeout"
     return "closed"
--- a/gingervane/experiments/coordinator_processes.py
+++ b/gingervane/experiments/coordinator_processes.py
@@ -29,7 +29,7 @@
         self._lock = threading.Lock()
         self._processes: dict[int, ChildProcess] = {}
         self._addresses: dict[int, Address] = {}
-        self._taken_for_running: dict[int, float] = {}  # killed: until when clients still go there
+        self._targeted_until: dict[int, float] = {}  # killed: until when clients still go there
         self._launches = 0
 
     def launch(self, number: int, settings: dict[str, Any]) -> Address:
@@ -56,34 +56,34 @@
                 (number, address)
                 for number, address in self._addresses.items()
                 if (not self._roots or number < self._roots)
-                and (number in self._processes or now < self._taken_for_running.get(number, 0.0))
+                and (number in self._processes or now < self._targeted_until.get(number, 0.0))
             ]
 
     def kill(self, number: int) -> None:
         """End a co-ordinator by SIGKILL."""
         with self._lock:
             process = self._processes.pop(number, None)
-            self._taken_for_running[number] = time.monotonic() + self._notice
+            self._targeted_until[number] = time.monotonic() + self._notice
         if process:
             self._director.put("killed", coordinator=number)
             process.end(hard=True)
 
-    def send_signal(self, number: int, what: signal.Signals) -> None:
+    def send_signal(self, number: int, signal_to_send: signal.Signals) -> None:
         """Send a signal to a co-ordinator that runs."""
-        if self._send_signal(number, what):
-            self._director.put("signal", coordinator=number, signal=what.name)
+        if self._send_signal(number, signal_to_send):
+            self._director.put("signal", coordinator=number, signal=signal_to_send.name)
 
     def resume_all(self) -> None:
         """Let all go on that may be stopped; not recorded."""
         for number in list(self._processes):
             self._send_signal(number, signal.SIGCONT)
 
-    def _send_signal(self, number: int, what: signal.Signals) -> bool:
+    def _send_signal(self, number: int, signal_to_send: signal.Signals) -> bool:
         with self._lock:
             process = self._processes.get(number)
         if process is None or process.child.poll() is not None:
             return False
-        os.kill(process.child.pid, what)
+        os.kill(process.child.pid, signal_to_send)
         return True
 
     def usage(self) -> dict[int, dict[str, float]]:
--- a/gingervane/experiments/demonstration.py
+++ b/gingervane/experiments/demonstration.py
@@ -17,7 +17,7 @@
 from gingervane.wire.http1 import ConnectionClosedError, HttpError
 from gingervane.wire.remote_read import Match, Matcher, Query
 
-_KINDS = {"=": Match.EQUAL, "!=": Match.NOT_EQUAL, "=~": Match.REGEX, "!~": Match.NOT_REGEX}
+_MATCH_KINDS = {"=": Match.EQUAL, "!=": Match.NOT_EQUAL, "=~": Match.REGEX, "!~": Match.NOT_REGEX}
 _MATCHER = re.compile(r'\s*([a-zA-Z_][a-zA-Z0-9_]*)\s*(=~|!~|!=|=)\s*"((?:[^"\\]|\\.)*)"\s*')
 
 
@@ -29,21 +29,21 @@
         return tuple(out)
     if not rest.endswith("}"):
         raise ValueError("no closing brace at the end")
-    at, body = 0, rest[:-1]
-    while body[at:].strip():
-        match = _MATCHER.match(body, at)
+    position, body = 0, rest[:-1]
+    while body[position:].strip():
+        match = _MATCHER.match(body, position)
         if not match:
-            raise ValueError(f'character {len(name) + 2 + at}: no label="value" here')
-        out.append(Matcher(_KINDS[match[2]], match[1], re.sub(r"\\(.)", r"\1", match[3])))
-        at = match.end()
-        if at < len(body) and body[at] != ",":
-            raise ValueError(f"character {len(name) + 2 + at}: no comma here")
-        at += 1
+            raise ValueError(f'character {len(name) + 2 + position}: no label="value" here')
+        out.append(Matcher(_MATCH_KINDS[match[2]], match[1], re.sub(r"\\(.)", r"\1", match[3])))
+        position = match.end()
+        if position < len(body) and body[position] != ",":
+            raise ValueError(f"character {len(name) + 2 + position}: no comma here")
+        position += 1
     return tuple(out)
 
 
 @contextmanager
-def fleet() -> Iterator[Embedded]:
+def embedded_fleet() -> Iterator[Embedded]:
     """Run an embedded fleet for as long as the context lasts."""
     embedded = Embedded()
     try:
@@ -54,7 +54,7 @@
 
 def run() -> int:
     """The demo: 0 if the answer came and was whole."""
-    with fleet() as embedded:
+    with embedded_fleet() as embedded:
         grid = embedded.grid
         Console().print(
             f"{len(grid.nodes)} stand-in nodes in {len(grid.zones)} halls hold {len(grid.tiles)} tiles, each "
@@ -62,10 +62,10 @@
         )
         end = int(time.time() * 1000)
         matchers = parse_selector('wind_speed{tile=~"t00[0-5]", point="0"}')
-        return ask(embedded.address, matchers, (end - 300_000, end), {"class": "area-report"}, 10.0)
+        return run_query(embedded.address, matchers, (end - 300_000, end), {"class": "area-report"}, 10.0)
 
 
-def ask(
+def run_query(
     address: tuple[str, int],
     matchers: tuple[Matcher, ...],
     span: tuple[int, int],
--- a/gingervane/experiments/experiment.py
+++ b/gingervane/experiments/experiment.py
@@ -74,15 +74,15 @@
     shipped = resources.files("gingervane.experiments") / "experiments" / f"{name}.toml"
     path = Path(str(shipped)) if shipped.is_file() else Path(name)
     table = _toml(path)
-    found = validate(Experiment, table, path)
-    if found.scenario in scenarios.names():
-        where = Path(str(resources.files("gingervane.scenarios") / f"{found.scenario}.toml"))
+    experiment = validate(Experiment, table, path)
+    if experiment.scenario in scenarios.names():
+        scenario_path = Path(str(resources.files("gingervane.scenarios") / f"{experiment.scenario}.toml"))
     else:
-        where = path.parent / found.scenario
-    scenario = _toml(where)
-    for cell in found.cells():  # all mistakes are found before anything is played
+        scenario_path = path.parent / experiment.scenario
+    scenario = _toml(scenario_path)
+    for cell in experiment.cells():  # all mistakes are found before anything is played
         apply(scenario, cell, path)
-    return found, scenario, path
+    return experiment, scenario, path
 
 
 def _toml(path: Path) -> dict[str, Any]:
@@ -96,27 +96,27 @@
 
 def apply(table: dict[str, Any], cell: dict[str, Any], path: Path) -> tuple[Scenario, dict[str, Any]]:
     """Put a cell's values into a scenario; return it and the emulator's assumptions. Raises SettingsError."""
-    made = json.loads(json.dumps(table))
+    scenario_table = json.loads(json.dumps(table))
     assumed: dict[str, Any] = {}
     for key, value in cell.items():
         if key == "scale":
             continue
-        head, _, rest = key.partition(".")
-        if head == "assumed":
-            assumed[rest] = value
+        section, _, assumption = key.partition(".")
+        if section == "assumed":
+            assumed[assumption] = value
             continue
-        at = made
-        *words, last = key.split(".")
-        for word in words:
-            at = at.setdefault(word, {})
-            if not isinstance(at, dict):
+        target = scenario_table
+        *tables, last = key.split(".")
+        for word in tables:
+            target = target.setdefault(word, {})
+            if not isinstance(target, dict):
                 raise SettingsError(f"{path}: vary.{key}: {word} is no table")
-        at[last] = value
+        target[last] = value
     if scale := cell.get("scale"):
-        _scale(made, scale)
+        _scale(scenario_table, scale)
     if unknown := set(assumed) - {"list_delay"}:
         raise SettingsError(f"{path}: vary.assumed.{min(unknown)}: not a known assumption")
-    return validate(Scenario, made, path), assumed
+    return validate(Scenario, scenario_table, path), assumed
 
 
 def _scale(table: dict[str, Any], factor: float) -> None:
@@ -127,21 +127,25 @@
         ("coordinators", "count"),
         ("clients", "rate"),
     ):
-        known = table.setdefault(section, {}).get(key)
-        if known is not None:
-            table[section][key] = known * factor if key == "rate" else max(round(known * factor), 1)
+        value = table.setdefault(section, {}).get(key)
+        if value is not None:
+            table[section][key] = value * factor if key == "rate" else max(round(value * factor), 1)
 
 
-def jobs(found: Experiment, scenario: dict[str, Any], world: World, version: str, out: Path) -> Iterator[Job]:
+def jobs(
+    experiment: Experiment, scenario: dict[str, Any], world: World, version: str, out: Path
+) -> Iterator[Job]:
     """Yield all runs of a matrix. Cells of one seed see the same demands and faults, so that they can be paired."""
-    for seed in found.all_seeds():
-        for cell in found.cells():
-            yield Job(found.name, scenario, json.dumps(cell, sort_keys=True), seed, world, version, str(out))
+    for seed in experiment.all_seeds():
+        for cell in experiment.cells():
+            yield Job(
+                experiment.name, scenario, json.dumps(cell, sort_keys=True), seed, world, version, str(out)
+            )
 
 
 def play(job: Job) -> Run:
     """Play one run, in a worker. Whatever goes wrong is in the run."""
-    began = time.monotonic()
+    started_at = time.monotonic()
     try:
         scenario, assumed = apply(job.scenario, json.loads(job.cell), Path(job.experiment))
         scenario = scenario.model_copy(update={"seed": job.seed})
@@ -149,11 +153,13 @@
             _run_in_emulator(scenario, assumed) if job.world == "emulator" else _run_on_sockets(scenario, job)
         )
     except Exception as error:  # noqa: BLE001 - kept with the run, and the others go on
-        return _run_of(job, began, f"{type(error).__name__}: {error}"[:_MAX_ERROR], {}, {})
-    return _run_of(job, began, "", report, histograms)
+        return _run_of(job, started_at, f"{type(error).__name__}: {error}"[:_MAX_ERROR], {}, {})
+    return _run_of(job, started_at, "", report, histograms)
 
 
-def _run_of(job: Job, began: float, error: str, report: dict[str, Any], histograms: dict[str, str]) -> Run:
+def _run_of(
+    job: Job, started_at: float, error: str, report: dict[str, Any], histograms: dict[str, str]
+) -> Run:
     """Put a run together; one that failed has no report."""
     weight = report["worth"] if report else {"asked": 0, "served": 0, "bound": 0}
     return Run(
@@ -167,7 +173,7 @@
         asked=weight["asked"],
         served=weight["served"],
         bound=weight["bound"],
-        seconds=time.monotonic() - began,
+        seconds=time.monotonic() - started_at,
         report=report,
         histograms=histograms,
     )
@@ -193,7 +199,7 @@
 
 
 def run(
-    found: Experiment,
+    experiment: Experiment,
     scenario: dict[str, Any],
     out: Path,
     world: World,
@@ -207,16 +213,18 @@
     version = code_version()
     store = RunStore(out / "runs.duckdb")
     try:
-        done = store.done(found.name, world, version)
-        todo = [j for j in jobs(found, scenario, world, version, out) if (j.cell, j.seed) not in done]
-        total = len(todo) + len(done)
+        done = store.done(experiment.name, world, version)
+        pending_jobs = [
+            j for j in jobs(experiment, scenario, world, version, out) if (j.cell, j.seed) not in done
+        ]
+        total = len(pending_jobs) + len(done)
         count = len(done)
         failed = 0
         on_progress(count, total, None)
         # On sockets one run has the machine for itself.
         context = multiprocessing.get_context("spawn")
         with ProcessPoolExecutor(1 if world == "sockets" else workers, mp_context=context) as pool:
-            for future in as_completed([pool.submit(play, job) for job in todo]):
+            for future in as_completed([pool.submit(play, job) for job in pending_jobs]):
                 result = future.result()
                 store.put(result)
                 count += 1
--- a/gingervane/experiments/fault_mutants.py
+++ b/gingervane/experiments/fault_mutants.py
@@ -18,25 +18,25 @@
 from gingervane.settings.daemon_settings import Config
 
 
-def _settings(change: Callable[[api.Settings], api.Settings]) -> None:
+def _change_settings(change: Callable[[api.Settings], api.Settings]) -> None:
     module_settings = Config.module_settings
     Config.module_settings = lambda self: change(module_settings(self))  # type: ignore[method-assign]
 
 
-def lost() -> None:
+def drop_every_eighth_query() -> None:
     """One query in eight is never completed."""
     complete = driving.Driver._complete_query
 
-    def forget(self: driving.Driver, now: float, query_id: int, *args: Any, **kwargs: Any) -> None:
+    def complete_others(self: driving.Driver, now: float, query_id: int, *args: Any, **kwargs: Any) -> None:
         if query_id % 8:
             complete(self, now, query_id, *args, **kwargs)
 
-    driving.Driver._complete_query = forget  # type: ignore[method-assign]
+    driving.Driver._complete_query = complete_others  # type: ignore[method-assign]
 
 
-def duplicate() -> None:
+def treat_all_as_idempotent() -> None:
     """Every class is taken to be idempotent."""
-    _settings(
+    _change_settings(
         lambda s: s._replace(
             query_classes=tuple(
                 c._replace(retry_safety=api.RetrySafety.IDEMPOTENT, idempotency_window=None)
@@ -46,25 +46,25 @@
     )
 
 
-def drain() -> None:
+def ignore_list_changes() -> None:
     """The server list is read once and never again, and so is each source of a catalogue."""
     FileWatcher._run = lambda _: None  # type: ignore[method-assign, assignment]
     report = EndpointSources.report
     reported = set[tuple[int, str]]()
 
-    def once(self: EndpointSources, source: str, *args: Any) -> None:
+    def report_once(self: EndpointSources, source: str, *args: Any) -> None:
         if (id(self), source) not in reported:
             reported.add((id(self), source))
             report(self, source, *args)
 
-    EndpointSources.report = once  # type: ignore[method-assign, assignment]
+    EndpointSources.report = report_once  # type: ignore[method-assign, assignment]
 
 
-def cold() -> None:
+def ignore_slow_start() -> None:
     """No slow start and no ejection: what has just started gets its share at once, and more."""
     step = driving.Driver.step
 
-    def warm(self: driving.Driver, now: float, inputs: Sequence[t.Input]) -> list[t.Effect]:
+    def step_without_starts(self: driving.Driver, now: float, inputs: Sequence[t.Input]) -> list[t.Effect]:
         return step(self, now, [without_starts(item) for item in inputs])
 
     def without_starts(item: t.Input) -> t.Input:
@@ -76,15 +76,15 @@
     def never_eject(self: OutlierDetector, *args: Any, **kwargs: Any) -> None:
         pass
 
-    driving.Driver.step = warm  # type: ignore[method-assign]
+    driving.Driver.step = step_without_starts  # type: ignore[method-assign]
     OutlierDetector.record_outcome = never_eject  # type: ignore[method-assign]
 
 
-def honest() -> None:
+def mark_partial_answers_complete() -> None:
     """Partial answers are marked complete."""
     answer = ReadReplyEncoder.answer
 
-    def lie(self: ReadReplyEncoder, *args: Any) -> Any:
+    def answer_as_complete(self: ReadReplyEncoder, *args: Any) -> Any:
         reply = answer(self, *args)
         fields = [
             (k, "1" if k == "Gingervane-Coverage" else v)
@@ -93,20 +93,22 @@
         ]
         return reply._replace(fields=fields)
 
-    ReadReplyEncoder.answer = lie  # type: ignore[method-assign, assignment]
+    ReadReplyEncoder.answer = answer_as_complete  # type: ignore[method-assign, assignment]
 
 
-def budget() -> None:
+def remove_retry_budget() -> None:
     """The decision engine is given no retry budget."""
-    _settings(lambda s: s._replace(retry_budget_free=None, retry_budget_share=None, retry_budget_window=None))
+    _change_settings(
+        lambda s: s._replace(retry_budget_free=None, retry_budget_share=None, retry_budget_window=None)
+    )
 
 
 # The faults by the name of the rule that each breaks.
 MUTANTS: dict[str, Callable[[], None]] = {
-    "lost": lost,
-    "duplicate": duplicate,
-    "drain": drain,
-    "cold": cold,
-    "honest": honest,
-    "budget": budget,
+    "lost": drop_every_eighth_query,
+    "duplicate": treat_all_as_idempotent,
+    "drain": ignore_list_changes,
+    "cold": ignore_slow_start,
+    "honest": mark_partial_answers_complete,
+    "budget": remove_retry_budget,
 }
--- a/gingervane/experiments/figures.py
+++ b/gingervane/experiments/figures.py
@@ -12,7 +12,7 @@
 
 from gingervane.experiments.store import Run
 
-_DRAWS = 4000  # of the bootstrap
+_BOOTSTRAP_DRAWS = 4000  # of the bootstrap
 
 
 class Interval(NamedTuple):
@@ -28,12 +28,12 @@
 
 def interval(values: Sequence[float]) -> Interval:
     """Estimate the interval of a mean. The draws are the same each time."""
-    found = np.asarray(values, dtype=float)
-    if len(found) < 2:
-        return Interval(*(float(found.mean()) if len(found) else float("nan"),) * 3)
-    draws = np.random.default_rng(1).integers(0, len(found), size=(_DRAWS, len(found)))
-    low, high = np.percentile(found[draws].mean(axis=1), [2.5, 97.5])
-    return Interval(float(found.mean()), float(low), float(high))
+    samples = np.asarray(values, dtype=float)
+    if len(samples) < 2:
+        return Interval(*(float(samples.mean()) if len(samples) else float("nan"),) * 3)
+    draws = np.random.default_rng(1).integers(0, len(samples), size=(_BOOTSTRAP_DRAWS, len(samples)))
+    low, high = np.percentile(samples[draws].mean(axis=1), [2.5, 97.5])
+    return Interval(float(samples.mean()), float(low), float(high))
 
 
 def _latency(quantile: str) -> Callable[[Run], float]:
@@ -71,11 +71,11 @@
     keys = sorted({key for run in runs for key in json.loads(run.cell)})
     heads = [*keys, "runs", "rules kept", *MEASURES]
     rows = [f"| {' | '.join(heads)} |", f"|{' --- |' * len(heads)}"]
-    for cell, found in by_cell(runs).items():
+    for cell, cell_runs in by_cell(runs).items():
         values = json.loads(cell)
-        kept = sum(run.kept for run in found)
-        row = [str(values.get(key)) for key in keys] + [str(len(found)), f"{kept} of {len(found)}"]
-        row += [str(interval([of(run) for run in found])) for of in MEASURES.values()]
+        kept = sum(run.kept for run in cell_runs)
+        row = [str(values.get(key)) for key in keys] + [str(len(cell_runs)), f"{kept} of {len(cell_runs)}"]
+        row += [str(interval([of(run) for run in cell_runs])) for of in MEASURES.values()]
         rows.append(f"| {' | '.join(row)} |")
     failed = [run for run in runs if run.error]
     out = "\n".join(rows) + "\n"
@@ -99,14 +99,14 @@
     for number, (name, of) in enumerate(MEASURES.items()):
         figure, axes = pyplot.subplots(figsize=(7, 4))
         lines: dict[str, list[tuple[Any, Interval]]] = defaultdict(list)
-        for cell, found in cells.items():
+        for cell, cell_runs in cells.items():
             values = json.loads(cell)
             x = values[keys[0]] if keys else 0
             rest = ", ".join(f"{key}={values[key]}" for key in keys[1:])
-            lines[rest].append((x, interval([of(run) for run in found])))
+            lines[rest].append((x, interval([of(run) for run in cell_runs])))
         for label, points in lines.items():
             xs = [x if isinstance(x, int | float) and not isinstance(x, bool) else str(x) for x, _ in points]
-            means = np.asarray([found.mean for _, found in points])
+            means = np.asarray([cell_runs.mean for _, cell_runs in points])
             errors = np.asarray([[f.mean - f.low, f.high - f.mean] for _, f in points]).T
             axes.errorbar(xs, means, yerr=np.abs(errors), marker="o", capsize=3, label=label or None)
         axes.set_xlabel(keys[0] if keys else "")
--- a/gingervane/experiments/listing.py
+++ b/gingervane/experiments/listing.py
@@ -44,8 +44,8 @@
             list_row(
                 r.number, f"{r.address[0]}:{r.address[1]}", r.zone, r.cell, r.state, r.started, table, r.name
             )
-            for table, found in (("node", nodes), ("coordinator", coordinators))
-            for r in found
+            for table, rows_of_table in (("node", nodes), ("coordinator", coordinators))
+            for r in rows_of_table
         ]
         write_list(self._path, "\n".join(rows))
 
@@ -70,17 +70,21 @@
                 self._update(row, self._written.get(row.number))
                 self._written[row.number] = row
 
-    def _update(self, row: Row, before: Row | None) -> None:
+    def _update(self, row: Row, previous: Row | None) -> None:
         is_draining = row.state == "draining"
-        was_draining = before is not None and before.state == "draining"
-        by_mark = row.number % 2 == 0
-        is_marked = is_draining and by_mark
-        if before is None or is_marked != (was_draining and by_mark) or row.started != before.started:
+        was_draining = previous is not None and previous.state == "draining"
+        uses_meta_mark = row.number % 2 == 0
+        is_marked = is_draining and uses_meta_mark
+        if (
+            previous is None
+            or is_marked != (was_draining and uses_meta_mark)
+            or row.started != previous.started
+        ):
             self._register(row, is_marked)
-        if not by_mark and is_draining != was_draining:
+        if not uses_meta_mark and is_draining != was_draining:
             enable = "true" if is_draining else "false"
             self._put(f"service/maintenance/{row.name}?enable={enable}", None)
-        if before is not None and (row.state == "gone") != (before.state == "gone"):
+        if previous is not None and (row.state == "gone") != (previous.state == "gone"):
             status = "critical" if row.state == "gone" else "passing"
             self._put(f"check/update/service:{row.name}", {"Status": status})
 
--- a/gingervane/experiments/scenario_runner.py
+++ b/gingervane/experiments/scenario_runner.py
@@ -23,7 +23,7 @@
 from gingervane.experiments.coordinator_processes import CoordinatorProcesses
 from gingervane.experiments.listing import ConsulListing, FileListing, Listing
 from gingervane.experiments.published_list import PublishedList
-from gingervane.experiments.vector_day import VectorLoad, VectorNodes, settled
+from gingervane.experiments.vector_day import VectorLoad, VectorNodes, wait_for_repairs
 from gingervane.fake_servers.recorder import Recorder
 from gingervane.scenarios.coordinator_settings import tree_table
 from gingervane.scenarios.demands import demands
@@ -32,15 +32,15 @@
 __all__ = ["ScenarioRun", "ScenarioRunError"]
 
 _SERVICE = "grid"  # the nodes' in Consul
-_START = (
+_START_SECONDS = (
     6.0  # seconds ahead of the day within which all must be up and warm, on a machine that is slow to start
 )
-_START_PER_COORDINATOR = 0.6  # seconds more
-_START_PER_NODE = 0.02  # seconds more
+_START_SECONDS_PER_COORDINATOR = 0.6  # seconds more
+_START_SECONDS_PER_NODE = 0.02  # seconds more
 _VECTORS_TIMEOUT = 120.0  # seconds that the vectors' clients may take past the others
 _SCRIPT_TIMEOUT = 30.0  # seconds that the script may take past the clients
 
-Moment = tuple[float, Callable[[], None]]
+ScheduledAction = tuple[float, Callable[[], None]]
 
 
 class ScenarioRun:
@@ -87,9 +87,9 @@
         count = scenario.coordinators.count
         began = (
             time.monotonic()
-            + _START
-            + _START_PER_COORDINATOR * count
-            + _START_PER_NODE * scenario.nodes.count
+            + _START_SECONDS
+            + _START_SECONDS_PER_COORDINATOR * count
+            + _START_SECONDS_PER_NODE * scenario.nodes.count
         )
         ports = self._start_fake_servers(began, director)
         published = PublishedList(scenario, self._listing, director)
@@ -98,13 +98,13 @@
             self._launch(number, coordinators, published)
         if time.monotonic() > began:
             raise ScenarioRunError("the machine took too long to start all; the day would be late")
-        moments = self._moments(coordinators, published, director)
-        script = threading.Thread(target=self._run_script, args=(began, moments, coordinators), daemon=True)
+        actions = self._scheduled_actions(coordinators, published, director)
+        script = threading.Thread(target=self._run_script, args=(began, actions, coordinators), daemon=True)
         script.start()
         self._play_clients(began, coordinators, director)
         script.join(_SCRIPT_TIMEOUT)
         if self._vectors:
-            done = settled(coordinators.targets, self._vectors.day.settle)
+            done = wait_for_repairs(coordinators.targets, self._vectors.day.settle)
             director.put("vector_marks", settled=done, marks=self._vectors.marks())
         director.put("usage", usage=coordinators.usage())
 
@@ -216,11 +216,11 @@
 
     # ---- the script
 
-    def _moments(
+    def _scheduled_actions(
         self, coordinators: CoordinatorProcesses, published: PublishedList, director: Recorder
-    ) -> list[Moment]:
+    ) -> list[ScheduledAction]:
         """Give what the scenario has for the list, the agents and the co-ordinators, in order of time."""
-        moments: list[Moment] = [
+        actions: list[ScheduledAction] = [
             (at, partial(published.set_nodes, at, states, started))
             for at, states, started in self.scenario.listings()
             if at > 0
@@ -228,15 +228,15 @@
         for trouble in self.scenario.troubles:
             end = trouble.at + trouble.seconds
             for agent in trouble.agents:
-                moments.append((trouble.at, partial(self._set_agent_fault, agent, trouble.fault, director)))
-                moments.append((end, partial(self._set_agent_fault, agent, "", director)))
+                actions.append((trouble.at, partial(self._set_agent_fault, agent, trouble.fault, director)))
+                actions.append((end, partial(self._set_agent_fault, agent, "", director)))
             for number in trouble.coordinators:
-                moments += self._coordinator_moments(trouble, number, coordinators, published)
-        return sorted(moments, key=lambda moment: moment[0])
+                actions += self._coordinator_actions(trouble, number, coordinators, published)
+        return sorted(actions, key=lambda scheduled: scheduled[0])
 
-    def _coordinator_moments(
+    def _coordinator_actions(
         self, fault: ScheduledFault, number: int, coordinators: CoordinatorProcesses, published: PublishedList
-    ) -> list[Moment]:
+    ) -> list[ScheduledAction]:
         """Give what a fault does to one co-ordinator."""
         end = fault.at + fault.seconds
         if fault.kind == "coordinator_kill":
@@ -251,20 +251,22 @@
                 (fault.at, partial(published.set_coordinator, number, "draining")),
                 (end, partial(published.set_coordinator, number, "ready")),
             ]
-        moments: list[Moment] = []
+        actions: list[ScheduledAction] = []
         if fault.kind == "coordinator_stall":
             for at, seconds in fault.stalls():
-                moments.append((at, partial(coordinators.send_signal, number, signal.SIGSTOP)))
-                moments.append((at + seconds, partial(coordinators.send_signal, number, signal.SIGCONT)))
-        return moments
+                actions.append((at, partial(coordinators.send_signal, number, signal.SIGSTOP)))
+                actions.append((at + seconds, partial(coordinators.send_signal, number, signal.SIGCONT)))
+        return actions
 
-    def _run_script(self, began: float, moments: list[Moment], coordinators: CoordinatorProcesses) -> None:
-        for at, work in moments:
+    def _run_script(
+        self, began: float, actions: list[ScheduledAction], coordinators: CoordinatorProcesses
+    ) -> None:
+        for at, action in actions:
             if at >= self.scenario.seconds:
                 break
             if (wait := began + at - time.monotonic()) > 0:
                 time.sleep(wait)
-            work()
+            action()
         coordinators.resume_all()
 
     def _set_agent_fault(self, agent: int, fault: str, director: Recorder) -> None:
--- a/gingervane/experiments/store.py
+++ b/gingervane/experiments/store.py
@@ -83,7 +83,7 @@
 
     def runs(self, experiment: str, world: str = "", version: str = "") -> list[Run]:
         """Runs of an experiment, by cell and seed; of the version that was put last if none is named."""
-        version = version or self._last(experiment, world)
+        version = version or self._latest_version(experiment, world)
         rows = self._db.execute(
             "SELECT * FROM runs WHERE experiment = ? AND version = ? AND (world = ? OR ? = '') "
             "ORDER BY cell, seed, world",
@@ -91,7 +91,7 @@
         ).fetchall()
         return [Run._make((*row[:-2], json.loads(row[-2]), json.loads(row[-1]))) for row in rows]
 
-    def _last(self, experiment: str, world: str) -> str:
+    def _latest_version(self, experiment: str, world: str) -> str:
         row = self._db.execute(
             "SELECT version FROM runs WHERE experiment = ? AND (world = ? OR ? = '') ORDER BY rowid DESC LIMIT 1",
             [experiment, world, world],
--- a/gingervane/experiments/vector_day.py
+++ b/gingervane/experiments/vector_day.py
@@ -114,24 +114,24 @@
             row = {**point, "version": 1, "ops": 0, "deleted": False}
             by_shard.setdefault(shard_of(point["id"], day.nodes), []).append(row)
         for shard, rows in by_shard.items():
-            for back in range(day.width):
+            for offset in range(day.width):
                 target = f"/collections/{FIXED}/shards/{shard}/put"
-                self._node((shard + back) % day.nodes, "POST", target, {"points": rows})
+                self._call_node((shard + offset) % day.nodes, "POST", target, {"points": rows})
 
     def marks(self) -> dict[int, dict[int, dict[str, Any]]]:
         """Read what each replica has of each shard of the moving collection, by node and shard."""
         day, out = self.day, dict[int, dict[int, dict[str, Any]]]()
         for node in range(day.nodes):
-            for back in range(day.width):
-                shard = (node - back) % day.nodes
+            for offset in range(day.width):
+                shard = (node - offset) % day.nodes
                 try:
-                    found = self._node(node, "GET", f"/collections/{MOVING}/shards/{shard}/marks", None)
+                    marks = self._call_node(node, "GET", f"/collections/{MOVING}/shards/{shard}/marks", None)
                 except (OSError, ConnectionClosedError, HttpError):
-                    found = {}  # a node that is down at the end has nothing, for all that can be seen
-                out.setdefault(node, {})[shard] = found
+                    marks = {}  # a node that is down at the end has nothing, for all that can be seen
+                out.setdefault(node, {})[shard] = marks
         return out
 
-    def _node(self, node: int, method: str, target: str, content: Any) -> Any:
+    def _call_node(self, node: int, method: str, target: str, content: Any) -> Any:
         body = b"" if content is None else orjson.dumps(content)
         fields = [("Host", "node"), ("Content-Length", str(len(body)))]
         data = http1.encode_head(f"{method} {target} HTTP/1.1", fields) + body
@@ -176,12 +176,12 @@
         vector = self._random_vector(rng)
         count = rng.choice((1, 1, 3))
         points = [{"id": 4 * number + i, "vector": vector, "payload": {"d": number}} for i in range(count)]
-        until = time.monotonic() + self._day.window / 2
+        deadline = time.monotonic() + self._day.window / 2
         for attempt in range(self._day.tries):
-            note = {"demand": number, "number": attempt, "points": [point["id"] for point in points]}
+            record_fields = {"demand": number, "number": attempt, "points": [point["id"] for point in points]}
             request = _Request("upsert", "PUT", f"{MOVING}/points", {"points": points}, f"k{number}")
-            status = self._attempt(request, rng, note)
-            if status in (200, 409, 422) or time.monotonic() > until:
+            status = self._attempt(request, rng, record_fields)
+            if status in (200, 409, 422) or time.monotonic() > deadline:
                 return
             self._back_off(rng)
 
@@ -190,10 +190,10 @@
         point = 4 * rng.randrange(self._day.fixed)
         for attempt in range(self._day.tries):
             name = f"d{number}t{attempt}"
-            note = {"demand": number, "number": attempt, "points": [point], "name": name}
+            record_fields = {"demand": number, "number": attempt, "points": [point], "name": name}
             content = {"payload": {name: 1}, "points": [point]}
             request = _Request("add", "POST", f"{MOVING}/points/payload?increment=true", content)
-            if self._attempt(request, rng, note) != 503:
+            if self._attempt(request, rng, record_fields) != 503:
                 return
             self._back_off(rng)
 
@@ -208,7 +208,7 @@
     def _back_off(self, rng: random.Random) -> None:
         time.sleep(self._day.backoff * rng.uniform(0.5, 1.5))
 
-    def _attempt(self, request: _Request, rng: random.Random, note: dict[str, Any]) -> int:
+    def _attempt(self, request: _Request, rng: random.Random, record_fields: dict[str, Any]) -> int:
         """Make and record one attempt; return its status, 0 if there was no reply."""
         targets = self._targets()
         if not targets:
@@ -223,9 +223,9 @@
             status, headers, reply = exchange(self._pool, address, data, sent + timeout + _LATE_ANSWER_WAIT)
         except (OSError, ConnectionClosedError, HttpError) as error:
             error_text = f"{type(error).__name__}: {error}"
-        found: Any = None
+        hits: Any = None
         if status == 200 and request.kind == "search":
-            found = [[point["id"], point["score"]] for point in orjson.loads(reply)["result"]]
+            hits = [[point["id"], point["score"]] for point in orjson.loads(reply)["result"]]
         self._recorder.put(
             "vector_try",
             kind_of=request.kind,
@@ -236,9 +236,9 @@
             timeout=timeout,
             done=headers.get("gingervane-holders-done"),
             missing=headers.get("gingervane-missing"),
-            found=found,
+            found=hits,
             why=error_text,
-            **note,
+            **record_fields,
         )
         return status
 
@@ -262,17 +262,17 @@
         return http1.encode_head(line, fields) + body
 
 
-def settled(targets: Targets, patience: float) -> bool:
+def wait_for_repairs(targets: Targets, timeout: float) -> bool:
     """Wait until no co-ordinator has a missed write to repair; return whether that came about."""
-    pool, until = Pool(_LIMITS, 1, 30.0), time.monotonic() + patience
-    while time.monotonic() < until:
-        if not sum(_shards_owed(pool, address) for _, address in targets()):
+    pool, deadline = Pool(_LIMITS, 1, 30.0), time.monotonic() + timeout
+    while time.monotonic() < deadline:
+        if not sum(_shards_awaiting_repair(pool, address) for _, address in targets()):
             return True
         time.sleep(_SETTLE_POLL)
     return False
 
 
-def _shards_owed(pool: Pool, address: Address) -> float:
+def _shards_awaiting_repair(pool: Pool, address: Address) -> float:
     """Read how many shards a co-ordinator owes writes to; 1 if it does not answer."""
     try:
         data = http1.encode_head("GET /metrics HTTP/1.1", [("Host", "x")])
--- a/gingervane/scenarios/demands.py
+++ b/gingervane/scenarios/demands.py
@@ -26,15 +26,15 @@
     """The day's demands, from its seed alone: a Poisson stream whose rate bursts scale."""
     rng = random.Random(scenario.seed)
     bursts = [t for t in scenario.troubles if t.kind == "burst"]
-    most = max([b.size for b in bursts], default=1.0) * scenario.clients.rate
+    peak_rate = max([b.size for b in bursts], default=1.0) * scenario.clients.rate
     out: list[Demand] = []
     at = 0.0
     shares = [c.share for c in scenario.classes]
-    while (at := at + rng.expovariate(most)) < scenario.seconds:
+    while (at := at + rng.expovariate(peak_rate)) < scenario.seconds:
         rate = scenario.clients.rate
         for burst in bursts:
             rate *= burst.size if burst.at <= at < burst.at + burst.seconds else 1.0
-        if rng.random() * most >= rate:
+        if rng.random() * peak_rate >= rate:
             continue
         kind = rng.choices(scenario.classes, shares)[0]
         low, high = kind.tiles
--- a/gingervane/scenarios/scenario.py
+++ b/gingervane/scenarios/scenario.py
@@ -28,7 +28,7 @@
 OWN_KINDS = {"burst", "drain", "coordinator_kill", "coordinator_stall", "coordinator_drain", "agent_fault"}
 MAX_PAUSE = 2.0  # seconds of one pause of a co-ordinator
 BETWEEN_PAUSES = 3.0  # seconds
-Moment = Annotated[float, Field(ge=0, le=3600)]
+SecondsOrZero = Annotated[float, Field(ge=0, le=3600)]
 
 
 class Nodes(Table):
@@ -41,7 +41,7 @@
     zones: Annotated[tuple[str, ...], Field(min_length=1)] = ("hall-a", "hall-b", "hall-c")
     cores: Count = 2
     work: Seconds = 0.01
-    call_work: Moment = 0.002
+    call_work: SecondsOrZero = 0.002
     queue: Count = 60
     start_capacity: Share = 0.2
     ramp_time: Seconds = 8.0
@@ -65,9 +65,9 @@
 class Listing(Table):
     """How the server list follows what happens; `grace` is the time within which a drain must be kept."""
 
-    notice: Moment = 0.5
-    silent_notice: Moment = 2.0
-    add: Moment = 0.3
+    notice: SecondsOrZero = 0.5
+    silent_notice: SecondsOrZero = 2.0
+    add: SecondsOrZero = 0.3
     interval: Seconds = 0.05
     grace: Seconds = 0.5
 
@@ -77,7 +77,7 @@
 
     count: Annotated[int, Field(gt=0, le=64)] = 3
     roots: Annotated[int, Field(ge=0, le=64)] = 0  # co-ordinators that clients send to; 0: all
-    notice: Moment = 0.5  # after which clients no longer go to one that was killed
+    notice: SecondsOrZero = 0.5  # after which clients no longer go to one that was killed
     limits: dict[str, Any] = {}
     tree: dict[str, Any] = {}  # settings of the tree; empty: none. `ring` is the number of co-ordinators
     budget_free: Annotated[float, Field(ge=0)] = 20
@@ -107,7 +107,7 @@
     adds: Annotated[float, Field(gt=0, le=2000)] = 30.0
     searches: Annotated[float, Field(gt=0, le=2000)] = 10.0
     tries: Annotated[int, Field(gt=0, le=10)] = 4
-    backoff: Moment = 0.15
+    backoff: SecondsOrZero = 0.15
     timeout: Seconds = 1.5
     settle: Seconds = 30.0  # after the day, for what is owed to be repaired
 
@@ -125,7 +125,7 @@
 
     rate: Annotated[float, Field(gt=0, le=5000)] = 40.0
     retries: Annotated[int, Field(ge=0, le=5)] = 1
-    backoff: Moment = 0.1
+    backoff: SecondsOrZero = 0.1
     honour: Annotated[float, Field(ge=0, le=1)] = 0.7
     try_share: Share = 0.8
     impatient: Annotated[float, Field(ge=0, le=1)] = 0.01
@@ -136,7 +136,7 @@
     """A fault at a stated time: of nodes, co-ordinators, agents or the load."""
 
     kind: str
-    at: Moment
+    at: SecondsOrZero
     seconds: Seconds
     size: Annotated[float, Field(ge=0)] = 1.0
     how: Literal["crash", "vanish", "hang"] = "crash"
@@ -150,7 +150,7 @@
     listed: bool = True
 
     @model_validator(mode="after")
-    def _known(self) -> ScheduledFault:
+    def _check_kind(self) -> ScheduledFault:
         if self.kind not in KINDS and self.kind not in OWN_KINDS:
             raise ValueError(f"kind: {self.kind!r} is not one of {', '.join(sorted([*KINDS, *OWN_KINDS]))}")
         return self
@@ -180,7 +180,7 @@
     unmapped: tuple[str, ...] = ()  # kinds of fault of a bench day that have no equivalent here
 
     @model_validator(mode="after")
-    def _fits(self) -> Scenario:
+    def _check_references(self) -> Scenario:
         for index, trouble in enumerate(self.troubles):
             if trouble.zone is not None and trouble.zone not in self.nodes.zones:
                 raise ValueError(f"trouble[{index}].zone: {trouble.zone!r} is no zone")
@@ -255,13 +255,13 @@
 
     def faults(self, began: float) -> dict[int, list[Fault]]:
         """Give each node's faults, on the clock on which the rehearsal began at `began`."""
-        return self._faults(began, self.hit)
+        return self._faults_by_node(began, self.hit)
 
     def vector_faults(self, began: float) -> dict[int, list[Fault]]:
         """Give each vector node's faults."""
-        return self._faults(began, lambda index: self.troubles[index].vector_nodes)
+        return self._faults_by_node(began, lambda index: self.troubles[index].vector_nodes)
 
-    def _faults(self, began: float, hit: Callable[[int], tuple[int, ...]]) -> dict[int, list[Fault]]:
+    def _faults_by_node(self, began: float, hit: Callable[[int], tuple[int, ...]]) -> dict[int, list[Fault]]:
         out: dict[int, list[Fault]] = {}
         for index, trouble in enumerate(self.troubles):
             if trouble.kind in KINDS:
@@ -285,10 +285,10 @@
             elif trouble.kind in KINDS:
                 fault = Fault(trouble.kind, trouble.at, trouble.seconds, trouble.size, trouble.how)
                 for start, end, how in fault.down_spans():
-                    lag = self.listing.silent_notice if how == "vanish" else self.listing.notice
+                    listing_delay = self.listing.silent_notice if how == "vanish" else self.listing.notice
                     for node in self.hit(index):
-                        if start + lag < end:
-                            spans.append((start + lag, end + self.listing.add, node, "gone"))
+                        if start + listing_delay < end:
+                            spans.append((start + listing_delay, end + self.listing.add, node, "gone"))
                         starts.append((end + self.listing.add, node, end))
         times = sorted({0.0, *(s[0] for s in spans), *(s[1] for s in spans), *(s[0] for s in starts)})
         out = []
--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -11,21 +11,21 @@
 
 import cold_sum
 
-AGAIN = "all start, clients come again"
+ALL_START_CLIENTS_RETRY = "all start, clients come again"
 
 
 @pytest.mark.parametrize(
     ("deployment", "scenario", "coordinators"),
     [
-        ("1.7 in 4 s", AGAIN, 3),
-        ("1.7 in 4 s", AGAIN, 20),
-        ("1.7 in 4 s", AGAIN, 30),
-        ("4 in 1.5 s", AGAIN, 20),
+        ("1.7 in 4 s", ALL_START_CLIENTS_RETRY, 3),
+        ("1.7 in 4 s", ALL_START_CLIENTS_RETRY, 20),
+        ("1.7 in 4 s", ALL_START_CLIENTS_RETRY, 30),
+        ("4 in 1.5 s", ALL_START_CLIENTS_RETRY, 20),
         ("2.5 in 1 s", "clients come again", 30),
         ("2.5 in 1 s", "all restarted at once", 20),
     ],
 )
-def test_clients_that_come_again_push_no_cold_replica_over(
+def test_retrying_clients_do_not_overload_cold_replicas(
     deployment: str,
     scenario: str,
     coordinators: int,
--- a/tests/test_pinned_forms.py
+++ b/tests/test_pinned_forms.py
@@ -183,7 +183,7 @@
 }
 
 
-def flat(value: Any, where: str = "") -> dict[str, Any]:
+def flatten_table(value: Any, where: str = "") -> dict[str, Any]:
     """Nested tables by the dotted names of their keys."""
     if isinstance(value, dict) and value:
         pairs = [(f"{where}.{key}" if where else key, inner) for key, inner in value.items()]
@@ -191,15 +191,15 @@
         pairs = [(f"{where}[{index}]", inner) for index, inner in enumerate(value)]
     else:
         return {where: value}
-    return {key: found for name, inner in pairs for key, found in flat(inner, name).items()}
+    return {key: leaf for name, inner in pairs for key, leaf in flatten_table(inner, name).items()}
 
 
 def test_every_key_of_the_settings_and_what_it_is_if_left_out() -> None:
     read = daemon_settings.check(CONFIG, Path("/c.toml"))
-    assert flat(read.model_dump(mode="json", by_alias=True)) == CONFIG_READ
+    assert flatten_table(read.model_dump(mode="json", by_alias=True)) == CONFIG_READ
 
 
-def nested(pairs: Mapping[str, Any]) -> dict[str, Any]:
+def nest_keys(pairs: Mapping[str, Any]) -> dict[str, Any]:
     """`flat` undone, without keys that have no value."""
     out: dict[str, Any] = {}
     for name, value in pairs.items():
@@ -219,30 +219,32 @@
 
 
 def test_every_key_of_the_settings_may_be_given() -> None:
-    full = nested({key: value for key, value in CONFIG_READ.items() if not key.endswith(".consul")})
+    full = nest_keys({key: value for key, value in CONFIG_READ.items() if not key.endswith(".consul")})
     read = daemon_settings.check(full, Path("/c.toml"))
-    assert flat(read.model_dump(mode="json", by_alias=True)) == CONFIG_READ
+    assert flatten_table(read.model_dump(mode="json", by_alias=True)) == CONFIG_READ
 
 
 @pytest.mark.parametrize("key", CONFIG_READ)
 def test_a_key_of_the_settings_that_is_misspelt_is_refused_with_its_place(key: str) -> None:
     """Which also shows that every key is known by its own name, and by no other."""
-    full = nested({name: value for name, value in CONFIG_READ.items() if not name.endswith(".consul")})
+    full = nest_keys({name: value for name, value in CONFIG_READ.items() if not name.endswith(".consul")})
     wrong = key + "x"
-    place = nested({wrong: 1})
-    merged = grafted(full, place)
+    misspelt = nest_keys({wrong: 1})
+    merged = merge_tables(full, misspelt)
     with pytest.raises(daemon_settings.SettingsError) as caught:
         daemon_settings.check(merged, Path("/c.toml"))
     word = key.rpartition(".")[2]
     assert f"/c.toml: {wrong}: not a known key; is {word} meant?" in str(caught.value).splitlines()
 
 
-def grafted(table: Any, more: Any) -> Any:
+def merge_tables(table: Any, more: Any) -> Any:
     """Tables with the keys of others besides their own."""
     if isinstance(more, dict):
-        return {**table, **{key: grafted(table.get(key, {}), value) for key, value in more.items()}}
+        return {**table, **{key: merge_tables(table.get(key, {}), value) for key, value in more.items()}}
     if isinstance(more, list):
-        return [grafted(row, extra) for row, extra in zip(table, more, strict=False)] + table[len(more) :]
+        return [merge_tables(row, extra) for row, extra in zip(table, more, strict=False)] + table[
+            len(more) :
+        ]
     return more
 
 
@@ -269,17 +271,17 @@
     ],
 )
 def test_words_that_the_settings_take(key: str, words: tuple[str, ...]) -> None:
-    full = nested({name: value for name, value in CONFIG_READ.items() if not name.endswith(".consul")})
+    full = nest_keys({name: value for name, value in CONFIG_READ.items() if not name.endswith(".consul")})
     for word in words:
-        own = grafted(full, nested({key: word}))
+        own = merge_tables(full, nest_keys({key: word}))
         if word == "keyed":
             own["class"][0]["repeat_window"] = 1.0
         if key.startswith("class"):  # the vector front asks for a class of each kind by name
             del own["vectors"]
         read = daemon_settings.check(own, Path("/c.toml"))
-        assert flat(read.model_dump(mode="json", by_alias=True))[key] == word
+        assert flatten_table(read.model_dump(mode="json", by_alias=True))[key] == word
     with pytest.raises(daemon_settings.SettingsError, match=key.replace("[", r"\[").replace("]", r"\]")):
-        daemon_settings.check(grafted(full, nested({key: "other"})), Path("/c.toml"))
+        daemon_settings.check(merge_tables(full, nest_keys({key: "other"})), Path("/c.toml"))
 
 
 # ---- scenarios of a rehearsal
@@ -376,9 +378,9 @@
 
 def test_every_key_of_a_scenario_and_what_it_is_if_left_out() -> None:
     read = Scenario.model_validate(SCENARIO)
-    assert flat(read.model_dump(mode="json", by_alias=True)) == SCENARIO_READ
-    again = Scenario.model_validate(nested(SCENARIO_READ))
-    assert flat(again.model_dump(mode="json", by_alias=True)) == SCENARIO_READ
+    assert flatten_table(read.model_dump(mode="json", by_alias=True)) == SCENARIO_READ
+    again = Scenario.model_validate(nest_keys(SCENARIO_READ))
+    assert flatten_table(again.model_dump(mode="json", by_alias=True)) == SCENARIO_READ
 
 
 @pytest.mark.parametrize("key", SCENARIO_READ)
@@ -386,7 +388,7 @@
     wrong = key + "x"
     with pytest.raises(daemon_settings.SettingsError) as caught:
         daemon_settings.validate(
-            Scenario, grafted(nested(SCENARIO_READ), nested({wrong: 1})), Path("/s.toml")
+            Scenario, merge_tables(nest_keys(SCENARIO_READ), nest_keys({wrong: 1})), Path("/s.toml")
         )
     word = key.rpartition(".")[2]
     assert f"/s.toml: {wrong}: not a known key; is {word} meant?" in str(caught.value).splitlines()
@@ -439,8 +441,8 @@
 def test_every_key_of_an_experiment_and_what_it_is_if_left_out(tmp_path: Path) -> None:
     path = tmp_path / "e.toml"
     path.write_text('name = "e"\nscenario = "bad-day"\n')
-    found, _, _ = experiment.load(str(path))
-    assert found.model_dump(mode="json") == {
+    loaded, _, _ = experiment.load(str(path))
+    assert loaded.model_dump(mode="json") == {
         "name": "e",
         "scenario": "bad-day",
         "expect": "",
@@ -448,8 +450,8 @@
         "vary": {},
     }
     path.write_text('name = "e"\nscenario = "bad-day"\nseeds = [3, 9]\n[vary]\n"nodes.width" = [1, 2]\n')
-    found, _, _ = experiment.load(str(path))
-    assert found.all_seeds() == (3, 9) and found.cells() == [{"nodes.width": 1}, {"nodes.width": 2}]
+    loaded, _, _ = experiment.load(str(path))
+    assert loaded.all_seeds() == (3, 9) and loaded.cells() == [{"nodes.width": 1}, {"nodes.width": 2}]
     path.write_text('name = "e"\nscenario = "bad-day"\nseedsx = 1\n')
     with pytest.raises(daemon_settings.SettingsError) as caught:
         experiment.load(str(path))
@@ -493,10 +495,10 @@
         for name, inner in sorted(command.commands.items()):
             yield from commands(inner, f"{path} {name}".strip())
     else:
-        yield path, [described(parameter) for parameter in command.params]
+        yield path, [describe_parameter(parameter) for parameter in command.params]
 
 
-def described(parameter: click.Parameter) -> str:
+def describe_parameter(parameter: click.Parameter) -> str:
     """A parameter as its user has it."""
     if isinstance(parameter, click.Argument):
         name = (parameter.name or "").upper()
@@ -743,9 +745,9 @@
         cwd=ROOT,
     )
     assert program.stdout is not None
-    found = re.fullmatch(r"listening on 127\.0\.0\.1:([0-9]+)\n", program.stdout.readline())
-    assert found
-    client = Client(("127.0.0.1", int(found[1])))
+    listening = re.fullmatch(r"listening on 127\.0\.0\.1:([0-9]+)\n", program.stdout.readline())
+    assert listening
+    client = Client(("127.0.0.1", int(listening[1])))
     query = Query(0, 60_000, (Matcher(Match.EQUAL, "tile", "t000"),))
     assert client.read([query], {}, PATIENCE).status == 200
     client.close()
@@ -794,9 +796,9 @@
         cwd=tmp_path,
         env={"PYTHONPATH": str(ROOT)},
     )
-    said = done.stderr.decode()
+    error_text = done.stderr.decode()
     assert done.returncode == 2 and not done.stdout
-    assert said.startswith(what) and said.count("\n") == 1
+    assert error_text.startswith(what) and error_text.count("\n") == 1
 
 
 def test_a_node_takes_its_configuration_s_name_from_the_environment(tmp_path: Path) -> None:
