--- a/gingervane/cli/main.py
+++ b/gingervane/cli/main.py
@@ -173,12 +173,12 @@
     if out.exists() and any(out.iterdir()) and not (out / "facts.json").exists():
         raise click.BadParameter(f"{out} holds something other than a rehearsal", param_hint="--out")
     with _exit_on_error(daemon_settings.SettingsError, ScenarioRunError):
-        day = bench_day_import.convert(from_day) if from_day else scenarios.load(str(scenario))
+        scenario_to_run = bench_day_import.convert(from_day) if from_day else scenarios.load(str(scenario))
         if notice:
             click.echo(notice, err=True)
-        verdict = ScenarioRun(day, out).run()
-    report.show(verdict)
-    sys.exit(0 if verdict["kept"] else 1)
+        scenario_report = ScenarioRun(scenario_to_run, out).run()
+    report.show(scenario_report)
+    sys.exit(0 if scenario_report["kept"] else 1)
 
 
 @main.group()
--- a/gingervane/experiments/child_process.py
+++ b/gingervane/experiments/child_process.py
@@ -40,7 +40,7 @@
             self._lines.put(line.decode())
         self._lines.put("")
 
-    def line(self, prefix: str, timeout: float = _LINE_TIMEOUT) -> str:
+    def wait_for_line(self, prefix: str, timeout: float = _LINE_TIMEOUT) -> str:
         """Wait for the first line with a prefix and return the rest of it. Raises ScenarioRunError."""
         deadline = time.monotonic() + timeout
         while True:
@@ -58,16 +58,16 @@
         if self.child.stdin:
             self.child.stdin.close()
 
-    def finish(self, timeout: float = _EXIT_TIMEOUT) -> None:
+    def wait_or_terminate(self, timeout: float = _EXIT_TIMEOUT) -> None:
         """Wait up to `timeout` seconds for it to exit by itself, then terminate it."""
         with contextlib.suppress(subprocess.TimeoutExpired):
             self.child.wait(timeout)
-        self.end()
+        self.terminate()
 
-    def end(self, hard: bool = False, timeout: float = _EXIT_TIMEOUT) -> int:
-        """Send SIGTERM, or SIGKILL if `hard` or after the time-out; return the exit status."""
+    def terminate(self, force: bool = False, timeout: float = _EXIT_TIMEOUT) -> int:
+        """Send SIGTERM, or SIGKILL if `force` or after the time-out; return the exit status."""
         if self.child.poll() is None:
-            self.child.send_signal(signal.SIGKILL if hard else signal.SIGTERM)
+            self.child.send_signal(signal.SIGKILL if force else signal.SIGTERM)
         try:
             return self.child.wait(timeout)
         except subprocess.TimeoutExpired:
--- a/gingervane/experiments/clients.py
+++ b/gingervane/experiments/clients.py
@@ -35,7 +35,7 @@
 _LATE_ANSWER_WAIT = 0.5
 
 
-class Load:
+class ClientLoad:
     """Runs the demands; each attempt goes to one of the co-ordinators that `targets` returns at that time."""
 
     def __init__(
@@ -55,7 +55,7 @@
         self._lock = threading.Lock()
         self._threads: list[threading.Thread] = []
 
-    def play(self, all_demands: list[Demand], began: float) -> None:
+    def run(self, all_demands: list[Demand], began: float) -> None:
         """Start each demand at its time, on a thread of its own, and wait for all of them."""
         for demand in all_demands:
             if (wait := began + demand.at - time.monotonic()) > 0:
--- a/gingervane/experiments/coordinator_processes.py
+++ b/gingervane/experiments/coordinator_processes.py
@@ -40,7 +40,7 @@
         tap = self._out / f"tap-{number}-{self._launches}.jsonl"
         command = [*self._command, "--config", str(path), "--tap", str(tap)]
         process = ChildProcess(command, self._out / f"coordinator-{number}.log")
-        host, _, port = process.line("listening on ").rpartition(":")
+        host, _, port = process.wait_for_line("listening on ").rpartition(":")
         address = host, int(port)
         with self._lock:
             self._processes[number] = process
@@ -66,7 +66,7 @@
             self._targeted_until[number] = time.monotonic() + self._notice
         if process:
             self._director.put("killed", coordinator=number)
-            process.end(hard=True)
+            process.terminate(force=True)
 
     def send_signal(self, number: int, signal_to_send: signal.Signals) -> None:
         """Send a signal to a co-ordinator if it runs, and record it."""
@@ -107,4 +107,4 @@
         """Stop all co-ordinators with SIGTERM and return their exit statuses."""
         with self._lock:
             processes, self._processes = self._processes, {}
-        return {number: process.end() for number, process in processes.items()}
+        return {number: process.terminate() for number, process in processes.items()}
--- a/gingervane/experiments/figures.py
+++ b/gingervane/experiments/figures.py
@@ -37,12 +37,12 @@
 
 
 def _latency(quantile: str) -> Callable[[Run], float]:
-    def of(run: Run) -> float:
+    def measure(run: Run) -> float:
         rows = run.report["latency_ms"].values()
         count = sum(row["count"] for row in rows)
         return sum(row[quantile] * row["count"] for row in rows) / count if count else float("nan")
 
-    return of
+    return measure
 
 
 MEASURES: dict[str, Callable[[Run], float]] = {
@@ -75,7 +75,7 @@
         values = json.loads(cell)
         kept = sum(run.kept for run in cell_runs)
         row = [str(values.get(key)) for key in keys] + [str(len(cell_runs)), f"{kept} of {len(cell_runs)}"]
-        row += [str(interval([of(run) for run in cell_runs])) for of in MEASURES.values()]
+        row += [str(interval([measure(run) for run in cell_runs])) for measure in MEASURES.values()]
         rows.append(f"| {' | '.join(row)} |")
     failed = [run for run in runs if run.error]
     out = "\n".join(rows) + "\n"
@@ -96,14 +96,14 @@
     cells = by_cell(runs)
     keys = sorted({key for cell in cells for key in json.loads(cell)})
     paths = []
-    for number, (name, of) in enumerate(MEASURES.items()):
+    for number, (name, measure) in enumerate(MEASURES.items()):
         figure, axes = pyplot.subplots(figsize=(7, 4))
         lines: dict[str, list[tuple[Any, Interval]]] = defaultdict(list)
         for cell, cell_runs in cells.items():
             values = json.loads(cell)
             x = values[keys[0]] if keys else 0
             rest = ", ".join(f"{key}={values[key]}" for key in keys[1:])
-            lines[rest].append((x, interval([of(run) for run in cell_runs])))
+            lines[rest].append((x, interval([measure(run) for run in cell_runs])))
         for label, points in lines.items():
             xs = [x if isinstance(x, int | float) and not isinstance(x, bool) else str(x) for x, _ in points]
             means = np.asarray([cell_runs.mean for _, cell_runs in points])
@@ -160,8 +160,8 @@
     if not pairs:
         raise ValueError("no cell and seed stands on both sides")
     out = []
-    for name, of in MEASURES.items():
-        values = [(of(x), of(y)) for x, y in pairs]
+    for name, measure in MEASURES.items():
+        values = [(measure(x), measure(y)) for x, y in pairs]
         out.append(
             Difference(
                 name,
--- a/gingervane/experiments/published_list.py
+++ b/gingervane/experiments/published_list.py
@@ -21,8 +21,10 @@
         self._director = director
         self._lock = threading.Lock()
         self._ports: list[int] = []  # of the nodes
-        self._began = 0.0  # start of the run on the monotonic clock
-        self._at = 0.0  # when the nodes' states were last set, in seconds from the start of the run
+        self._run_started_at = 0.0  # start of the run on the monotonic clock
+        self._states_set_at = (
+            0.0  # when the nodes' states were last set, in seconds from the start of the run
+        )
         self._node_states: dict[int, str] = {}  # states other than ready
         self._node_starts: dict[int, float] = {}  # restarts, in seconds from the start of the run
         self._coordinators: dict[int, tuple[Address, float]] = {}  # address, and Unix time of start
@@ -31,13 +33,13 @@
     def set_up(self, ports: list[int], began: float) -> None:
         """List the nodes on these ports, all ready; the run starts at `began` on the monotonic clock."""
         self._ports = ports
-        self._began = began
+        self._run_started_at = began
         self.set_nodes(0, {}, {})
 
     def set_nodes(self, at: float, states: dict[int, str], starts: dict[int, float]) -> None:
         """Set the nodes' states and restarts as of `at` seconds from the start of the run."""
         with self._lock:
-            self._at = at
+            self._states_set_at = at
             self._node_states = states
             self._node_starts = starts
         self._write()
@@ -58,7 +60,7 @@
     def _write(self) -> None:
         with self._lock:
             nodes, coordinators = self._node_rows(), self._coordinator_rows()
-            at, states = self._at, self._node_states
+            at, states = self._states_set_at, self._node_states
         # Recorded before the list is written, as a co-ordinator may read it while it is being written.
         self._director.put("list", day=at, states=states)
         self._listing.write(nodes, coordinators if self._scenario.coordinators.tree else [])
@@ -74,7 +76,7 @@
                 zones[n % len(zones)],
                 n,
                 self._node_states.get(n, "ready"),
-                self._began + self._node_starts[n] + offset if n in self._node_starts else None,
+                self._run_started_at + self._node_starts[n] + offset if n in self._node_starts else None,
             )
             for n, port in enumerate(self._ports)
         ]
--- a/gingervane/experiments/scenario_runner.py
+++ b/gingervane/experiments/scenario_runner.py
@@ -20,7 +20,7 @@
 
 from gingervane.audit import effects, rules
 from gingervane.experiments.child_process import ChildProcess, ScenarioRunError
-from gingervane.experiments.clients import Load
+from gingervane.experiments.clients import ClientLoad
 from gingervane.experiments.coordinator_processes import CoordinatorProcesses
 from gingervane.experiments.listing import ConsulListing, FileListing, Listing
 from gingervane.experiments.published_list import PublishedList
@@ -63,16 +63,18 @@
         out.mkdir(parents=True)
         (out / "facts.json").write_text(json.dumps(scenario.facts()))
         director = Recorder(out / "director.jsonl")
-        own = scenario.coordinators
-        coordinators = CoordinatorProcesses(out, self._command, own.roots, own.notice, director)
+        coordinator_settings = scenario.coordinators
+        coordinators = CoordinatorProcesses(
+            out, self._command, coordinator_settings.roots, coordinator_settings.notice, director
+        )
         try:
-            self._play(coordinators, director)
+            self._run_processes(coordinators, director)
         finally:
             director.put("ended", statuses=coordinators.end_all())
             for server in self._fake_servers:
                 server.close_stdin()
             for server in self._fake_servers:
-                server.finish()
+                server.wait_or_terminate()
             director.close()
         report = rules.judge(out)
         if self._vectors:
@@ -81,7 +83,7 @@
         (out / "report.json").write_text(json.dumps(report, indent=2) + "\n")
         return report
 
-    def _play(self, coordinators: CoordinatorProcesses, director: Recorder) -> None:
+    def _run_processes(self, coordinators: CoordinatorProcesses, director: Recorder) -> None:
         """Start all processes, then run the clients and the script at the same time."""
         scenario = self.scenario
         count = scenario.coordinators.count
@@ -101,25 +103,25 @@
         actions = self._scheduled_actions(coordinators, published, director)
         script = threading.Thread(target=self._run_script, args=(began, actions, coordinators), daemon=True)
         script.start()
-        self._play_clients(began, coordinators, director)
+        self._run_clients(began, coordinators, director)
         script.join(_SCRIPT_TIMEOUT)
         if self._vectors:
-            done = wait_for_repairs(coordinators.targets, self._vectors.day.settle)
+            done = wait_for_repairs(coordinators.targets, self._vectors.settings.settle)
             director.put("vector_marks", settled=done, marks=self._vectors.marks())
         director.put("usage", usage=coordinators.usage())
 
-    def _play_clients(self, began: float, coordinators: CoordinatorProcesses, director: Recorder) -> None:
+    def _run_clients(self, began: float, coordinators: CoordinatorProcesses, director: Recorder) -> None:
         scenario = self.scenario
         clients = Recorder(self.out / "clients.jsonl")
-        load = Load(scenario, clients, self.out / "bodies.bin", coordinators.targets)
+        client_load = ClientLoad(scenario, clients, self.out / "bodies.bin", coordinators.targets)
         tiles = [f"t{i:03d}" for i in range(scenario.nodes.tiles)]
         director.put("began", at=began)
         vector_clients: threading.Thread | None = None
         if self._vectors:
             vector_load = VectorLoad(scenario, clients, coordinators.targets)
-            vector_clients = threading.Thread(target=vector_load.play, args=(began,), daemon=True)
+            vector_clients = threading.Thread(target=vector_load.run, args=(began,), daemon=True)
             vector_clients.start()
-        load.play(demands(scenario, tiles), began)
+        client_load.run(demands(scenario, tiles), began)
         if vector_clients:
             vector_clients.join(_VECTORS_TIMEOUT)
         clients.close()
@@ -136,7 +138,7 @@
             self._start_vectors(self._vectors, began, director)
         ports = [0] * nodes.count
         for index, fleet in enumerate(fleets):
-            ports[index :: nodes.processes] = json.loads(fleet.line("ready"))
+            ports[index :: nodes.processes] = json.loads(fleet.wait_for_line("ready"))
         director.put("ports", ports=ports)
         return ports
 
@@ -172,14 +174,14 @@
         path = self.out / "orders-consul.json"
         path.write_text(json.dumps({"agents": agents + 1, "records": str(self.out / "consul.jsonl")}))
         process = self._start_process("consul", path, "consul.log")
-        ports = json.loads(process.line("ready"))
+        ports = json.loads(process.wait_for_line("ready"))
         director.put("agents", ports=ports)
         self._agents = [("127.0.0.1", port) for port in ports[:-1]]
         self._listing = ConsulListing(("127.0.0.1", ports[-1]), _SERVICE)
 
     def _start_vectors(self, nodes: VectorNodes, began: float, director: Recorder) -> None:
         process = self._start_process("vectors", nodes.write_orders(began), "vectors.log")
-        nodes.ports = json.loads(process.line("ready"))
+        nodes.ports = json.loads(process.wait_for_line("ready"))
         director.put("vector_ports", ports=nodes.ports)
         nodes.write_list()
         nodes.load()
--- a/gingervane/experiments/vector_day.py
+++ b/gingervane/experiments/vector_day.py
@@ -46,7 +46,7 @@
 
     def __init__(self, scenario: Scenario, out: Path) -> None:
         assert scenario.vectors is not None
-        self.day = scenario.vectors
+        self.settings = scenario.vectors
         self._scenario = scenario
         self._out = out
         self.ports: list[int] = []
@@ -54,15 +54,15 @@
 
     def write_orders(self, began: float) -> Path:
         """Write the orders file of the vector nodes' process and return its path."""
-        day, path = self.day, self._out / "orders-vectors.json"
-        collections = [[name, day.dims, "Cosine"] for name in (FIXED, MOVING)]
+        settings, path = self.settings, self._out / "orders-vectors.json"
+        collections = [[name, settings.dims, "Cosine"] for name in (FIXED, MOVING)]
         path.write_text(
             json.dumps(
                 {
-                    "nodes": day.nodes,
+                    "nodes": settings.nodes,
                     "collections": collections,
-                    "width": day.width,
-                    "window": day.window,
+                    "width": settings.width,
+                    "window": settings.window,
                     "model": list(self._scenario.nodes.model()),
                     "records": str(self._out / "vectors.jsonl"),
                     "faults": {
@@ -76,26 +76,26 @@
 
     def table(self, number: int) -> dict[str, Any]:
         """Build the vector settings of a co-ordinator, which name the query classes of `classes`."""
-        day = self.day
+        settings = self.settings
         return {
             "membership": {"file": str(self._out / "vectors.toml"), "interval": 0.05},
-            "cells": day.nodes,
-            "width": day.width,
-            "quorum": day.quorum,
+            "cells": settings.nodes,
+            "width": settings.width,
+            "quorum": settings.quorum,
             "search_class": "vector-search",
             "upsert_class": "vector-upsert",
             "add_class": "vector-add",
             "repair_sweep": 20.0,
             "intents": str(self._out / f"intents-{number}"),
-            "collection": [{"name": name, "dims": day.dims} for name in (FIXED, MOVING)],
+            "collection": [{"name": name, "dims": settings.dims} for name in (FIXED, MOVING)],
         }
 
     def classes(self) -> list[dict[str, Any]]:
         """Build the query classes of vector searches and writes."""
-        times = {"aim": self.day.timeout * 0.6, "deadline": self.day.timeout, "late_worth": 0.5}
+        times = {"aim": self.settings.timeout * 0.6, "deadline": self.settings.timeout, "late_worth": 0.5}
         return [
             {"name": "vector-search", **times, "least_share": 0.75},
-            {"name": "vector-upsert", **times, "semantics": "keyed", "repeat_window": self.day.window},
+            {"name": "vector-upsert", **times, "semantics": "keyed", "repeat_window": self.settings.window},
             {"name": "vector-add", **times, "semantics": "unsafe"},
         ]
 
@@ -110,21 +110,21 @@
 
     def load(self) -> None:
         """Write the fixed points directly to their replicas, before the run."""
-        day, by_shard = self.day, dict[int, list[Any]]()
-        for point in fixed_points(day):
+        settings, by_shard = self.settings, dict[int, list[Any]]()
+        for point in fixed_points(settings):
             row = {**point, "version": 1, "ops": 0, "deleted": False}
-            by_shard.setdefault(shard_of(point["id"], day.nodes), []).append(row)
+            by_shard.setdefault(shard_of(point["id"], settings.nodes), []).append(row)
         for shard, rows in by_shard.items():
-            for offset in range(day.width):
+            for offset in range(settings.width):
                 target = f"/collections/{FIXED}/shards/{shard}/put"
-                self._call_node((shard + offset) % day.nodes, "POST", target, {"points": rows})
+                self._call_node((shard + offset) % settings.nodes, "POST", target, {"points": rows})
 
     def marks(self) -> dict[int, dict[int, dict[str, Any]]]:
         """Read each replica's state of the moving collection, by node and shard; empty if it is down."""
-        day, out = self.day, dict[int, dict[int, dict[str, Any]]]()
-        for node in range(day.nodes):
-            for offset in range(day.width):
-                shard = (node - offset) % day.nodes
+        settings, out = self.settings, dict[int, dict[int, dict[str, Any]]]()
+        for node in range(settings.nodes):
+            for offset in range(settings.width):
+                shard = (node - offset) % settings.nodes
                 try:
                     marks = self._call_node(node, "GET", f"/collections/{MOVING}/shards/{shard}/marks", None)
                 except (OSError, ConnectionClosedError, HttpError):
@@ -149,24 +149,24 @@
 
     def __init__(self, scenario: Scenario, recorder: Recorder, targets: Targets) -> None:
         assert scenario.vectors is not None
-        self._day = scenario.vectors
+        self._settings = scenario.vectors
         self._seconds = scenario.seconds
         self._recorder = recorder
         self._targets = targets
         self._rng = random.Random(scenario.seed + 1)
         self._pool = Pool(_LIMITS, _POOL_SIZE, _POOL_IDLE)
 
-    def play(self, began: float) -> None:
+    def run(self, began: float) -> None:
         """Start each demand at its time, on a thread of its own, and wait for all of them."""
-        day, rng = self._day, self._rng
-        rates = {self._upsert: day.upserts, self._add: day.adds, self._search: day.searches}
-        rate, at, number = day.upserts + day.adds + day.searches, 0.0, 0
+        settings, rng = self._settings, self._rng
+        rates = {self._upsert: settings.upserts, self._add: settings.adds, self._search: settings.searches}
+        rate, at, number = settings.upserts + settings.adds + settings.searches, 0.0, 0
         threads: list[threading.Thread] = []
         while (at := at + rng.expovariate(rate)) < self._seconds:
-            work = rng.choices(list(rates), list(rates.values()))[0]
+            send = rng.choices(list(rates), list(rates.values()))[0]
             if (wait := began + at - time.monotonic()) > 0:
                 time.sleep(wait)
-            thread = threading.Thread(target=work, args=(number, random.Random(rng.random())), daemon=True)
+            thread = threading.Thread(target=send, args=(number, random.Random(rng.random())), daemon=True)
             thread.start()
             threads.append(thread)
             number += 1
@@ -177,8 +177,8 @@
         vector = self._random_vector(rng)
         count = rng.choice((1, 1, 3))
         points = [{"id": 4 * number + i, "vector": vector, "payload": {"d": number}} for i in range(count)]
-        deadline = time.monotonic() + self._day.window / 2
-        for attempt in range(self._day.tries):
+        deadline = time.monotonic() + self._settings.window / 2
+        for attempt in range(self._settings.tries):
             record_fields = {"demand": number, "number": attempt, "points": [point["id"] for point in points]}
             request = _Request("upsert", "PUT", f"{MOVING}/points", {"points": points}, f"k{number}")
             status = self._attempt(request, rng, record_fields)
@@ -188,8 +188,8 @@
 
     def _add(self, number: int, rng: random.Random) -> None:
         # An id of the moving collection, in which few of these ids have a point.
-        point = 4 * rng.randrange(self._day.fixed)
-        for attempt in range(self._day.tries):
+        point = 4 * rng.randrange(self._settings.fixed)
+        for attempt in range(self._settings.tries):
             name = f"d{number}t{attempt}"
             record_fields = {"demand": number, "number": attempt, "points": [point], "name": name}
             content = {"payload": {name: 1}, "points": [point]}
@@ -204,10 +204,10 @@
         self._attempt(request, rng, {"demand": number, "number": 0, **content})
 
     def _random_vector(self, rng: random.Random) -> list[float]:
-        return [round(rng.gauss(0, 1), 3) for _ in range(self._day.dims)]
+        return [round(rng.gauss(0, 1), 3) for _ in range(self._settings.dims)]
 
     def _back_off(self, rng: random.Random) -> None:
-        time.sleep(self._day.backoff * rng.uniform(0.5, 1.5))
+        time.sleep(self._settings.backoff * rng.uniform(0.5, 1.5))
 
     def _attempt(self, request: _Request, rng: random.Random, record_fields: dict[str, Any]) -> int:
         """Make and record one attempt; return its status, 0 if there was no co-ordinator or no reply."""
@@ -215,7 +215,7 @@
         if not targets:
             return 0
         coordinator, address = rng.choice(targets)
-        timeout = self._day.timeout
+        timeout = self._settings.timeout
         data = request.encode(timeout)
         sent = time.monotonic()
         status, headers, reply = 0, Headers([]), b""
--- a/tests/test_pinned_forms.py
+++ b/tests/test_pinned_forms.py
@@ -194,7 +194,7 @@
     return {key: leaf for name, inner in pairs for key, leaf in flatten_table(inner, name).items()}
 
 
-def test_every_key_of_the_settings_and_what_it_is_if_left_out() -> None:
+def test_every_settings_key_and_its_default() -> None:
     read = daemon_settings.check(CONFIG, Path("/c.toml"))
     assert flatten_table(read.model_dump(mode="json", by_alias=True)) == CONFIG_READ
 
@@ -248,7 +248,7 @@
     return more
 
 
-def test_a_key_like_no_other_has_no_suggestion() -> None:
+def test_unknown_key_without_a_similar_one_has_no_suggestion() -> None:
     with pytest.raises(daemon_settings.SettingsError) as caught:
         daemon_settings.check(CONFIG | {"zzz": 1}, Path("/c.toml"))
     assert str(caught.value) == "/c.toml: zzz: not a known key"
@@ -270,7 +270,7 @@
         ("log.level", ("debug", "info", "warning", "error")),
     ],
 )
-def test_words_that_the_settings_take(key: str, words: tuple[str, ...]) -> None:
+def test_enumerated_values_of_the_settings(key: str, words: tuple[str, ...]) -> None:
     full = nest_keys({name: value for name, value in CONFIG_READ.items() if not name.endswith(".consul")})
     for word in words:
         own = merge_tables(full, nest_keys({key: word}))
@@ -376,7 +376,7 @@
 }
 
 
-def test_every_key_of_a_scenario_and_what_it_is_if_left_out() -> None:
+def test_every_scenario_key_and_its_default() -> None:
     read = Scenario.model_validate(SCENARIO)
     assert flatten_table(read.model_dump(mode="json", by_alias=True)) == SCENARIO_READ
     again = Scenario.model_validate(nest_keys(SCENARIO_READ))
@@ -411,7 +411,7 @@
 AGENT_FAULTS = ["hang", "late", "500", "429", "empty", "garbage", "half", "cut", "no_leader", "stale", "lag"]
 
 
-def test_words_that_a_scenario_takes() -> None:
+def test_enumerated_values_of_a_scenario() -> None:
     for kind in KINDS_OF_TROUBLE:
         row = {"kind": kind, "at": 1, "seconds": 2, "agents": [0], "fault": "hang"}
         Scenario.model_validate(SCENARIO | {"trouble": [row]})
@@ -438,7 +438,7 @@
 # ---- experiment files
 
 
-def test_every_key_of_an_experiment_and_what_it_is_if_left_out(tmp_path: Path) -> None:
+def test_every_experiment_key_and_its_default(tmp_path: Path) -> None:
     path = tmp_path / "e.toml"
     path.write_text('name = "e"\nscenario = "bad-day"\n')
     loaded, _, _ = experiment.load(str(path))
@@ -586,12 +586,12 @@
     return (*read[:2], classes, *read[3:])
 
 
-def test_every_key_that_a_start_takes() -> None:
+def test_every_start_up_key() -> None:
     assert by_position(startup.read_settings(START)) == START_READ
 
 
 @pytest.mark.parametrize("key", START)
-def test_a_key_that_a_start_needs_is_named(key: str) -> None:
+def test_missing_start_up_key_is_named(key: str) -> None:
     pairs = {name: value for name, value in START.items() if name != key}
     if key in MAY_BE_LEFT_OUT:
         is_the_same = by_position(startup.read_settings(pairs)) == START_READ
@@ -603,7 +603,7 @@
         startup.read_settings(pairs | {key: "!"})
 
 
-def test_what_a_start_takes_where_nothing_is_said() -> None:
+def test_defaults_of_start_up_settings() -> None:
     bare = {name: value for name, value in START.items() if name not in MAY_BE_LEFT_OUT}
     read = by_position(startup.read_settings(bare))
     assert read[2][0][7] is None and read[3] == () and read[-5:] == (None, None, None, 0.0, inf)
@@ -731,7 +731,7 @@
 # ---- programs as processes
 
 
-def test_a_daemon_as_whoever_starts_it_sees_it(tmp_path: Path) -> None:
+def test_daemon_output_exit_and_records(tmp_path: Path) -> None:
     """Pins its line on standard output, its exit, and the records that it and its nodes write."""
     recorder = Recorder(tmp_path / "nodes.jsonl")
     grid = FakeGrid(3, 3, ZONES, recorder=recorder)
