--- a/benchmarks/timers.py
+++ b/benchmarks/timers.py
@@ -1,4 +1,4 @@
-"""The timer structures on the mix that the module makes: one hedge timer a part, one stop a send, all fire.
+"""Cost of the timer implementations with the engine's mix: a hedge timer a part, a time-out a send; all fire.
 
 Run: python benchmarks/timers.py
 """
@@ -14,7 +14,7 @@
 
 
 def play(timers: HeapTimers | WheelTimers, parts: int, rate: float) -> tuple[float, int]:
-    """Seconds of CPU a part, and how many turns of the loop the timers caused."""
+    """Return the CPU seconds a part, and the number of wake-ups for due timers."""
     rng, now, wakes = random.Random(1), 0.0, 0
     began = time.process_time()
     for _ in range(parts):
@@ -31,7 +31,7 @@
     print(machine())
     for rate in (500.0, 2000.0, 10000.0):
         for name, timers in (("heap", HeapTimers()), ("wheel", WheelTimers(0.005))):
-            each, wakes = play(timers, 100_000, rate)
+            seconds, wakes = play(timers, 100_000, rate)
             print(
-                f"{rate:6.0f} parts/s  {name:5}  {each * 1e6:5.2f} us a part, {wakes / 100_000:.3f} wakes a part"
+                f"{rate:6.0f} parts/s  {name:5}  {seconds * 1e6:5.2f} us a part, {wakes / 100_000:.3f} wakes a part"
             )
--- a/benchmarks/vectors.py
+++ b/benchmarks/vectors.py
@@ -1,4 +1,4 @@
-"""The vector front, measured: against asking a node directly, merging, the write-ahead log, JSON.
+"""Benchmarks of the vector front: merging of hits, the write-ahead log, searches and writes, JSON.
 
 python benchmarks/vectors.py [merge] [log] [serve]
 """
@@ -34,13 +34,13 @@
 from gingervane.writes.version_clock import VersionClock
 from gingervane.writes.write_ahead_log import WriteAheadLog, encode_frame
 
-LOAD_SECONDS = 4.0  # of each closed loop
-APPEND_SECONDS = 3.0  # for each number of writers
+LOAD_SECONDS = 4.0  # duration of each closed loop
+APPEND_SECONDS = 3.0  # duration for each number of writers
 ZONES = ("hall-a", "hall-b", "hall-c")
 
 
 def measure_merging() -> None:
-    """Measure the merge of sorted hits of shards against sorting all of them."""
+    """Measure the merge of the shards' sorted hits, compared with sorting all hits."""
     print("merging, ms (median of 5): k, shards, as built, plain sort of all")
     rng = np.random.default_rng(1)
     for k in (10, 100, 1000, 10_000):
@@ -54,14 +54,14 @@
             built, plain = [], []
             for _ in range(5):
                 began = time.perf_counter()
-                found = merge_hits(lists, 0, k, True)
+                merged = merge_hits(lists, 0, k, True)
                 built.append(time.perf_counter() - began)
                 began = time.perf_counter()
-                best = sorted(
+                expected = sorted(
                     (p for one in lists for p in one), key=lambda p: (-p["score"], order_of(p["id"]))
                 )[:k]
                 plain.append(time.perf_counter() - began)
-                assert found == best
+                assert merged == expected
             print(f"  {k}, {shards}: {np.median(built) * 1000:.2f}, {np.median(plain) * 1000:.2f}")
 
 
@@ -80,7 +80,7 @@
 
 
 def measure_appends(log: WriteAheadLog, entry: Any, writers: int) -> None:
-    """Measure durable appends of several threads."""
+    """Measure durable appends from several threads."""
     count = 0
     lock = threading.Lock()
     stop = time.monotonic() + APPEND_SECONDS
@@ -125,7 +125,7 @@
 
 
 def start_nodes(folder: Path, count: int, dims: int) -> tuple[list[subprocess.Popen[str]], list[int]]:
-    """Start fake vector nodes, a process each, so that they are not what is measured; return their ports too."""
+    """Start fake vector nodes, a process each so that they are no bottleneck; return processes and ports."""
     model = Model(cores=8, work=0.0005, call_work=0.0002, queue=10_000)
     processes: list[subprocess.Popen[str]] = []
     ports: list[int] = []
@@ -178,7 +178,7 @@
 
 
 class CollectionClient:
-    """Requests to one collection, of the co-ordinator or directly of a node."""
+    """Sends requests for one collection to the co-ordinator or directly to a node."""
 
     def __init__(self, coordinator: tuple[str, int]) -> None:
         self.coordinator = coordinator
@@ -204,7 +204,7 @@
         return self.call(self.coordinator, "POST", "points/search", {"vector": vector, "limit": 10})
 
     def search_shard(self, node: tuple[str, int], vector: list[float], shard: int) -> Any:
-        """Search one shard of a node."""
+        """Search one shard directly at a node."""
         search = {"vector": vector, "limit": 10, "shard_key": f"s{shard}"}
         return self.call(node, "POST", "points/search/batch", {"searches": [search]})
 
@@ -214,7 +214,7 @@
 
 
 def check_searches(client: CollectionClient, vectors: Any, rng: np.random.Generator, nodes: int) -> None:
-    """Insert all vectors, and compare searches with brute force."""
+    """Insert all vectors, and compare the results of searches with brute force."""
     points, dims = vectors.shape
     for at in range(0, points, 1000):
         client.upsert([{"id": n, "vector": vectors[n].tolist()} for n in range(at, at + 1000)])
@@ -222,28 +222,28 @@
     norms = np.linalg.norm(vectors, axis=1)
     wrong = 0
     for _ in range(200):
-        wanted = rng.normal(size=dims)
-        found = client.search(wanted.tolist())
-        best = np.argsort(-(vectors @ wanted) / norms, kind="stable")[:10]
-        wrong += [point["id"] for point in found] != best.tolist()
+        query_vector = rng.normal(size=dims)
+        hits = client.search(query_vector.tolist())
+        expected = np.argsort(-(vectors @ query_vector) / norms, kind="stable")[:10]
+        wrong += [point["id"] for point in hits] != expected.tolist()
     print(f"{points} points, {nodes} shards, k 10: {200 - wrong} of 200 searches equal brute force")
 
 
-def measure_searches(client: CollectionClient, wanted: list[float], ports: list[int]) -> None:
-    """Measure searches of all shards against one shard asked directly."""
+def measure_searches(client: CollectionClient, query_vector: list[float], ports: list[int]) -> None:
+    """Measure searches of all shards, compared with direct searches of one shard."""
     shard = shard_of(0, len(ports))
     direct = ("127.0.0.1", ports[shard])
     works: dict[str, Callable[[int], Any]] = {
-        "one shard of one node": lambda _: client.search_shard(direct, wanted, shard),
-        "search of all shards": lambda _: client.search(wanted),
+        "one shard of one node": lambda _: client.search_shard(direct, query_vector, shard),
+        "search of all shards": lambda _: client.search(query_vector),
     }
     for clients in (1, 8, 32):
         for name, work in works.items():
             print_load(f"{clients} clients, {name}", *closed_loop(clients, LOAD_SECONDS, work))
 
 
-def measure_both_fronts(client: CollectionClient, wanted: list[float]) -> None:
-    """Measure remote reads and searches, each alone and beside the other."""
+def measure_both_fronts(client: CollectionClient, query_vector: list[float]) -> None:
+    """Measure remote reads and searches, each alone and both at the same time."""
     tile = Query(1_764_600_000_000, 1_764_600_300_000, (Matcher(Match.EQUAL, "tile", "t001"),))
     reader = Client(client.coordinator)
 
@@ -252,7 +252,7 @@
             raise OSError("not 200")
 
     def search(_index: int) -> None:
-        client.search(wanted)
+        client.search(query_vector)
 
     print_load("8 clients, remote read alone", *closed_loop(8, LOAD_SECONDS, read))
     print_load("8 clients, search alone", *closed_loop(8, LOAD_SECONDS, search))
@@ -264,19 +264,19 @@
     print_load("8 clients, search beside 8 of remote read", *beside[0])
 
 
-def measure_upserts(client: CollectionClient, wanted: list[float], points: int) -> None:
-    """Measure upserts of new points, whose ids follow those of the first `points`."""
+def measure_upserts(client: CollectionClient, query_vector: list[float], points: int) -> None:
+    """Measure upserts of new points, with ids above `points`."""
     ids = itertools.count(points + 1)
 
     def upsert(_index: int) -> None:
-        client.upsert([{"id": next(ids), "vector": wanted}])
+        client.upsert([{"id": next(ids), "vector": query_vector}])
 
     for clients in (1, 16):
         print_load(f"{clients} clients, upserts", *closed_loop(clients, LOAD_SECONDS, upsert))
 
 
 def measure_json() -> None:
-    """Measure how long a reply with hits takes to be decoded and encoded."""
+    """Measure the decoding and encoding of a reply with hits."""
     hits = [
         {"id": n, "version": 1, "score": 0.5, "payload": {"name": f"point {n}", "n": n}} for n in range(100)
     ]
@@ -294,7 +294,7 @@
 
 
 def measure_fronts(nodes: int = 6, points: int = 6000, dims: int = 32) -> None:
-    """Measure one co-ordinator with both fronts before vector nodes in processes of their own."""
+    """Measure one co-ordinator with both fronts, with vector nodes in processes of their own."""
     folder = Path(tempfile.mkdtemp(prefix="gingervane-bench-"))
     processes, ports = start_nodes(folder, nodes, dims)
     FileListing(folder / "vectors.toml").write(
@@ -305,10 +305,10 @@
     with Fleet(nodes=6, tiles=12, table=coordinator_table(folder, nodes, dims)) as fleet:
         client = CollectionClient(fleet.address)
         check_searches(client, vectors, rng, nodes)
-        wanted = rng.normal(size=dims).tolist()
-        measure_searches(client, wanted, ports)
-        measure_both_fronts(client, wanted)
-        measure_upserts(client, wanted, points)
+        query_vector = rng.normal(size=dims).tolist()
+        measure_searches(client, query_vector, ports)
+        measure_both_fronts(client, query_vector)
+        measure_upserts(client, query_vector, points)
     for process in processes:
         assert process.stdin
         process.stdin.close()
@@ -317,7 +317,7 @@
 
 
 def print_load(name: str, count: int, histogram: Any, errors: int) -> None:
-    """Print what a closed loop of `LOAD_SECONDS` gave."""
+    """Print the results of a closed loop of `LOAD_SECONDS`."""
     p50, p99 = (histogram.get_value_at_percentile(q) / 1000 for q in (50, 99))
     print(f"  {name}: {count / LOAD_SECONDS:.0f}/s, p50 {p50:.2f} ms, p99 {p99:.2f}, errors {errors}")
 
--- a/gingervane/experiments/child_process.py
+++ b/gingervane/experiments/child_process.py
@@ -1,4 +1,4 @@
-"""Child processes of a rehearsal, whose output lines are read as they come."""
+"""Child processes of a scenario run, whose standard output is read line by line on a thread."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 from typing import IO
 
 _LINE_TIMEOUT = 30.0  # seconds
-_END_TIMEOUT = 20.0  # seconds
+_EXIT_TIMEOUT = 20.0  # seconds
 
 
 class ScenarioRunError(Exception):
-    """The day could not be played; its records say nothing of the rules."""
+    """The scenario could not be run, so its records cannot be audited."""
 
 
 class ChildProcess:
-    """A process with a log file for its standard error."""
+    """A process whose standard error is appended to a log file."""
 
     def __init__(self, command: list[str], log: Path, keep_stdin: bool = False) -> None:
         self._log = log.open("ab")
@@ -33,19 +33,19 @@
         )
         self._lines: queue.SimpleQueue[str] = queue.SimpleQueue()
         assert self.child.stdout is not None
-        threading.Thread(target=self._read, args=(self.child.stdout,), daemon=True).start()
+        threading.Thread(target=self._read_lines, args=(self.child.stdout,), daemon=True).start()
 
-    def _read(self, out: IO[bytes]) -> None:
+    def _read_lines(self, out: IO[bytes]) -> None:
         for line in out:
             self._lines.put(line.decode())
         self._lines.put("")
 
-    def line(self, prefix: str, timeout: float = _LINE_TIMEOUT) -> str:
+    def wait_for_line(self, prefix: str, timeout: float = _LINE_TIMEOUT) -> str:
         """Wait for the first line with a prefix and return the rest of it. Raises ScenarioRunError."""
-        until = time.monotonic() + timeout
+        deadline = time.monotonic() + timeout
         while True:
             try:
-                line = self._lines.get(timeout=max(until - time.monotonic(), 0.01))
+                line = self._lines.get(timeout=max(deadline - time.monotonic(), 0.01))
             except queue.Empty:
                 raise ScenarioRunError(f"{self._name}: no line {prefix!r} in {timeout:g} s") from None
             if line.startswith(prefix):
@@ -54,20 +54,20 @@
                 raise ScenarioRunError(f"{self._name}: ended; see {self._log.name}")
 
     def close_stdin(self) -> None:
-        """Close its standard input, at whose end fake servers write what they have recorded and end."""
+        """Close its standard input; fake servers then write their records and exit."""
         if self.child.stdin:
             self.child.stdin.close()
 
-    def finish(self, timeout: float = _END_TIMEOUT) -> None:
-        """Wait until it ends by itself, and end it if it does not."""
+    def wait_or_terminate(self, timeout: float = _EXIT_TIMEOUT) -> None:
+        """Wait up to `timeout` seconds for it to exit by itself, then terminate it."""
         with contextlib.suppress(subprocess.TimeoutExpired):
             self.child.wait(timeout)
-        self.end()
+        self.terminate()
 
-    def end(self, hard: bool = False, timeout: float = _END_TIMEOUT) -> int:
-        """End it by SIGTERM, or by SIGKILL if `hard`; return its exit status."""
+    def terminate(self, force: bool = False, timeout: float = _EXIT_TIMEOUT) -> int:
+        """Send SIGTERM, or SIGKILL if `force` or after the time-out; return the exit status."""
         if self.child.poll() is None:
-            self.child.send_signal(signal.SIGKILL if hard else signal.SIGTERM)
+            self.child.send_signal(signal.SIGKILL if force else signal.SIGTERM)
         try:
             return self.child.wait(timeout)
         except subprocess.TimeoutExpired:
--- a/gingervane/experiments/figures.py
+++ b/gingervane/experiments/figures.py
@@ -1,4 +1,4 @@
-"""Figures of runs: tables, charts, and paired differences with confidence intervals."""
+"""Results of experiments: tables, charts, and paired differences with confidence intervals."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 from gingervane.experiments.store import Run
 
-_DRAWS = 4000  # of the bootstrap
+_BOOTSTRAP_DRAWS = 4000  # resamples of the seeds' values for a confidence interval
 
 
 class Interval(NamedTuple):
-    """A mean and its 95% confidence interval, by the bootstrap over seeds."""
+    """A mean and its 95% confidence interval, from a bootstrap over the seeds."""
 
     mean: float
     low: float
@@ -27,22 +27,22 @@
 
 
 def interval(values: Sequence[float]) -> Interval:
-    """Estimate the interval of a mean. The draws are the same each time."""
-    found = np.asarray(values, dtype=float)
-    if len(found) < 2:
-        return Interval(*(float(found.mean()) if len(found) else float("nan"),) * 3)
-    draws = np.random.default_rng(1).integers(0, len(found), size=(_DRAWS, len(found)))
-    low, high = np.percentile(found[draws].mean(axis=1), [2.5, 97.5])
-    return Interval(float(found.mean()), float(low), float(high))
+    """Estimate a mean and its confidence interval; the seed is fixed, so the result is reproducible."""
+    samples = np.asarray(values, dtype=float)
+    if len(samples) < 2:
+        return Interval(*(float(samples.mean()) if len(samples) else float("nan"),) * 3)
+    draws = np.random.default_rng(1).integers(0, len(samples), size=(_BOOTSTRAP_DRAWS, len(samples)))
+    low, high = np.percentile(samples[draws].mean(axis=1), [2.5, 97.5])
+    return Interval(float(samples.mean()), float(low), float(high))
 
 
 def _latency(quantile: str) -> Callable[[Run], float]:
-    def of(run: Run) -> float:
+    def measure(run: Run) -> float:
         rows = run.report["latency_ms"].values()
         count = sum(row["count"] for row in rows)
         return sum(row[quantile] * row["count"] for row in rows) / count if count else float("nan")
 
-    return of
+    return measure
 
 
 MEASURES: dict[str, Callable[[Run], float]] = {
@@ -54,7 +54,7 @@
 
 
 def by_cell(runs: Sequence[Run]) -> dict[str, list[Run]]:
-    """Group the runs that were played without an error by their cell, in order of the cells' values."""
+    """Group the runs without an error by cell, in order of the cells' values."""
     out: dict[str, list[Run]] = defaultdict(list)
     for run in runs:
         if not run.error:
@@ -67,15 +67,15 @@
 
 
 def table(runs: Sequence[Run]) -> str:
-    """Write a table in Markdown, with a row for each cell."""
+    """Return a Markdown table with a row for each cell, and below it a line for each failed run."""
     keys = sorted({key for run in runs for key in json.loads(run.cell)})
     heads = [*keys, "runs", "rules kept", *MEASURES]
     rows = [f"| {' | '.join(heads)} |", f"|{' --- |' * len(heads)}"]
-    for cell, found in by_cell(runs).items():
+    for cell, cell_runs in by_cell(runs).items():
         values = json.loads(cell)
-        kept = sum(run.kept for run in found)
-        row = [str(values.get(key)) for key in keys] + [str(len(found)), f"{kept} of {len(found)}"]
-        row += [str(interval([of(run) for run in found])) for of in MEASURES.values()]
+        kept = sum(run.kept for run in cell_runs)
+        row = [str(values.get(key)) for key in keys] + [str(len(cell_runs)), f"{kept} of {len(cell_runs)}"]
+        row += [str(interval([measure(run) for run in cell_runs])) for measure in MEASURES.values()]
         rows.append(f"| {' | '.join(row)} |")
     failed = [run for run in runs if run.error]
     out = "\n".join(rows) + "\n"
@@ -85,7 +85,7 @@
 
 
 def charts(runs: Sequence[Run], folder: Path) -> list[Path]:
-    """An SVG for each measure: against the first key that is varied, a line for each value of the others."""
+    """Write an SVG chart of each measure: the first varied key is x, each value of the others a line."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -96,17 +96,17 @@
     cells = by_cell(runs)
     keys = sorted({key for cell in cells for key in json.loads(cell)})
     paths = []
-    for number, (name, of) in enumerate(MEASURES.items()):
+    for number, (name, measure) in enumerate(MEASURES.items()):
         figure, axes = pyplot.subplots(figsize=(7, 4))
         lines: dict[str, list[tuple[Any, Interval]]] = defaultdict(list)
-        for cell, found in cells.items():
+        for cell, cell_runs in cells.items():
             values = json.loads(cell)
             x = values[keys[0]] if keys else 0
             rest = ", ".join(f"{key}={values[key]}" for key in keys[1:])
-            lines[rest].append((x, interval([of(run) for run in found])))
+            lines[rest].append((x, interval([measure(run) for run in cell_runs])))
         for label, points in lines.items():
             xs = [x if isinstance(x, int | float) and not isinstance(x, bool) else str(x) for x, _ in points]
-            means = np.asarray([found.mean for _, found in points])
+            means = np.asarray([cell_runs.mean for _, cell_runs in points])
             errors = np.asarray([[f.mean - f.low, f.high - f.mean] for _, f in points]).T
             axes.errorbar(xs, means, yerr=np.abs(errors), marker="o", capsize=3, label=label or None)
         axes.set_xlabel(keys[0] if keys else "")
@@ -121,7 +121,7 @@
 
 
 def page(name: str, expect: str, runs: Sequence[Run], folder: Path) -> Path:
-    """A page of an experiment's tables and charts."""
+    """Write an experiment's report, `report.md` with its charts, into a folder and return its path."""
     worlds = sorted({run.world for run in runs})
     figures = (
         "figures of the emulator, simulated" if worlds == ["emulator"] else f"figures of {', '.join(worlds)}"
@@ -144,7 +144,7 @@
 
 
 class Difference(NamedTuple):
-    """B less A over what both played: seeds, and cells but for what only one of them varies."""
+    """The difference B - A of a measure, over the cells and seeds that both have."""
 
     measure: str
     pairs: int
@@ -154,14 +154,14 @@
 
 
 def compare(a: Sequence[Run], b: Sequence[Run]) -> list[Difference]:
-    """Paired by cell and seed. Raises ValueError if nothing pairs."""
+    """Compare the runs of two sides, paired by cell and seed. Raises ValueError if there is no pair."""
     good = {(run.cell, run.seed): run for run in a if not run.error}
     pairs = [(good[run.cell, run.seed], run) for run in b if not run.error and (run.cell, run.seed) in good]
     if not pairs:
         raise ValueError("no cell and seed stands on both sides")
     out = []
-    for name, of in MEASURES.items():
-        values = [(of(x), of(y)) for x, y in pairs]
+    for name, measure in MEASURES.items():
+        values = [(measure(x), measure(y)) for x, y in pairs]
         out.append(
             Difference(
                 name,
--- a/gingervane/experiments/scenario_runner.py
+++ b/gingervane/experiments/scenario_runner.py
@@ -1,7 +1,8 @@
-"""A scripted day: fake nodes, co-ordinators and clients in processes of their own, faults at stated times.
+"""Runs a scenario on sockets: fake servers and co-ordinators in separate processes, faults at stated times.
 
-The director (this process) starts all, writes the server list as the scenario has it, kills and stops co-ordinators,
-plays the clients and gathers what every socket end recorded. The audit then judges from those records alone.
+The director (this process) starts them, publishes the server list as the scenario states it, kills and stops
+co-ordinators, runs the clients and collects the records of all socket ends. The audit uses only these
+records.
 """
 
 from __future__ import annotations
@@ -19,11 +20,11 @@
 
 from gingervane.audit import effects, rules
 from gingervane.experiments.child_process import ChildProcess, ScenarioRunError
-from gingervane.experiments.clients import Load
+from gingervane.experiments.clients import ClientLoad
 from gingervane.experiments.coordinator_processes import CoordinatorProcesses
 from gingervane.experiments.listing import ConsulListing, FileListing, Listing
 from gingervane.experiments.published_list import PublishedList
-from gingervane.experiments.vector_day import VectorLoad, VectorNodes, settled
+from gingervane.experiments.vector_day import VectorLoad, VectorNodes, wait_for_repairs
 from gingervane.fake_servers.recorder import Recorder
 from gingervane.scenarios.coordinator_settings import tree_table
 from gingervane.scenarios.demands import demands
@@ -31,48 +32,49 @@
 
 __all__ = ["ScenarioRun", "ScenarioRunError"]
 
-_SERVICE = "grid"  # the nodes' in Consul
-_START = (
-    6.0  # seconds ahead of the day within which all must be up and warm, on a machine that is slow to start
-)
-_START_PER_COORDINATOR = 0.6  # seconds more
-_START_PER_NODE = 0.02  # seconds more
-_VECTORS_TIMEOUT = 120.0  # seconds that the vectors' clients may take past the others
-_SCRIPT_TIMEOUT = 30.0  # seconds that the script may take past the clients
+_SERVICE = "grid"  # name of the nodes' service in Consul
+# Time before the run in which all processes must start and warm up; allows for a slow machine.
+_START_SECONDS = 6.0
+_START_SECONDS_PER_COORDINATOR = 0.6  # added for each co-ordinator
+_START_SECONDS_PER_NODE = 0.02  # added for each node
+_VECTORS_TIMEOUT = 120.0  # seconds to wait for the vector clients once the others have ended
+_SCRIPT_TIMEOUT = 30.0  # seconds to wait for the script once the clients have ended
 
-Moment = tuple[float, Callable[[], None]]
+ScheduledAction = tuple[float, Callable[[], None]]
 
 
 class ScenarioRun:
-    """One day. `command` starts a co-ordinator; tests put one that breaks a rule in its place."""
+    """One run of a scenario. `command` starts a co-ordinator; tests pass one that breaks an audit rule."""
 
     def __init__(self, scenario: Scenario, out: Path, command: list[str] | None = None) -> None:
         self.scenario = scenario
         self.out = out
         self._command = command or [sys.executable, "-m", "gingervane.cli.main", "serve"]
         self._fake_servers: list[ChildProcess] = []
-        self._agents: list[tuple[str, int]] = []  # of Consul, without the director's own
+        self._agents: list[tuple[str, int]] = []  # agents of the fake Consul that co-ordinators use
         self._listing: Listing = FileListing(out / "servers.toml")
         self._vectors = VectorNodes(scenario, out) if scenario.vectors else None
 
     def run(self) -> dict[str, Any]:
-        """Play the day and judge it; return the report, which is also in `report.json`."""
+        """Run the scenario and audit it; return the report, which is also written to `report.json`."""
         scenario, out = self.scenario, self.out
         if out.exists():
             shutil.rmtree(out)
         out.mkdir(parents=True)
         (out / "facts.json").write_text(json.dumps(scenario.facts()))
         director = Recorder(out / "director.jsonl")
-        own = scenario.coordinators
-        coordinators = CoordinatorProcesses(out, self._command, own.roots, own.notice, director)
+        coordinator_settings = scenario.coordinators
+        coordinators = CoordinatorProcesses(
+            out, self._command, coordinator_settings.roots, coordinator_settings.notice, director
+        )
         try:
-            self._play(coordinators, director)
+            self._run_processes(coordinators, director)
         finally:
             director.put("ended", statuses=coordinators.end_all())
             for server in self._fake_servers:
                 server.close_stdin()
             for server in self._fake_servers:
-                server.finish()
+                server.wait_or_terminate()
             director.close()
         report = rules.judge(out)
         if self._vectors:
@@ -81,15 +83,15 @@
         (out / "report.json").write_text(json.dumps(report, indent=2) + "\n")
         return report
 
-    def _play(self, coordinators: CoordinatorProcesses, director: Recorder) -> None:
-        """Start all, and then play the clients beside the script."""
+    def _run_processes(self, coordinators: CoordinatorProcesses, director: Recorder) -> None:
+        """Start all processes, then run the clients and the script at the same time."""
         scenario = self.scenario
         count = scenario.coordinators.count
         began = (
             time.monotonic()
-            + _START
-            + _START_PER_COORDINATOR * count
-            + _START_PER_NODE * scenario.nodes.count
+            + _START_SECONDS
+            + _START_SECONDS_PER_COORDINATOR * count
+            + _START_SECONDS_PER_NODE * scenario.nodes.count
         )
         ports = self._start_fake_servers(began, director)
         published = PublishedList(scenario, self._listing, director)
@@ -98,28 +100,28 @@
             self._launch(number, coordinators, published)
         if time.monotonic() > began:
             raise ScenarioRunError("the machine took too long to start all; the day would be late")
-        moments = self._moments(coordinators, published, director)
-        script = threading.Thread(target=self._run_script, args=(began, moments, coordinators), daemon=True)
+        actions = self._scheduled_actions(coordinators, published, director)
+        script = threading.Thread(target=self._run_script, args=(began, actions, coordinators), daemon=True)
         script.start()
-        self._play_clients(began, coordinators, director)
+        self._run_clients(began, coordinators, director)
         script.join(_SCRIPT_TIMEOUT)
         if self._vectors:
-            done = settled(coordinators.targets, self._vectors.day.settle)
+            done = wait_for_repairs(coordinators.targets, self._vectors.settings.settle)
             director.put("vector_marks", settled=done, marks=self._vectors.marks())
         director.put("usage", usage=coordinators.usage())
 
-    def _play_clients(self, began: float, coordinators: CoordinatorProcesses, director: Recorder) -> None:
+    def _run_clients(self, began: float, coordinators: CoordinatorProcesses, director: Recorder) -> None:
         scenario = self.scenario
         clients = Recorder(self.out / "clients.jsonl")
-        load = Load(scenario, clients, self.out / "bodies.bin", coordinators.targets)
+        client_load = ClientLoad(scenario, clients, self.out / "bodies.bin", coordinators.targets)
         tiles = [f"t{i:03d}" for i in range(scenario.nodes.tiles)]
         director.put("began", at=began)
         vector_clients: threading.Thread | None = None
         if self._vectors:
             vector_load = VectorLoad(scenario, clients, coordinators.targets)
-            vector_clients = threading.Thread(target=vector_load.play, args=(began,), daemon=True)
+            vector_clients = threading.Thread(target=vector_load.run, args=(began,), daemon=True)
             vector_clients.start()
-        load.play(demands(scenario, tiles), began)
+        client_load.run(demands(scenario, tiles), began)
         if vector_clients:
             vector_clients.join(_VECTORS_TIMEOUT)
         clients.close()
@@ -127,7 +129,7 @@
     # ---- fake servers
 
     def _start_fake_servers(self, began: float, director: Recorder) -> list[int]:
-        """Start nodes, Consul and vector nodes, and return the nodes' ports."""
+        """Start the nodes, and Consul and vector nodes if the scenario has them; return the nodes' ports."""
         nodes = self.scenario.nodes
         fleets = self._start_nodes(began)
         if self.scenario.consul:
@@ -136,7 +138,7 @@
             self._start_vectors(self._vectors, began, director)
         ports = [0] * nodes.count
         for index, fleet in enumerate(fleets):
-            ports[index :: nodes.processes] = json.loads(fleet.line("ready"))
+            ports[index :: nodes.processes] = json.loads(fleet.wait_for_line("ready"))
         director.put("ports", ports=ports)
         return ports
 
@@ -168,18 +170,18 @@
         return fleets
 
     def _start_consul(self, agents: int, director: Recorder) -> None:
-        """Start the fake Consul, with one agent more than co-ordinators know: the director's own, without faults."""
+        """Start the fake Consul, with an additional agent without faults that only the director uses."""
         path = self.out / "orders-consul.json"
         path.write_text(json.dumps({"agents": agents + 1, "records": str(self.out / "consul.jsonl")}))
         process = self._start_process("consul", path, "consul.log")
-        ports = json.loads(process.line("ready"))
+        ports = json.loads(process.wait_for_line("ready"))
         director.put("agents", ports=ports)
         self._agents = [("127.0.0.1", port) for port in ports[:-1]]
         self._listing = ConsulListing(("127.0.0.1", ports[-1]), _SERVICE)
 
     def _start_vectors(self, nodes: VectorNodes, began: float, director: Recorder) -> None:
         process = self._start_process("vectors", nodes.write_orders(began), "vectors.log")
-        nodes.ports = json.loads(process.line("ready"))
+        nodes.ports = json.loads(process.wait_for_line("ready"))
         director.put("vector_ports", ports=nodes.ports)
         nodes.write_list()
         nodes.load()
@@ -191,7 +193,7 @@
         published.add_coordinator(number, address)
 
     def _settings(self, number: int) -> dict[str, Any]:
-        """Build the settings of one co-ordinator."""
+        """Build the settings of a co-ordinator."""
         own = self.scenario.coordinators
         log = {"format": "json", "level": "info"}
         table = self.scenario.coordinator_table(number, self._membership(number), log)
@@ -216,11 +218,11 @@
 
     # ---- the script
 
-    def _moments(
+    def _scheduled_actions(
         self, coordinators: CoordinatorProcesses, published: PublishedList, director: Recorder
-    ) -> list[Moment]:
-        """Give what the scenario has for the list, the agents and the co-ordinators, in order of time."""
-        moments: list[Moment] = [
+    ) -> list[ScheduledAction]:
+        """Return the changes of the list, the agents and the co-ordinators, in order of time."""
+        actions: list[ScheduledAction] = [
             (at, partial(published.set_nodes, at, states, started))
             for at, states, started in self.scenario.listings()
             if at > 0
@@ -228,16 +230,16 @@
         for trouble in self.scenario.troubles:
             end = trouble.at + trouble.seconds
             for agent in trouble.agents:
-                moments.append((trouble.at, partial(self._set_agent_fault, agent, trouble.fault, director)))
-                moments.append((end, partial(self._set_agent_fault, agent, "", director)))
+                actions.append((trouble.at, partial(self._set_agent_fault, agent, trouble.fault, director)))
+                actions.append((end, partial(self._set_agent_fault, agent, "", director)))
             for number in trouble.coordinators:
-                moments += self._coordinator_moments(trouble, number, coordinators, published)
-        return sorted(moments, key=lambda moment: moment[0])
+                actions += self._coordinator_actions(trouble, number, coordinators, published)
+        return sorted(actions, key=lambda scheduled: scheduled[0])
 
-    def _coordinator_moments(
+    def _coordinator_actions(
         self, fault: ScheduledFault, number: int, coordinators: CoordinatorProcesses, published: PublishedList
-    ) -> list[Moment]:
-        """Give what a fault does to one co-ordinator."""
+    ) -> list[ScheduledAction]:
+        """Return the actions of a fault on one co-ordinator."""
         end = fault.at + fault.seconds
         if fault.kind == "coordinator_kill":
             notice = fault.at + self.scenario.listing.notice
@@ -251,20 +253,22 @@
                 (fault.at, partial(published.set_coordinator, number, "draining")),
                 (end, partial(published.set_coordinator, number, "ready")),
             ]
-        moments: list[Moment] = []
+        actions: list[ScheduledAction] = []
         if fault.kind == "coordinator_stall":
             for at, seconds in fault.stalls():
-                moments.append((at, partial(coordinators.send_signal, number, signal.SIGSTOP)))
-                moments.append((at + seconds, partial(coordinators.send_signal, number, signal.SIGCONT)))
-        return moments
+                actions.append((at, partial(coordinators.send_signal, number, signal.SIGSTOP)))
+                actions.append((at + seconds, partial(coordinators.send_signal, number, signal.SIGCONT)))
+        return actions
 
-    def _run_script(self, began: float, moments: list[Moment], coordinators: CoordinatorProcesses) -> None:
-        for at, work in moments:
+    def _run_script(
+        self, began: float, actions: list[ScheduledAction], coordinators: CoordinatorProcesses
+    ) -> None:
+        for at, action in actions:
             if at >= self.scenario.seconds:
                 break
             if (wait := began + at - time.monotonic()) > 0:
                 time.sleep(wait)
-            work()
+            action()
         coordinators.resume_all()
 
     def _set_agent_fault(self, agent: int, fault: str, director: Recorder) -> None:
--- a/gingervane/experiments/vector_day.py
+++ b/gingervane/experiments/vector_day.py
@@ -1,9 +1,9 @@
-"""The vector side of a rehearsal: its nodes, its clients, and the look at every replica when the day is over.
+"""The vector part of a scenario run: its nodes, its clients, and the final state of every replica.
 
-Clients write points of their own, each once, and retry by themselves through any co-ordinator: writes with an
-idempotency key with the same key after anything but an answer, additions only after a rejection. Each attempt of an
-addition adds to a field of its own, so that an effect can be told from the next attempt's. A fixed collection is
-never written to in the day, so that searches of it can be checked while all else moves.
+Each upsert writes points that no other upsert writes. Clients retry through any co-ordinator: an upsert with
+the same idempotency key until it gets a final answer, an addition only after a rejection. Each attempt of an
+addition adds to a field of its own, so that the audit can attribute every effect to an attempt. The fixed
+collection is not written to during the run, so that the results of its searches can be checked.
 """
 
 from __future__ import annotations
@@ -31,37 +31,38 @@
 _LIMITS = Limits(16384, 64 << 20)  # bytes of a reply's head and of its body
 _POOL_SIZE = 256  # idle connections to a co-ordinator
 _POOL_IDLE = 20.0  # seconds
-_JOIN_TIMEOUT = 60.0  # seconds that a demand may take past the last one's start
-_LATE_ANSWER_WAIT = 0.5  # seconds past its time that a client waits, so that a late answer is seen as late
+_JOIN_TIMEOUT = 60.0  # seconds to wait for each demand's thread once the last demand has started
+# Seconds past its time-out that a client still reads, so that a late answer is recorded as late.
+_LATE_ANSWER_WAIT = 0.5
 _NODE_TIMEOUT = 20.0  # seconds
 _METRICS_TIMEOUT = 5.0  # seconds
-_SETTLE_POLL = 0.25  # seconds between two looks at what is owed
+_SETTLE_POLL = 0.25  # seconds between two checks for outstanding repairs
 Address = tuple[str, int]
 Targets = Callable[[], list[tuple[int, Address]]]
 
 
 class VectorNodes:
-    """The vector nodes: orders for their process, the co-ordinators' settings, and the list."""
+    """The vector nodes: orders for their process, co-ordinator settings for them, and their server list."""
 
     def __init__(self, scenario: Scenario, out: Path) -> None:
         assert scenario.vectors is not None
-        self.day = scenario.vectors
+        self.settings = scenario.vectors
         self._scenario = scenario
         self._out = out
         self.ports: list[int] = []
         self._pool = Pool(_LIMITS, 2, 30.0)
 
     def write_orders(self, began: float) -> Path:
-        """Write the orders of the process of vector nodes and return their file."""
-        day, path = self.day, self._out / "orders-vectors.json"
-        collections = [[name, day.dims, "Cosine"] for name in (FIXED, MOVING)]
+        """Write the orders file of the vector nodes' process and return its path."""
+        settings, path = self.settings, self._out / "orders-vectors.json"
+        collections = [[name, settings.dims, "Cosine"] for name in (FIXED, MOVING)]
         path.write_text(
             json.dumps(
                 {
-                    "nodes": day.nodes,
+                    "nodes": settings.nodes,
                     "collections": collections,
-                    "width": day.width,
-                    "window": day.window,
+                    "width": settings.width,
+                    "window": settings.window,
                     "model": list(self._scenario.nodes.model()),
                     "records": str(self._out / "vectors.jsonl"),
                     "faults": {
@@ -74,27 +75,27 @@
         return path
 
     def table(self, number: int) -> dict[str, Any]:
-        """Build the vector settings of one co-ordinator, whose classes are those of `classes`."""
-        day = self.day
+        """Build the vector settings of a co-ordinator, which name the query classes of `classes`."""
+        settings = self.settings
         return {
             "membership": {"file": str(self._out / "vectors.toml"), "interval": 0.05},
-            "cells": day.nodes,
-            "width": day.width,
-            "quorum": day.quorum,
+            "cells": settings.nodes,
+            "width": settings.width,
+            "quorum": settings.quorum,
             "search_class": "vector-search",
             "upsert_class": "vector-upsert",
             "add_class": "vector-add",
             "repair_sweep": 20.0,
             "intents": str(self._out / f"intents-{number}"),
-            "collection": [{"name": name, "dims": day.dims} for name in (FIXED, MOVING)],
+            "collection": [{"name": name, "dims": settings.dims} for name in (FIXED, MOVING)],
         }
 
     def classes(self) -> list[dict[str, Any]]:
-        """Build the classes of the vectors' queries."""
-        times = {"aim": self.day.timeout * 0.6, "deadline": self.day.timeout, "late_worth": 0.5}
+        """Build the query classes of vector searches and writes."""
+        times = {"aim": self.settings.timeout * 0.6, "deadline": self.settings.timeout, "late_worth": 0.5}
         return [
             {"name": "vector-search", **times, "least_share": 0.75},
-            {"name": "vector-upsert", **times, "semantics": "keyed", "repeat_window": self.day.window},
+            {"name": "vector-upsert", **times, "semantics": "keyed", "repeat_window": self.settings.window},
             {"name": "vector-add", **times, "semantics": "unsafe"},
         ]
 
@@ -108,30 +109,30 @@
         write_list(self._out / "vectors.toml", "\n".join(rows))
 
     def load(self) -> None:
-        """Put the fixed points at their replicas, past any co-ordinator, before the day."""
-        day, by_shard = self.day, dict[int, list[Any]]()
-        for point in fixed_points(day):
+        """Write the fixed points directly to their replicas, before the run."""
+        settings, by_shard = self.settings, dict[int, list[Any]]()
+        for point in fixed_points(settings):
             row = {**point, "version": 1, "ops": 0, "deleted": False}
-            by_shard.setdefault(shard_of(point["id"], day.nodes), []).append(row)
+            by_shard.setdefault(shard_of(point["id"], settings.nodes), []).append(row)
         for shard, rows in by_shard.items():
-            for back in range(day.width):
+            for offset in range(settings.width):
                 target = f"/collections/{FIXED}/shards/{shard}/put"
-                self._node((shard + back) % day.nodes, "POST", target, {"points": rows})
+                self._call_node((shard + offset) % settings.nodes, "POST", target, {"points": rows})
 
     def marks(self) -> dict[int, dict[int, dict[str, Any]]]:
-        """Read what each replica has of each shard of the moving collection, by node and shard."""
-        day, out = self.day, dict[int, dict[int, dict[str, Any]]]()
-        for node in range(day.nodes):
-            for back in range(day.width):
-                shard = (node - back) % day.nodes
+        """Read each replica's state of the moving collection, by node and shard; empty if it is down."""
+        settings, out = self.settings, dict[int, dict[int, dict[str, Any]]]()
+        for node in range(settings.nodes):
+            for offset in range(settings.width):
+                shard = (node - offset) % settings.nodes
                 try:
-                    found = self._node(node, "GET", f"/collections/{MOVING}/shards/{shard}/marks", None)
+                    marks = self._call_node(node, "GET", f"/collections/{MOVING}/shards/{shard}/marks", None)
                 except (OSError, ConnectionClosedError, HttpError):
-                    found = {}  # a node that is down at the end has nothing, for all that can be seen
-                out.setdefault(node, {})[shard] = found
+                    marks = {}  # the contents of a node that is down at the end cannot be read
+                out.setdefault(node, {})[shard] = marks
         return out
 
-    def _node(self, node: int, method: str, target: str, content: Any) -> Any:
+    def _call_node(self, node: int, method: str, target: str, content: Any) -> Any:
         body = b"" if content is None else orjson.dumps(content)
         fields = [("Host", "node"), ("Content-Length", str(len(body)))]
         data = http1.encode_head(f"{method} {target} HTTP/1.1", fields) + body
@@ -144,28 +145,28 @@
 
 
 class VectorLoad:
-    """Plays the day's writes and searches; every attempt is recorded."""
+    """Sends the writes and searches of a run, and records every attempt."""
 
     def __init__(self, scenario: Scenario, recorder: Recorder, targets: Targets) -> None:
         assert scenario.vectors is not None
-        self._day = scenario.vectors
+        self._settings = scenario.vectors
         self._seconds = scenario.seconds
         self._recorder = recorder
         self._targets = targets
         self._rng = random.Random(scenario.seed + 1)
         self._pool = Pool(_LIMITS, _POOL_SIZE, _POOL_IDLE)
 
-    def play(self, began: float) -> None:
-        """Start each demand at its time; return when the last has ended."""
-        day, rng = self._day, self._rng
-        rates = {self._upsert: day.upserts, self._add: day.adds, self._search: day.searches}
-        rate, at, number = day.upserts + day.adds + day.searches, 0.0, 0
+    def run(self, began: float) -> None:
+        """Start each demand at its time, on a thread of its own, and wait for all of them."""
+        settings, rng = self._settings, self._rng
+        rates = {self._upsert: settings.upserts, self._add: settings.adds, self._search: settings.searches}
+        rate, at, number = settings.upserts + settings.adds + settings.searches, 0.0, 0
         threads: list[threading.Thread] = []
         while (at := at + rng.expovariate(rate)) < self._seconds:
-            work = rng.choices(list(rates), list(rates.values()))[0]
+            send = rng.choices(list(rates), list(rates.values()))[0]
             if (wait := began + at - time.monotonic()) > 0:
                 time.sleep(wait)
-            thread = threading.Thread(target=work, args=(number, random.Random(rng.random())), daemon=True)
+            thread = threading.Thread(target=send, args=(number, random.Random(rng.random())), daemon=True)
             thread.start()
             threads.append(thread)
             number += 1
@@ -176,24 +177,24 @@
         vector = self._random_vector(rng)
         count = rng.choice((1, 1, 3))
         points = [{"id": 4 * number + i, "vector": vector, "payload": {"d": number}} for i in range(count)]
-        until = time.monotonic() + self._day.window / 2
-        for attempt in range(self._day.tries):
-            note = {"demand": number, "number": attempt, "points": [point["id"] for point in points]}
+        deadline = time.monotonic() + self._settings.window / 2
+        for attempt in range(self._settings.tries):
+            record_fields = {"demand": number, "number": attempt, "points": [point["id"] for point in points]}
             request = _Request("upsert", "PUT", f"{MOVING}/points", {"points": points}, f"k{number}")
-            status = self._attempt(request, rng, note)
-            if status in (200, 409, 422) or time.monotonic() > until:
+            status = self._attempt(request, rng, record_fields)
+            if status in (200, 409, 422) or time.monotonic() > deadline:
                 return
             self._back_off(rng)
 
     def _add(self, number: int, rng: random.Random) -> None:
-        # Of the moving collection, where few of them are points at all.
-        point = 4 * rng.randrange(self._day.fixed)
-        for attempt in range(self._day.tries):
+        # An id of the moving collection, in which few of these ids have a point.
+        point = 4 * rng.randrange(self._settings.fixed)
+        for attempt in range(self._settings.tries):
             name = f"d{number}t{attempt}"
-            note = {"demand": number, "number": attempt, "points": [point], "name": name}
+            record_fields = {"demand": number, "number": attempt, "points": [point], "name": name}
             content = {"payload": {name: 1}, "points": [point]}
             request = _Request("add", "POST", f"{MOVING}/points/payload?increment=true", content)
-            if self._attempt(request, rng, note) != 503:
+            if self._attempt(request, rng, record_fields) != 503:
                 return
             self._back_off(rng)
 
@@ -203,18 +204,18 @@
         self._attempt(request, rng, {"demand": number, "number": 0, **content})
 
     def _random_vector(self, rng: random.Random) -> list[float]:
-        return [round(rng.gauss(0, 1), 3) for _ in range(self._day.dims)]
+        return [round(rng.gauss(0, 1), 3) for _ in range(self._settings.dims)]
 
     def _back_off(self, rng: random.Random) -> None:
-        time.sleep(self._day.backoff * rng.uniform(0.5, 1.5))
+        time.sleep(self._settings.backoff * rng.uniform(0.5, 1.5))
 
-    def _attempt(self, request: _Request, rng: random.Random, note: dict[str, Any]) -> int:
-        """Make and record one attempt; return its status, 0 if there was no reply."""
+    def _attempt(self, request: _Request, rng: random.Random, record_fields: dict[str, Any]) -> int:
+        """Make and record one attempt; return its status, 0 if there was no co-ordinator or no reply."""
         targets = self._targets()
         if not targets:
             return 0
         coordinator, address = rng.choice(targets)
-        timeout = self._day.timeout
+        timeout = self._settings.timeout
         data = request.encode(timeout)
         sent = time.monotonic()
         status, headers, reply = 0, Headers([]), b""
@@ -223,9 +224,9 @@
             status, headers, reply = exchange(self._pool, address, data, sent + timeout + _LATE_ANSWER_WAIT)
         except (OSError, ConnectionClosedError, HttpError) as error:
             error_text = f"{type(error).__name__}: {error}"
-        found: Any = None
+        hits: Any = None
         if status == 200 and request.kind == "search":
-            found = [[point["id"], point["score"]] for point in orjson.loads(reply)["result"]]
+            hits = [[point["id"], point["score"]] for point in orjson.loads(reply)["result"]]
         self._recorder.put(
             "vector_try",
             kind_of=request.kind,
@@ -236,9 +237,9 @@
             timeout=timeout,
             done=headers.get("gingervane-holders-done"),
             missing=headers.get("gingervane-missing"),
-            found=found,
+            found=hits,
             why=error_text,
-            **note,
+            **record_fields,
         )
         return status
 
@@ -262,18 +263,18 @@
         return http1.encode_head(line, fields) + body
 
 
-def settled(targets: Targets, patience: float) -> bool:
-    """Wait until no co-ordinator has a missed write to repair; return whether that came about."""
-    pool, until = Pool(_LIMITS, 1, 30.0), time.monotonic() + patience
-    while time.monotonic() < until:
-        if not sum(_shards_owed(pool, address) for _, address in targets()):
+def wait_for_repairs(targets: Targets, timeout: float) -> bool:
+    """Wait up to `timeout` seconds until no co-ordinator has missed writes to repair; False on a time-out."""
+    pool, deadline = Pool(_LIMITS, 1, 30.0), time.monotonic() + timeout
+    while time.monotonic() < deadline:
+        if not sum(_shards_awaiting_repair(pool, address) for _, address in targets()):
             return True
         time.sleep(_SETTLE_POLL)
     return False
 
 
-def _shards_owed(pool: Pool, address: Address) -> float:
-    """Read how many shards a co-ordinator owes writes to; 1 if it does not answer."""
+def _shards_awaiting_repair(pool: Pool, address: Address) -> float:
+    """Return how many shards have missed writes that a co-ordinator must repair; 1 if it does not answer."""
     try:
         data = http1.encode_head("GET /metrics HTTP/1.1", [("Host", "x")])
         _, _, text = exchange(pool, address, data, time.monotonic() + _METRICS_TIMEOUT)
--- a/tests/test_pinned_forms.py
+++ b/tests/test_pinned_forms.py
@@ -1,7 +1,7 @@
-"""Outward forms, as literals: what clients, peers, nodes, operators and the platform see of this program.
+"""External interfaces as literals: what clients, peers, nodes, operators and the platform see of the program.
 
-A name inside the program may change; nothing in here may. Texts of logs and the prose of errors are not held:
-of an error only its status, its form and the place that it names.
+Internal names may change; these literals may not. Log texts and the wording of errors are not pinned: of an
+error only its status, its form and the position that it names.
 """
 
 from __future__ import annotations
@@ -183,24 +183,24 @@
 }
 
 
-def flat(value: Any, where: str = "") -> dict[str, Any]:
-    """Nested tables by the dotted names of their keys."""
+def flatten_table(value: Any, where: str = "") -> dict[str, Any]:
+    """Return the values of nested tables by their dotted keys."""
     if isinstance(value, dict) and value:
         pairs = [(f"{where}.{key}" if where else key, inner) for key, inner in value.items()]
     elif isinstance(value, list) and value and isinstance(value[0], dict):
         pairs = [(f"{where}[{index}]", inner) for index, inner in enumerate(value)]
     else:
         return {where: value}
-    return {key: found for name, inner in pairs for key, found in flat(inner, name).items()}
+    return {key: leaf for name, inner in pairs for key, leaf in flatten_table(inner, name).items()}
 
 
-def test_every_key_of_the_settings_and_what_it_is_if_left_out() -> None:
+def test_every_settings_key_and_its_default() -> None:
     read = daemon_settings.check(CONFIG, Path("/c.toml"))
-    assert flat(read.model_dump(mode="json", by_alias=True)) == CONFIG_READ
+    assert flatten_table(read.model_dump(mode="json", by_alias=True)) == CONFIG_READ
 
 
-def nested(pairs: Mapping[str, Any]) -> dict[str, Any]:
-    """`flat` undone, without keys that have no value."""
+def nest_keys(pairs: Mapping[str, Any]) -> dict[str, Any]:
+    """Undo `flatten_table`, leaving out keys without a value."""
     out: dict[str, Any] = {}
     for name, value in pairs.items():
         *tables, key = name.split(".")
@@ -219,34 +219,36 @@
 
 
 def test_every_key_of_the_settings_may_be_given() -> None:
-    full = nested({key: value for key, value in CONFIG_READ.items() if not key.endswith(".consul")})
+    full = nest_keys({key: value for key, value in CONFIG_READ.items() if not key.endswith(".consul")})
     read = daemon_settings.check(full, Path("/c.toml"))
-    assert flat(read.model_dump(mode="json", by_alias=True)) == CONFIG_READ
+    assert flatten_table(read.model_dump(mode="json", by_alias=True)) == CONFIG_READ
 
 
 @pytest.mark.parametrize("key", CONFIG_READ)
 def test_a_key_of_the_settings_that_is_misspelt_is_refused_with_its_place(key: str) -> None:
-    """Which also shows that every key is known by its own name, and by no other."""
-    full = nested({name: value for name, value in CONFIG_READ.items() if not name.endswith(".consul")})
+    """This also shows that every key is accepted under its own name only."""
+    full = nest_keys({name: value for name, value in CONFIG_READ.items() if not name.endswith(".consul")})
     wrong = key + "x"
-    place = nested({wrong: 1})
-    merged = grafted(full, place)
+    misspelt = nest_keys({wrong: 1})
+    merged = merge_tables(full, misspelt)
     with pytest.raises(daemon_settings.SettingsError) as caught:
         daemon_settings.check(merged, Path("/c.toml"))
     word = key.rpartition(".")[2]
     assert f"/c.toml: {wrong}: not a known key; is {word} meant?" in str(caught.value).splitlines()
 
 
-def grafted(table: Any, more: Any) -> Any:
-    """Tables with the keys of others besides their own."""
+def merge_tables(table: Any, more: Any) -> Any:
+    """Merge `more` into `table`, through nested tables and arrays of tables."""
     if isinstance(more, dict):
-        return {**table, **{key: grafted(table.get(key, {}), value) for key, value in more.items()}}
+        return {**table, **{key: merge_tables(table.get(key, {}), value) for key, value in more.items()}}
     if isinstance(more, list):
-        return [grafted(row, extra) for row, extra in zip(table, more, strict=False)] + table[len(more) :]
+        return [merge_tables(row, extra) for row, extra in zip(table, more, strict=False)] + table[
+            len(more) :
+        ]
     return more
 
 
-def test_a_key_like_no_other_has_no_suggestion() -> None:
+def test_unknown_key_without_a_similar_one_has_no_suggestion() -> None:
     with pytest.raises(daemon_settings.SettingsError) as caught:
         daemon_settings.check(CONFIG | {"zzz": 1}, Path("/c.toml"))
     assert str(caught.value) == "/c.toml: zzz: not a known key"
@@ -268,21 +270,21 @@
         ("log.level", ("debug", "info", "warning", "error")),
     ],
 )
-def test_words_that_the_settings_take(key: str, words: tuple[str, ...]) -> None:
-    full = nested({name: value for name, value in CONFIG_READ.items() if not name.endswith(".consul")})
+def test_enumerated_values_of_the_settings(key: str, words: tuple[str, ...]) -> None:
+    full = nest_keys({name: value for name, value in CONFIG_READ.items() if not name.endswith(".consul")})
     for word in words:
-        own = grafted(full, nested({key: word}))
+        own = merge_tables(full, nest_keys({key: word}))
         if word == "keyed":
             own["class"][0]["repeat_window"] = 1.0
-        if key.startswith("class"):  # the vector front asks for a class of each kind by name
+        if key.startswith("class"):  # the vector front needs a class of each retry safety by name
             del own["vectors"]
         read = daemon_settings.check(own, Path("/c.toml"))
-        assert flat(read.model_dump(mode="json", by_alias=True))[key] == word
+        assert flatten_table(read.model_dump(mode="json", by_alias=True))[key] == word
     with pytest.raises(daemon_settings.SettingsError, match=key.replace("[", r"\[").replace("]", r"\]")):
-        daemon_settings.check(grafted(full, nested({key: "other"})), Path("/c.toml"))
+        daemon_settings.check(merge_tables(full, nest_keys({key: "other"})), Path("/c.toml"))
 
 
-# ---- scenarios of a rehearsal
+# ---- scenario files
 
 SCENARIO: dict[str, Any] = {
     "name": "s",
@@ -374,11 +376,11 @@
 }
 
 
-def test_every_key_of_a_scenario_and_what_it_is_if_left_out() -> None:
+def test_every_scenario_key_and_its_default() -> None:
     read = Scenario.model_validate(SCENARIO)
-    assert flat(read.model_dump(mode="json", by_alias=True)) == SCENARIO_READ
-    again = Scenario.model_validate(nested(SCENARIO_READ))
-    assert flat(again.model_dump(mode="json", by_alias=True)) == SCENARIO_READ
+    assert flatten_table(read.model_dump(mode="json", by_alias=True)) == SCENARIO_READ
+    again = Scenario.model_validate(nest_keys(SCENARIO_READ))
+    assert flatten_table(again.model_dump(mode="json", by_alias=True)) == SCENARIO_READ
 
 
 @pytest.mark.parametrize("key", SCENARIO_READ)
@@ -386,7 +388,7 @@
     wrong = key + "x"
     with pytest.raises(daemon_settings.SettingsError) as caught:
         daemon_settings.validate(
-            Scenario, grafted(nested(SCENARIO_READ), nested({wrong: 1})), Path("/s.toml")
+            Scenario, merge_tables(nest_keys(SCENARIO_READ), nest_keys({wrong: 1})), Path("/s.toml")
         )
     word = key.rpartition(".")[2]
     assert f"/s.toml: {wrong}: not a known key; is {word} meant?" in str(caught.value).splitlines()
@@ -409,7 +411,7 @@
 AGENT_FAULTS = ["hang", "late", "500", "429", "empty", "garbage", "half", "cut", "no_leader", "stale", "lag"]
 
 
-def test_words_that_a_scenario_takes() -> None:
+def test_enumerated_values_of_a_scenario() -> None:
     for kind in KINDS_OF_TROUBLE:
         row = {"kind": kind, "at": 1, "seconds": 2, "agents": [0], "fault": "hang"}
         Scenario.model_validate(SCENARIO | {"trouble": [row]})
@@ -433,14 +435,14 @@
     ]
 
 
-# ---- experiments of the lab
+# ---- experiment files
 
 
-def test_every_key_of_an_experiment_and_what_it_is_if_left_out(tmp_path: Path) -> None:
+def test_every_experiment_key_and_its_default(tmp_path: Path) -> None:
     path = tmp_path / "e.toml"
     path.write_text('name = "e"\nscenario = "bad-day"\n')
-    found, _, _ = experiment.load(str(path))
-    assert found.model_dump(mode="json") == {
+    loaded, _, _ = experiment.load(str(path))
+    assert loaded.model_dump(mode="json") == {
         "name": "e",
         "scenario": "bad-day",
         "expect": "",
@@ -448,8 +450,8 @@
         "vary": {},
     }
     path.write_text('name = "e"\nscenario = "bad-day"\nseeds = [3, 9]\n[vary]\n"nodes.width" = [1, 2]\n')
-    found, _, _ = experiment.load(str(path))
-    assert found.all_seeds() == (3, 9) and found.cells() == [{"nodes.width": 1}, {"nodes.width": 2}]
+    loaded, _, _ = experiment.load(str(path))
+    assert loaded.all_seeds() == (3, 9) and loaded.cells() == [{"nodes.width": 1}, {"nodes.width": 2}]
     path.write_text('name = "e"\nscenario = "bad-day"\nseedsx = 1\n')
     with pytest.raises(daemon_settings.SettingsError) as caught:
         experiment.load(str(path))
@@ -487,17 +489,17 @@
 
 
 def commands(command: click.Command, path: str = "") -> Iterator[tuple[str, list[str]]]:
-    """Each command by its path, with its sub-commands or its arguments and options."""
+    """Yield each command's path with its sub-commands, or with its arguments and options."""
     if isinstance(command, click.Group):
         yield path, sorted(command.commands)
         for name, inner in sorted(command.commands.items()):
             yield from commands(inner, f"{path} {name}".strip())
     else:
-        yield path, [described(parameter) for parameter in command.params]
+        yield path, [describe_parameter(parameter) for parameter in command.params]
 
 
-def described(parameter: click.Parameter) -> str:
-    """A parameter as its user has it."""
+def describe_parameter(parameter: click.Parameter) -> str:
+    """Describe a parameter as the command line shows it: its option names, type and default."""
     if isinstance(parameter, click.Argument):
         name = (parameter.name or "").upper()
         return name if parameter.required else f"[{name}]"
@@ -514,7 +516,7 @@
     assert dict(commands(main)) == COMMANDS
 
 
-# ---- what a platform or the simulator tells at a start
+# ---- start-up settings from the platform or the simulator
 
 START: dict[str, str] = {
     "Balancers": "3",
@@ -579,17 +581,17 @@
 
 
 def by_position(read: Any) -> tuple[Any, ...]:
-    """Settings without the names of their fields."""
+    """Return the settings as a plain tuple, so that the test does not depend on field names."""
     classes = tuple((*kind[:2], kind[2].value, *kind[3:]) for kind in read[2])
     return (*read[:2], classes, *read[3:])
 
 
-def test_every_key_that_a_start_takes() -> None:
+def test_every_start_up_key() -> None:
     assert by_position(startup.read_settings(START)) == START_READ
 
 
 @pytest.mark.parametrize("key", START)
-def test_a_key_that_a_start_needs_is_named(key: str) -> None:
+def test_missing_start_up_key_is_named(key: str) -> None:
     pairs = {name: value for name, value in START.items() if name != key}
     if key in MAY_BE_LEFT_OUT:
         is_the_same = by_position(startup.read_settings(pairs)) == START_READ
@@ -601,7 +603,7 @@
         startup.read_settings(pairs | {key: "!"})
 
 
-def test_what_a_start_takes_where_nothing_is_said() -> None:
+def test_defaults_of_start_up_settings() -> None:
     bare = {name: value for name, value in START.items() if name not in MAY_BE_LEFT_OUT}
     read = by_position(startup.read_settings(bare))
     assert read[2][0][7] is None and read[3] == () and read[-5:] == (None, None, None, 0.0, inf)
@@ -626,7 +628,7 @@
     }
 
 
-# ---- what the platform tells a node
+# ---- a node's configuration from the platform
 
 NODE: dict[str, Any] = {
     "name": "n0",
@@ -726,11 +728,11 @@
         read_node(tmp_path, table)
 
 
-# ---- programs, from outside
+# ---- programs as processes
 
 
-def test_a_daemon_as_whoever_starts_it_sees_it(tmp_path: Path) -> None:
-    """Its line on standard output, its end, and what it and its nodes record of one query."""
+def test_daemon_output_exit_and_records(tmp_path: Path) -> None:
+    """Pins its line on standard output, its exit, and the records that it and its nodes write."""
     recorder = Recorder(tmp_path / "nodes.jsonl")
     grid = FakeGrid(3, 3, ZONES, recorder=recorder)
     (tmp_path / "servers.toml").write_text(grid.list_text())
@@ -743,9 +745,9 @@
         cwd=ROOT,
     )
     assert program.stdout is not None
-    found = re.fullmatch(r"listening on 127\.0\.0\.1:([0-9]+)\n", program.stdout.readline())
-    assert found
-    client = Client(("127.0.0.1", int(found[1])))
+    listening = re.fullmatch(r"listening on 127\.0\.0\.1:([0-9]+)\n", program.stdout.readline())
+    assert listening
+    client = Client(("127.0.0.1", int(listening[1])))
     query = Query(0, 60_000, (Matcher(Match.EQUAL, "tile", "t000"),))
     assert client.read([query], {}, PATIENCE).status == 200
     client.close()
@@ -767,7 +769,7 @@
 
 
 def keys_of(path: Path) -> dict[str, list[str]]:
-    """The keys of each kind of record in a file."""
+    """Return the keys of each kind of record in a file."""
     records = [json.loads(line) for line in path.read_text().splitlines()]
     return {record["kind"]: list(record) for record in records}
 
@@ -794,9 +796,9 @@
         cwd=tmp_path,
         env={"PYTHONPATH": str(ROOT)},
     )
-    said = done.stderr.decode()
+    error_text = done.stderr.decode()
     assert done.returncode == 2 and not done.stdout
-    assert said.startswith(what) and said.count("\n") == 1
+    assert error_text.startswith(what) and error_text.count("\n") == 1
 
 
 def test_a_node_takes_its_configuration_s_name_from_the_environment(tmp_path: Path) -> None:
