--- a/gingervane/vectors/codec.py
+++ b/gingervane/vectors/codec.py
@@ -130,8 +130,8 @@
         lists = decode_result(status, header, body)
         expected = sum(len(content.searches) for content in contents)
         if not isinstance(lists, list) or len(lists) != expected:
-            found = len(lists) if isinstance(lists, list) else type(lists).__name__
-            raise t.InvalidReply(f"{found} results for {expected}")
+            received = len(lists) if isinstance(lists, list) else type(lists).__name__
+            raise t.InvalidReply(f"{received} results for {expected}")
         freshness = _decode_freshness(header(FRESHNESS_HEADER.lower()))
         byte_count = len(body) // len(contents)
         remaining = iter(lists)
--- a/gingervane/vectors/filters.py
+++ b/gingervane/vectors/filters.py
@@ -36,10 +36,10 @@
             raise RequestError(f"{where}: deeper than {MAX_FILTER_DEPTH}")
         if not isinstance(value, dict):
             raise RequestError(f"{where}: must be an object")
-        for key, found in value.items():
+        for key, conditions in value.items():
             if key not in _CLAUSES:
                 raise RequestError(f"{where}.{key}: not one of must, should, must_not")
-            for index, condition in enumerate(found if isinstance(found, list) else [found]):
+            for index, condition in enumerate(conditions if isinstance(conditions, list) else [conditions]):
                 if condition is not None:
                     self._check_condition(condition, f"{where}.{key}[{index}]", depth)
 
@@ -104,19 +104,21 @@
     """Return whether a point matches a filter that `check_filter` has accepted."""
 
     def conditions_of(clause: str) -> list[Any]:
-        found = value.get(clause)
-        conditions = found if isinstance(found, list) else [found]
+        clause_value = value.get(clause)
+        conditions = clause_value if isinstance(clause_value, list) else [clause_value]
         return [condition for condition in conditions if condition is not None]
 
     should = conditions_of("should")
     return (
-        all(_holds(point, payload, condition) for condition in conditions_of("must"))
-        and not any(_holds(point, payload, condition) for condition in conditions_of("must_not"))
-        and (not should or any(_holds(point, payload, condition) for condition in should))
+        all(_satisfies_condition(point, payload, condition) for condition in conditions_of("must"))
+        and not any(
+            _satisfies_condition(point, payload, condition) for condition in conditions_of("must_not")
+        )
+        and (not should or any(_satisfies_condition(point, payload, condition) for condition in should))
     )
 
 
-def _holds(point: PointId, payload: dict[str, Any], condition: dict[str, Any]) -> bool:
+def _satisfies_condition(point: PointId, payload: dict[str, Any], condition: dict[str, Any]) -> bool:
     if condition.keys() & _CLAUSES:
         return matches_filter(point, payload, condition)
     if "has_id" in condition:
@@ -132,18 +134,22 @@
 
 def _values_at(payload: dict[str, Any], key: str) -> list[Any]:
     """Return the values of a field. The names in the key of a nested field are joined by dots."""
-    found: Any = payload
-    for name in key.split("."):
-        found = found.get(name) if isinstance(found, dict) else None
-    return found if isinstance(found, list) else [found]
+    value: Any = payload
+    for field_name in key.split("."):
+        value = value.get(field_name) if isinstance(value, dict) else None
+    return value if isinstance(value, list) else [value]
 
 
 def _any_matches(values: list[Any], match: dict[str, Any]) -> bool:
     kind, given = next(iter(match.items()))
     if kind == "except":
         return any(value is not None and value not in given for value in values)
-    wanted = given if kind == "any" else [given]
-    return any(type(value) is type(want) and value == want for value in values for want in wanted)
+    expected_values = given if kind == "any" else [given]
+    return any(
+        type(value) is type(expected) and value == expected
+        for value in values
+        for expected in expected_values
+    )
 
 
 def _in_range(number: float, bounds: dict[str, float | None]) -> bool:
--- a/gingervane/vectors/front.py
+++ b/gingervane/vectors/front.py
@@ -77,11 +77,11 @@
         """Return a handler that decodes a request in a slot of `gate`, executes it, and replies to errors."""
 
         def handle(
-            request: Request, body: bytes, arrived: float, client: Exchange, words: dict[str, str]
+            request: Request, body: bytes, arrived: float, client: Exchange, path_parameters: dict[str, str]
         ) -> Reply:
-            collection = self._settings.collections.get(words["name"])
+            collection = self._settings.collections.get(path_parameters["name"])
             if collection is None:
-                return collection_not_found(words["name"])
+                return collection_not_found(path_parameters["name"])
             latest_deadline = arrived + self._max_deadline
             try:
                 with self._gate.slot(NAME, latest_deadline):
@@ -102,11 +102,11 @@
         _body: bytes,
         arrived: float,
         _client: Exchange,
-        words: dict[str, str],
+        path_parameters: dict[str, str],
     ) -> Reply:
-        collection = self._settings.collections.get(words["name"])
+        collection = self._settings.collections.get(path_parameters["name"])
         if collection is None:
-            return collection_not_found(words["name"])
+            return collection_not_found(path_parameters["name"])
         return result_reply(_description(collection, self._settings), arrived)
 
 
--- a/gingervane/vectors/replica_client.py
+++ b/gingervane/vectors/replica_client.py
@@ -26,13 +26,13 @@
 
     def point_states(self, replica: ShardReplica, shard: ShardKey) -> dict[str, PointState] | None:
         """Return the states of a shard's points on a replica, by id as text; None without a valid reply."""
-        found = self._request(replica, "GET", shard, "marks", None)
-        if found is None:
+        states = self._request(replica, "GET", shard, "marks", None)
+        if states is None:
             return None
         try:
             return {
                 str(point): PointState(int(version), int(additions), int(digest))
-                for point, (version, additions, digest) in found.items()
+                for point, (version, additions, digest) in states.items()
             }
         except (ValueError, TypeError, AttributeError):
             return None
@@ -41,11 +41,11 @@
         self, shard: ShardKey, source: ShardReplica, target: ShardReplica, points: tuple[str, ...]
     ) -> int:
         """Copy points from one replica to another; return the number of points copied."""
-        found = self._request(source, "POST", shard, "fetch", {"points": points})
-        if not isinstance(found, list) or not found:
+        contents = self._request(source, "POST", shard, "fetch", {"points": points})
+        if not isinstance(contents, list) or not contents:
             return 0
-        stored = self._request(target, "POST", shard, "put", {"points": found})
-        return 0 if stored is None else len(found)
+        stored = self._request(target, "POST", shard, "put", {"points": contents})
+        return 0 if stored is None else len(contents)
 
     def _request(
         self, replica: ShardReplica, method: str, shard: ShardKey, operation: str, content: Any
--- a/gingervane/vectors/requests.py
+++ b/gingervane/vectors/requests.py
@@ -60,12 +60,12 @@
 def decode(body: bytes) -> dict[str, Any]:
     """Decode a JSON object. NaN and infinities are rejected. Raises RequestError."""
     try:
-        found = orjson.loads(body)
+        content = orjson.loads(body)
     except orjson.JSONDecodeError as error:
         raise RequestError(f"body: {error}") from None
-    if not isinstance(found, dict):
-        raise RequestError(f"body: {type(found).__name__}, not an object")
-    return found
+    if not isinstance(content, dict):
+        raise RequestError(f"body: {type(content).__name__}, not an object")
+    return content
 
 
 def read_vector(value: Any, dims: int, where: str) -> list[float]:
@@ -190,10 +190,10 @@
 
 
 def _list(body: dict[str, Any], key: str, max_length: int) -> list[Any]:
-    found = body.get(key)
-    if not isinstance(found, list) or not 0 < len(found) <= max_length:
+    values = body.get(key)
+    if not isinstance(values, list) or not 0 < len(values) <= max_length:
         raise RequestError(f"{key}: must be a list of 1 to {max_length}")
-    return found
+    return values
 
 
 def _whole_number(value: Any, low: int, high: int, where: str) -> int:
--- a/gingervane/wire/frames.py
+++ b/gingervane/wire/frames.py
@@ -57,8 +57,8 @@
 def encode_batch(parts: list[SubqueryRequest], waits_ms: list[int]) -> bytes:
     """Return the frame of a batch. `waits_ms`: the time limit of each subquery, in milliseconds."""
     lines = [
-        f"{p.id} {p.shard} d={wait_ms}{p.options} {len(p.text)}\n".encode() + p.text
-        for p, wait_ms in zip(parts, waits_ms, strict=True)
+        f"{part.id} {part.shard} d={wait_ms}{part.options} {len(part.text)}\n".encode() + part.text
+        for part, wait_ms in zip(parts, waits_ms, strict=True)
     ]
     return encode_frame(BATCH_LETTER, b"".join(lines))
 
--- a/gingervane/wire/http1.py
+++ b/gingervane/wire/http1.py
@@ -66,7 +66,12 @@
 
     def tokens(self, name: str) -> list[str]:
         """Return the comma-separated tokens of all fields of that name, in lower case."""
-        return [w.strip().lower() for value in self.get_all(name) for w in value.split(",") if w.strip()]
+        return [
+            token.strip().lower()
+            for value in self.get_all(name)
+            for token in value.split(",")
+            if token.strip()
+        ]
 
 
 def _keeps_alive(version: tuple[int, int], headers: Headers) -> bool:
@@ -123,38 +128,38 @@
         self.bytes_read += len(data)
         return bool(data)
 
-    def _read_line(self, max_bytes: int, what: str, status: int = 431) -> bytes:
+    def _read_line(self, max_bytes: int, description: str, status: int = 431) -> bytes:
         """Return the next line without its CRLF. `max_bytes` bounds the line with its CRLF."""
         start = 0
         while (end := self.buffer.find(b"\n", start)) < 0:
             if len(self.buffer) > max_bytes:
-                raise HttpError(status, f"{what}: longer than {max_bytes} bytes")
+                raise HttpError(status, f"{description}: longer than {max_bytes} bytes")
             start = len(self.buffer)
             if not self._receive_more():
                 raise ConnectionClosedError(clean=False)
         if end + 1 > max_bytes:
-            raise HttpError(status, f"{what}: longer than {max_bytes} bytes")
+            raise HttpError(status, f"{description}: longer than {max_bytes} bytes")
         if end == 0 or self.buffer[end - 1] != _CR:
-            raise HttpError(400, f"{what}: a line ends in LF without CR")
+            raise HttpError(400, f"{description}: a line ends in LF without CR")
         line = bytes(self.buffer[: end - 1])
         del self.buffer[: end + 1]
         if b"\r" in line:
-            raise HttpError(400, f"{what}: CR inside a line")
+            raise HttpError(400, f"{description}: CR inside a line")
         return line
 
-    def _read_head(self, what: str) -> tuple[bytes, Headers]:
+    def _read_head(self, description: str) -> tuple[bytes, Headers]:
         """Return the first line and the header fields of the next message."""
         if not self.buffer and not self._receive_more():
             raise ConnectionClosedError(clean=True)
-        bytes_left = self.limits.head
+        remaining_bytes = self.limits.head
         first = b""
         while not first:  # empty lines before a message are skipped (RFC 9112, 2.2)
-            first = self._read_line(bytes_left, what + " line")
-            bytes_left -= len(first) + 2
+            first = self._read_line(remaining_bytes, description + " line")
+            remaining_bytes -= len(first) + 2
         pairs: list[tuple[str, str]] = []
-        while line := self._read_line(bytes_left, f"{what} header {len(pairs) + 1}"):
-            bytes_left -= len(line) + 2
-            where = f"{what} header {len(pairs) + 1}"
+        while line := self._read_line(remaining_bytes, f"{description} header {len(pairs) + 1}"):
+            remaining_bytes -= len(line) + 2
+            where = f"{description} header {len(pairs) + 1}"
             if line[:1] in (b" ", b"\t"):
                 raise HttpError(400, f"{where}: folded onto a second line")
             name, colon, value = line.partition(b":")
@@ -205,25 +210,25 @@
             return self._read_exactly(int(lengths[0]), "body")
         return self._read_to_end() if is_response else b""
 
-    def _read_exactly(self, length: int, what: str) -> bytes:
+    def _read_exactly(self, length: int, description: str) -> bytes:
         """Return the next `length` bytes. Raises HttpError if that exceeds the limit of a body."""
         if length > self.limits.body:
-            raise HttpError(413, f"{what}: {length} bytes, over the limit of {self.limits.body}")
+            raise HttpError(413, f"{description}: {length} bytes, over the limit of {self.limits.body}")
         while len(self.buffer) < length:
             if not self._receive_more():
                 raise ConnectionClosedError(clean=False)
-        out = bytes(self.buffer[:length])
+        data = bytes(self.buffer[:length])
         del self.buffer[:length]
-        return out
+        return data
 
     def _read_to_end(self) -> bytes:
         """Return all bytes up to the end of the stream."""
         while self._receive_more():
             if len(self.buffer) > self.limits.body:
                 raise HttpError(413, f"body: over the limit of {self.limits.body} bytes")
-        out = bytes(self.buffer)
+        data = bytes(self.buffer)
         self.buffer.clear()
-        return out
+        return data
 
     def iter_body(self, headers: Headers) -> Iterator[bytes]:
         """Yield the body of a response as it arrives, in any framing.
@@ -235,42 +240,42 @@
                 yield data
             return
         lengths = headers.get_all("content-length")
-        left = int(lengths[0]) if lengths else None
-        while left is None or left > 0:
+        remaining = int(lengths[0]) if lengths else None
+        while remaining is None or remaining > 0:
             if not self.buffer and not self._receive_more():
-                if left is None:
+                if remaining is None:
                     return
                 raise ConnectionClosedError(clean=False)
-            data = bytes(self.buffer[:left])
+            data = bytes(self.buffer[:remaining])
             del self.buffer[: len(data)]
-            left = None if left is None else left - len(data)
+            remaining = None if remaining is None else remaining - len(data)
             yield data
 
     def _read_chunked(self) -> bytes:
         """Return a complete chunked body."""
-        out = bytearray()
+        body = bytearray()
         index = 1
-        while data := self.read_chunk(f"chunk {index}", len(out)):
-            out += data
+        while data := self.read_chunk(f"chunk {index}", len(body)):
+            body += data
             index += 1
-        return bytes(out)
+        return bytes(body)
 
-    def read_chunk(self, where: str = "chunk", before: int = 0) -> bytes:
-        """Return the next chunk of a body, b"" at its end. `before`: bytes of the body read earlier."""
+    def read_chunk(self, where: str = "chunk", body_bytes_before: int = 0) -> bytes:
+        """Return the next chunk of a body, b"" at its end. `body_bytes_before`: bytes read earlier."""
         size, _, _ = self._read_line(_MAX_CHUNK_LINE_BYTES, where + " size", 400).partition(b";")
         if not _HEX.match(size.rstrip(b" \t")):
             raise HttpError(400, f"{where}: size is not hexadecimal")
         length = int(size, 16)
-        if before + length > self.limits.body:
+        if body_bytes_before + length > self.limits.body:
             raise HttpError(413, f"{where}: body over the limit of {self.limits.body} bytes")
         if length:
             data = self._read_exactly(length, where)
             if self._read_exactly(2, where) != b"\r\n":
                 raise HttpError(400, f"{where}: not followed by CRLF")
             return data
-        bytes_left = self.limits.head
-        while line := self._read_line(bytes_left, "trailer"):
-            bytes_left -= len(line) + 2
+        remaining_bytes = self.limits.head
+        while line := self._read_line(remaining_bytes, "trailer"):
+            remaining_bytes -= len(line) + 2
         return b""
 
 
@@ -283,18 +288,18 @@
     return version
 
 
-def _check_framing(headers: Headers, what: str) -> None:
+def _check_framing(headers: Headers, description: str) -> None:
     """Raise HttpError for a head whose body two parsers could delimit differently."""
     lengths = headers.get_all("content-length")
     codings = headers.tokens("transfer-encoding")
     if lengths and headers.get_all("transfer-encoding"):
-        raise HttpError(400, f"{what} headers: Content-Length beside Transfer-Encoding")
+        raise HttpError(400, f"{description} headers: Content-Length beside Transfer-Encoding")
     if len(lengths) > 1:
-        raise HttpError(400, f"{what} headers: Content-Length stands there {len(lengths)} times")
+        raise HttpError(400, f"{description} headers: Content-Length stands there {len(lengths)} times")
     if lengths and not _DIGITS.match(lengths[0]):
-        raise HttpError(400, f"{what} headers: Content-Length is not a number")
+        raise HttpError(400, f"{description} headers: Content-Length is not a number")
     if headers.get_all("transfer-encoding") and codings != ["chunked"]:
-        raise HttpError(501, f"{what} headers: the only Transfer-Encoding spoken here is chunked")
+        raise HttpError(501, f"{description} headers: the only Transfer-Encoding spoken here is chunked")
 
 
 def encode_head(first: str, fields: list[tuple[str, str]]) -> bytes:
--- a/gingervane/wire/local_failures.py
+++ b/gingervane/wire/local_failures.py
@@ -43,25 +43,25 @@
 
 def retry_local_failures(operation: Callable[[], T]) -> T:
     """Return the result of `operation`, which is retried on local failures for `START_RETRY_SECONDS`."""
-    until = time.monotonic() + START_RETRY_SECONDS
+    retry_deadline = time.monotonic() + START_RETRY_SECONDS
     while True:
         try:
             return operation()
         except OSError as error:
-            if not is_local_failure(error.errno) or time.monotonic() >= until:
+            if not is_local_failure(error.errno) or time.monotonic() >= retry_deadline:
                 raise
         time.sleep(RETRY_PAUSE)
 
 
 def start_thread(target: Callable[[], object], name: str) -> threading.Thread:
     """Start a daemon thread, retrying for `START_RETRY_SECONDS`. Raises RuntimeError if that fails."""
-    until = time.monotonic() + START_RETRY_SECONDS
+    retry_deadline = time.monotonic() + START_RETRY_SECONDS
     while True:
         thread = threading.Thread(target=target, name=name, daemon=True)
         try:
             thread.start()
         except RuntimeError:  # the system's limit of threads or memory is reached
-            if time.monotonic() >= until:
+            if time.monotonic() >= retry_deadline:
                 raise
         else:
             return thread
--- a/gingervane/wire/pool.py
+++ b/gingervane/wire/pool.py
@@ -29,10 +29,10 @@
         self.reader = Reader(self._receive, limits)
 
     def _receive(self, max_bytes: int) -> bytes:
-        left = self.deadline - time.monotonic()
-        if left <= 0:
+        remaining = self.deadline - time.monotonic()
+        if remaining <= 0:
             raise TimeoutError("time is up")
-        self.sock.settimeout(left)
+        self.sock.settimeout(remaining)
         return self.sock.recv(max_bytes)
 
     def write(self, data: bytes) -> None:
@@ -42,10 +42,10 @@
         SOCKET_RECORDER.record("call", self.local_port, self.remote_port, data)
         try:
             while sent < len(data):
-                left = self.deadline - time.monotonic()
-                if left <= 0:
+                remaining = self.deadline - time.monotonic()
+                if remaining <= 0:
                     raise TimeoutError("time is up")
-                self.sock.settimeout(left)
+                self.sock.settimeout(remaining)
                 sent += self.sock.send(view[sent:])
         except OSError as error:
             raise WriteError(sent, error) from error
--- a/gingervane/wire/protobuf.py
+++ b/gingervane/wire/protobuf.py
@@ -38,7 +38,7 @@
     end: int
 
 
-def read_varint(data: bytes, at: int, end: int, what: str) -> tuple[int, int]:
+def read_varint(data: bytes, at: int, end: int, description: str) -> tuple[int, int]:
     """Return the unsigned varint at position `at` and the position after it. Raises ProtobufError."""
     value = shift = 0
     start = at
@@ -48,12 +48,12 @@
         value |= (byte & 0x7F) << shift
         if byte < 0x80:
             if value >> 64:
-                raise ProtobufError(f"{what}: varint of more than 64 bits", start)
+                raise ProtobufError(f"{description}: varint of more than 64 bits", start)
             return value, at
         shift += 7
         if shift > 63:
-            raise ProtobufError(f"{what}: varint of more than 10 bytes", start)
-    raise ProtobufError(f"{what}: ends inside a varint", start)
+            raise ProtobufError(f"{description}: varint of more than 10 bytes", start)
+    raise ProtobufError(f"{description}: ends inside a varint", start)
 
 
 def decode_int64(value: int) -> int:
@@ -61,46 +61,49 @@
     return value - (1 << 64) if value >> 63 else value
 
 
-def read_fields(data: bytes, start: int, end: int, what: str) -> Iterator[Field]:
+def read_fields(data: bytes, start: int, end: int, description: str) -> Iterator[Field]:
     """Yield the fields of the message in `data[start:end]`, in order. Raises ProtobufError."""
     at = start
     while at < end:
-        begin = at
-        key, at = read_varint(data, at, end, what)
+        field_start = at
+        key, at = read_varint(data, at, end, description)
         number, wire_type = key >> 3, key & 7
         if not 0 < number <= _MAX_FIELD_NUMBER:
-            raise ProtobufError(f"{what}: field number {number}", begin)
+            raise ProtobufError(f"{description}: field number {number}", field_start)
         if wire_type == VARINT:
-            value, at = read_varint(data, at, end, what)
+            value, at = read_varint(data, at, end, description)
             yield Field(number, wire_type, value, at, at)
             continue
         if wire_type == BYTES:
-            length, at = read_varint(data, at, end, what)
+            length, at = read_varint(data, at, end, description)
         elif wire_type in _FIXED_SIZES:
             length = _FIXED_SIZES[wire_type]
         else:
-            raise ProtobufError(f"{what}: wire type {wire_type}", begin)
+            raise ProtobufError(f"{description}: wire type {wire_type}", field_start)
         if length > end - at:
-            raise ProtobufError(f"{what}: field {number} of {length} bytes runs past the end", begin)
+            raise ProtobufError(
+                f"{description}: field {number} of {length} bytes runs past the end", field_start
+            )
         yield Field(number, wire_type, 0, at, at + length)
         at += length
 
 
-def expect_wire_type(field: Field, wire_type: int, what: str) -> None:
+def expect_wire_type(field: Field, wire_type: int, description: str) -> None:
     """Raise ProtobufError unless a field has `wire_type`, as its message type defines it."""
     if field.wire_type != wire_type:
         raise ProtobufError(
-            f"{what}: field {field.number} has wire type {field.wire_type}, not {wire_type}", field.start
+            f"{description}: field {field.number} has wire type {field.wire_type}, not {wire_type}",
+            field.start,
         )
 
 
-def decode_text(data: bytes, field: Field, what: str) -> str:
+def decode_text(data: bytes, field: Field, description: str) -> str:
     """Return the value of a string field. Raises ProtobufError."""
-    expect_wire_type(field, BYTES, what)
+    expect_wire_type(field, BYTES, description)
     try:
         return data[field.start : field.end].decode()
     except UnicodeDecodeError:
-        raise ProtobufError(f"{what}: field {field.number} is not UTF-8", field.start) from None
+        raise ProtobufError(f"{description}: field {field.number} is not UTF-8", field.start) from None
 
 
 def encode_varint(value: int) -> bytes:
--- a/gingervane/wire/remote_read_encoder.py
+++ b/gingervane/wire/remote_read_encoder.py
@@ -20,11 +20,11 @@
     out += [
         pb.encode_bytes_field(
             3,
-            pb.encode_varint_field(1, m.kind)
-            + pb.encode_bytes_field(2, m.name.encode())
-            + pb.encode_bytes_field(3, m.value.encode()),
+            pb.encode_varint_field(1, matcher.kind)
+            + pb.encode_bytes_field(2, matcher.name.encode())
+            + pb.encode_bytes_field(3, matcher.value.encode()),
         )
-        for m in query.matchers
+        for matcher in query.matchers
     ]
     if query.hints is not None:
         out.append(pb.encode_bytes_field(4, query.hints))
@@ -33,8 +33,8 @@
 
 def write_request(queries: Iterable[bytes], accepts: Sequence[int] = ()) -> bytes:
     """Encode a ReadRequest of encoded queries. `accepts`: the accepted response types."""
-    packed = b"".join(pb.encode_varint(a) for a in accepts)
-    return b"".join(pb.encode_bytes_field(1, q) for q in queries) + (
+    packed = b"".join(pb.encode_varint(response_type) for response_type in accepts)
+    return b"".join(pb.encode_bytes_field(1, query) for query in queries) + (
         pb.encode_bytes_field(2, packed) if packed else b""
     )
 
@@ -71,9 +71,9 @@
             rows = np.empty((len(times), 14 + length - 2), np.uint8)
             rows[:, (0, 1, 2, 11)] = (0x12, 10 + length, 0x09, 0x10)
             rows[:, 3:11] = values.astype("<f8").view(np.uint8).reshape(-1, 8)
-            for place in range(length):
-                more = 0x80 if place < length - 1 else 0
-                rows[:, 12 + place] = (times >> (7 * place)) & 0x7F | more
+            for index in range(length):
+                continuation_bit = 0x80 if index < length - 1 else 0
+                rows[:, 12 + index] = (times >> (7 * index)) & 0x7F | continuation_bit
             return rows.tobytes()
     out = bytearray()
     for time, value in zip(times.tolist(), values.tolist(), strict=True):
--- a/gingervane/wire/response_decoder.py
+++ b/gingervane/wire/response_decoder.py
@@ -29,17 +29,25 @@
         if len(results) == max_results:
             raise ProtobufError(f"ReadResponse: more than {max_results} results", field.start)
         name = f"results[{len(results)}]"
-        found: list[_EncodedSeries] = []
-        for inner in pb.read_fields(data, field.start, field.end, name):
-            if inner.number == 1:
-                pb.expect_wire_type(inner, pb.BYTES, name + ".timeseries")
-                found.append(_read_series(data, inner, f"{name}.timeseries[{len(found)}]"))
-        results.append(found)
-    flat = [one for found in results for one in found]
-    samples = decode_samples(data, [one.samples for one in flat])
+        encoded_series: list[_EncodedSeries] = []
+        for series_field in pb.read_fields(data, field.start, field.end, name):
+            if series_field.number == 1:
+                pb.expect_wire_type(series_field, pb.BYTES, name + ".timeseries")
+                encoded_series.append(
+                    _read_series(data, series_field, f"{name}.timeseries[{len(encoded_series)}]")
+                )
+        results.append(encoded_series)
+    all_series = [encoded for encoded_series in results for encoded in encoded_series]
+    samples = decode_samples(data, [encoded.samples for encoded in all_series])
     ascending = iter(_are_ascending([times for times, _ in samples]))
-    each = iter(samples)
-    return [[_decoded_series(data, one, *next(each), next(ascending)) for one in found] for found in results]
+    decoded_samples = iter(samples)
+    return [
+        [
+            _decoded_series(data, encoded, *next(decoded_samples), next(ascending))
+            for encoded in encoded_series
+        ]
+        for encoded_series in results
+    ]
 
 
 def _are_ascending(all_times: list[Times]) -> list[bool]:
@@ -47,11 +55,13 @@
     if not all_times:
         return []
     joined = np.concatenate(all_times)
-    falls = np.flatnonzero(joined[1:] <= joined[:-1]) + 1  # indices whose time is not after the previous time
+    non_ascending = (
+        np.flatnonzero(joined[1:] <= joined[:-1]) + 1
+    )  # indices whose time is not after the previous time
     ends = np.cumsum([len(times) for times in all_times])
-    inner = ~np.isin(falls, ends)
-    faulty = set(np.searchsorted(ends, falls[inner], side="right").tolist())
-    return [index not in faulty for index in range(len(all_times))]
+    within_array = ~np.isin(non_ascending, ends)
+    non_ascending_arrays = set(np.searchsorted(ends, non_ascending[within_array], side="right").tolist())
+    return [index not in non_ascending_arrays for index in range(len(all_times))]
 
 
 class _EncodedSeries(NamedTuple):
@@ -72,9 +82,9 @@
     histograms: list[tuple[int, bytes]] = []
     at, end, canonical = message.start, message.end, True
     while at < end:
-        if data[at] == _LABELS_TAG and (fast := _read_short_label(data, at, end)):
-            labels.append(fast[0])
-            at = fast[1]
+        if data[at] == _LABELS_TAG and (short_label := _read_short_label(data, at, end)):
+            labels.append(short_label[0])
+            at = short_label[1]
             canonical = canonical and not runs
             continue
         if data[at] == _SAMPLES_TAG and (run_end := end_of_uniform_run(data, at, end)) > at:
@@ -115,13 +125,13 @@
 
 
 def _decoded_series(
-    data: bytes, one: _EncodedSeries, times: Times, values: Values, ascending: bool
+    data: bytes, encoded: _EncodedSeries, times: Times, values: Values, ascending: bool
 ) -> Series:
     """Return the series with sorted labels. `raw` is set if the message is canonical."""
-    labels = tuple(sorted(one.labels))
-    canonical = one.canonical and ascending and list(labels) == one.labels
-    raw = data[one.start : one.end] if canonical else None
-    return Series(labels, times, values, tuple(one.histograms), raw)
+    labels = tuple(sorted(encoded.labels))
+    canonical = encoded.canonical and ascending and list(labels) == encoded.labels
+    raw = data[encoded.start : encoded.end] if canonical else None
+    return Series(labels, times, values, tuple(encoded.histograms), raw)
 
 
 def _read_label(data: bytes, message: pb.Field, name: str) -> tuple[str, str]:
--- a/gingervane/wire/sample_decoder.py
+++ b/gingervane/wire/sample_decoder.py
@@ -39,12 +39,12 @@
     return end if uniform else at
 
 
-def decode_samples(data: bytes, found: list[EncodedSamples]) -> list[tuple[Times, Values]]:
+def decode_samples(data: bytes, series: list[EncodedSamples]) -> list[tuple[Times, Values]]:
     """Decode the samples of each series: runs of equal sample size as one table, all others one by one."""
-    sizes = [data[one.runs[0][0] + 1] + 2 if len(one.runs) == 1 else 0 for one in found]
-    out: list[tuple[Times, Values] | None] = [None] * len(found)
+    sizes = [data[encoded.runs[0][0] + 1] + 2 if len(encoded.runs) == 1 else 0 for encoded in series]
+    out: list[tuple[Times, Values] | None] = [None] * len(series)
     for size in set(sizes) - {0}:
-        rows = [(i, *found[i].runs[0]) for i in range(len(found)) if sizes[i] == size]
+        rows = [(i, *series[i].runs[0]) for i in range(len(series)) if sizes[i] == size]
         rows = [row for row in rows if not (row[2] - row[1]) % size]
         if not _SAMPLE_BYTES_ABOVE < size < _SAMPLE_BYTES_BELOW:
             continue
@@ -57,7 +57,7 @@
             count = (end - start) // size
             out[index] = times[at : at + count], values[at : at + count]
             at += count
-    return [out[i] or _decode_one_by_one(data, one) for i, one in enumerate(found)]
+    return [out[i] or _decode_one_by_one(data, encoded) for i, encoded in enumerate(series)]
 
 
 def _decode_table(data: bytes, size: int) -> tuple[Times, Values] | None:
@@ -77,16 +77,16 @@
     return times, values
 
 
-def _decode_one_by_one(data: bytes, one: EncodedSamples) -> tuple[Times, Values]:
+def _decode_one_by_one(data: bytes, encoded: EncodedSamples) -> tuple[Times, Values]:
     """Decode the samples of one series in any valid form. Raises ProtobufError."""
     times: list[int] = []
     values: list[float] = []
-    for start, end in one.runs:
-        for field in pb.read_fields(data, start, end, one.name):
+    for start, end in encoded.runs:
+        for field in pb.read_fields(data, start, end, encoded.name):
             if field.number != 2:
-                raise ProtobufError(f"{one.name}: field {field.number} amid samples", field.start)
-            pb.expect_wire_type(field, pb.BYTES, one.name + ".samples")
-            time, value = _read_sample(data, field, one.name)
+                raise ProtobufError(f"{encoded.name}: field {field.number} amid samples", field.start)
+            pb.expect_wire_type(field, pb.BYTES, encoded.name + ".samples")
+            time, value = _read_sample(data, field, encoded.name)
             times.append(time)
             values.append(value)
     return np.array(times, np.int64), np.array(values, np.float64)
--- a/gingervane/writes/quorum_writes.py
+++ b/gingervane/writes/quorum_writes.py
@@ -24,7 +24,7 @@
 from gingervane.writes.write_ahead_log import WriteAheadLog
 from gingervane.writes.write_replication import ReplicatedWrite, WriteOutcome, WriteReplicator
 
-_NOT_BEGUN_RETRY_AFTER = 1.0  # seconds
+_NOT_STARTED_RETRY_AFTER = 1.0  # seconds
 
 
 class QuorumWrites:
@@ -87,8 +87,8 @@
                     self._in_progress[key] = threading.Event()
             if decision.action is not KeyAction.WAIT:
                 break
-            time_left = max(write.deadline - time.monotonic(), 0.0)
-            if in_progress is None or not in_progress.wait(time_left):
+            remaining_seconds = max(write.deadline - time.monotonic(), 0.0)
+            if in_progress is None or not in_progress.wait(remaining_seconds):
                 detail = "the same key is still being worked on"
                 return WriteOutcome(KeyAction.WAIT, WriteState.UNKNOWN, detail)
         if decision.action is not KeyAction.SEND:
@@ -104,7 +104,7 @@
             KeyAction.SEND,
             WriteState.NOT_EXECUTED,
             "the write could not be begun",
-            _NOT_BEGUN_RETRY_AFTER,
+            _NOT_STARTED_RETRY_AFTER,
         )
         try:
             if self._log:
@@ -113,8 +113,8 @@
             outcome = WriteOutcome(
                 KeyAction.SEND, WriteState.UNKNOWN, "internal: the write was not seen to its end"
             )
-            window_left = decision.send_deadline - self._now()
-            deadline = min(write.deadline, time.monotonic() + window_left)
+            remaining_window = decision.send_deadline - self._now()
+            deadline = min(write.deadline, time.monotonic() + remaining_window)
             outcome = self._replicator.replicate(write, key, decision.version, deadline)
         except OSError as error:
             outcome = outcome._replace(detail=f"the intent log: {error}")
--- a/gingervane/writes/repair.py
+++ b/gingervane/writes/repair.py
@@ -75,15 +75,15 @@
             self._thread.join(_STOP_TIMEOUT)
 
     def write_sent(
-        self, shard: ShardKey, version: int, replicas: Iterable[int], absent: bool, deadline: float
+        self, shard: ShardKey, version: int, replicas: Iterable[int], replicas_missing: bool, deadline: float
     ) -> None:
         """Track a write that is sent to `replicas` until `deadline` (monotonic clock).
 
-        `absent`: further replicas of the shard are not ready, and miss the write.
+        `replicas_missing`: further replicas of the shard are not ready, and miss the write.
         """
         with self._lock:
             self._pending.add(shard, version, replicas, deadline + _ACKNOWLEDGEMENT_GRACE)
-            if absent:
+            if replicas_missing:
                 self._missed_writes.add(shard, time.monotonic())
 
     def write_acknowledged(self, shard: ShardKey, version: int, replica: int) -> None:
@@ -141,9 +141,9 @@
         }
         states: dict[int, dict[str, PointState]] = {}
         for number, replica in ready.items():
-            found = self._client.point_states(replica, shard)
-            if found is not None:
-                states[number] = found
+            replica_states = self._client.point_states(replica, shard)
+            if replica_states is not None:
+                states[number] = replica_states
         plan = plan_copies(states, capacity) if len(states) > 1 else CopyPlan([], 0, 0)
         copied = sum(self._copy(shard, ready, copy) for copy in plan.copies)
         planned = sum(len(copy.points) for copy in plan.copies)
@@ -154,6 +154,6 @@
         source = replicas[copy.source]
         target = replicas[copy.target]
         return sum(
-            self._client.copy_points(shard, source, target, copy.points[at : at + _MAX_POINTS_PER_COPY])
-            for at in range(0, len(copy.points), _MAX_POINTS_PER_COPY)
+            self._client.copy_points(shard, source, target, copy.points[start : start + _MAX_POINTS_PER_COPY])
+            for start in range(0, len(copy.points), _MAX_POINTS_PER_COPY)
         )
--- a/gingervane/writes/repair_plan.py
+++ b/gingervane/writes/repair_plan.py
@@ -70,5 +70,5 @@
     return CopyPlan(copies, remaining, len(conflicts))
 
 
-def _in_conflict(one: PointState, other: PointState) -> bool:
-    return one.recency == other.recency and one.digest != other.digest
+def _in_conflict(first: PointState, second: PointState) -> bool:
+    return first.recency == second.recency and first.digest != second.digest
--- a/gingervane/writes/shard_placement.py
+++ b/gingervane/writes/shard_placement.py
@@ -60,7 +60,7 @@
         return tuple(
             shard
             for shard, replicas in self._by_shard.items()
-            if any(found.replica == replica for found in replicas)
+            if any(placed.replica == replica for placed in replicas)
         )
 
     def replicas_of(self, shard: int) -> tuple[ShardReplica, ...]:
--- a/gingervane/writes/write_ahead_log.py
+++ b/gingervane/writes/write_ahead_log.py
@@ -44,10 +44,10 @@
 MAX_RECORD_BYTES = 1 << 20
 MAX_PENDING_RECORDS = 100_000  # records that may wait for the disk
 
-_HEAD = struct.Struct("<II")  # length and CRC-32 of the content
+_FRAME_HEADER = struct.Struct("<II")  # length and CRC-32 of the content
 _BOOT_ID_PREFIX = b'["",'  # start of the content of a boot id frame: a list with an empty key
 _NO_BOOT_ID = "no boot"  # used where the system has no boot id; matches no record, so all are of another boot
-_TORN_HEAD = "truncated frame header"
+_TORN_HEADER = "truncated frame header"
 _TORN_RECORD = "truncated record"
 _CLOSE_TIMEOUT = 10.0  # seconds to wait for the end of the writer thread
 
@@ -74,12 +74,12 @@
     @property
     def is_torn(self) -> bool:
         """Whether the segment ends within a frame, as after a crash."""
-        return self.fault in (_TORN_HEAD, _TORN_RECORD)
+        return self.fault in (_TORN_HEADER, _TORN_RECORD)
 
 
 @dataclass(slots=True)
 class _PendingRecord:
-    """A record that is not on the disk yet; `done` is None if no thread waits for it."""
+    """A record that is not on the disk yet. `done` is set after the write succeeds or fails, if a thread waits."""
 
     data: bytes
     done: threading.Event | None
@@ -88,7 +88,7 @@
 
 def encode_frame(content: bytes) -> bytes:
     """Return a frame: the header with length and checksum, then the content."""
-    return _HEAD.pack(len(content), zlib.crc32(content)) + content
+    return _FRAME_HEADER.pack(len(content), zlib.crc32(content)) + content
 
 
 def encode_record(key: str, record: IdempotencyRecord) -> bytes:
@@ -123,9 +123,9 @@
 
 
 def read_segment(
-    data: bytes, into: dict[str, IdempotencyRecord], boot_id: str = "", now: float = 0.0
+    data: bytes, records: dict[str, IdempotencyRecord], boot_id: str = "", now: float = 0.0
 ) -> SegmentRead:
-    """Read the records of one segment into `into`, up to the first corrupt frame.
+    """Add the records of one segment to `records`, up to the first corrupt frame.
 
     `boot_id` and `now` are of the current boot. A record of another boot gets times that put it outside its
     window, and counts as updated now. Without `boot_id`, all times are kept as stored.
@@ -133,11 +133,11 @@
     position = record_count = 0
     written_in_boot = ""
     while position < len(data):
-        if position + _HEAD.size > len(data):
-            return SegmentRead(record_count, position, _TORN_HEAD)
-        length, checksum = _HEAD.unpack_from(data, position)
-        end = position + _HEAD.size + length
-        content = data[position + _HEAD.size : end]
+        if position + _FRAME_HEADER.size > len(data):
+            return SegmentRead(record_count, position, _TORN_HEADER)
+        length, checksum = _FRAME_HEADER.unpack_from(data, position)
+        end = position + _FRAME_HEADER.size + length
+        content = data[position + _FRAME_HEADER.size : end]
         if length > MAX_RECORD_BYTES or len(content) < length:
             return SegmentRead(record_count, position, _TORN_RECORD)
         if zlib.crc32(content) != checksum:
@@ -149,7 +149,7 @@
                 key, record = decode_record(content)
                 if boot_id and written_in_boot != boot_id:
                     record = record._replace(first_sent_at=-inf, updated_at=now)
-                into[key] = record
+                records[key] = record
                 record_count += 1
         except (ValueError, TypeError) as error:
             return SegmentRead(record_count, position, f"a record cannot be decoded: {error}")
@@ -196,12 +196,14 @@
         record_count = 0
         paths = sorted(self._folder.glob("intents-*.log"))
         for path in paths:
-            found = read_segment(path.read_bytes(), records, boot_clock.boot_id() or _NO_BOOT_ID, self._now())
-            record_count += found.record_count
-            if found.is_torn and path == paths[-1]:
-                _truncate(path, found.valid_bytes)
-            elif found.fault:
-                faults.append(f"{path}: byte {found.valid_bytes}: {found.fault}")
+            segment = read_segment(
+                path.read_bytes(), records, boot_clock.boot_id() or _NO_BOOT_ID, self._now()
+            )
+            record_count += segment.record_count
+            if segment.is_torn and path == paths[-1]:
+                _truncate(path, segment.valid_bytes)
+            elif segment.fault:
+                faults.append(f"{path}: byte {segment.valid_bytes}: {segment.fault}")
             self._closed[path] = self._now()
             self._number = int(path.stem.rpartition("-")[2])
         self._open_segment()
--- a/gingervane/writes/write_replication.py
+++ b/gingervane/writes/write_replication.py
@@ -60,9 +60,9 @@
     """Tracks the replicas that a write is sent to, and their acknowledgements."""
 
     def write_sent(
-        self, shard: ShardKey, version: int, replicas: Iterable[int], absent: bool, deadline: float
+        self, shard: ShardKey, version: int, replicas: Iterable[int], replicas_missing: bool, deadline: float
     ) -> None:
-        """Track a write that is sent to `replicas`; `absent`: further replicas are not ready, and miss it."""
+        """Track a write that is sent to `replicas`; `replicas_missing`: others are not ready."""
 
     def write_acknowledged(self, shard: ShardKey, version: int, replica: int) -> None:
         """Record that a replica has executed the write."""
@@ -165,15 +165,15 @@
         deadline: float,
     ) -> tuple[dict[int, t.QueryResult], Rejected | None]:
         """Submit one query per shard until one is rejected, and return the results of the submitted ones."""
-        time_left = max(deadline - time.monotonic(), 0.0)
-        reserve = self._dispatcher.reserve(write.class_name, len(plans), time_left)
+        remaining_seconds = max(deadline - time.monotonic(), 0.0)
+        reserve = self._dispatcher.reserve(write.class_name, len(plans), remaining_seconds)
         result_queue = ResultQueue()
         submitted: dict[PendingQuery, int] = {}
         rejection: Rejected | None = None
         for shard, plan in plans.items():
             shard_key = ShardKey(write.collection, shard)
-            absent = len(plan.replicas) < self._replication_factor
-            self._tracker.write_sent(shard_key, version, plan.replicas, absent, deadline)
+            replicas_missing = len(plan.replicas) < self._replication_factor
+            self._tracker.write_sent(shard_key, version, plan.replicas, replicas_missing, deadline)
             try:
                 query = t.QueryPlan(
                     write.class_number, deadline - reserve, plan.parts, codec, write.class_name
