--- a/tests/test_frames.py
+++ b/tests/test_frames.py
@@ -1,4 +1,4 @@
-"""Frames between a co-ordinator and a replica, however the stream is split or corrupted."""
+"""Frames between a co-ordinator and a replica: split, malformed and oversized streams."""
 
 from __future__ import annotations
 
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -1,4 +1,4 @@
-"""Idempotency records: what may be sent again, over crashes and repeats."""
+"""Idempotency records: which writes may be sent again, across crashes and repeats."""
 
 from __future__ import annotations
 
@@ -21,15 +21,15 @@
 
 
 class IdempotencyMachine(RuleBasedStateMachine):
-    """One coordinator's records, its log, its crashes, and a replica that drops repeats for the window."""
+    """Records, log and crashes of one coordinator, and a replica that drops repeats within the window."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now, self.version = 100.0, 0
         self.records = IdempotencyRecords(LIMITS)
-        self.logged: dict[str, IdempotencyRecord] = {}  # what is on the disk
+        self.logged: dict[str, IdempotencyRecord] = {}  # records on the disk
         self.open: dict[str, tuple[KeyDecision, str]] = {}
-        self.first_seen: dict[str, float] = {}  # by the replica
+        self.first_seen: dict[str, float] = {}  # time at which the replica first received a key
         self.effects: dict[tuple[str, int], int] = {}
         self.refused: set[str] = set()
 
@@ -55,7 +55,7 @@
     @precondition(lambda self: bool(self.open))
     @rule(data=st.data(), reach=st.booleans(), end=st.sampled_from(list(WriteState)), late=st.booleans())
     def work(self, data: Any, reach: bool, end: WriteState, late: bool) -> None:
-        """An open write reaches its replica, or not, and comes to an end, or not yet."""
+        """A write in progress reaches its replica or not, and completes or stays in progress."""
         key = data.draw(st.sampled_from(sorted(self.open)))
         decision, _ = self.open[key]
         if late:
@@ -77,11 +77,11 @@
             and key in self.first_seen
             and self.effects.get((key, decision.version))
         ):
-            return  # an earlier try ran: no proof that none did
+            return  # an earlier attempt was executed, so there is no proof of non-execution
         self.records.finish(key, end, self.now, {"version": decision.version})
         entry = self.records.get(key)
         assert entry is not None
-        if data.draw(st.booleans()):  # the end's record is lost if a crash comes first
+        if data.draw(st.booleans()):  # otherwise the record of the outcome is lost in the next crash
             self.logged[key] = entry
         del self.open[key]
 
@@ -115,14 +115,14 @@
     records.finish("k", WriteState.UNKNOWN, 102.0)
     assert records.begin("k", "x", 9, 105.0) == KeyDecision(
         KeyAction.SEND, 7, 109.5
-    ), "the same version, the same end"
+    ), "same version, same send deadline"
     records.finish("k", WriteState.UNKNOWN, 106.0)
     assert records.begin("k", "x", 9, 109.6).action is KeyAction.WINDOW_EXPIRED
     records.begin("i", "x", 1, 100.0)
     records.finish("i", WriteState.NOT_EXECUTED, 101.0)
     assert records.begin("i", "x", 2, 130.0) == KeyDecision(
         KeyAction.SEND, 1, 139.5
-    ), "none of it ran: a new window"
+    ), "not executed: a new window with the same version"
     records.finish("i", WriteState.COMPLETED, 131.0, {"a": 1})
     assert records.begin("i", "x", 2, 150.0) == KeyDecision(KeyAction.REPLAY_RESULT, 1, result={"a": 1})
-    assert records.begin("k", "x", 30, 190.0).action is KeyAction.SEND, "forgotten in the end"
+    assert records.begin("k", "x", 30, 190.0).action is KeyAction.SEND, "the record has expired"
--- a/tests/test_json_values.py
+++ b/tests/test_json_values.py
@@ -1,4 +1,4 @@
-"""Lists from discovery, dense or indented, however their bytes are cut; and a discovery that moves."""
+"""JSON streams in any layout and chunking, endpoint lists from discovery, and changes of its address."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
 
 class WatchedDiscovery:
-    """A watch on `where`, what it tells and what it logs."""
+    """A watch of discovery at `address`, with the updates that it reports and its log."""
 
     def __init__(self, where: str) -> None:
         self.found, self.log = MembershipRecorder(), Recorded()
@@ -123,7 +123,7 @@
 
 
 def test_an_indented_list_of_1024_replicas_fits_the_bound() -> None:
-    """Found on the page: lists may come indented, and a reader of lines skipped every one of theirs."""
+    """Discovery may indent its lists. Guards against a reader of lines, which skipped every indented list."""
     service = Discovery([])
     watching = WatchedDiscovery(service.address)
     watching.found.wait()
@@ -138,7 +138,7 @@
 
 
 def test_a_sequence_number_that_restarts_is_accepted() -> None:
-    """Its versions may be smaller than those of the one before it: its changes were dropped for good."""
+    """Sequence numbers at a new address may be smaller. Guards against dropping all further changes."""
     first, other = Discovery([entry(1)]), Discovery([entry(2)])
     first.version, other.version = 41, 3
     watching = WatchedDiscovery(first.address)
@@ -154,18 +154,18 @@
 
 
 def test_an_address_change_does_not_wait_for_a_silent_address(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A change counts as told 4 s after SIGHUP, and connecting to the old address could take 3 of them."""
+    """A change must apply within 4 s of SIGHUP. Guards against 3 s spent connecting to the old address."""
     monkeypatch.setattr(discovery_call, "_INTERRUPTION_POLL", 3600.0)
     full = socket.create_server(("127.0.0.1", 0), backlog=0)
     held = list[socket.socket]()
-    for _ in range(8):  # until its queue is full: what comes then is not answered
+    for _ in range(8):  # fills the accept queue, so that further connections are not answered
         held.append(socket.socket())
         held[-1].setblocking(False)
         held[-1].connect_ex(full.getsockname())
     other = Discovery([entry(2)])
     watching = WatchedDiscovery(f"127.0.0.1:{full.getsockname()[1]}")
     watch = watching.watch
-    for _ in range(2000):  # until it is on its way there
+    for _ in range(2000):  # waits until the watch is connecting
         with watch._change:
             sock = watch._calls[0]._sock if watch._calls else None
             if sock and sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1) == _SYN_SENT:
--- a/tests/test_repair.py
+++ b/tests/test_repair.py
@@ -1,4 +1,4 @@
-"""Missed writes and their repair: what is compared when, and what is copied."""
+"""Missed writes and their repair: which shards are compared when, and which points are copied."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
         assert sum(len(c.points) for c in copies) <= most
         for copy in copies:
             for number in copy.points:
-                assert held[copy.source][number] == newest[number], "only the newest is copied"
+                assert held[copy.source][number] == newest[number], "only the newest state is copied"
                 held[copy.target][number] = held[copy.source][number]
         if not copies:
             assert not left
@@ -50,10 +50,10 @@
     missed.record_comparison(a, 0.1, 0, 0, True)
     assert missed.next_shard(0.2) is None and missed.next_shard(0.6) == b and missed.capacity(0.6) == 20
     missed.record_comparison(b, 0.6, 20, 1, False)
-    assert missed.next_shard(0.65) is None, "no room"
+    assert missed.next_shard(0.65) is None, "the budget is exhausted"
     assert missed.capacity(1.6) == 10 and missed.next_shard(1.7) == b and missed.conflicts == 1
     waits, now = [], 1.7
-    for _ in range(8):  # a holder that is away: ever more seldom
+    for _ in range(8):  # a replica that is gone: the intervals grow
         missed.record_comparison(b, now, 0, 0, False)
         start = now
         while missed.next_shard(now) != b:
--- a/tests/test_topk.py
+++ b/tests/test_topk.py
@@ -1,4 +1,4 @@
-"""Merging the best points of all shards gives what sorting all of them would."""
+"""Merging the best points of all shards equals sorting all points."""
 
 from __future__ import annotations
 
--- a/tests/test_vectors.py
+++ b/tests/test_vectors.py
@@ -1,4 +1,4 @@
-"""The vector front on sockets: a published client, exact answers, writes done once, repaired, remembered."""
+"""The vector front on sockets: Qdrant's client, exact answers, idempotent writes, repair, and restarts."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class Fleet(Embedded):
-    """Both fronts in one daemon, six vector nodes, three replicas a shard, and a write quorum of two."""
+    """Both fronts in one daemon, six vector nodes, three replicas per shard, and a write quorum of two."""
 
     def __init__(self, folder: Path | None = None, window: float = 2.0, **table: Any) -> None:
         grid = VectorGrid(NODES, COLLECTIONS, window=window)
@@ -40,7 +40,7 @@
 
     @property
     def shards(self) -> dict[int, list[Any]]:
-        """The replicas' shards of the collection `cos`, by number."""
+        """The copies of each shard of the collection `cos`, by shard number."""
         assert self.vectors
         out: dict[int, list[Any]] = {}
         for node in self.vectors.nodes:
@@ -50,7 +50,7 @@
         return out
 
     def call(self, method: str, path: str, content: Any, *fields: tuple[str, str]) -> tuple[int, Any, Any]:
-        """Status, decoded body, headers."""
+        """Return the status, decoded body and headers of a reply."""
         body = content if isinstance(content, bytes) else json.dumps(content).encode()
         heads = [("Host", "x"), ("Content-Length", str(len(body))), *fields]
         data = http1.encode_head(f"{method} /collections/{path} HTTP/1.1", heads) + body
@@ -67,7 +67,7 @@
         return self.call("POST", "cos/points/payload?increment=true", content)[0]
 
     def of(self, number: int) -> list[Any]:
-        """What each replica has of a point."""
+        """The point on each of its replicas; None where it is missing."""
         return [shard.points.get(number) for shard in self.shards[shard_of(number, NODES)]]
 
 
@@ -79,7 +79,7 @@
 
 
 def brute(points: dict[Any, list[float]], vector: list[float], k: int, offset: int = 0) -> list[Any]:
-    """Ids of the nearest by cosine, from one array."""
+    """Ids of the nearest points by cosine, by exhaustive search."""
     ids = sorted(points, key=order_of)
     matrix = np.asarray([points[n] for n in ids], dtype=np.float64)
     wanted = np.asarray(vector, dtype=np.float64)
@@ -126,7 +126,7 @@
     assert [(p.id, p.payload and p.payload["n"]) for p in left] == [(3, -1)]
     info = client.get_collection("cos")
     assert info.config.params.vectors.size == 4  # type: ignore[union-attr]
-    assert ask(fleet).status == 200, "and the other front beside it"
+    assert ask(fleet).status == 200, "the remote read front works at the same time"
     client.close()
 
 
@@ -137,7 +137,7 @@
     two = {"searches": [one, {**one, "offset": 5, "limit": 3}]}
     _, found, _ = fleet.call("POST", "far/points/search/batch", two)
     ids = [p["id"] for p in found["result"][0]]
-    assert ids == [*range(0, 30, 3), 1, 4], "nearest first, ties by id whatever shard they came from"
+    assert ids == [*range(0, 30, 3), 1, 4], "nearest first, ties by id, independent of the shard"
     assert [p["id"] for p in found["result"][1]] == ids[5:8]
 
 
@@ -196,7 +196,7 @@
 
 def test_a_key_is_done_once(fleet: Fleet) -> None:
     assert fleet.put(7, "k", a=1) == 200 == fleet.put(7, "k", a=1)
-    assert fleet.put(7, "k", a=2) == 422, "another content under the same key"
+    assert fleet.put(7, "k", a=2) == 422, "different content under the same key"
     assert fleet.app.vectors and fleet.app.vectors.front.counts["repeats"] == 1
     eventually(lambda: all(row and row["payload"] == {"a": 1} for row in fleet.of(7)))
     assert len({row["version"] for row in fleet.of(7)}) == 1
@@ -236,12 +236,12 @@
 def test_a_holder_that_lacks_a_write_is_told_as_stale(fleet: Fleet) -> None:
     assert fleet.vectors and fleet.app.vectors
     shard = shard_of(5, NODES)
-    # The holder in the co-ordinator's own zone, which searches prefer.
+    # The replica in the co-ordinator's own zone, which searches prefer.
     lost = next(n for n in fleet.vectors.nodes if ("cos", shard) in n.shards and n.id % 3 == 0)
     lost.fault("fail_fast", 600.0, 1.0)
-    fleet.app.vectors.shards.repairer.stop()  # so that it stays behind
+    fleet.app.vectors.shards.repairer.stop()  # so that the replica stays stale
     assert fleet.put(5) == 200
-    # Its query is settled, so nothing more is sent; what was sent before must end, or it may still be done.
+    # The query has completed and sends no more. Requests in flight must end, or they may still be executed.
     eventually(lambda: fleet.app.vectors is not None and not fleet.app.vectors.cores[1].requests_in_flight)
     assert fleet.of(5).count(None) == 1
     lost.schedule.faults.clear()
@@ -254,7 +254,7 @@
     def told() -> bool:
         for server in servers:
             server.relative_latency = (
-                1.0  # one slow reply of a busy machine would leave a holder out for half a minute
+                1.0  # one slow reply on a busy machine would exclude the replica for half a minute
             )
         status, found, headers = fleet.call("POST", "cos/points/search", body)
         assert status == 200
@@ -263,7 +263,7 @@
         return (False, f"s{shard}") in seen
 
     eventually(told)
-    assert seen <= {(True, ""), (False, f"s{shard}")}, "never behind without saying so"
+    assert seen <= {(True, ""), (False, f"s{shard}")}, "every stale answer is marked"
 
 
 def test_a_twin_after_the_window_changes_nothing(fleet: Fleet) -> None:
@@ -272,7 +272,7 @@
     eventually(lambda: all(row and row["payload"] == {"a": 2} for row in fleet.of(8)))
     first = min(row["version"] for row in fleet.of(8)) - (1 << 14)
     node = next(n for n in fleet.vectors.nodes if ("cos", shard_of(8, NODES)) in n.shards)
-    node._keys.clear()  # the window is over
+    node._keys.clear()  # simulates the end of the window
     point = {"id": 8, "vector": [1.0, 8, 0, 0], "payload": {"a": 1}}
     one = {"shard": shard_of(8, NODES), "kind": "upsert", "body": {"points": [point]}}
     assert node._do(["collections", "cos"], one, "k", first)["repeat"] is False
@@ -326,7 +326,7 @@
             {"points": [{"id": 2, "vector": [1, 0, 0, 0]}]},
             ("Idempotency-Key", "lost"),
         )
-        assert status == 502, "it may have run: no promise"
+        assert status == 502, "the write may have been executed"
         eventually(lambda: all(row for row in fleet.of(2)))
         for node in fleet.vectors.nodes:
             node.schedule.faults.clear()
@@ -338,15 +338,17 @@
         fleet.address = fleet.apps[1].address
         fleet.app = fleet.apps[1]
         assert fleet.put(1, "done", a=1) == 200
-        assert fleet.app.vectors and fleet.app.vectors.front.counts["repeats"] == 1, "known from the log"
+        assert (
+            fleet.app.vectors and fleet.app.vectors.front.counts["repeats"] == 1
+        ), "the key was recovered from the log"
         content = {"points": [{"id": 2, "vector": [1, 0, 0, 0]}]}
 
         def again() -> int:
             return fleet.call("PUT", "cos/points", content, ("Idempotency-Key", "lost"))[0]
 
-        assert again() in (200, 409)  # in its window, or else not any more
+        assert again() in (200, 409)  # 200 within the window of the key, 409 after it
         eventually(lambda: again() in (200, 409))
-        assert {row["version"] for row in fleet.of(2)} == first, "never under another version"
+        assert {row["version"] for row in fleet.of(2)} == first, "the write keeps its version"
     finally:
         fleet.close()
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 and remote read messages: strict, bounded, the same however the stream is split."""
+"""HTTP/1.1 and remote read messages: strict, bounded, and independent of the split of the stream."""
 
 from __future__ import annotations
 
--- a/tests/test_write_ahead_log.py
+++ b/tests/test_write_ahead_log.py
@@ -1,4 +1,4 @@
-"""The write-ahead log at every cut, on disks that fail, and over crashes and boots."""
+"""The write-ahead log: truncation at every byte, failing disks, crashes, and reboots."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
         whole = sum(end <= cut for end in ends)
         assert count == whole and good == ([0, *ends][whole]) and bool(fault) == (good != cut)
         assert found == {f"k{n}": entry(n) for n in range(whole)}
-    for at in range(0, len(data), 7):  # a bit that has flipped is never read as something else
+    for at in range(0, len(data), 7):  # a flipped bit is never read as another record
         bent = bytearray(data)
         bent[at] ^= 4
         found = {}
@@ -57,7 +57,7 @@
     with pytest.raises(WriteAheadLogError):
         log.append_durably("late", entry(1))
     paths = sorted(tmp_path.glob("intents-*.log"))
-    assert len(paths) > 3, "in segments"
+    assert len(paths) > 3, "the log has several segments"
     with paths[-1].open("ab") as file:
         file.write(encode_record("torn", entry(99))[:-5])
     bent = bytearray(paths[1].read_bytes())
@@ -69,16 +69,16 @@
     assert len(found.faults) == 1 and str(paths[1]) in found.faults[0] and "checksum" in found.faults[0]
     again.close()
     third = WriteAheadLog(tmp_path, 50.0, lambda: clock[0], segment_bytes=200)
-    assert len(third.recover().faults) == 1, "what was torn has been cut off"
+    assert len(third.recover().faults) == 1, "the torn tail was truncated by the earlier recovery"
     clock[0] += 60.0
     for n in range(12):
         third.append_durably(f"n{n}", entry(n))
     third.close()
-    assert not set(paths) & set(tmp_path.glob("intents-*.log")), "old segments go"
+    assert not set(paths) & set(tmp_path.glob("intents-*.log")), "expired segments are removed"
 
 
 def test_killed_at_any_record_nothing_promised_is_lost(tmp_path: Path) -> None:
-    """The process is killed within its writing, again and again; what `intend` returned for is read back."""
+    """A process is repeatedly killed during a write. Every record that `append_durably` returned for is recovered."""
     rng, promised = random.Random(2), dict[str, int]()
     for turn in range(12):
         out, into = os.pipe()
@@ -136,7 +136,7 @@
 
 
 class FailingDisk:
-    """What a log does to a disk, of which some calls fail."""
+    """Disk calls of a log, some of which fail. `force` blocks while `held` is cleared."""
 
     def __init__(self) -> None:
         self.write_fails = self.force_fails = 0
@@ -175,7 +175,7 @@
 
 
 def test_after_a_failed_forcing_its_descriptor_is_used_no_more(tmp_path: Path) -> None:
-    """The kernel drops what it could not write and marks it clean: a later forcing proves nothing of it."""
+    """The kernel marks pages that it could not write as clean, so a later sync of the file succeeds without them."""
     disk = FailingDisk()
     log = logged(tmp_path, disk)
     log.append_durably("a", entry(1))
@@ -184,7 +184,7 @@
         log.append_durably("b", entry(2))
     log.append_durably("c", entry(3))
     log.close()
-    assert len(disk.forced) == 2 and disk.forced[0] != disk.forced[1], "in another file"
+    assert len(disk.forced) == 2 and disk.forced[0] != disk.forced[1], "the second record is in another file"
     assert {"a", "c"} <= entries_of(tmp_path)
 
 
@@ -194,7 +194,7 @@
     monkeypatch: pytest.MonkeyPatch,
     call: str,
 ) -> None:
-    """A new file whose folder was not forced was kept in use: its name, and all in it, could be lost."""
+    """Guards against use of a new file whose folder was not synced: a crash could lose the file with its records."""
     disk = FailingDisk()
     log = logged(tmp_path, disk)
     log.append_durably("a", entry(1))
@@ -210,7 +210,7 @@
     disk.force_fails = 1
     with pytest.raises(WriteAheadLogError):
         log.append_durably("b", entry(2))
-    if call != "cut":  # the next segment cannot be begun either
+    if call != "cut":  # the next segment cannot be opened either
         disk.write_fails = call == "head"
         with pytest.raises(WriteAheadLogError):
             log.append_durably("b2", entry(2))
@@ -247,7 +247,7 @@
     tmp_path: Path,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Nothing tells how long ago it may have been sent: the safe side is not to send it again."""
+    """How long ago the key was sent is unknown, so it must not be sent again."""
     now = boot_clock.seconds()
     log = logged(tmp_path, FailingDisk())
     log.append_durably("k", IdempotencyRecord(WriteState.IN_PROGRESS, "d", 1, now, now))
