--- a/tests/test_frames.py
+++ b/tests/test_frames.py
@@ -17,18 +17,18 @@
     parts: list[tuple[int, str]],
     data: st.DataObject,
 ) -> None:
-    stream = b"".join(answer(f"a.{n}", end, n) for n, end in parts)
+    stream = b"".join(answer(f"a.{n}", expected, n) for n, expected in parts)
     reader = frames.FrameReader()
-    out = []
+    replies = []
     at = 0
     while at < len(stream):
         step = data.draw(st.integers(1, len(stream) - at))
         reader.feed(stream[at : at + step])
         at += step
-        while (found := reader.next_frame()) is not None:
-            out.append(frames.decode_reply(found[1]))
-    assert [(a.id, a.outcome, a.score) for a in out] == [
-        (f"a.{n}", end, n if end == "served" else None) for n, end in parts
+        while (frame := reader.next_frame()) is not None:
+            replies.append(frames.decode_reply(frame[1]))
+    assert [(reply.id, reply.outcome, reply.score) for reply in replies] == [
+        (f"a.{n}", expected, n if expected == "served" else None) for n, expected in parts
     ]
     assert not reader.buffered_bytes
 
@@ -38,15 +38,15 @@
     reader = frames.FrameReader(max_bytes=64)
     reader.feed(noise)
     try:
-        while (found := reader.next_frame()) is not None:
-            frames.decode_reply(found[1])
+        while (frame := reader.next_frame()) is not None:
+            frames.decode_reply(frame[1])
     except frames.FrameError:
         return
     assert reader.buffered_bytes <= 4 + 64
 
 
 @pytest.mark.parametrize(
-    "bad",
+    "malformed",
     [
         b"a.1 served 7\n",
         b"a.1 served 7 -",
@@ -57,9 +57,9 @@
         b"a.1 served 123456789012345678901 -\n",
     ],
 )
-def test_a_malformed_reply_line_is_an_error(bad: bytes) -> None:
+def test_a_malformed_reply_line_is_an_error(malformed: bytes) -> None:
     with pytest.raises(frames.FrameError):
-        frames.decode_reply(bad)
+        frames.decode_reply(malformed)
 
 
 def test_a_claimed_length_of_3_gb_is_rejected_at_once() -> None:
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -28,70 +28,75 @@
         self.now, self.version = 100.0, 0
         self.records = IdempotencyRecords(LIMITS)
         self.logged: dict[str, IdempotencyRecord] = {}  # records on the disk
-        self.open: dict[str, tuple[KeyDecision, str]] = {}
-        self.first_seen: dict[str, float] = {}  # time at which the replica first received a key
+        self.in_progress: dict[str, tuple[KeyDecision, str]] = {}
+        self.first_received_at: dict[str, float] = {}  # time at which the replica first received a key
         self.effects: dict[tuple[str, int], int] = {}
         self.refused: set[str] = set()
 
     @rule(key=st.sampled_from("abcdefgh"), digest=st.sampled_from("xxxy"))
-    def ask(self, key: str, digest: str) -> None:
+    def request(self, key: str, digest: str) -> None:
         self.version += 1
-        known = self.records.get(key)
+        existing = self.records.get(key)
         decision = self.records.begin(key, digest, self.version, self.now)
         if decision.action is KeyAction.SEND:
-            entry = self.records.get(key)
-            assert entry is not None and key not in self.open and decision.send_deadline > self.now
-            self.logged[key] = entry
-            self.open[key] = decision, digest
+            record = self.records.get(key)
+            assert record is not None and key not in self.in_progress and decision.send_deadline > self.now
+            self.logged[key] = record
+            self.in_progress[key] = decision, digest
         elif decision.action is KeyAction.KEY_REUSED:
-            assert known is not None and known.digest != digest
+            assert existing is not None and existing.digest != digest
         elif decision.action is KeyAction.REPLAY_RESULT:
-            assert known is not None and known.state is WriteState.COMPLETED
+            assert existing is not None and existing.state is WriteState.COMPLETED
         elif decision.action is KeyAction.WAIT:
-            assert key in self.open
+            assert key in self.in_progress
         elif decision.action is KeyAction.OVER_CAPACITY:
             assert len(self.records) == LIMITS.max_records
 
-    @precondition(lambda self: bool(self.open))
-    @rule(data=st.data(), reach=st.booleans(), end=st.sampled_from(list(WriteState)), late=st.booleans())
-    def work(self, data: Any, reach: bool, end: WriteState, late: bool) -> None:
+    @precondition(lambda self: bool(self.in_progress))
+    @rule(
+        data=st.data(),
+        reaches_replica=st.booleans(),
+        outcome=st.sampled_from(list(WriteState)),
+        at_deadline=st.booleans(),
+    )
+    def execute(self, data: Any, reaches_replica: bool, outcome: WriteState, at_deadline: bool) -> None:
         """A write in progress reaches its replica or not, and completes or stays in progress."""
-        key = data.draw(st.sampled_from(sorted(self.open)))
-        decision, _ = self.open[key]
-        if late:
+        key = data.draw(st.sampled_from(sorted(self.in_progress)))
+        decision, _ = self.in_progress[key]
+        if at_deadline:
             self.now = max(self.now, decision.send_deadline - 0.01)
-        if reach and self.now < decision.send_deadline:
-            seen = self.first_seen.get(key)
-            if seen is None or self.now - seen >= LIMITS.window:
-                self.first_seen[key] = self.now
-                name = key, decision.version
-                self.effects[name] = self.effects.get(name, 0) + 1
+        if reaches_replica and self.now < decision.send_deadline:
+            received_at = self.first_received_at.get(key)
+            if received_at is None or self.now - received_at >= LIMITS.window:
+                self.first_received_at[key] = self.now
+                effect = key, decision.version
+                self.effects[effect] = self.effects.get(effect, 0) + 1
         if (
-            end is WriteState.IN_PROGRESS
-            or (end is WriteState.NOT_EXECUTED and reach)
-            or (end is WriteState.COMPLETED and not reach)
+            outcome is WriteState.IN_PROGRESS
+            or (outcome is WriteState.NOT_EXECUTED and reaches_replica)
+            or (outcome is WriteState.COMPLETED and not reaches_replica)
         ):
             return
         if (
-            end is WriteState.NOT_EXECUTED
-            and key in self.first_seen
+            outcome is WriteState.NOT_EXECUTED
+            and key in self.first_received_at
             and self.effects.get((key, decision.version))
         ):
             return  # an earlier attempt was executed, so there is no proof of non-execution
-        self.records.finish(key, end, self.now, {"version": decision.version})
-        entry = self.records.get(key)
-        assert entry is not None
+        self.records.finish(key, outcome, self.now, {"version": decision.version})
+        record = self.records.get(key)
+        assert record is not None
         if data.draw(st.booleans()):  # otherwise the record of the outcome is lost in the next crash
-            self.logged[key] = entry
-        del self.open[key]
+            self.logged[key] = record
+        del self.in_progress[key]
 
     @rule(down=st.sampled_from([0.0, 3.0, 9.6, 60.0]))
     def crash(self, down: float) -> None:
         self.now += down
         self.records = IdempotencyRecords(LIMITS)
-        for key, entry in sorted(self.logged.items(), key=lambda item: item[1].updated_at):
-            self.records.restore(key, entry)
-        self.open.clear()
+        for key, record in sorted(self.logged.items(), key=lambda item: item[1].updated_at):
+            self.records.restore(key, record)
+        self.in_progress.clear()
 
     @rule(seconds=st.sampled_from([0.1, 4.0, 9.6, 45.0]))
     def wait(self, seconds: float) -> None:
@@ -102,11 +107,11 @@
         assert all(count == 1 for count in self.effects.values()), self.effects
 
 
-TestIntents = IdempotencyMachine.TestCase
-TestIntents.settings = profile(max_examples=120, stateful_step_count=30, deadline=None)
+TestIdempotencyRecords = IdempotencyMachine.TestCase
+TestIdempotencyRecords.settings = profile(max_examples=120, stateful_step_count=30, deadline=None)
 
 
-def test_what_each_state_means() -> None:
+def test_decisions_by_state() -> None:
     records = IdempotencyRecords(LIMITS)
     first = records.begin("k", "x", 7, 100.0)
     assert first == KeyDecision(KeyAction.SEND, 7, 109.5)
--- a/tests/test_json_values.py
+++ b/tests/test_json_values.py
@@ -49,18 +49,18 @@
 class WatchedDiscovery:
     """A watch of discovery at `address`, with the updates that it reports and its log."""
 
-    def __init__(self, where: str) -> None:
-        self.found, self.log = MembershipRecorder(), Recorded()
+    def __init__(self, address: str) -> None:
+        self.updates, self.log = MembershipRecorder(), Recorded()
         reader = EndpointListReader(("a",), ReplicaStartTimes(), self.log)
-        self.watch = DiscoveryWatch(parse_address(where, "discovery"), reader, self.found, self.log)
+        self.watch = DiscoveryWatch(parse_address(address, "discovery"), reader, self.updates, self.log)
         self.watch.start()
         self.watch.request_watch()
 
-    def change_address(self, where: str) -> None:
-        self.watch.change_address(parse_address(where, "discovery"))
+    def change_address(self, address: str) -> None:
+        self.watch.change_address(parse_address(address, "discovery"))
 
 
-def cut(data: bytes, sizes: list[int]) -> list[bytes]:
+def split_at(data: bytes, sizes: list[int]) -> list[bytes]:
     pieces = []
     for size in sizes:
         pieces.append(data[:size])
@@ -73,12 +73,14 @@
     values: list[Any],
     indent: int | None,
     sizes: list[int],
-    close: bool,
+    adjacent: bool,
 ) -> None:
-    data = (b"" if close else b"\n\n").join(json.dumps(v, indent=indent).encode() for v in values)
+    data = (b"" if adjacent else b"\n\n").join(json.dumps(value, indent=indent).encode() for value in values)
     reader = JsonSplitter(1 << 20)
-    found = [f for piece in cut(data, sizes) for f in reader.feed(piece)]
-    assert [json.loads(f.data) for f in found] == values and all(f.well_formed for f in found)
+    found = [split_value for piece in split_at(data, sizes) for split_value in reader.feed(piece)]
+    assert [json.loads(split_value.data) for split_value in found] == values and all(
+        split_value.well_formed for split_value in found
+    )
 
 
 @pytest.mark.parametrize("indent", [None, 2])
@@ -86,8 +88,8 @@
     data = f"{json.dumps(full_list(2, 4), indent=indent)}\n\n{json.dumps(full_list(1, 5))}\n".encode()
     for at in range(len(data) + 1):
         reader = JsonSplitter(1 << 20)
-        found = [f for piece in (data[:at], data[at:]) for f in reader.feed(piece)]
-        assert [json.loads(f.data) for f in found] == [full_list(2, 4), full_list(1, 5)]
+        found = [split_value for piece in (data[:at], data[at:]) for split_value in reader.feed(piece)]
+        assert [json.loads(split_value.data) for split_value in found] == [full_list(2, 4), full_list(1, 5)]
 
 
 @pytest.mark.parametrize(
@@ -105,9 +107,11 @@
 def test_values_after_a_malformed_one_are_found(malformed: bytes) -> None:
     good = json.dumps(full_list(2, 5), indent=1).encode()
     reader = JsonSplitter(1 << 20)
-    found = [f for byte in malformed + good for f in reader.feed(bytes([byte]))]
+    found = [split_value for byte in malformed + good for split_value in reader.feed(bytes([byte]))]
     assert (
-        found[-1] == JsonValue(good, True) and not any(f.well_formed for f in found[:-1]) and len(found) > 1
+        found[-1] == JsonValue(good, True)
+        and not any(split_value.well_formed for split_value in found[:-1])
+        and len(found) > 1
     )
 
 
@@ -125,15 +129,15 @@
 def test_an_indented_list_of_1024_replicas_fits_the_bound() -> None:
     """Discovery may indent its lists. Guards against a reader of lines, which skipped every indented list."""
     service = Discovery([])
-    watching = WatchedDiscovery(service.address)
-    watching.found.wait()
+    watched = WatchedDiscovery(service.address)
+    watched.updates.wait()
     data = json.dumps(full_list(1024, 7), indent=4).encode() + b"\n"
     for start in range(0, len(data), 3001):
         service.push(data[start : start + 3001])
-    listed: t.EndpointsUpdated = watching.found.wait(2)[1]
-    assert len(listed.membership.replicas) == len(listed.addresses) == 1024
-    assert not watching.log.named("endpoint_list_invalid")
-    watching.watch.stop()
+    update: t.EndpointsUpdated = watched.updates.wait(2)[1]
+    assert len(update.membership.replicas) == len(update.addresses) == 1024
+    assert not watched.log.named("endpoint_list_invalid")
+    watched.watch.stop()
     service.close()
 
 
@@ -141,14 +145,14 @@
     """Sequence numbers at a new address may be smaller. Guards against dropping all further changes."""
     first, other = Discovery([entry(1)]), Discovery([entry(2)])
     first.version, other.version = 41, 3
-    watching = WatchedDiscovery(first.address)
+    watched = WatchedDiscovery(first.address)
     first.watches.wait()
-    watching.change_address(other.address)
+    watched.change_address(other.address)
     assert other.watches.wait()[0].endswith("since=0")
-    watching.found.wait(2)
+    watched.updates.wait(2)
     other.change(entry(3))
-    assert watching.found.wait(3)[2].membership.replicas[0].cell == 3
-    watching.watch.stop()
+    assert watched.updates.wait(3)[2].membership.replicas[0].cell == 3
+    watched.watch.stop()
     first.close()
     other.close()
 
@@ -156,24 +160,24 @@
 def test_an_address_change_does_not_wait_for_a_silent_address(monkeypatch: pytest.MonkeyPatch) -> None:
     """A change must apply within 4 s of SIGHUP. Guards against 3 s spent connecting to the old address."""
     monkeypatch.setattr(discovery_call, "_INTERRUPTION_POLL", 3600.0)
-    full = socket.create_server(("127.0.0.1", 0), backlog=0)
-    held = list[socket.socket]()
+    full_listener = socket.create_server(("127.0.0.1", 0), backlog=0)
+    connections = list[socket.socket]()
     for _ in range(8):  # fills the accept queue, so that further connections are not answered
-        held.append(socket.socket())
-        held[-1].setblocking(False)
-        held[-1].connect_ex(full.getsockname())
+        connections.append(socket.socket())
+        connections[-1].setblocking(False)
+        connections[-1].connect_ex(full_listener.getsockname())
     other = Discovery([entry(2)])
-    watching = WatchedDiscovery(f"127.0.0.1:{full.getsockname()[1]}")
-    watch = watching.watch
+    watched = WatchedDiscovery(f"127.0.0.1:{full_listener.getsockname()[1]}")
+    watch = watched.watch
     for _ in range(2000):  # waits until the watch is connecting
         with watch._change:
             sock = watch._calls[0]._sock if watch._calls else None
             if sock and sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1) == _SYN_SENT:
                 break
             watch._change.wait(0.01)
-    watching.change_address(other.address)
-    assert watching.found.wait()[0].membership.replicas[0].cell == 2
+    watched.change_address(other.address)
+    assert watched.updates.wait()[0].membership.replicas[0].cell == 2
     watch.stop()
-    for sock in (*held, full):
+    for sock in (*connections, full_listener):
         sock.close()
     other.close()
--- a/tests/test_repair.py
+++ b/tests/test_repair.py
@@ -17,23 +17,28 @@
 
 @given(replicas, st.integers(1, 6))
 @profile(max_examples=200, deadline=None)
-def test_repair_brings_holders_together(held: dict[int, dict[str, PointState]], most: int) -> None:
-    newest = {n: max(p[n] for p in held.values() if n in p) for n in {n for p in held.values() for n in p}}
+def test_repair_makes_replicas_agree(states: dict[int, dict[str, PointState]], max_points: int) -> None:
+    newest = {
+        point_id: max(
+            replica_points[point_id] for replica_points in states.values() if point_id in replica_points
+        )
+        for point_id in {point_id for replica_points in states.values() for point_id in replica_points}
+    }
     for _ in range(40):
-        copies, left, _ = plan_copies(held, most)
-        assert sum(len(c.points) for c in copies) <= most
+        copies, remaining, _ = plan_copies(states, max_points)
+        assert sum(len(planned.points) for planned in copies) <= max_points
         for copy in copies:
-            for number in copy.points:
-                assert held[copy.source][number] == newest[number], "only the newest state is copied"
-                held[copy.target][number] = held[copy.source][number]
+            for point in copy.points:
+                assert states[copy.source][point] == newest[point], "only the newest state is copied"
+                states[copy.target][point] = states[copy.source][point]
         if not copies:
-            assert not left
+            assert not remaining
             break
-    assert all(points == newest for points in held.values())
+    assert all(points == newest for points in states.values())
 
 
-def test_debts_are_paid_within_the_budget() -> None:
-    a, b = ShardKey("c", 1), ShardKey("c", 2)
+def test_missed_writes_are_repaired_within_the_budget() -> None:
+    swept_shard, missed_shard = ShardKey("c", 1), ShardKey("c", 2)
     missed = MissedWrites(
         RepairBudget(
             points_per_second=10.0,
@@ -42,25 +47,29 @@
             initial_backoff=0.5,
             max_backoff=8.0,
         ),
-        [a, b],
+        [swept_shard, missed_shard],
         0.0,
     )
-    missed.add(b, 0.0)
-    assert missed.next_shard(0.1) == a, "the sweep"
-    missed.record_comparison(a, 0.1, 0, 0, True)
-    assert missed.next_shard(0.2) is None and missed.next_shard(0.6) == b and missed.capacity(0.6) == 20
-    missed.record_comparison(b, 0.6, 20, 1, False)
+    missed.add(missed_shard, 0.0)
+    assert missed.next_shard(0.1) == swept_shard, "the sweep"
+    missed.record_comparison(swept_shard, 0.1, 0, 0, True)
+    assert (
+        missed.next_shard(0.2) is None
+        and missed.next_shard(0.6) == missed_shard
+        and missed.capacity(0.6) == 20
+    )
+    missed.record_comparison(missed_shard, 0.6, 20, 1, False)
     assert missed.next_shard(0.65) is None, "the budget is exhausted"
-    assert missed.capacity(1.6) == 10 and missed.next_shard(1.7) == b and missed.conflicts == 1
+    assert missed.capacity(1.6) == 10 and missed.next_shard(1.7) == missed_shard and missed.conflicts == 1
     waits, now = [], 1.7
     for _ in range(8):  # a replica that is gone: the intervals grow
-        missed.record_comparison(b, now, 0, 0, False)
+        missed.record_comparison(missed_shard, now, 0, 0, False)
         start = now
-        while missed.next_shard(now) != b:
-            if missed.next_shard(now) == a:
-                missed.record_comparison(a, now, 0, 0, True)
+        while missed.next_shard(now) != missed_shard:
+            if missed.next_shard(now) == swept_shard:
+                missed.record_comparison(swept_shard, now, 0, 0, True)
             now += 0.25
         waits.append(now - start)
     assert waits[0] <= 1.25 and waits[-1] >= 8.0 and missed.oldest_age(now) == now
-    missed.record_comparison(b, now, 3, 0, True)
+    missed.record_comparison(missed_shard, now, 3, 0, True)
     assert not len(missed) and missed.repaired == 1 and missed.points_copied == 23
--- a/tests/test_topk.py
+++ b/tests/test_topk.py
@@ -18,22 +18,24 @@
 
 @given(st.lists(points, max_size=5), st.integers(0, 5), st.integers(1, 40), st.booleans(), st.randoms())
 @profile(max_examples=150)
-def test_merging_is_sorting(lists: list[Any], offset: int, limit: int, greater: bool, rng: Any) -> None:
-    sign = -1.0 if greater else 1.0
+def test_merging_equals_sorting_all_points(
+    lists: list[Any], offset: int, limit: int, greater_is_nearer: bool, rng: Any
+) -> None:
+    sign = -1.0 if greater_is_nearer else 1.0
     best: dict[int, dict[str, Any]] = {}
     shards = []
     for rows in lists:
-        one = {n: {"id": n, "score": s, "version": v} for n, s, v in rows}
-        shards.append(sorted(one.values(), key=lambda p: (sign * p["score"], order_of(p["id"]))))
+        one = {point_id: {"id": point_id, "score": s, "version": v} for point_id, s, v in rows}
+        shards.append(sorted(one.values(), key=lambda point: (sign * point["score"], order_of(point["id"]))))
     for found in shards:
-        for p in found:
-            if p["id"] not in best or p["version"] > best[p["id"]]["version"]:
-                best[p["id"]] = p
+        for point in found:
+            if point["id"] not in best or point["version"] > best[point["id"]]["version"]:
+                best[point["id"]] = point
     rng.shuffle(shards)
-    found = merge_hits(shards, offset, limit, greater)
-    versions = {(p["id"], p["version"]) for p in best.values()}
-    assert {(p["id"], p["version"]) for p in found} <= versions
-    assert [sign * p["score"] for p in found] == sorted(sign * p["score"] for p in found)
-    if all(sum(any(p["id"] == n for p in one) for one in shards) == 1 for n in best):
-        want = sorted(best.values(), key=lambda p: (sign * p["score"], order_of(p["id"])))
-        assert found == want[offset : offset + limit]
+    found = merge_hits(shards, offset, limit, greater_is_nearer)
+    versions = {(point["id"], point["version"]) for point in best.values()}
+    assert {(point["id"], point["version"]) for point in found} <= versions
+    assert [sign * point["score"] for point in found] == sorted(sign * point["score"] for point in found)
+    if all(sum(any(point["id"] == point_id for point in one) for one in shards) == 1 for point_id in best):
+        expected = sorted(best.values(), key=lambda point: (sign * point["score"], order_of(point["id"])))
+        assert found == expected[offset : offset + limit]
--- a/tests/test_vectors.py
+++ b/tests/test_vectors.py
@@ -32,28 +32,28 @@
 
     def __init__(self, folder: Path | None = None, window: float = 2.0, **table: Any) -> None:
         grid = VectorGrid(NODES, COLLECTIONS, window=window)
-        own = {"repair_sweep": 6000.0, **table}
+        vector_table = {"repair_sweep": 6000.0, **table}
         if folder:
-            own["intents"] = str(folder)
-        super().__init__(vectors=grid, overrides={"vectors": own})
+            vector_table["intents"] = str(folder)
+        super().__init__(vectors=grid, overrides={"vectors": vector_table})
         self.pool = Pool(Limits(16384, 1 << 26), 4, 30.0)
 
     @property
     def shards(self) -> dict[int, list[Any]]:
         """The copies of each shard of the collection `cos`, by shard number."""
         assert self.vectors
-        out: dict[int, list[Any]] = {}
+        shards_by_number: dict[int, list[Any]] = {}
         for node in self.vectors.nodes:
             for (name, number), shard in node.shards.items():
                 if name == "cos":
-                    out.setdefault(number, []).append(shard)
-        return out
+                    shards_by_number.setdefault(number, []).append(shard)
+        return shards_by_number
 
     def call(self, method: str, path: str, content: Any, *fields: tuple[str, str]) -> tuple[int, Any, Any]:
         """Return the status, decoded body and headers of a reply."""
         body = content if isinstance(content, bytes) else json.dumps(content).encode()
-        heads = [("Host", "x"), ("Content-Length", str(len(body))), *fields]
-        data = http1.encode_head(f"{method} /collections/{path} HTTP/1.1", heads) + body
+        header_fields = [("Host", "x"), ("Content-Length", str(len(body))), *fields]
+        data = http1.encode_head(f"{method} /collections/{path} HTTP/1.1", header_fields) + body
         status, headers, reply = exchange(self.pool, self.address, data, time.monotonic() + 30.0)
         return status, json.loads(reply), headers
 
@@ -66,76 +66,85 @@
         content = {"payload": {"n": by}, "points": [number]}
         return self.call("POST", "cos/points/payload?increment=true", content)[0]
 
-    def of(self, number: int) -> list[Any]:
+    def on_replicas(self, number: int) -> list[Any]:
         """The point on each of its replicas; None where it is missing."""
         return [shard.points.get(number) for shard in self.shards[shard_of(number, NODES)]]
 
 
 @pytest.fixture
 def fleet(tmp_path: Path) -> Iterator[Fleet]:
-    made = Fleet(tmp_path / "intents")
-    yield made
-    made.close()
+    instance = Fleet(tmp_path / "intents")
+    yield instance
+    instance.close()
 
 
-def brute(points: dict[Any, list[float]], vector: list[float], k: int, offset: int = 0) -> list[Any]:
+def nearest_ids(points: dict[Any, list[float]], vector: list[float], k: int, offset: int = 0) -> list[Any]:
     """Ids of the nearest points by cosine, by exhaustive search."""
     ids = sorted(points, key=order_of)
     matrix = np.asarray([points[n] for n in ids], dtype=np.float64)
-    wanted = np.asarray(vector, dtype=np.float64)
-    scores = matrix @ wanted / (np.linalg.norm(matrix, axis=1) * np.linalg.norm(wanted))
+    query_vector = np.asarray(vector, dtype=np.float64)
+    scores = matrix @ query_vector / (np.linalg.norm(matrix, axis=1) * np.linalg.norm(query_vector))
     return [ids[i] for i in np.argsort(-scores, kind="stable")[offset : offset + k]]
 
 
-def test_a_published_client_is_served_unchanged(fleet: Fleet) -> None:
+def test_the_qdrant_client_works_unchanged(fleet: Fleet) -> None:
     host, port = fleet.address
     client = QdrantClient(host=host, port=port, check_compatibility=False)
     rng = np.random.default_rng(5)
     vectors = {n: rng.normal(size=4).round(3).tolist() for n in range(300)}
-    done = client.upsert(
+    upsert_result = client.upsert(
         "cos",
         [
             models.PointStruct(id=n, vector=v, payload={"even": n % 2 == 0, "n": n})
             for n, v in vectors.items()
         ],
     )
-    assert done.status is models.UpdateStatus.COMPLETED
-    wanted = [0.3, -1.0, 0.5, 0.2]
+    assert upsert_result.status is models.UpdateStatus.COMPLETED
+    query_vector = [0.3, -1.0, 0.5, 0.2]
     for k, offset in ((1, 0), (10, 0), (10, 7), (1000, 0)):
-        found = client.query_points("cos", query=wanted, limit=k, offset=offset).points
-        assert [p.id for p in found] == brute(vectors, wanted, k, offset)
+        found = client.query_points("cos", query=query_vector, limit=k, offset=offset).points
+        assert [p.id for p in found] == nearest_ids(vectors, query_vector, k, offset)
     even = models.Filter(must=[models.FieldCondition(key="even", match=models.MatchValue(value=True))])
-    found = client.query_points("cos", query=wanted, query_filter=even, limit=20, with_vectors=True).points
-    assert [p.id for p in found] == brute({n: v for n, v in vectors.items() if n % 2 == 0}, wanted, 20)
+    found = client.query_points(
+        "cos", query=query_vector, query_filter=even, limit=20, with_vectors=True
+    ).points
+    assert [p.id for p in found] == nearest_ids(
+        {n: v for n, v in vectors.items() if n % 2 == 0}, query_vector, 20
+    )
     assert found[0].payload and found[0].payload["even"] and found[0].vector == vectors[int(found[0].id)]
     few = models.Filter(must=[models.HasIdCondition(has_id=[3, 4])])
-    both = client.query_batch_points(
+    batch = client.query_batch_points(
         "cos",
         [
-            models.QueryRequest(query=wanted, filter=few, limit=5),
-            models.QueryRequest(query=wanted, limit=3),
+            models.QueryRequest(query=query_vector, filter=few, limit=5),
+            models.QueryRequest(query=query_vector, limit=3),
         ],
     )
-    assert [{p.id for p in one.points} for one in both] == [{3, 4}, set(brute(vectors, wanted, 3))]
+    assert [{p.id for p in response.points} for response in batch] == [
+        {3, 4},
+        set(nearest_ids(vectors, query_vector, 3)),
+    ]
     best = found[0].score
-    near = client.query_points("cos", query=wanted, query_filter=even, score_threshold=best, limit=5).points
-    assert [p.id for p in near] == [found[0].id]
+    above_threshold = client.query_points(
+        "cos", query=query_vector, query_filter=even, score_threshold=best, limit=5
+    ).points
+    assert [p.id for p in above_threshold] == [found[0].id]
     client.set_payload("cos", payload={"n": -1}, points=[3])
     client.delete("cos", points_selector=[4])
-    left = client.query_points("cos", query=wanted, query_filter=few, limit=5).points
-    assert [(p.id, p.payload and p.payload["n"]) for p in left] == [(3, -1)]
+    remaining = client.query_points("cos", query=query_vector, query_filter=few, limit=5).points
+    assert [(p.id, p.payload and p.payload["n"]) for p in remaining] == [(3, -1)]
     info = client.get_collection("cos")
     assert info.config.params.vectors.size == 4  # type: ignore[union-attr]
     assert ask(fleet).status == 200, "the remote read front works at the same time"
     client.close()
 
 
-def test_euclid_batches_and_ties(fleet: Fleet) -> None:
+def test_euclid_batches_with_ties_ordered_by_id(fleet: Fleet) -> None:
     points = [{"id": n, "vector": [n % 3, 0.0, 0.0]} for n in range(30)]
     assert fleet.call("PUT", "far/points", {"points": points})[0] == 200
-    one = {"vector": [0, 0, 0], "limit": 12}
-    two = {"searches": [one, {**one, "offset": 5, "limit": 3}]}
-    _, found, _ = fleet.call("POST", "far/points/search/batch", two)
+    search = {"vector": [0, 0, 0], "limit": 12}
+    batch = {"searches": [search, {**search, "offset": 5, "limit": 3}]}
+    _, found, _ = fleet.call("POST", "far/points/search/batch", batch)
     ids = [p["id"] for p in found["result"][0]]
     assert ids == [*range(0, 30, 3), 1, 4], "nearest first, ties by id, independent of the shard"
     assert [p["id"] for p in found["result"][1]] == ids[5:8]
@@ -166,43 +175,45 @@
 
 @pytest.fixture(scope="module")
 def shared(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Fleet]:
-    made = Fleet(tmp_path_factory.mktemp("shared") / "intents")
-    yield made
-    made.close()
+    instance = Fleet(tmp_path_factory.mktemp("shared") / "intents")
+    yield instance
+    instance.close()
 
 
-@pytest.mark.parametrize(("method", "path", "content", "what"), BAD)
-def test_bad_input_has_one_clear_error(
+@pytest.mark.parametrize(("method", "path", "content", "expected_error"), BAD)
+def test_invalid_input_is_rejected_with_its_place(
     shared: Fleet,
     method: str,
     path: str,
     content: Any,
-    what: str,
+    expected_error: str,
 ) -> None:
     status, found, _ = shared.call(method, path, content)
-    assert status in (400, 404) and what in found["status"]["error"]
+    assert status in (400, 404) and expected_error in found["status"]["error"]
 
 
-def test_too_large_a_write_is_refused_by_its_size(shared: Fleet) -> None:
-    status, _, _ = shared_status(shared, b'{"points":[{"id":1,"vector":[' + b"1," * (3 << 20) + b"1]}]}")
+def test_an_oversized_write_is_rejected_by_its_content_length(shared: Fleet) -> None:
+    status, _, _ = put_with_partial_body(
+        shared, b'{"points":[{"id":1,"vector":[' + b"1," * (3 << 20) + b"1]}]}"
+    )
     assert status == 413
 
 
-def shared_status(fleet: Fleet, body: bytes) -> tuple[int, Any, bytes]:
-    heads = [("Host", "x"), ("Content-Length", str(len(body)))]
-    head = http1.encode_head("PUT /collections/cos/points HTTP/1.1", heads)
+def put_with_partial_body(fleet: Fleet, body: bytes) -> tuple[int, Any, bytes]:
+    header_fields = [("Host", "x"), ("Content-Length", str(len(body)))]
+    head = http1.encode_head("PUT /collections/cos/points HTTP/1.1", header_fields)
     return exchange(fleet.pool, fleet.address, head + body[:1000], time.monotonic() + 30.0)
 
 
-def test_a_key_is_done_once(fleet: Fleet) -> None:
+def test_a_repeated_key_is_executed_once(fleet: Fleet) -> None:
     assert fleet.put(7, "k", a=1) == 200 == fleet.put(7, "k", a=1)
     assert fleet.put(7, "k", a=2) == 422, "different content under the same key"
     assert fleet.app.vectors and fleet.app.vectors.front.counts["repeats"] == 1
-    eventually(lambda: all(row and row["payload"] == {"a": 1} for row in fleet.of(7)))
-    assert len({row["version"] for row in fleet.of(7)}) == 1
+    eventually(lambda: all(row and row["payload"] == {"a": 1} for row in fleet.on_replicas(7)))
+    assert len({row["version"] for row in fleet.on_replicas(7)}) == 1
 
 
-def test_an_addition_is_never_done_twice(fleet: Fleet) -> None:
+def test_an_increment_is_never_executed_twice(fleet: Fleet) -> None:
     assert fleet.put(3, n=0) == 200
     assert fleet.vectors
     for node in fleet.vectors.nodes[:4]:
@@ -211,82 +222,86 @@
     answered = [fleet.add(3) for _ in range(40)]
     assert set(answered) <= {200, 502, 503} and answered.count(200) > 5
     low, high = answered.count(200), len(answered) - answered.count(503)
-    for row in fleet.of(3):
+    for row in fleet.on_replicas(3):
         assert row["payload"]["n"] <= high
-    assert max(row["payload"]["n"] for row in fleet.of(3)) >= low
+    assert max(row["payload"]["n"] for row in fleet.on_replicas(3)) >= low
 
 
-def test_what_a_holder_missed_is_owed_and_repaired(fleet: Fleet) -> None:
+def test_a_missed_write_is_counted_and_repaired(fleet: Fleet) -> None:
     shard = shard_of(5, NODES)
     assert fleet.vectors and fleet.app.vectors
-    lost = next(n for n in fleet.vectors.nodes if ("cos", shard) in n.shards)
-    lost.fault("fail_fast", 600.0, 1.0)
+    failing_node = next(n for n in fleet.vectors.nodes if ("cos", shard) in n.shards)
+    failing_node.fault("fail_fast", 600.0, 1.0)
     _, found, headers = fleet.call("PUT", "cos/points", {"points": [{"id": 5, "vector": [1, 0, 0, 0]}]})
     assert found["result"]["status"] == "completed"
     assert headers.get("gingervane-holders-done") == "0.667"
-    assert lost.shards["cos", shard].points.get(5) is None
+    assert failing_node.shards["cos", shard].points.get(5) is None
     repair = fleet.app.vectors.shards.repairer
     eventually(lambda: repair.metrics()["shards_owed"] >= 1)
-    lost.schedule.faults.clear()
-    eventually(lambda: None not in fleet.of(5))
+    failing_node.schedule.faults.clear()
+    eventually(lambda: None not in fleet.on_replicas(5))
     eventually(lambda: repair.metrics()["shards_owed"] == 0)
-    assert len({row["version"] for row in fleet.of(5)}) == 1 and repair.metrics()["points_repaired"] >= 1
+    assert (
+        len({row["version"] for row in fleet.on_replicas(5)}) == 1
+        and repair.metrics()["points_repaired"] >= 1
+    )
 
 
-def test_a_holder_that_lacks_a_write_is_told_as_stale(fleet: Fleet) -> None:
+def test_a_replica_that_lacks_a_write_is_reported_as_stale(fleet: Fleet) -> None:
     assert fleet.vectors and fleet.app.vectors
     shard = shard_of(5, NODES)
     # The replica in the co-ordinator's own zone, which searches prefer.
-    lost = next(n for n in fleet.vectors.nodes if ("cos", shard) in n.shards and n.id % 3 == 0)
-    lost.fault("fail_fast", 600.0, 1.0)
+    failing_node = next(n for n in fleet.vectors.nodes if ("cos", shard) in n.shards and n.id % 3 == 0)
+    failing_node.fault("fail_fast", 600.0, 1.0)
     fleet.app.vectors.shards.repairer.stop()  # so that the replica stays stale
     assert fleet.put(5) == 200
     # The query has completed and sends no more. Requests in flight must end, or they may still be executed.
     eventually(lambda: fleet.app.vectors is not None and not fleet.app.vectors.cores[1].requests_in_flight)
-    assert fleet.of(5).count(None) == 1
-    lost.schedule.faults.clear()
+    assert fleet.on_replicas(5).count(None) == 1
+    failing_node.schedule.faults.clear()
     body = {"vector": [1, 0, 0, 0], "limit": 3}
-    seen = set()
+    observed = set()
 
     modules: list[Any] = [core._driver._module for core in fleet.app.vectors.cores]
     servers = [server for module in modules for server in module.membership.replicas.values()]
 
-    def told() -> bool:
+    def stale_answer_observed() -> bool:
         for server in servers:
             server.relative_latency = (
                 1.0  # one slow reply on a busy machine would exclude the replica for half a minute
             )
         status, found, headers = fleet.call("POST", "cos/points/search", body)
         assert status == 200
-        there = any(p["id"] == 5 for p in found["result"])
-        seen.add((there, headers.get("gingervane-stale-shards")))
-        return (False, f"s{shard}") in seen
+        point_found = any(p["id"] == 5 for p in found["result"])
+        observed.add((point_found, headers.get("gingervane-stale-shards")))
+        return (False, f"s{shard}") in observed
 
-    eventually(told)
-    assert seen <= {(True, ""), (False, f"s{shard}")}, "every stale answer is marked"
+    eventually(stale_answer_observed)
+    assert observed <= {(True, ""), (False, f"s{shard}")}, "every stale answer is marked"
 
 
-def test_a_twin_after_the_window_changes_nothing(fleet: Fleet) -> None:
+def test_a_repeat_after_the_window_does_not_replace_a_newer_write(fleet: Fleet) -> None:
     assert fleet.vectors
     assert fleet.put(8, "k", a=1) == 200 == fleet.put(8, "later", a=2)
-    eventually(lambda: all(row and row["payload"] == {"a": 2} for row in fleet.of(8)))
-    first = min(row["version"] for row in fleet.of(8)) - (1 << 14)
+    eventually(lambda: all(row and row["payload"] == {"a": 2} for row in fleet.on_replicas(8)))
+    old_version = min(row["version"] for row in fleet.on_replicas(8)) - (1 << 14)
     node = next(n for n in fleet.vectors.nodes if ("cos", shard_of(8, NODES)) in n.shards)
     node._keys.clear()  # simulates the end of the window
     point = {"id": 8, "vector": [1.0, 8, 0, 0], "payload": {"a": 1}}
-    one = {"shard": shard_of(8, NODES), "kind": "upsert", "body": {"points": [point]}}
-    assert node._do(["collections", "cos"], one, "k", first)["repeat"] is False
-    assert {row["payload"]["a"] for row in fleet.of(8)} == {2}
+    part = {"shard": shard_of(8, NODES), "kind": "upsert", "body": {"points": [point]}}
+    assert node._do(["collections", "cos"], part, "k", old_version)["repeat"] is False
+    assert {row["payload"]["a"] for row in fleet.on_replicas(8)} == {2}
 
 
-def test_too_few_holders_refuse_a_write_and_nothing_runs(fleet: Fleet) -> None:
+def test_a_write_without_a_quorum_of_ready_replicas_is_rejected(fleet: Fleet) -> None:
     shard = shard_of(9, NODES)
     assert fleet.vectors and fleet.app.vectors
-    holders = [n.id for n in fleet.vectors.nodes if ("cos", shard) in n.shards]
-    fleet.write_vectors({n: "draining" for n in holders[:2]})
+    replica_ids = [n.id for n in fleet.vectors.nodes if ("cos", shard) in n.shards]
+    fleet.write_vectors({n: "draining" for n in replica_ids[:2]})
     service = fleet.app.vectors
     eventually(
-        lambda: sum(h.state.value == "ready" for h in service.shards.placement.replicas_of(shard)) == 1
+        lambda: sum(replica.state.value == "ready" for replica in service.shards.placement.replicas_of(shard))
+        == 1
     )
     status, found, headers = fleet.call("PUT", "cos/points", {"points": [{"id": 9, "vector": [1, 0, 0, 0]}]})
     assert status == 503 and "1 holders are ready, 2 must" in found["status"]["error"]
@@ -295,13 +310,13 @@
     eventually(lambda: fleet.put(9) == 200)
 
 
-def test_short_answers_only_for_those_who_ask(fleet: Fleet) -> None:
+def test_partial_answers_are_given_only_on_request(fleet: Fleet) -> None:
     assert fleet.vectors
     for number in range(30):
         assert fleet.put(number) == 200
-    dead = shard_of(0, NODES)
+    failing_shard = shard_of(0, NODES)
     for node in fleet.vectors.nodes:
-        if ("cos", dead) in node.shards:
+        if ("cos", failing_shard) in node.shards:
             node.fault("fail_fast", 600.0, 1.0)
     body = {"vector": [1, 0, 0, 0], "limit": 100}
     status, _, _ = fleet.call("POST", "cos/points/search?timeout=1s", body)
@@ -309,12 +324,12 @@
     status, found, headers = fleet.call(
         "POST", "cos/points/search?partial_response=1&class=area-report", body
     )
-    assert status == 200 and headers.get("gingervane-missing") == f"s{dead}"
+    assert status == 200 and headers.get("gingervane-missing") == f"s{failing_shard}"
     assert headers.get("gingervane-coverage") == "0.833333"
-    assert {p["id"] for p in found["result"]} == {n for n in range(30) if shard_of(n, NODES) != dead}
+    assert {p["id"] for p in found["result"]} == {n for n in range(30) if shard_of(n, NODES) != failing_shard}
 
 
-def test_a_restart_remembers_keys(tmp_path: Path) -> None:
+def test_keys_survive_a_restart(tmp_path: Path) -> None:
     fleet = Fleet(tmp_path / "intents", window=1.0)
     try:
         assert fleet.vectors and fleet.put(1, "done", a=1) == 200
@@ -327,10 +342,10 @@
             ("Idempotency-Key", "lost"),
         )
         assert status == 502, "the write may have been executed"
-        eventually(lambda: all(row for row in fleet.of(2)))
+        eventually(lambda: all(row for row in fleet.on_replicas(2)))
         for node in fleet.vectors.nodes:
             node.schedule.faults.clear()
-        first = {row["version"] for row in fleet.of(2)}
+        first_versions = {row["version"] for row in fleet.on_replicas(2)}
         fleet.app.stop()
         fleet.stopped.add(0)
         fleet.apps.append(App(fleet.config, 3))
@@ -343,25 +358,27 @@
         ), "the key was recovered from the log"
         content = {"points": [{"id": 2, "vector": [1, 0, 0, 0]}]}
 
-        def again() -> int:
+        def retry() -> int:
             return fleet.call("PUT", "cos/points", content, ("Idempotency-Key", "lost"))[0]
 
-        assert again() in (200, 409)  # 200 within the window of the key, 409 after it
-        eventually(lambda: again() in (200, 409))
-        assert {row["version"] for row in fleet.of(2)} == first, "the write keeps its version"
+        assert retry() in (200, 409)  # 200 within the window of the key, 409 after it
+        eventually(lambda: retry() in (200, 409))
+        assert {
+            row["version"] for row in fleet.on_replicas(2)
+        } == first_versions, "the write keeps its version"
     finally:
         fleet.close()
 
 
-def test_the_same_key_at_once_is_one_write(fleet: Fleet) -> None:
+def test_concurrent_requests_with_one_key_are_one_write(fleet: Fleet) -> None:
     assert fleet.vectors
     for node in fleet.vectors.nodes:
         node.fault("slow", 60.0, 20.0)
-    codes: list[int] = []
-    threads = [threading.Thread(target=lambda: codes.append(fleet.put(11, "same", a=1))) for _ in range(6)]
+    statuses: list[int] = []
+    threads = [threading.Thread(target=lambda: statuses.append(fleet.put(11, "same", a=1))) for _ in range(6)]
     for thread in threads:
         thread.start()
     for thread in threads:
         thread.join()
-    assert set(codes) == {200}
+    assert set(statuses) == {200}
     assert fleet.app.vectors and fleet.app.vectors.front.counts["writes"] == 1
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -82,7 +82,7 @@
 def test_requests_parse_the_same_however_the_stream_is_split(
     bodies: list[tuple[bool, bytes]], step: int
 ) -> None:
-    data, want = b"", []
+    data, expected = b"", []
     for index, (chunked, body) in enumerate(bodies):
         head = f"POST /{index} HTTP/1.1\r\nHost: x\r\n".encode()
         if chunked:
@@ -91,8 +91,8 @@
             data += head + b"Transfer-Encoding: chunked\r\n\r\n" + coded + b"0\r\nTrailer: x\r\n\r\n"
         else:
             data += head + b"Content-Length: %d\r\n\r\n" % len(body) + body
-        want.append((f"/{index}", body))
-    assert read(data, step) == want
+        expected.append((f"/{index}", body))
+    assert read(data, step) == expected
 
 
 @given(
@@ -122,9 +122,9 @@
     st.integers(1, 9),
 )
 def test_arbitrary_bytes_parse_or_raise_a_known_error(data: bytes, step: int) -> None:
-    for work in (lambda: read(data, step), lambda: reader(data, step).response()):
+    for parse in (lambda: read(data, step), lambda: reader(data, step).response()):
         with contextlib.suppress(HttpError, ConnectionClosedError):
-            work()
+            parse()
 
 
 names = st.text(st.characters(min_codepoint=97, max_codepoint=122), min_size=1, max_size=5)
@@ -136,9 +136,9 @@
 
 
 @given(st.lists(queries, max_size=3), st.lists(st.sampled_from([0, 1]), max_size=2))
-def test_read_requests_round_trip(asked: list[Query], accepts: list[int]) -> None:
-    data = remote_read.write_request([remote_read.write_query(q) for q in asked], accepts)
-    assert remote_read.read_request(data, 5, 5) == ReadRequest(tuple(asked), tuple(accepts))
+def test_read_requests_round_trip(sent: list[Query], accepts: list[int]) -> None:
+    data = remote_read.write_request([remote_read.write_query(q) for q in sent], accepts)
+    assert remote_read.read_request(data, 5, 5) == ReadRequest(tuple(sent), tuple(accepts))
 
 
 def series(samples: dict[int, float], **labels: str) -> Series:
@@ -164,9 +164,9 @@
 
 @given(st.lists(st.tuples(names, samples), max_size=3))
 def test_read_responses_round_trip(rows: list[tuple[str, dict[int, float]]]) -> None:
-    sent = [series(found, a=name) for name, found in rows]
-    (got,) = remote_read.read_response(remote_read.write_response([sent]), 1)
-    assert len(got) == len(sent) and all(same(a, b) for a, b in zip(got, sent, strict=True))
+    sent = [series(points, a=name) for name, points in rows]
+    (decoded,) = remote_read.read_response(remote_read.write_response([sent]), 1)
+    assert len(decoded) == len(sent) and all(same(a, b) for a, b in zip(decoded, sent, strict=True))
 
 
 @given(st.binary(max_size=200), st.data())
@@ -178,38 +178,38 @@
     cut = data.draw(st.integers(0, len(good)))
     at = data.draw(st.integers(0, len(good)))
     for message in (good[:cut], good[:at] + noise + good[at:], noise):
-        for work in (remote_read.read_response, lambda m, n: remote_read.read_request(m, n, n)):
+        for decode in (remote_read.read_response, lambda m, n: remote_read.read_request(m, n, n)):
             try:
-                work(message, 4)
+                decode(message, 4)
             except pb.ProtobufError as error:
                 assert 0 <= error.at <= len(message)
 
 
 def test_snappy_is_bounded_before_it_is_decompressed() -> None:
-    good = snappy.compress(b"a" * 5000)
-    assert snappy.decompress(good, 5000) == b"a" * 5000
-    for bad, what in (
-        (good, "over the limit"),
+    block = snappy.compress(b"a" * 5000)
+    assert snappy.decompress(block, 5000) == b"a" * 5000
+    for rejected, expected_error in (
+        (block, "over the limit"),
         (pb.encode_varint(4000) + b"\x00a", "claims"),
         (b"", "length"),
         (b"\xff" * 6, "length"),
         (pb.encode_varint(10) + b"\x00ab", "malformed"),
     ):
-        with pytest.raises(snappy.SnappyError, match=what):
-            snappy.decompress(bad, 4999)
+        with pytest.raises(snappy.SnappyError, match=expected_error):
+            snappy.decompress(rejected, 4999)
 
 
 @given(st.lists(st.tuples(names, samples), min_size=1, max_size=6), st.randoms(use_true_random=False))
 def test_merging_is_independent_of_order(rows: list[tuple[str, dict[int, float]]], rng: object) -> None:
-    parts = [[series(found, a=name)] for name, found in rows]
+    parts = [[series(points, a=name)] for name, points in rows]
     first = merging.merge(parts)
     rng.shuffle(parts)  # type: ignore[attr-defined]
     again = merging.merge(parts)
     assert [s.labels for s in first] == sorted({s.labels for p in parts for s in p})
     assert all(same(a, b) for a, b in zip(first, again, strict=True))
-    for one in first:
-        met = {t for name, found in rows for t in found if one.labels == (("a", name),)}
-        assert one.timestamps.tolist() == sorted(met)
+    for merged in first:
+        expected_times = {t for name, points in rows for t in points if merged.labels == (("a", name),)}
+        assert merged.timestamps.tolist() == sorted(expected_times)
 
 
 @given(
@@ -222,10 +222,10 @@
         max_size=3,
     ),
 )
-def test_shards_found_are_those_that_match(shards: list[str], asked: list[tuple[Match, str]]) -> None:
+def test_shards_found_are_those_that_match(shards: list[str], conditions: list[tuple[Match, str]]) -> None:
     index = ShardIndex("tile", shards)
-    found = index.matching_shards([Matcher(kind, "tile", value) for kind, value in asked])
-    plain = [
+    found = index.matching_shards([Matcher(kind, "tile", value) for kind, value in conditions])
+    expected = [
         i
         for i, name in enumerate(shards)
         if all(
@@ -235,7 +235,7 @@
                 else re.fullmatch(value, name, re.DOTALL) is not None
             )
             == (kind in (Match.EQUAL, Match.REGEX))
-            for kind, value in asked
+            for kind, value in conditions
         )
     ]
-    assert found == plain
+    assert found == expected
