--- a/tests/test_pinned_wire.py
+++ b/tests/test_pinned_wire.py
@@ -48,11 +48,11 @@
 from gingervane.wire.remote_read import Match, Matcher, Query
 
 
-def plainly(value: Any) -> Any:
+def to_plain_tuples(value: Any) -> Any:
     """A value without the names of its fields: tuples, and enumerations by their values."""
     if isinstance(value, Enum):
         return value.value
-    return tuple(map(plainly, value)) if isinstance(value, tuple | list) else value
+    return tuple(map(to_plain_tuples, value)) if isinstance(value, tuple | list) else value
 
 
 # ---- the simulator's records
@@ -106,20 +106,20 @@
 
 
 def test_what_the_simulator_tells_is_read(monkeypatch: pytest.MonkeyPatch) -> None:
-    heard: list[Any] = []
+    received: list[Any] = []
 
-    class Listener:
+    class RecordingEngine:
         """In place of the module."""
 
         def __init__(self, settings: api.Settings, seed: int) -> None:
-            heard.append(seed)
+            received.append(seed)
 
         def handle(self, now: float, events: list[api.Event]) -> list[api.Action]:
-            heard.extend([now, *events])
+            received.extend([now, *events])
             return [api.Fail(7)]
 
-    monkeypatch.setattr(benchlink, "DecisionEngine", Listener)
-    text = settings_of_a_start()
+    monkeypatch.setattr(benchlink, "DecisionEngine", RecordingEngine)
+    text = start_settings()
     table = record("BHI", 10, 4, 2) + b"".join(
         record("HHHBIfd", 3, 2, 0, state, number, 0.5, 9.5) for number, state in ((77, 1), (78, 0))
     )
@@ -136,12 +136,14 @@
         io.BytesIO(record("dIII", 2.5, 20 + len(body), len(records), 6) + body),
         sink,
     )
-    assert heard[:2] == [31, 2.5] and [plainly(event) for event in heard[2:]] == [told for _, told in EVENTS]
+    assert received[:2] == [31, 2.5] and [to_plain_tuples(event) for event in received[2:]] == [
+        expected for _, expected in EVENTS
+    ]
     reply = "02000000 18000000 06000000  4d 0500  42 0700000000000000"
     assert sink.getvalue() == bytes.fromhex(reply)
 
 
-def settings_of_a_start() -> bytes:
+def start_settings() -> bytes:
     """The lines that a start needs."""
     from test_benchlink import SETTINGS
 
@@ -155,24 +157,24 @@
     ),
 )
 def test_endings_by_the_simulator_s_codes(monkeypatch: pytest.MonkeyPatch, code: int, outcome: str) -> None:
-    heard: list[Any] = []
+    received: list[Any] = []
 
-    class Listener:
+    class RecordingEngine:
         """In place of the module."""
 
         def __init__(self, settings: api.Settings, seed: int) -> None:
             pass
 
         def handle(self, now: float, events: list[api.Event]) -> list[api.Action]:
-            heard.extend(events)
+            received.extend(events)
             return []
 
-    monkeypatch.setattr(benchlink, "DecisionEngine", Listener)
-    text = settings_of_a_start()
+    monkeypatch.setattr(benchlink, "DecisionEngine", RecordingEngine)
+    text = start_settings()
     body = record("BH", 11, 5) + record("BQI", 0, 1, len(text)) + text
     body += record("BIHdB", 7, 77, code, 0.5, 0)
     benchlink.serve(io.BytesIO(record("dIII", 1.0, 20 + len(body), 3, 1) + body), io.BytesIO())
-    assert plainly(heard) == ((77, outcome, 0.5, ()),)
+    assert to_plain_tuples(received) == ((77, outcome, 0.5, ()),)
 
 
 # ---- words that travel as labels and in replies
@@ -209,25 +211,31 @@
     host = Host(BASE._replace(gossip_allowed=True, coordinator_count=9), replicas=4)
     part = part_of(host, host.query(0))
     assert host.where(part) == 10
-    told = [a[0] for a in host.finish(part, api.AttemptOutcome.ERROR) if isinstance(a, api.SendToPeers)]
-    assert told == [b"\0\0\0\0\0\0\0\x0a"]
-    told = [a[0] for a in host.wait(3.0) if isinstance(a, api.SendToPeers)]
-    assert told == [b"\0\0\0\0\0\0\0\x0b\x01"]
+    messages = [
+        action[0]
+        for action in host.finish(part, api.AttemptOutcome.ERROR)
+        if isinstance(action, api.SendToPeers)
+    ]
+    assert messages == [b"\0\0\0\0\0\0\0\x0a"]
+    messages = [action[0] for action in host.wait(3.0) if isinstance(action, api.SendToPeers)]
+    assert messages == [b"\0\0\0\0\0\0\0\x0b\x01"]
 
 
 def test_words_of_peers_eject_and_let_back() -> None:
     host = Host(BASE._replace(gossip_allowed=True, coordinator_count=9), replicas=4)
     host.wait(10.0)
-    out = [
-        change
+    actions = [
+        action
         for peer in (1, 3)
-        for change in host.feed(api.PeerMessageReceived(peer, b"\0\0\0\0\0\0\0\x0a"))
+        for action in host.feed(api.PeerMessageReceived(peer, b"\0\0\0\0\0\0\0\x0a"))
     ]
-    ejected = [plainly(tuple(a)) for a in out if isinstance(a, api.ReplicaEjected)]
+    ejected = [to_plain_tuples(tuple(action)) for action in actions if isinstance(action, api.ReplicaEjected)]
     assert [(replica, reason) for replica, _, reason in ejected] == [(10, "peer reports")]
-    words = [api.PeerMessageReceived(peer, b"\0\0\0\0\0\0\0\x0a\x02") for peer in range(1, 9)]
-    back = [change for word in words for change in host.feed(word)]
-    assert [tuple(a) for a in back if isinstance(a, api.ReplicaReinstated)] == [(10,)]
+    reports = [api.PeerMessageReceived(peer, b"\0\0\0\0\0\0\0\x0a\x02") for peer in range(1, 9)]
+    reinstating_actions = [action for report in reports for action in host.feed(report)]
+    assert [tuple(action) for action in reinstating_actions if isinstance(action, api.ReplicaReinstated)] == [
+        (10,)
+    ]
 
 
 # ---- numbers that all co-ordinators must give alike
@@ -268,8 +276,8 @@
 def test_answers_as_they_come(rest: bytes, read: tuple[Any, ...]) -> None:
     reader = frames.FrameReader()
     reader.feed(struct.pack("<I", 1 + len(rest)) + b"a" + rest)
-    found = reader.next_frame()
-    assert found == (b"a", rest) and tuple(frames.decode_reply(found[1])) == read
+    frame = reader.next_frame()
+    assert frame == (b"a", rest) and tuple(frames.decode_reply(frame[1])) == read
 
 
 @pytest.mark.parametrize("letter", b"ple")
@@ -288,8 +296,8 @@
         lines = [*head.split("\n"), "Host: x", "Connection: close", f"Content-Length: {len(body)}"]
         sock.sendall("\r\n".join([*lines, "\r\n"]).encode() + body)
         data = b""
-        while got := sock.recv(65536):
-            data += got
+        while received := sock.recv(65536):
+            data += received
     return data
 
 
@@ -412,10 +420,10 @@
 
 
 def test_a_subtree_as_it_leaves() -> None:
-    ask = SubtreeQuery(
+    subtree = SubtreeQuery(
         ((0, QUERY, ("t001", "t0.2")),), ("t001", "t0.2"), "area-report", SubqueryContext(1, 2, ("c0", "c1"))
     )
-    data = subtree_codec.SubtreeCodec("tile", 1 << 20).encode([ask], [1.25], ("127.0.0.1", 8001))
+    data = subtree_codec.SubtreeCodec("tile", 1 << 20).encode([subtree], [1.25], ("127.0.0.1", 8001))
     head, body = request_of(data)
     assert head.split("\r\n") == [
         "POST /api/v1/read?class=area-report&timeout=1250ms&partial_response=true HTTP/1.1",
@@ -443,13 +451,13 @@
 
 
 def test_what_a_child_says_of_its_leaves() -> None:
-    asked = [f"t{number}" for number in range(10)]
-    held = {"t0": 1, "t1": 1, "t2": 3, "t9": 0}
-    assert coverage.encode(asked, held) == ("BwI=", "1x2.3.0")
-    assert coverage.decode(asked, "BwI=", "1x2.3.0") == held
+    requested_leaves = [f"t{number}" for number in range(10)]
+    covered_leaves = {"t0": 1, "t1": 1, "t2": 3, "t9": 0}
+    assert coverage.encode(requested_leaves, covered_leaves) == ("BwI=", "1x2.3.0")
+    assert coverage.decode(requested_leaves, "BwI=", "1x2.3.0") == covered_leaves
 
 
-def idle_of(status: int, began: str) -> tuple[bool, bool]:
+def proof_of_failure(status: int, began: str) -> tuple[bool, bool]:
     """What a replica's failure proves, by its status and header."""
     exchange = RemoteReadCodec("tile", 1 << 20)
     with pytest.raises(InvalidReply) as caught:
@@ -458,9 +466,9 @@
 
 
 def test_a_replica_s_proof_that_nothing_began() -> None:
-    assert idle_of(503, "no") == (True, True) and idle_of(429, "no") == (True, True)
-    assert idle_of(508, "no") == (True, False) and idle_of(500, "no") == (False, False)
-    assert idle_of(503, "") == (False, True)
+    assert proof_of_failure(503, "no") == (True, True) and proof_of_failure(429, "no") == (True, True)
+    assert proof_of_failure(508, "no") == (True, False) and proof_of_failure(500, "no") == (False, False)
+    assert proof_of_failure(503, "") == (False, True)
 
 
 # ---- the vector front's replicas
@@ -502,8 +510,8 @@
     found = [{"id": 1, "version": 5, "score": 0.5}]
     body = json.dumps({"result": [found], "status": "ok", "time": 0.0}).encode()
     part = ShardSearch(shard_of(1, 6), ({"vector": [1.0], "limit": 2},))
-    fresh = {"gingervane-freshness": f"s{part.shard}=17,s0=x"}
-    (hits,) = SearchCodec(COSINE, 6).decode([part], 200, lambda name: fresh.get(name, ""), body)
+    headers = {"gingervane-freshness": f"s{part.shard}=17,s0=x"}
+    (hits,) = SearchCodec(COSINE, 6).decode([part], 200, lambda name: headers.get(name, ""), body)
     assert tuple(hits)[:2] == ([found], 17)
 
 
@@ -565,10 +573,10 @@
     connection = http.client.HTTPConnection(*fleet.address, timeout=PATIENCE)
     connection.request(method, target, body, {key.replace("_", "-"): value for key, value in fields.items()})
     reply = connection.getresponse()
-    data, found = reply.read(), reply.getheaders()
+    data, reply_fields = reply.read(), reply.getheaders()
     connection.close()
-    assert found.pop() == ("Content-Length", str(len(data)))
-    return Answered(reply.status, found, data)
+    assert reply_fields.pop() == ("Content-Length", str(len(data)))
+    return Answered(reply.status, reply_fields, data)
 
 
 TEXT = ("Content-Type", "text/plain; charset=utf-8")
@@ -596,9 +604,9 @@
 @pytest.fixture(scope="module")
 def fleet() -> Iterator[Embedded]:
     """Both fronts in one daemon."""
-    made = Embedded(vectors=VectorGrid(6, (COSINE,)))
-    yield made
-    made.close()
+    embedded = Embedded(vectors=VectorGrid(6, (COSINE,)))
+    yield embedded
+    embedded.close()
 
 
 @pytest.mark.parametrize(
@@ -671,8 +679,8 @@
 def test_errors_of_remote_read(
     fleet: Embedded, target: str, fields: dict[str, str], status: int, place: str
 ) -> None:
-    found = ask(fleet, "POST", READ + target, BODY, **fields)
-    assert found[:2] == (status, [TEXT]) and found.body.decode().startswith(place)
+    reply = ask(fleet, "POST", READ + target, BODY, **fields)
+    assert reply[:2] == (status, [TEXT]) and reply.body.decode().startswith(place)
 
 
 def test_bodies_that_remote_read_cannot_take(fleet: Embedded) -> None:
@@ -682,36 +690,36 @@
 
 
 def test_a_refusal_and_a_failure_of_remote_read() -> None:
-    made = Embedded(overrides={"limits": {"open": 1}})
-    status, fields, body = ask(made, "POST", READ, BODY)
+    embedded = Embedded(overrides={"limits": {"open": 1}})
+    status, fields, body = ask(embedded, "POST", READ, BODY)
     assert (status, fields) == (
         503,
         [TEXT, ("Retry-After", "1"), ("Gingervane-Retry-After-Ms", "1000"), ("Gingervane-Began", "no")],
     )
     assert body.startswith(b"refused: ")
-    made.close()
-    made = Embedded()
-    for node in made.grid.nodes:
+    embedded.close()
+    embedded = Embedded()
+    for node in embedded.grid.nodes:
         node.fault("fail_fast", 600.0, 1.0)
-    status, fields, body = ask(made, "POST", READ, BODY)
+    status, fields, body = ask(embedded, "POST", READ, BODY)
     assert status == 503 and [name for name, _ in fields] == [
         "Content-Type",
         "Retry-After",
         "Gingervane-Retry-After-Ms",
     ]
     assert body.startswith(b"refused: ")
-    status, fields, body = ask(made, "POST", READ + "?class=unsafe-read", BODY)
+    status, fields, body = ask(embedded, "POST", READ + "?class=unsafe-read", BODY)
     assert (status, fields) == (502, [TEXT]) and body.startswith(b"failed: ")
-    made.close()
+    embedded.close()
 
 
 def test_a_cycle_of_co_ordinators() -> None:
     tree = {"ring": 2, "fan_out": 4, "levels": 1}
-    made = Embedded(coordinators=2, tree=tree)
-    orders = {"Gingervane_Levels": "0", "Gingervane_Attempts": "1", "Gingervane_Trail": "c1,c0"}
-    status, fields, _ = ask(made, "POST", READ, BODY, **orders)
+    embedded = Embedded(coordinators=2, tree=tree)
+    headers = {"Gingervane_Levels": "0", "Gingervane_Attempts": "1", "Gingervane_Trail": "c1,c0"}
+    status, fields, _ = ask(embedded, "POST", READ, BODY, **headers)
     assert (status, fields) == (508, [TEXT, ("Gingervane-Began", "no")])
-    made.close()
+    embedded.close()
 
 
 # ---- the vector front's clients
@@ -721,7 +729,7 @@
 NUMBER = re.compile(rb'"(operation_id|version)":[0-9]+')
 
 
-def steady(body: bytes) -> str:
+def without_timings_and_versions(body: bytes) -> str:
     """A body without its durations and version numbers."""
     return NUMBER.sub(rb'"\1":0', TIME.sub(b"", body)).decode()
 
@@ -773,7 +781,7 @@
 @pytest.mark.parametrize(("method", "target", "body"), WRITES)
 def test_an_answer_to_a_write(fleet: Embedded, method: str, target: str, body: bytes) -> None:
     status, fields, found = ask(fleet, method, COLLECTION + target, body)
-    assert status == 200 and steady(found) == DONE
+    assert status == 200 and without_timings_and_versions(found) == DONE
     (kind, (name, share)) = fields
     assert kind == JSON and name == "Gingervane-Holders-Done" and share in ("0.667", "1.000")
 
@@ -806,7 +814,7 @@
             break
         assert fields[2:] == [("Gingervane-Stale-Shards", f"s{shard_of(1, 6)}")]
     hit = '{"id":1,"version":0,"score":1.0'
-    assert steady(found) == f'{{"result":{result % hit},"status":"ok"}}'
+    assert without_timings_and_versions(found) == f'{{"result":{result % hit},"status":"ok"}}'
 
 
 @pytest.mark.parametrize(
@@ -841,11 +849,14 @@
 def test_errors_of_the_vector_front(
     fleet: Embedded, method: str, target: str, body: bytes, status: int, error: str
 ) -> None:
-    found = ask(fleet, method, target, body)
-    assert found[:2] == (status, [JSON])
-    said = json.loads(found.body)
-    assert list(said) == ["status", "time", "result"] and (said["time"], said["result"]) == (0.0, None)
-    assert list(said["status"]) == ["error"] and said["status"]["error"].startswith(error)
+    reply = ask(fleet, method, target, body)
+    assert reply[:2] == (status, [JSON])
+    envelope = json.loads(reply.body)
+    assert list(envelope) == ["status", "time", "result"] and (envelope["time"], envelope["result"]) == (
+        0.0,
+        None,
+    )
+    assert list(envelope["status"]) == ["error"] and envelope["status"]["error"].startswith(error)
 
 
 @pytest.mark.parametrize(
@@ -872,17 +883,20 @@
     fault: str, target: str, status: int, fields: list[str], error: str
 ) -> None:
     grid = VectorGrid(6, (COSINE,))
-    made = Embedded(vectors=grid)
+    embedded = Embedded(vectors=grid)
     for node in grid.nodes:
         node.fault(fault, 600.0, 1.0)
     method, _, path = target.partition(" ")
     body = point(a=1) if method == "PUT" else SEARCH
-    found = ask(made, method, COLLECTION + path, body)
-    assert found.status == status and [name for name, _ in found.fields] == fields
-    said = json.loads(found.body)
-    assert list(said) == ["status", "time", "result"] and (said["time"], said["result"]) == (0.0, None)
-    assert list(said["status"]) == ["error"] and said["status"]["error"].startswith(error)
-    made.close()
+    reply = ask(embedded, method, COLLECTION + path, body)
+    assert reply.status == status and [name for name, _ in reply.fields] == fields
+    envelope = json.loads(reply.body)
+    assert list(envelope) == ["status", "time", "result"] and (envelope["time"], envelope["result"]) == (
+        0.0,
+        None,
+    )
+    assert list(envelope["status"]) == ["error"] and envelope["status"]["error"].startswith(error)
+    embedded.close()
 
 
 # ---- metrics
@@ -952,24 +966,26 @@
 
 def test_metrics_and_their_labels() -> None:
     """Of two co-ordinators in a tree, with both fronts, after a wide query, a search and a write."""
-    made = Embedded(
+    embedded = Embedded(
         vectors=VectorGrid(6, (COSINE,)), coordinators=2, tree={"ring": 2, "fan_out": 2, "levels": 1}
     )
     pause = threading.Event()
-    everything = Query(
+    wide_query = Query(
         1_764_600_000_000, 1_764_600_060_000, (Matcher(Match.EQUAL, "__name__", "wind_speed"),)
     )
-    body = snappy.compress(remote_read.write_request([remote_read.write_query(everything)]))
-    until = time.monotonic() + PATIENCE
-    while b"gingervane_children_listed 1.0" not in ask(made, "GET", "/metrics").body:
-        assert time.monotonic() < until
+    body = snappy.compress(remote_read.write_request([remote_read.write_query(wide_query)]))
+    deadline = time.monotonic() + PATIENCE
+    while b"gingervane_children_listed 1.0" not in ask(embedded, "GET", "/metrics").body:
+        assert time.monotonic() < deadline
         pause.wait(0.01)
-    assert ask(made, "POST", READ, body).status == 200
-    assert ask(made, "POST", READ, BODY, Gingervane_Levels="0", Gingervane_Attempts="1").status == 200
-    assert ask(made, "PUT", COLLECTION + "/points", point(a=1)).status == 200
-    assert ask(made, "POST", COLLECTION + "/points/search", b'{"vector":[1,0,0,0],"limit":1}').status == 200
-    status, fields, text = ask(made, "GET", "/metrics")
-    made.close()
+    assert ask(embedded, "POST", READ, body).status == 200
+    assert ask(embedded, "POST", READ, BODY, Gingervane_Levels="0", Gingervane_Attempts="1").status == 200
+    assert ask(embedded, "PUT", COLLECTION + "/points", point(a=1)).status == 200
+    assert (
+        ask(embedded, "POST", COLLECTION + "/points/search", b'{"vector":[1,0,0,0],"limit":1}').status == 200
+    )
+    status, fields, text = ask(embedded, "GET", "/metrics")
+    embedded.close()
     assert (status, fields) == (200, [("Content-Type", "text/plain; version=0.0.4; charset=utf-8")])
     families = list(text_string_to_metric_families(text.decode()))
     samples = [sample for family in families for sample in family.samples]
@@ -979,18 +995,18 @@
         for kind in KINDS_OF_METRIC
     }
     assert kinds == KINDS_OF_METRIC and {f.type for f in families} == {"counter", "gauge", "summary"}
-    words = {(name, label) for s in samples for name, label in s.labels.items()}
-    assert {label for name, label in words if name == "quantile"} == {"0.5", "0.9", "0.99", "0.999"}
-    assert {label for name, label in words if name == "core"} == {"search", "write"}
-    assert {label for name, label in words if name == "verdict"} <= {
+    labels = {(name, label) for s in samples for name, label in s.labels.items()}
+    assert {label for name, label in labels if name == "quantile"} == {"0.5", "0.9", "0.99", "0.999"}
+    assert {label for name, label in labels if name == "core"} == {"search", "write"}
+    assert {label for name, label in labels if name == "verdict"} <= {
         "whole",
         "short",
         "refused",
         "failed",
         "left",
     }
-    assert {label for name, label in words if name == "outcome"} <= set(OUTCOMES)
-    assert {label for name, label in words if name == "reason"} <= set(REASONS)
+    assert {label for name, label in labels if name == "outcome"} <= set(OUTCOMES)
+    assert {label for name, label in labels if name == "reason"} <= set(REASONS)
 
 
 # ---- Consul
@@ -1015,11 +1031,11 @@
 
 def test_a_life_in_consul(tmp_path: Path) -> None:
     """From its registration to its removal, as an agent hears it."""
-    heard = Waiter()
+    received = Waiter()
 
     def agent(request: Request, body: bytes, arrived: float, client: Exchange) -> Reply:
         token = request.headers.get("x-consul-token")
-        heard.put((request.method, request.target, json.loads(body) if body else None, token))
+        received.put((request.method, request.target, json.loads(body) if body else None, token))
         return plain(200, "")
 
     server = HttpServer("127.0.0.1", 0, agent, ServerLimits())
@@ -1029,11 +1045,11 @@
     rng = random.Random(1)
     registrar = Registrar(entry, (server.address,), tmp_path / "token", Backoff(), lambda what: None, rng)
     registrar.start()
-    heard.wait(2)
+    received.wait(2)
     registrar.drain()
     registrar.deregister()
     server.stop(0.0)
-    calls = [call for index, call in enumerate(heard.items) if call not in heard.items[:index]]
+    calls = [call for index, call in enumerate(received.items) if call not in received.items[:index]]
     assert calls == [
         ("PUT", "/v1/agent/service/register", entry.registration_body(), "secret"),
         ("PUT", "/v1/agent/check/update/service:c%200", {"Status": "passing"}, "secret"),
@@ -1051,10 +1067,10 @@
     assert consul.health_query_path("grid", 0, 30.0, mode("consistent"), "dc1", 'a == "b"') == (
         "/v1/health/service/grid?dc=dc1&filter=a+%3D%3D+%22b%22&consistent"
     )
-    heard: list[list[tuple[str, str]]] = []
+    received_headers: list[list[tuple[str, str]]] = []
 
     def agent(request: Request, body: bytes, arrived: float, client: Exchange) -> Reply:
-        heard.append([pair for pair in request.headers.pairs if pair[0] != "host"])
+        received_headers.append([pair for pair in request.headers.pairs if pair[0] != "host"])
         return plain(200, "")
 
     server = HttpServer("127.0.0.1", 0, agent, ServerLimits())
@@ -1064,7 +1080,7 @@
     get(pool, server.address, "/x", tmp_path / "token", time.monotonic() + PATIENCE)
     pool.close()
     server.stop(0.0)
-    assert heard == [[("accept", "application/json"), ("x-consul-token", "secret")]]
+    assert received_headers == [[("accept", "application/json"), ("x-consul-token", "secret")]]
 
 
 def entry(**changes: Any) -> dict[str, Any]:
@@ -1115,4 +1131,4 @@
 )
 def test_an_entry_of_consul_as_it_is_read(found: dict[str, Any], member: tuple[Any, ...]) -> None:
     members, faults = consul.EntryReader(consul.EntryFieldNames(), ("a", "b"), 4, -100.0).read([found])
-    assert plainly(members) == (member,) and not faults
+    assert to_plain_tuples(members) == (member,) and not faults
