--- a/tests/test_pinned_wire.py
+++ b/tests/test_pinned_wire.py
@@ -225,14 +225,14 @@
     host = Host(BASE._replace(gossip_allowed=True, coordinator_count=9), replicas=4)
     host.wait(10.0)
     actions = [
-        action
+        change
         for peer in (1, 3)
-        for action in host.feed(api.PeerMessageReceived(peer, b"\0\0\0\0\0\0\0\x0a"))
+        for change in host.feed(api.PeerMessageReceived(peer, b"\0\0\0\0\0\0\0\x0a"))
     ]
     ejected = [to_plain_tuples(tuple(action)) for action in actions if isinstance(action, api.ReplicaEjected)]
     assert [(replica, reason) for replica, _, reason in ejected] == [(10, "peer reports")]
     reports = [api.PeerMessageReceived(peer, b"\0\0\0\0\0\0\0\x0a\x02") for peer in range(1, 9)]
-    reinstating_actions = [action for report in reports for action in host.feed(report)]
+    reinstating_actions = [change for report in reports for change in host.feed(report)]
     assert [tuple(action) for action in reinstating_actions if isinstance(action, api.ReplicaReinstated)] == [
         (10,)
     ]
@@ -995,18 +995,18 @@
         for kind in KINDS_OF_METRIC
     }
     assert kinds == KINDS_OF_METRIC and {f.type for f in families} == {"counter", "gauge", "summary"}
-    labels = {(name, label) for s in samples for name, label in s.labels.items()}
-    assert {label for name, label in labels if name == "quantile"} == {"0.5", "0.9", "0.99", "0.999"}
-    assert {label for name, label in labels if name == "core"} == {"search", "write"}
-    assert {label for name, label in labels if name == "verdict"} <= {
+    label_values = {(name, label) for s in samples for name, label in s.labels.items()}
+    assert {label for name, label in label_values if name == "quantile"} == {"0.5", "0.9", "0.99", "0.999"}
+    assert {label for name, label in label_values if name == "core"} == {"search", "write"}
+    assert {label for name, label in label_values if name == "verdict"} <= {
         "whole",
         "short",
         "refused",
         "failed",
         "left",
     }
-    assert {label for name, label in labels if name == "outcome"} <= set(OUTCOMES)
-    assert {label for name, label in labels if name == "reason"} <= set(REASONS)
+    assert {label for name, label in label_values if name == "outcome"} <= set(OUTCOMES)
+    assert {label for name, label in label_values if name == "reason"} <= set(REASONS)
 
 
 # ---- Consul
