--- a/tests/test_pinned_wire.py
+++ b/tests/test_pinned_wire.py
@@ -1,6 +1,6 @@
-"""Forms on the wire, as literals: what passes between clients, coordinators, replicas, peers and platform.
+"""Wire formats as literals: messages between clients, coordinators, replicas, peers and the platform.
 
-A name inside the program may change; nothing in here may. See also `test_pinned_forms.py`.
+Names inside the program may change, the literals here may not. See also `test_pinned_forms.py`.
 """
 
 from __future__ import annotations
@@ -49,13 +49,13 @@
 
 
 def to_plain_tuples(value: Any) -> Any:
-    """A value without the names of its fields: tuples, and enumerations by their values."""
+    """Return a value as nested tuples without field names, with enumeration members as their values."""
     if isinstance(value, Enum):
         return value.value
     return tuple(map(to_plain_tuples, value)) if isinstance(value, tuple | list) else value
 
 
-# ---- the simulator's records
+# ---- records of the simulator
 
 
 @pytest.mark.parametrize(
@@ -83,7 +83,7 @@
 
 
 def record(shape: str, *values: Any) -> bytes:
-    """A record of the simulator: little-endian, without padding."""
+    """Encode a record of the simulator: little-endian, without padding."""
     return struct.pack("<" + shape, *values)
 
 
@@ -109,7 +109,7 @@
     received: list[Any] = []
 
     class RecordingEngine:
-        """In place of the module."""
+        """Replaces the decision engine and records its input."""
 
         def __init__(self, settings: api.Settings, seed: int) -> None:
             received.append(seed)
@@ -127,7 +127,7 @@
         record("BH", 11, 5),
         record("BQI", 0, 31, len(text)) + text,
         table,
-        record("BQIBd", 3, 1, 2, 3, 4.0),  # is passed over
+        record("BQIBd", 3, 1, 2, 3, 4.0),  # must be ignored
         *(data for data, _ in EVENTS),
     ]
     body = b"".join(records)
@@ -144,7 +144,7 @@
 
 
 def start_settings() -> bytes:
-    """The lines that a start needs."""
+    """The settings that a start record must have."""
     from test_benchlink import SETTINGS
 
     return SETTINGS.encode()
@@ -160,7 +160,7 @@
     received: list[Any] = []
 
     class RecordingEngine:
-        """In place of the module."""
+        """Replaces the decision engine and records its input."""
 
         def __init__(self, settings: api.Settings, seed: int) -> None:
             pass
@@ -177,7 +177,7 @@
     assert to_plain_tuples(received) == ((77, outcome, 0.5, ()),)
 
 
-# ---- words that travel as labels and in replies
+# ---- values in metric labels and replies
 
 OUTCOMES = ["ok", "error", "rejected", "timed out", "connect failed", "reset", "cancelled", "never sent"]
 REASONS = [
@@ -207,7 +207,7 @@
 
 
 def test_what_peers_tell_each_other() -> None:
-    """A replica's number, eight bytes, most significant first; behind it nothing, 1 (silent) or 2 (well)."""
+    """The id of a replica, eight bytes, big-endian; then nothing, or 1 (does not answer) or 2 (recovered)."""
     host = Host(BASE._replace(gossip_allowed=True, coordinator_count=9), replicas=4)
     part = part_of(host, host.query(0))
     assert host.where(part) == 10
@@ -238,7 +238,7 @@
     ]
 
 
-# ---- numbers that all co-ordinators must give alike
+# ---- hashes on which all co-ordinators must agree
 
 
 def test_where_a_point_lives() -> None:
@@ -291,7 +291,7 @@
 
 
 def node_reply(platform: Platform, head: str, body: bytes = b"") -> bytes:
-    """The bytes of one reply, on a connection of its own."""
+    """Return the bytes of the reply to one request on a new connection."""
     with platform.client() as sock:
         lines = [*head.split("\n"), "Host: x", "Connection: close", f"Content-Length: {len(body)}"]
         sock.sendall("\r\n".join([*lines, "\r\n"]).encode() + body)
@@ -383,7 +383,7 @@
     assert platform.discovery.watches.items == ["/v1/endpoints?follow=1&since=0"]
 
 
-# ---- remote read to a replica, and a subtree to a co-ordinator
+# ---- requests of remote read to a replica and to a child co-ordinator
 
 QUERY = Query(1000, 2000, (Matcher(Match.EQUAL, "__name__", "w"), Matcher(Match.REGEX, "tile", "t0.*")))
 QUERY_BYTES = (
@@ -392,7 +392,7 @@
 
 
 def request_of(data: bytes) -> tuple[str, bytes]:
-    """A request's head without its Content-Length, and its content unpacked; the length is checked."""
+    """Check the Content-Length; return the head without it, and the decompressed body."""
     head, _, body = data.partition(b"\r\n\r\n")
     start, _, length = head.decode().rpartition("\r\nContent-Length: ")
     assert int(length) == len(body)
@@ -458,7 +458,7 @@
 
 
 def proof_of_failure(status: int, began: str) -> tuple[bool, bool]:
-    """What a replica's failure proves, by its status and header."""
+    """Return whether a reply proves non-execution, and whether it means overload."""
     exchange = RemoteReadCodec("tile", 1 << 20)
     with pytest.raises(InvalidReply) as caught:
         exchange.decode([], status, {"gingervane-began": began}.get, b"")  # type: ignore[arg-type]
@@ -562,7 +562,7 @@
 
 
 class Answered(NamedTuple):
-    """A reply without its Content-Length, which is checked."""
+    """A reply without its Content-Length, which `ask` checks."""
 
     status: int
     fields: list[tuple[str, str]]
@@ -730,7 +730,7 @@
 
 
 def without_timings_and_versions(body: bytes) -> str:
-    """A body without its durations and version numbers."""
+    """Return a body without durations, and with version numbers of 0."""
     return NUMBER.sub(rb'"\1":0', TIME.sub(b"", body)).decode()
 
 
@@ -807,7 +807,7 @@
 )
 def test_an_answer_to_a_search(fleet: Embedded, target: str, body: bytes, result: str) -> None:
     assert ask(fleet, "PUT", COLLECTION + "/points", point(a=1)).status == 200
-    for _ in range(1000):  # a holder may lack what has just been written, and says so
+    for _ in range(1000):  # a replica may lack the write, and its shard is then reported as stale
         status, fields, found = ask(fleet, "POST", f"{COLLECTION}/points/{target}", body)
         assert status == 200 and fields[:2] == [JSON, ("Gingervane-Coverage", "1")]
         if not fields[2:]:
@@ -965,7 +965,7 @@
 
 
 def test_metrics_and_their_labels() -> None:
-    """Of two co-ordinators in a tree, with both fronts, after a wide query, a search and a write."""
+    """Two co-ordinators in a tree, with both fronts, after a wide query, a search and a write."""
     embedded = Embedded(
         vectors=VectorGrid(6, (COSINE,)), coordinators=2, tree={"ring": 2, "fan_out": 2, "levels": 1}
     )
@@ -1030,7 +1030,7 @@
 
 
 def test_a_life_in_consul(tmp_path: Path) -> None:
-    """From its registration to its removal, as an agent hears it."""
+    """The requests that an agent receives from registration to removal."""
     received = Waiter()
 
     def agent(request: Request, body: bytes, arrived: float, client: Exchange) -> Reply:
@@ -1084,7 +1084,7 @@
 
 
 def entry(**changes: Any) -> dict[str, Any]:
-    """An entry of Consul's health API."""
+    """Return an entry of Consul's health API."""
     service = {
         "ID": "grid1",
         "Address": "10.0.0.9",
