--- a/gingervane/vectors/codec.py
+++ b/gingervane/vectors/codec.py
@@ -20,7 +20,7 @@
 from gingervane.vectors.topk import is_sorted
 from gingervane.wire import http1
 
-KEY_HEADER = "Idempotency-Key"
+IDEMPOTENCY_KEY_HEADER = "Idempotency-Key"
 VERSION_HEADER = "Gingervane-Version"
 FRESHNESS_HEADER = "Gingervane-Freshness"
 TIMEOUT_HEADER = "Gingervane-Timeout-Ms"
@@ -195,7 +195,7 @@
             {content.operation: {**content.body, "shard_key": f"s{content.shard}"}} for content in contents
         ]
         target = f"/collections/{self._collection.name}/points/batch?wait=true"
-        key_fields = ((KEY_HEADER, self._key),) if self._key else ()
+        key_fields = ((IDEMPOTENCY_KEY_HEADER, self._key),) if self._key else ()
         return encode_request(
             "POST",
             target,
--- a/gingervane/vectors/write_handler.py
+++ b/gingervane/vectors/write_handler.py
@@ -15,7 +15,7 @@
 
 from gingervane.fronts.http_server import Reply
 from gingervane.fronts.routing import FrontQueryClass, flag
-from gingervane.vectors.codec import KEY_HEADER, ShardWrite, WriteCodec
+from gingervane.vectors.codec import IDEMPOTENCY_KEY_HEADER, ShardWrite, WriteCodec
 from gingervane.vectors.points import Collection, RequestError
 from gingervane.vectors.replies import error_reply, failure_reply, rejection_reply, result_reply
 from gingervane.vectors.request_context import (
@@ -30,12 +30,12 @@
 from gingervane.writes.quorum_writes import QuorumWrites
 from gingervane.writes.write_replication import ReplicatedWrite, WriteOutcome
 
-DONE_HEADER = "Gingervane-Holders-Done"
-REPEAT_HEADER = "Gingervane-Repeat"
+REPLICATED_SHARE_HEADER = "Gingervane-Holders-Done"
+REPLAYED_HEADER = "Gingervane-Repeat"
 
 _MAX_KEY_LENGTH = 200  # characters
 _DIGEST_BYTES = 16
-_KEYS_FULL_RETRY_AFTER = 1.0  # seconds
+_OVER_CAPACITY_RETRY_AFTER = 1.0  # seconds
 
 
 class WriteHandler:
@@ -79,9 +79,11 @@
 
     def _with_key(self, request: VectorRequest, write: PointWrite) -> Execution:
         parameters = read_parameters(request, self._classes, self._settings.upsert_class)
-        key = request.http.headers.get(KEY_HEADER.lower())
+        key = request.http.headers.get(IDEMPOTENCY_KEY_HEADER.lower())
         if len(key) > _MAX_KEY_LENGTH or not key.isascii():
-            raise RequestError(f"header {KEY_HEADER}: more than {_MAX_KEY_LENGTH} characters, or not ASCII")
+            raise RequestError(
+                f"header {IDEMPOTENCY_KEY_HEADER}: more than {_MAX_KEY_LENGTH} characters, or not ASCII"
+            )
         digest = _digest(write)
         scoped_key = f"{request.collection.name}/{key or uuid.uuid4().hex}"
         replicated = _replicated_write(request.collection, write, parameters)
@@ -124,15 +126,15 @@
             detail = "may have run, and replicas no longer know its key: look before you write again"
             return error_reply(409, f"failed: {detail}")._replace(until=deadline)
         case KeyAction.KEY_REUSED:
-            detail = f"header {KEY_HEADER}: was used for another content"
+            detail = f"header {IDEMPOTENCY_KEY_HEADER}: was used for another content"
             return error_reply(422, detail)._replace(until=deadline)
         case KeyAction.OVER_CAPACITY:
-            return rejection_reply("too many keys are in their window", _KEYS_FULL_RETRY_AFTER, deadline)
+            return rejection_reply("too many keys are in their window", _OVER_CAPACITY_RETRY_AFTER, deadline)
     match outcome.state:
         case WriteState.COMPLETED:
-            fields = [(DONE_HEADER, f"{outcome.replicated_share:.3f}")]
+            fields = [(REPLICATED_SHARE_HEADER, f"{outcome.replicated_share:.3f}")]
             if outcome.replayed:
-                fields.append((REPEAT_HEADER, "yes"))
+                fields.append((REPLAYED_HEADER, "yes"))
             result = {"operation_id": outcome.version, "status": "completed"}
             return result_reply(result, arrived, fields)._replace(until=deadline)
         case WriteState.NOT_EXECUTED:
--- a/gingervane/wire/response_decoder.py
+++ b/gingervane/wire/response_decoder.py
@@ -42,10 +42,7 @@
     ascending = iter(_are_ascending([times for times, _ in samples]))
     decoded_samples = iter(samples)
     return [
-        [
-            _decoded_series(data, encoded, *next(decoded_samples), next(ascending))
-            for encoded in encoded_series
-        ]
+        [_make_series(data, encoded, *next(decoded_samples), next(ascending)) for encoded in encoded_series]
         for encoded_series in results
     ]
 
@@ -124,7 +121,7 @@
         return None
 
 
-def _decoded_series(
+def _make_series(
     data: bytes, encoded: _EncodedSeries, times: Times, values: Values, ascending: bool
 ) -> Series:
     """Return the series with sorted labels. `raw` is set if the message is canonical."""
--- a/gingervane/writes/repair.py
+++ b/gingervane/writes/repair.py
@@ -96,7 +96,7 @@
         with self._lock:
             self._pending.discard(shard, version)
 
-    def replica_returned(self, shards: Iterable[ShardKey]) -> None:
+    def replica_recovered(self, shards: Iterable[ShardKey]) -> None:
         """Record that a replica of these shards recovered after it was gone, and may have missed writes."""
         with self._lock:
             for shard in shards:
--- a/gingervane/writes/replicated_shards.py
+++ b/gingervane/writes/replicated_shards.py
@@ -119,7 +119,7 @@
         self._write_coordinator.endpoints_updated(update_for_writes)
         for replica in self.placement.returned:
             shards = set(self.placement.shards_of(replica))
-            self.repairer.replica_returned([shard for shard in self._shards if shard.shard in shards])
+            self.repairer.replica_recovered([shard for shard in self._shards if shard.shard in shards])
 
     def start(self) -> None:
         """Start both coordinators, which then process endpoint lists and queries submitted earlier."""
--- a/gingervane/writes/write_ahead_log.py
+++ b/gingervane/writes/write_ahead_log.py
@@ -79,7 +79,7 @@
 
 @dataclass(slots=True)
 class _PendingRecord:
-    """A record that is not on the disk yet. `done` is set after the write succeeds or fails, if a thread waits."""
+    """A record to be written. `done`, if a thread waits, is set after the write succeeds or fails."""
 
     data: bytes
     done: threading.Event | None
--- a/tests/test_pinned_wire.py
+++ b/tests/test_pinned_wire.py
@@ -480,20 +480,22 @@
     "Gingervane-Timeout-Ms: 750",
 ]
 COSINE = Collection("cos", 4, "Cosine")
-PLACE = ("127.0.0.1", 7001)
+REPLICA_ADDRESS = ("127.0.0.1", 7001)
 
 
 def test_a_search_of_a_shard() -> None:
     part = ShardSearch(3, ({"vector": [1.0], "limit": 2},))
     body = b'{"searches":[{"vector":[1.0],"limit":2,"shard_key":"s3"}]}'
     lines = ["POST /collections/cos/points/search/batch HTTP/1.1", *VECTOR_HEAD, "Content-Length: 58", "\r\n"]
-    assert SearchCodec(COSINE, 6).encode([part], [0.75], PLACE) == "\r\n".join(lines).encode() + body
+    assert (
+        SearchCodec(COSINE, 6).encode([part], [0.75], REPLICA_ADDRESS) == "\r\n".join(lines).encode() + body
+    )
 
 
 @pytest.mark.parametrize("key", ["cos/k", ""])
 def test_a_write_of_a_shard(key: str) -> None:
     part = ShardWrite(3, "upsert", {"points": []}, 1)
-    data = WriteCodec(COSINE, key, 17, lambda shard, holder: None).encode([part], [0.75], PLACE)
+    data = WriteCodec(COSINE, key, 17, lambda shard, holder: None).encode([part], [0.75], REPLICA_ADDRESS)
     lines = [
         "POST /collections/cos/points/batch?wait=true HTTP/1.1",
         *VECTOR_HEAD,
