--- a/gingervane/wire/local_failures.py
+++ b/gingervane/wire/local_failures.py
@@ -20,7 +20,7 @@
 
 # Errors after which the call had no effect and may be repeated at once.
 TRANSIENT_ERRNOS = frozenset({errno.EINTR, errno.EAGAIN, errno.ENOMEM, errno.ENOBUFS})
-# Errors that also mean that this machine has run out of sockets, descriptors or ports, or has no route.
+# The above, and errors of a machine without free sockets, descriptors or ports, or without a route.
 LOCAL_ERRNOS = TRANSIENT_ERRNOS | {
     errno.EMFILE,
     errno.ENFILE,
@@ -37,7 +37,7 @@
 
 
 def is_local_failure(error_number: int | None) -> bool:
-    """Return whether an errno value stands for a failure of this machine and not of the peer."""
+    """Return whether an errno value means a failure of this machine and not of the peer."""
     return error_number in LOCAL_ERRNOS
 
 
--- a/tests/test_pinned_wire.py
+++ b/tests/test_pinned_wire.py
@@ -495,7 +495,7 @@
 @pytest.mark.parametrize("key", ["cos/k", ""])
 def test_a_write_of_a_shard(key: str) -> None:
     part = ShardWrite(3, "upsert", {"points": []}, 1)
-    data = WriteCodec(COSINE, key, 17, lambda shard, holder: None).encode([part], [0.75], REPLICA_ADDRESS)
+    data = WriteCodec(COSINE, key, 17, lambda shard, replica: None).encode([part], [0.75], REPLICA_ADDRESS)
     lines = [
         "POST /collections/cos/points/batch?wait=true HTTP/1.1",
         *VECTOR_HEAD,
