--- a/gingervane/wire/remote_read_encoder.py
+++ b/gingervane/wire/remote_read_encoder.py
@@ -11,7 +11,7 @@
 from gingervane.wire.remote_read_types import Query, Series, Times, Values
 
 _DOUBLE = struct.Struct("<d")
-_LOOP_MAX_SAMPLES = 8  # up to which a plain loop is faster than arrays
+_LOOP_MAX_SAMPLES = 8  # number of samples up to which a plain loop is faster than arrays
 
 
 def write_query(query: Query) -> bytes:
@@ -20,11 +20,11 @@
     out += [
         pb.encode_bytes_field(
             3,
-            pb.encode_varint_field(1, m.kind)
-            + pb.encode_bytes_field(2, m.name.encode())
-            + pb.encode_bytes_field(3, m.value.encode()),
+            pb.encode_varint_field(1, matcher.kind)
+            + pb.encode_bytes_field(2, matcher.name.encode())
+            + pb.encode_bytes_field(3, matcher.value.encode()),
         )
-        for m in query.matchers
+        for matcher in query.matchers
     ]
     if query.hints is not None:
         out.append(pb.encode_bytes_field(4, query.hints))
@@ -32,15 +32,15 @@
 
 
 def write_request(queries: Iterable[bytes], accepts: Sequence[int] = ()) -> bytes:
-    """Encode a ReadRequest of queries that are already encoded."""
-    packed = b"".join(pb.encode_varint(a) for a in accepts)
-    return b"".join(pb.encode_bytes_field(1, q) for q in queries) + (
+    """Encode a ReadRequest of encoded queries. `accepts`: the accepted response types."""
+    packed = b"".join(pb.encode_varint(response_type) for response_type in accepts)
+    return b"".join(pb.encode_bytes_field(1, query) for query in queries) + (
         pb.encode_bytes_field(2, packed) if packed else b""
     )
 
 
 def write_response(results: Iterable[Iterable[Series]]) -> bytes:
-    """Encode a ReadResponse; the labels of each series are written in the order in which it has them."""
+    """Encode a ReadResponse. The labels of each series are written in the order given."""
     out = bytearray()
     for result in results:
         body = b"".join(pb.encode_bytes_field(1, _write_series(series)) for series in result)
@@ -62,18 +62,18 @@
 
 
 def _write_samples(times: Times, values: Values) -> bytes:
-    """Encode samples as TimeSeries fields: as a table if all have one size, else one by one."""
+    """Encode samples as TimeSeries fields: as one array if all have the same size, else one by one."""
     if len(times) > _LOOP_MAX_SAMPLES and times[0] > 0:
         low, high = int(times.min()), int(times.max())
         length = len(pb.encode_varint(high))
-        # Plain encoders leave out a value whose bits are all zero; so does the loop below.
+        # Protobuf encoders omit a value whose bits are all zero, as the loop below does.
         if len(pb.encode_varint(low)) == length and values.view(np.int64).all():
             rows = np.empty((len(times), 14 + length - 2), np.uint8)
             rows[:, (0, 1, 2, 11)] = (0x12, 10 + length, 0x09, 0x10)
             rows[:, 3:11] = values.astype("<f8").view(np.uint8).reshape(-1, 8)
-            for place in range(length):
-                more = 0x80 if place < length - 1 else 0
-                rows[:, 12 + place] = (times >> (7 * place)) & 0x7F | more
+            for index in range(length):
+                continuation_bit = 0x80 if index < length - 1 else 0
+                rows[:, 12 + index] = (times >> (7 * index)) & 0x7F | continuation_bit
             return rows.tobytes()
     out = bytearray()
     for time, value in zip(times.tolist(), values.tolist(), strict=True):
