--- a/gingervane/audit/__init__.py
+++ b/gingervane/audit/__init__.py
@@ -1,1 +1,1 @@
-"""The six rules, checked from what passed on sockets."""
+"""Checks the six service rules against the records of a scenario run."""
--- a/gingervane/audit/attempts.py
+++ b/gingervane/audit/attempts.py
@@ -1,19 +1,19 @@
-"""What several rules ask of a client's attempt."""
+"""Helpers on client attempts that several rules share."""
 
 from __future__ import annotations
 
 from gingervane.audit.records import Day, Record, Send
 
-_KILL_MARGIN = 0.1  # seconds before and after an attempt in which a kill may have cost it its answer
+_KILL_MARGIN = 0.1  # seconds before and after an attempt within which a kill may explain a missing answer
 
 
 def describe(record: Record) -> str:
-    """Name an attempt in a breach."""
+    """Identify an attempt in the description of a breach."""
     return f"try {record['start']} of demand {record['demand']} ({record['query_class']})"
 
 
 def coordinator_was_killed(day: Day, record: Record) -> bool:
-    """Whether the co-ordinator was killed while it held an attempt: that one is the client's to retry."""
+    """Whether the co-ordinator was killed while it handled an attempt, so that the client has to retry."""
     return any(
         r["kind"] == "killed"
         and r["coordinator"] == record["coordinator"]
@@ -23,5 +23,5 @@
 
 
 def was_executed(send: Send) -> bool:
-    """Whether the node began work on what was sent to it."""
+    """Whether the node began to execute the request."""
     return send.took is not None and send.took["kind"] == "taken"
--- a/gingervane/audit/day_reader.py
+++ b/gingervane/audit/day_reader.py
@@ -1,9 +1,10 @@
-"""Reads the folder of a day's records.
+"""Reads the folder with the records of a scenario run (a day).
 
-`facts.json` has what was agreed beforehand (classes, rules in figures, the nodes' model, when nodes were down);
-`director.jsonl` what the director did, `clients.jsonl` each attempt, `nodes*.jsonl` each request that a node read,
-`consul.jsonl` what the fake Consul changed and answered, and `tap-*.jsonl` the bytes that passed at each
-co-ordinator's socket ends. A process that was killed may leave half a line; it is passed over and counted.
+`facts.json` holds the parameters of the run: query classes, limits of the rules, the nodes' capacity model
+and when nodes were down. `director.jsonl` holds the actions of the scenario runner, `clients.jsonl` each
+client attempt, `nodes*.jsonl` each request that a node read, `consul.jsonl` the changes and answers of the
+fake Consul, and `tap-*.jsonl` the bytes sent and received on each co-ordinator's sockets. A process that is
+killed may leave an incomplete line, which is skipped and counted.
 """
 
 from __future__ import annotations
@@ -20,13 +21,13 @@
 from gingervane.wire.remote_read import Match, Query
 
 _MAX_HEAD = 1 << 16  # bytes of a request's head
-_MAX_BODY = 1 << 26  # bytes of a request's body, and of it unpacked
-_MAX_QUERIES = 1 << 16  # in a request
-_MAX_MATCHERS = 1 << 10  # in a query
+_MAX_BODY = 1 << 26  # bytes of a request's body, both compressed and decompressed
+_MAX_QUERIES = 1 << 16  # per request
+_MAX_MATCHERS = 1 << 10  # per query
 
 
 def load(folder: Path) -> Day:
-    """Read all records of a day and link them."""
+    """Read all records of a day and link those of the two ends of each connection."""
     facts = json.loads((folder / "facts.json").read_text())
     director, torn = read_lines(folder / "director.jsonl")
     clients, torn_clients = read_lines(folder / "clients.jsonl")
@@ -55,12 +56,12 @@
 
 
 def read_lines(path: Path) -> tuple[list[Record], int]:
-    """Read the records of a file and count the lines that cannot be read; a file that is missing has none."""
+    """Read the records of a file and count the lines that cannot be parsed; a missing file has none."""
     return parse_lines(path.read_text()) if path.exists() else ([], 0)
 
 
 def parse_lines(text: str) -> tuple[list[Record], int]:
-    """Parse records, one a line, and count the lines that cannot be read."""
+    """Parse one JSON record per line and count the lines that cannot be parsed."""
     records: list[Record] = []
     torn = 0
     for line in text.splitlines():
@@ -72,7 +73,7 @@
 
 
 def requested_parts(data: bytes) -> list[Part]:
-    """Find the parts that the bytes of a request ask for."""
+    """Decode a batch request or subtree request and list the parts that it requests."""
     chunks = iter((data, b""))
     reader = http1.Reader(lambda _: next(chunks), http1.Limits(_MAX_HEAD, _MAX_BODY))
     request = reader.request()
@@ -82,7 +83,7 @@
 
 
 def _tiles(query: Query) -> list[str]:
-    """Find the tile of a part, or the tiles of a subtree, which names them with bars between."""
+    """List the tile of a part, or those of a subtree, whose matcher is a regex of tiles separated by `|`."""
     if name := tile_of(query):
         return [name]
     pattern = next((m.value for m in query.matchers if m.name == "tile" and m.kind is Match.REGEX), "")
@@ -90,7 +91,7 @@
 
 
 def _node_records(folder: Path) -> tuple[list[Record], int]:
-    """Read what all processes of nodes recorded, in order of time, and count the torn lines."""
+    """Read the records of all node processes in order of time and count the torn lines."""
     records: list[Record] = []
     torn = 0
     for path in sorted(folder.glob("nodes*.jsonl")):
@@ -102,14 +103,14 @@
 
 
 class _TapReader:
-    """Reads the taps of all co-ordinator processes and sorts what passed by what was at the other end."""
+    """Reads the taps of all co-ordinator processes and classifies each call by the kind of its peer."""
 
     def __init__(self, folder: Path, director: list[Record]) -> None:
         self.sends: list[Send] = []
         self.branches: list[Branch] = []
-        self.front_records: dict[str, list[Record]] = {}  # requests and replies of clients, by tap
+        self.front_records: dict[str, list[Record]] = {}  # client requests and the replies to them, by tap
         self.exchanged: dict[str, int] = {}  # bytes, by tap
-        # An agent of Consul and the port of a co-ordinator's connection to it: the co-ordinator's tap.
+        # (number of the Consul agent, local port of the co-ordinator's connection to it) -> tap
         self.agent_connections: dict[tuple[int, int], str] = {}
         self.torn = 0
         self._vector_ports = _ports(director, "vector_ports")
@@ -124,14 +125,14 @@
 
     @property
     def has_agents(self) -> bool:
-        """Whether nodes were listed in Consul."""
+        """Whether the endpoint list came from Consul."""
         return bool(self._agent_ports)
 
     def _read(self, launch: Record, records: list[Record]) -> None:
         tap = launch["tap"]
         calls = [r for r in records if r["kind"] == "call"]
         self.front_records[tap] = [r for r in records if r["kind"] in ("request", "reply")]
-        # Bytes of calls stand in the record as base64.
+        # The bytes of a call are base64 in its record.
         self.exchanged[tap] = sum(r["bytes"] for r in records if r["kind"] == "got") + sum(
             len(r["data"]) * 3 // 4 for r in calls
         )
@@ -139,7 +140,7 @@
             self._sort(launch, call)
 
     def _sort(self, launch: Record, call: Record) -> None:
-        """File what left a co-ordinator by the port that it went to."""
+        """Classify a call of a co-ordinator by the port that it was sent to."""
         tap, near, far = launch["tap"], call["near"], call["far"]
         if far in self._vector_ports:
             return
@@ -155,12 +156,12 @@
 
 
 def _ports(director: list[Record], kind: str) -> list[int]:
-    """Ports that the director recorded under a kind; none if it did not."""
+    """Return the ports in the director's record of a kind; empty if there is no such record."""
     return next((r["ports"] for r in director if r["kind"] == kind), [])
 
 
 def _catalogue(folder: Path, taps: dict[tuple[int, int], str]) -> Catalogue:
-    """Read the changes of the catalogue and what co-ordinators were notified of by it."""
+    """Read the changes of the catalogue and the notifications that co-ordinators received of them."""
     records, _ = read_lines(folder / "consul.jsonl")
     out = Catalogue(defaultdict(list), defaultdict(list))
     for record in records:
--- a/gingervane/audit/draining.py
+++ b/gingervane/audit/draining.py
@@ -1,4 +1,4 @@
-"""The rule on draining: nothing new to a node that is not ready, later than the grace after the notification."""
+"""The rule on draining: a node that is not ready receives no new request after the drain grace."""
 
 from __future__ import annotations
 
@@ -9,11 +9,12 @@
 from gingervane.audit.records import Day, Send
 from gingervane.audit.verdict import Verdict
 
-_AGENT_BACKOFF = 24.0  # seconds after an agent's fault by which whoever it failed polls it again
+# Seconds after the end of an agent's fault within which every co-ordinator polls the agent again.
+_AGENT_BACKOFF = 24.0
 
 
 def judge(day: Day) -> Verdict:
-    """Judge every absence of a node from the server list."""
+    """Judge every period in which a node was listed as not ready."""
     verdict = Verdict()
     grace = day.facts["grace"]
     sends_by_node: dict[int, list[Send]] = defaultdict(list)
@@ -28,12 +29,12 @@
         for tap, last in last_sends.items():
             if (notified := _notified_at(day, tap, node, start)) is not None:
                 worst = max(worst, last - notified)
-        verdict.put(worst / grace, f"node {node}: sent to {worst:.3f} s after it was listed away")
+        verdict.put(worst / grace, f"node {node}: sent to {worst:.3f} s after it was listed as not ready")
     return verdict
 
 
 def _absences(day: Day) -> list[tuple[int, float, float]]:
-    """Each node that was listed as not ready, from when to when."""
+    """List each period in which a node was listed as not ready: node, start, end."""
     out: list[tuple[int, float, float]] = []
     lists = [r for r in day.director if r["kind"] == "list"]
     for node in range(day.facts["nodes"]):
@@ -51,11 +52,12 @@
 
 
 def _notified_at(day: Day, tap: str, node: int, start: float) -> float | None:
-    """When a co-ordinator was notified of an absence; None if it could not have been.
+    """When a co-ordinator was notified that a node is not ready; None if it could not have been notified.
 
-    A list file notifies when it is written. Consul notifies when an agent's answer has it, by the agents' own
-    records. But where some agent had been well for long enough that whoever polled it was back, it must have been
-    polled.
+    A list file notifies when it is written. Consul notifies when an agent's answer contains the change, by
+    the agents' own records. If some agent was healthy for so long that every co-ordinator polls it again, the
+    co-ordinator must have polled it. It then counts as notified half the grace after the start at the latest
+    or, if no notification is recorded, at the start.
     """
     if day.catalogue is None:
         return start
@@ -67,7 +69,7 @@
 
 
 def _agent_was_well(day: Day, agent: int, at: float) -> bool:
-    """Whether an agent's faults were over for long, or lay ahead, at a moment (seconds into the day)."""
+    """Whether no fault of an agent was active, just over or imminent at a time (seconds into the day)."""
     return all(
         end + _AGENT_BACKOFF < at or begin > at + day.facts["grace"]
         for faulty_agent, begin, end in day.facts["agent_faults"]
@@ -76,7 +78,7 @@
 
 
 def notification_delays(day: Day) -> dict[str, float]:
-    """Delay from a change in the catalogue to each co-ordinator's notification, as quantiles in milliseconds."""
+    """Return quantiles, in milliseconds, of the delay from a catalogue change to each notification of it."""
     catalogue = day.catalogue
     if catalogue is None:
         return {}
@@ -84,7 +86,7 @@
     for changes in catalogue.changes.values():
         for change in (c for c in changes if c.t >= day.began()):
             for notified in catalogue.notified.values():
-                if notified and notified[0][0] < change.t:  # a co-ordinator that ran before
+                if notified and notified[0][0] < change.t:  # a co-ordinator that ran before the change
                     delays += [t - change.t for t, index in notified if index >= change.order][:1]
     return {"count": len(delays)} | {
         f"p{q:g}": round(float(np.percentile(delays, q)) * 1000, 2) for q in (50, 99, 100) if delays
--- a/gingervane/audit/duplicate_effects.py
+++ b/gingervane/audit/duplicate_effects.py
@@ -1,4 +1,4 @@
-"""The rule on duplicate effects: nothing takes effect twice, and what may have been executed is not rejected."""
+"""The rule on duplicate effects: no write takes effect twice, and none that was executed is rejected."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def judge(day: Day) -> Verdict:
-    """Judge every part of each attempt whose class is not idempotent by itself."""
+    """Judge every part of each attempt whose query class is keyed or unsafe."""
     verdict = Verdict()
     for record in day.tries:
         query_class = day.facts["classes"][record["query_class"]]
@@ -19,8 +19,7 @@
             sends = day.by_part.get(Part(record["start"], tile), [])
             executed = [send for send in sends if attempts.was_executed(send)]
             if query_class["semantics"] == "unsafe":
-                # A request that no node read may have been executed for all the co-ordinator knew; that it was is
-                # what counts.
+                # The co-ordinator cannot know whether a sent request was executed; only executions count.
                 verdict.put(len(executed) / 1.0, f"{name}: {tile} ran {len(executed)} times")
                 if executed and record.get("status") == 503:
                     verdict.breach(f"{name}: refused though {tile} ran")
--- a/gingervane/audit/effects.py
+++ b/gingervane/audit/effects.py
@@ -1,7 +1,7 @@
-"""Effects of writes, judged from what the vector nodes recorded that they did and from the clients' answers.
+"""Judges the effects of vector writes from the records of the vector nodes and from the clients' answers.
 
-Nothing here asks a co-ordinator. An effect is one operation done at one node; the same at each replica of a shard is
-one effect, done at each.
+No data of a co-ordinator is used. An effect is one operation executed at one node; a write to a shard has one
+effect at each of its replicas.
 """
 
 from __future__ import annotations
@@ -20,8 +20,8 @@
 from gingervane.scenarios.scenario import VectorDay
 from gingervane.vectors.points import order_of, shard_of
 
-_ANSWER_GRACE = 0.1  # seconds past a client's time within which an answer counts as in time
-_KILL_MARGIN = 0.2  # seconds before and after an attempt in which a kill may have cost it its answer
+_ANSWER_GRACE = 0.1  # seconds past a client's deadline within which an answer counts as in time
+_KILL_MARGIN = 0.2  # seconds before and after an attempt within which a kill may explain a missing answer
 
 
 class Finding:
@@ -32,16 +32,16 @@
         self.breaches = 0
         self.what: list[str] = []
 
-    def check(self, good: bool, what: str) -> None:
-        """Count one test; `what` describes the breach if it is not good."""
+    def check(self, condition: bool, description: str) -> None:
+        """Count one test; if `condition` is false, count a breach and add its description."""
         self.tested += 1
-        if not good:
+        if not condition:
             self.breaches += 1
-            self.what = [*self.what, what][:MAX_BREACHES_DESCRIBED]
+            self.what = [*self.what, description][:MAX_BREACHES_DESCRIBED]
 
 
 def judge(folder: Path) -> dict[str, Any]:
-    """Report on a day's vector side."""
+    """Judge the vector requests of the day whose records are in a folder."""
     day = VectorDay.model_validate(json.loads((folder / "facts.json").read_text())["vectors"])
     clients, _ = parse_lines((folder / "clients.jsonl").read_text())
     nodes, _ = parse_lines((folder / "vectors.jsonl").read_text())
@@ -75,14 +75,14 @@
 
 
 def _judge_answered(attempts: list[Record], killed: list[tuple[int, float]]) -> Finding:
-    """One answer in time, but where the co-ordinator was killed meanwhile."""
+    """Every attempt is answered in time, unless its co-ordinator was killed or not listening."""
     finding = Finding()
     for r in attempts:
         was_killed = any(
             coordinator == r["coordinator"] and r["sent"] - _KILL_MARGIN <= t <= r["ended"] + _KILL_MARGIN
             for coordinator, t in killed
         )
-        was_unreachable = not r["status"] and "refused" in r["why"]  # a connection to one that is not up
+        was_unreachable = not r["status"] and "refused" in r["why"]  # the co-ordinator did not listen
         if not was_killed and not was_unreachable:
             in_time = r["status"] > 0 and r["ended"] - r["sent"] <= r["timeout"] + _ANSWER_GRACE
             finding.check(in_time, f"{_describe(r)}: {r['why']}")
@@ -90,7 +90,7 @@
 
 
 def _judge_not_idempotent(effects: list[Record]) -> Finding:
-    """No attempt of an addition takes effect twice at any node."""
+    """No attempt of an add takes effect twice at any node."""
     finding, done = Finding(), Counter[tuple[int, str]]()
     for e in effects:
         for name in e["added"]:
@@ -101,41 +101,44 @@
 
 
 def _judge_idempotency_keys(effects: list[Record]) -> Finding:
-    """No key takes effect twice at a node: within its window by the node, and after it as nobody sends it."""
+    """No key takes effect twice at a node.
+
+    The node discards repeats within the idempotency window; after the window, no repeat may be sent.
+    """
     finding, done = Finding(), defaultdict[tuple[int, str, int], list[Record]](list)
     for e in effects:
         if e["key"] and not e["repeat"]:
             done[e["node"], e["key"], e["shard"]].append(e)
-    for (node, key, _), found in done.items():
-        apart = found[-1]["t"] - found[0]["t"]
-        finding.check(len(found) == 1, f"{key}: done {len(found)} times at node {node}, {apart:.2f} s apart")
+    for (node, key, _), runs in done.items():
+        apart = runs[-1]["t"] - runs[0]["t"]
+        finding.check(len(runs) == 1, f"{key}: done {len(runs)} times at node {node}, {apart:.2f} s apart")
     return finding
 
 
 def _judge_rejected(attempts: list[Record], effects: list[Record]) -> Finding:
-    """What was rejected had no effect: additions by attempt, keys if every attempt of theirs was rejected."""
+    """Rejected writes have no effect: each rejected add, and each key whose attempts were all rejected."""
     finding = Finding()
     added = {name for e in effects for name in e["added"]}
     keys = {e["key"].rpartition("/")[2] for e in effects if e["key"]}
     by_key: dict[str, list[int]] = defaultdict(list)
     for r in attempts:
         if r["kind_of"] == "add" and r["status"] == 503:
-            finding.check(r["name"] not in added, f"{_describe(r)}: refused, and done")
+            finding.check(r["name"] not in added, f"{_describe(r)}: rejected, but executed")
         elif r["kind_of"] == "upsert":
             by_key[f"k{r['demand']}"].append(r["status"])
     for key, statuses in by_key.items():
         if set(statuses) == {503}:
-            finding.check(key not in keys, f"{key}: every try refused, and done")
+            finding.check(key not in keys, f"{key}: every try rejected, but executed")
     return finding
 
 
 def _judge_acknowledged(day: VectorDay, attempts: list[Record], final: Record | None) -> Finding:
-    """Every acknowledged point is at all its replicas once no missed write is left to repair."""
+    """Every acknowledged point is stored at all its replicas once no missed write is left to repair."""
     finding = Finding()
     if final is None:
-        finding.check(False, "no look at the nodes was taken")
+        finding.check(False, "the final state of the nodes was not recorded")
         return finding
-    finding.check(final["settled"], "something was still owed when the time to settle was over")
+    finding.check(final["settled"], "missed writes were still to be repaired when the settle time was over")
     for r in attempts:
         if r["kind_of"] != "upsert" or r["status"] != 200:
             continue
@@ -144,13 +147,13 @@
             replicas = [(shard + back) % day.nodes for back in range(day.width)]
             stored = sum(str(point) in final["marks"][str(n)][str(shard)] for n in replicas)
             finding.check(
-                stored == day.width, f"point {point} of {_describe(r)}: at {stored} of {day.width} holders"
+                stored == day.width, f"point {point} of {_describe(r)}: at {stored} of {day.width} replicas"
             )
     return finding
 
 
 def _judge_searches(day: VectorDay, attempts: list[Record]) -> Finding:
-    """Searches of the fixed collection equal brute force over the shards that they cover."""
+    """Each search of the fixed collection equals a brute-force search over the shards that it covers."""
     finding = Finding()
     points = fixed_points(day)
     matrix = np.asarray([p["vector"] for p in points], dtype=np.float64)
--- a/gingervane/audit/figures.py
+++ b/gingervane/audit/figures.py
@@ -1,4 +1,4 @@
-"""Figures of a day beside the rules: latencies, hedged requests and stray work."""
+"""Measurements of a day besides the rules: latencies, hedged requests and work done after the answer."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 from gingervane.audit import attempts
 from gingervane.audit.records import Day, Send
 
-_MAX_LATENCY = 600_000_000  # microseconds, ten minutes
+_MAX_LATENCY = 600_000_000  # microseconds (ten minutes)
 _SIGNIFICANT_DIGITS = 3
 
 
 def histograms(day: Day) -> dict[str, HdrHistogram]:
-    """Microseconds of attempts that were answered with 200, by class."""
+    """Latencies in microseconds of the attempts answered with status 200, by query class."""
     by_class: dict[str, HdrHistogram] = {}
     for record in day.tries:
         if record.get("status") == 200:
@@ -24,7 +24,7 @@
 
 
 def latencies(day: Day) -> dict[str, dict[str, float]]:
-    """Quantiles of the same in milliseconds."""
+    """Latency quantiles in milliseconds of the attempts answered with status 200, by query class."""
     return {
         name: {"count": h.get_total_count()}
         | {f"p{q:g}": round(h.get_value_at_percentile(q) / 1000, 2) for q in (50, 90, 99, 99.9)}
@@ -33,7 +33,7 @@
 
 
 def hedged_requests(day: Day) -> int:
-    """Count the attempts that left while an earlier one of the part had not ended at its node."""
+    """Count the attempts that were sent while an earlier attempt of the same part was open at its node."""
     return sum(
         any(_was_open(day, earlier, send.t) for earlier in sends[:index])
         for sends in day.by_part.values()
@@ -42,18 +42,18 @@
 
 
 def _was_open(day: Day, send: Send, at: float) -> bool:
-    """Whether what was sent had not ended at its node at a moment."""
+    """Whether a request was still open at its node at a time."""
     end = day.ends.get((send.node, send.took["call"])) if send.took else None
     return end is None or end["t"] > at
 
 
 def most_executions_of_a_part(day: Day) -> int:
-    """Count how often the part was executed that was executed most often."""
+    """Return the largest number of executions of any one part."""
     return max((sum(attempts.was_executed(s) for s in sends) for sends in day.by_part.values()), default=0)
 
 
 def stray_work(day: Day) -> dict[str, float]:
-    """What went on below after a query had been answered: leaf sends, and seconds of the nodes' work on it."""
+    """Requests sent to nodes, and seconds of node work, for queries that had already been answered."""
     replied = {r["start"]: r["replies"][0] for r in day.tries if r.get("replies")}
     after, sent, late, worked = 0, 0, 0.0, 0.0
     for send in day.sends:
--- a/gingervane/audit/honest_answers.py
+++ b/gingervane/audit/honest_answers.py
@@ -1,4 +1,4 @@
-"""The rule on honest answers: enough coverage, marked as what they are, and with the right samples."""
+"""The rule on honest answers: sufficient coverage, accurate coverage headers and correct samples."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from gingervane.wire import remote_read, snappy
 from gingervane.wire.remote_read import Match, Matcher, Query, Series
 
-_COVERAGE_ERROR = 1e-4  # by which a stated coverage may differ, being rounded
-_MAX_BODY = 1 << 28  # bytes of an answer, unpacked
+_COVERAGE_ERROR = 1e-4  # rounding error of a stated coverage
+_MAX_BODY = 1 << 28  # bytes of a decompressed answer
 
 
 def judge(day: Day, samples: bool) -> Verdict:
-    """Judge every answer. `samples`: whether answers hold any, to be compared with recomputed data."""
+    """Judge every answer. `samples`: whether answers contain samples, to be compared with recomputed data."""
     verdict = Verdict()
     for record in day.tries:
         if record["outcome"] != "reply" or record["status"] != 200:
@@ -37,7 +37,7 @@
 
 
 def _fault(day: Day, record: Record, missing: set[str], covered: list[str]) -> str | None:
-    """What is wrong with an answer's samples or with what it states of itself; None if nothing is."""
+    """Describe what is wrong with an answer's samples or stated coverage; None if both are correct."""
     at, length = record["body"]
     body = snappy.decompress(day.bodies[at : at + length], _MAX_BODY)
     (received,) = remote_read.read_response(body, 1)
@@ -46,11 +46,11 @@
     stated = float(record["coverage"] or "nan")
     share = len(covered) / len(record["tiles"])
     if not _is_same(received, expected):
-        return "the samples are not those of the tiles that it covers"
+        return "the samples are not those of the covered tiles"
     if abs(stated - share) > _COVERAGE_ERROR:
-        return f"states a coverage of {stated:g}, has {share:g}"
+        return f"states a coverage of {stated:g}, has a coverage of {share:g}"
     if missing and not record["partial"]:
-        return "not whole, and its client did not ask for that"
+        return "partial, but the client did not accept partial answers"
     return None
 
 
--- a/gingervane/audit/linking.py
+++ b/gingervane/audit/linking.py
@@ -1,4 +1,4 @@
-"""Links between the records of two socket ends: by the ports of a connection and the order of what passed on it."""
+"""Links the records of the two ends of a connection by its ports and by the order of the messages on it."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     front_records: dict[str, list[Record]],
     director: list[Record],
 ) -> list[Branch]:
-    """Give each subtree the moment at which the child had read it: the next request on that connection."""
+    """Add to each subtree request when the child read it: at the next request recorded on that connection."""
     taps: dict[int, list[str]] = defaultdict(list)
     for launch in [r for r in director if r["kind"] == "launched"]:
         taps[launch["port"]].append(launch["tap"])
@@ -36,7 +36,7 @@
 
 
 def link_nodes(day: Day) -> None:
-    """Link each request that a node read to the latest send that had left on that connection."""
+    """Link each request that a node read to the latest one sent on that connection before."""
     day.ends = ends_of(day.nodes)
     by_connection: dict[tuple[int, int], list[Send]] = defaultdict(list)
     for send in day.sends:
@@ -50,7 +50,7 @@
 
 
 def link_replies(day: Day, front_records: dict[str, list[Record]]) -> None:
-    """Add to each attempt when the co-ordinator had read it, at which tap, and when it wrote each reply."""
+    """Add to each attempt the times at which the co-ordinator read it and replied, and the tap."""
     by_connection = _by_client_connection(day, front_records)
     for record in day.tries:
         passed = by_connection.get((record["coordinator"], record.get("port", -1)), [])
@@ -68,7 +68,7 @@
 def _by_client_connection(
     day: Day, front_records: dict[str, list[Record]]
 ) -> dict[tuple[int, int], list[Record]]:
-    """What passed on each connection of a client, by the co-ordinator and the client's port, in order of time."""
+    """Group the front records by co-ordinator and client port, in order of time."""
     coordinator_of = {r["tap"]: r["coordinator"] for r in day.director if r["kind"] == "launched"}
     out: dict[tuple[int, int], list[Record]] = defaultdict(list)
     for tap, records in front_records.items():
--- a/gingervane/audit/lost_requests.py
+++ b/gingervane/audit/lost_requests.py
@@ -1,4 +1,4 @@
-"""The rule on lost requests: exactly one final answer in time, and nothing sent for the query after it."""
+"""The rule on lost requests: exactly one answer in time, and no further request for the query after it."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 from gingervane.audit.records import Day, Part, Record
 from gingervane.audit.verdict import Verdict
 
-_LATE = 0.5  # seconds past a client's time in which an answer only earns nothing (the users' standing page)
-_AFTER_PAUSE = 0.15  # seconds after SIGCONT within which what ran out meanwhile is failed
-_CLOCK_ERROR = 0.002  # seconds by which two processes' readings of one moment may differ
+_LATE = 0.5  # seconds past a client's deadline up to which an answer has no value but is not counted as lost
+_AFTER_PAUSE = 0.15  # seconds after SIGCONT within which requests that expired in the pause are failed
+_CLOCK_ERROR = 0.002  # seconds by which the clock readings of two processes may differ
 
 
 def judge(day: Day) -> Verdict:
-    """Judge every attempt whose client stayed and whose co-ordinator was not killed."""
+    """Judge every attempt whose client stayed connected and whose co-ordinator was not killed."""
     verdict = Verdict()
     for record in day.tries:
         if record["outcome"] in ("left", "unreached") or attempts.coordinator_was_killed(day, record):
@@ -33,9 +33,10 @@
 
 
 def _judge_sends_after_answer(day: Day, record: Record, verdict: Verdict) -> None:
-    """Nothing is sent for a query after its answer.
+    """Check that the answering co-ordinator sends nothing for a query after its answer.
 
-    What a child sent before it had received the cancellation is stray work, and counted as such.
+    Requests that a child sends before it receives the cancellation are counted by `figures.stray_work`
+    instead.
     """
     replied = record["replies"][0]
     for tile in record["tiles"]:
@@ -46,20 +47,20 @@
 
 
 def failed_late_after_pause(day: Day, record: Record) -> bool:
-    """Whether an attempt's time ran out while its co-ordinator was stopped (SIGSTOP) and it was failed at once after.
+    """Whether an attempt expired while its co-ordinator was stopped and was failed right after SIGCONT.
 
-    Nobody can answer then. By the users' page a request that is answered up to `_LATE` after its time earns nothing
-    and is not lost; one that is closed without an answer is.
+    A stopped process cannot answer. By the users' requirements, an answer up to `_LATE` after the deadline
+    has no value but the request is not lost; a request whose connection closes without an answer is lost.
     """
-    until = record["sent"] + record["timeout"]
+    deadline = record["sent"] + record["timeout"]
     replied = record["replies"][0]
-    if record["status"] < 500 or replied > until + _LATE:
+    if record["status"] < 500 or replied > deadline + _LATE:
         return False
     signals = [r for r in day.director if r["kind"] == "signal" and r["coordinator"] == record["coordinator"]]
     for stop in [r["t"] for r in signals if r["signal"] == "SIGSTOP"]:
         resumed = next((r["t"] for r in signals if r["signal"] == "SIGCONT" and r["t"] > stop), None)
         if resumed is None:
             continue
-        if stop <= until <= resumed + _AFTER_PAUSE and replied <= resumed + _AFTER_PAUSE:
+        if stop <= deadline <= resumed + _AFTER_PAUSE and replied <= resumed + _AFTER_PAUSE:
             return True
     return False
--- a/gingervane/audit/records.py
+++ b/gingervane/audit/records.py
@@ -1,6 +1,6 @@
-"""What every socket end recorded of a day, linked. Nothing here asks a co-ordinator.
+"""Types of the records of a scenario run (a day), taken at sockets and not from the co-ordinators' own logs.
 
-A tap is the file of what passed at one co-ordinator process's socket ends; its name stands for that process.
+A tap is the record of all traffic on the sockets of a co-ordinator process; its name identifies the process.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class Part(NamedTuple):
-    """One tile of one try, by what travels unchanged: the start of its time range."""
+    """One tile of one client attempt, which the start of its time range identifies."""
 
     start: int
     tile: str
@@ -20,7 +20,7 @@
 
 @dataclass
 class Send:
-    """One batch request that left a co-ordinator for a node; `near` is the port at the co-ordinator's end."""
+    """One batch request that a co-ordinator sent to a node; `near` is the port at the co-ordinator's end."""
 
     t: float
     coordinator: int
@@ -32,33 +32,33 @@
 
 
 class Branch(NamedTuple):
-    """One subtree that left a co-ordinator for another."""
+    """One subtree request that a co-ordinator sent to a child co-ordinator."""
 
     t: float
     tap: str
     near: int
     far: int
     parts: tuple[Part, ...]
-    read: float  # when the child had read it; the time of sending if it never did
-    child: str  # the child's tap; empty if it never read it
+    read: float  # when the child read it; the time of sending if the child never read it
+    child: str  # the child's tap; empty if the child never read it
 
 
 class Change(NamedTuple):
-    """What became of a node's entry in the catalogue."""
+    """A change of a node's entry in the catalogue."""
 
     t: float
-    order: int  # its index
-    away: bool
+    order: int  # the catalogue's index after the change
+    away: bool  # removed, draining or critical
 
 
 class Catalogue(NamedTuple):
-    """What the fake Consul recorded: each node's changes, and for each tap when it was notified of which index."""
+    """The fake Consul's records: changes of each node, and notifications (time, index) of each tap."""
 
     changes: dict[int, list[Change]]
     notified: dict[str, list[tuple[float, int]]]
 
     def notified_of_absence(self, tap: str, node: int, since: float) -> float | None:
-        """When a co-ordinator was first notified of an absence that began at `since`; None if it never was."""
+        """When a co-ordinator was notified that a node is not ready since `since`; None if it never was."""
         away = next((c for c in self.changes.get(node, []) if c.away and c.t >= since), None)
         if away is None:
             return None
@@ -67,7 +67,7 @@
 
 @dataclass
 class Day:
-    """All records of a day. `tries` are the clients' attempts, `demands` what they were for."""
+    """All records of a day. `demands` are the client requests, `tries` the clients' attempts at them."""
 
     facts: Record
     director: list[Record]
@@ -77,11 +77,11 @@
     sends: list[Send]
     bodies: bytes
     branches: list[Branch]
-    exchanged: dict[str, int]  # bytes with replicas and children, by tap
+    exchanged: dict[str, int]  # bytes exchanged with replicas and children, by tap
     catalogue: Catalogue | None = None
-    torn: int = 0  # lines that could not be read
+    torn: int = 0  # lines that could not be parsed
     by_part: dict[Part, list[Send]] = field(default_factory=dict)
-    ends: dict[tuple[int, int], Record] = field(default_factory=dict)  # (node, call) -> how the node ended it
+    ends: dict[tuple[int, int], Record] = field(default_factory=dict)  # (node, call) -> record of its outcome
 
     def began(self) -> float:
         """When the day began, on the clock of the records."""
@@ -89,6 +89,6 @@
 
 
 def ends_of(nodes: list[Record]) -> dict[tuple[int, int], Record]:
-    """How each node ended each call, from what the nodes recorded."""
+    """Return the record of each call's outcome at its node, by (node, call)."""
     kinds = ("done", "lost", "dropped", "failed", "rejected")
     return {(r["node"], r["call"]): r for r in nodes if "call" in r and r["kind"] in kinds}
--- a/gingervane/audit/retry_budget.py
+++ b/gingervane/audit/retry_budget.py
@@ -1,4 +1,4 @@
-"""The rule on the retry budget: each co-ordinator's attempts beyond the first of a part, in any window."""
+"""The rule on the retry budget: it limits each co-ordinator's further attempts in any window of time."""
 
 from __future__ import annotations
 
@@ -8,7 +8,8 @@
 from gingervane.audit.records import Day, Part
 from gingervane.audit.verdict import Verdict
 
-_MAX_SEND_DELAY = 0.1  # seconds from a query's reading to its admission, and from a decision to its send
+# Seconds from reading a query to its admission, and from a decision to the send.
+_MAX_SEND_DELAY = 0.1
 
 Times = list[float]
 
@@ -24,7 +25,7 @@
 
 
 def _retries(day: Day) -> dict[str, Times]:
-    """When each co-ordinator sent attempts beyond the first of a part or a subtree."""
+    """Return when each co-ordinator sent further attempts of a part or a subtree, by tap."""
     retries: dict[str, Times] = defaultdict(list)
     for sends in day.by_part.values():
         senders: set[str] = set()
@@ -41,7 +42,7 @@
 
 
 def _received(day: Day) -> dict[str, list[tuple[float, int]]]:
-    """When each co-ordinator read queries and subtrees, and how many first attempts each allowed."""
+    """Return when each tap's co-ordinator read queries and subtrees, with their numbers of first attempts."""
     received: dict[str, list[tuple[float, int]]] = defaultdict(list)
     for branch in day.branches:
         if branch.child:
@@ -55,7 +56,7 @@
 def _judge_coordinator(
     day: Day, tap: str, retries: Times, received: list[tuple[float, int]], verdict: Verdict
 ) -> None:
-    """Judge the window that ends with each retry; both lists are in order of time."""
+    """Judge the window of time that ends with each retry; both lists are in order of time."""
     budget = day.facts["budget"]
     sums = [0]
     for _, size in received:
--- a/gingervane/audit/rules.py
+++ b/gingervane/audit/rules.py
@@ -1,6 +1,6 @@
-"""The six rules, judged from a day's records alone, and the report of them.
+"""Judges the six rules from the records of a day and builds the report.
 
-A rule that was never tested counts as kept; its `tested` says so. The report's keys are stored in `report.json`.
+A rule that was never tested counts as kept, with `tested` 0. The report is stored in `report.json`.
 """
 
 from __future__ import annotations
@@ -24,12 +24,15 @@
 
 
 def judge(folder: Path) -> dict[str, Any]:
-    """Report on the day whose records are in a folder."""
+    """Judge the day whose records are in a folder and return the report."""
     return judge_day(day_reader.load(folder))
 
 
 def judge_day(day: Day, samples: bool = True) -> dict[str, Any]:
-    """Report on a day. `samples`: whether answers hold any, to be compared; those of an emulated day do not."""
+    """Judge a day and return the report.
+
+    `samples`: whether answers contain samples, to be compared with recomputed data; not so in simulated time.
+    """
     verdicts = {
         "lost": lost_requests.judge(day),
         "duplicate": duplicate_effects.judge(day),
@@ -66,7 +69,7 @@
 
 
 def _outcomes(day: Day) -> dict[str, int]:
-    """How many attempts ended with each status or, without an answer, in each way."""
+    """Count the attempts by status or, for those without an answer, by outcome."""
     outcomes: dict[str, int] = defaultdict(int)
     for record in day.tries:
         outcomes[str(record["status"]) if record["outcome"] == "reply" else record["outcome"]] += 1
--- a/gingervane/audit/served_weight.py
+++ b/gingervane/audit/served_weight.py
@@ -1,4 +1,4 @@
-"""Priority weight asked for, served, and the most that any co-ordinator could have served."""
+"""Priority weight: that of all demands, the share served, and an upper bound for any co-ordinator."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 def served_weight(day: Day) -> dict[str, Any]:
     """Sum the weights of all demands and of their answers.
 
-    The bound gives a query its full weight if, at some moment up to its latency objective, a replica of each needed
-    tile was up; it knows nothing of load, so that it is above what is possible under overload.
+    The bound gives a query its full weight if a replica of each required tile was up at some time within its
+    latency objective. It ignores load, so it is higher than what is possible under overload.
     """
     began, asked, served, bound = day.began(), 0.0, 0.0, 0.0
     attempts: dict[int, list[Record]] = defaultdict(list)
@@ -40,7 +40,7 @@
 
 
 def _most_weight(day: Day, demand: Record, query_class: Record, at: float) -> float:
-    """Weight of the best answer that any co-ordinator could have given (`at`: seconds into the day)."""
+    """Return the highest weight that any co-ordinator could have earned (`at`: seconds into the day)."""
     is_up = [_is_reachable(day, tile, at, at + query_class["aim"]) for tile in demand["names"]]
     share = sum(is_up) / len(is_up)
     if share == 1.0 or (query_class["partial"] and share >= query_class["least_share"]):
@@ -49,7 +49,7 @@
 
 
 def _answer_weight(query_class: Record, took: float, coverage: float) -> float:
-    """Weight that an answer earns by its latency and its coverage."""
+    """Return the weight of an answer with a latency of `took` seconds and a coverage."""
     if took <= query_class["aim"]:
         late = 1.0
     else:
@@ -60,7 +60,7 @@
 
 
 def _is_reachable(day: Day, tile: str, start: float, end: float) -> bool:
-    """Whether some replica of a tile is up at some moment of a span (seconds into the day)."""
+    """Whether some replica of a tile is up at some time from `start` to `end` (seconds into the day)."""
     count, width = day.facts["nodes"], day.facts["width"]
     number = int(tile[1:])
     for node in ((number + j) % count for j in range(width)):
--- a/gingervane/audit/slow_start.py
+++ b/gingervane/audit/slow_start.py
@@ -1,4 +1,4 @@
-"""The rule on slow start: what reaches a node that has just started stays under what overloads it."""
+"""The rule on slow start: the load on a node that has just started stays below the one that overloads it."""
 
 from __future__ import annotations
 
@@ -7,23 +7,24 @@
 
 
 def judge(day: Day) -> Verdict:
-    """Judge every start of a node, over any overload window, and every overload."""
+    """Judge the load after every start of a node, in any overload window; every overload is a breach."""
     verdict = Verdict()
     for record in day.nodes:
         if record["kind"] == "up":
             up, node = record["t"], record["node"]
             worst = _worst_load(day.facts["model"], up, _received(day, node, up))
             verdict.put(
-                worst, f"node {node}: sent {worst:.2f} of what pushes it over, {up - day.began():.1f} s in"
+                worst,
+                f"node {node}: sent {worst:.2f} of what overloads it, started at {up - day.began():.1f} s",
             )
     for record in day.nodes:
         if record["kind"] == "fell" and verdict.kept:
-            verdict.breach(f"node {record['node']}: fell over")
+            verdict.breach(f"node {record['node']}: overloaded")
     return verdict
 
 
 def _received(day: Day, node: int, up: float) -> list[tuple[float, float]]:
-    """Each request that a node received in its slow start: when, and the core seconds of it."""
+    """List the requests that a node received in its slow start: time and work in core seconds."""
     model = day.facts["model"]
     return [
         (record["t"], _work(model, record))
@@ -38,7 +39,7 @@
 
 
 def _worst_load(model: Record, up: float, received: list[tuple[float, float]]) -> float:
-    """Most work within an overload window, as a share of what overloads the node."""
+    """Return the most work within any overload window, as a share of the work that overloads the node."""
     worst, total, first = 0.0, 0.0, 0
     for at, work in received:
         total += work
--- a/gingervane/audit/verdict.py
+++ b/gingervane/audit/verdict.py
@@ -9,10 +9,10 @@
 
 @dataclass
 class Verdict:
-    """How a rule was kept.
+    """Whether and how well a rule was kept.
 
-    `tested` is how often the rule was put to the test, `nearest` the nearest miss as a share of the limit (1 is the
-    limit; 0 if never tested), `what` describes the first few breaches.
+    `tested` counts the tests, `nearest` is the largest tested value as a share of the limit (1 is the limit;
+    0 if never tested), and `what` describes the first few breaches.
     """
 
     kept: bool = True
@@ -21,16 +21,16 @@
     breaches: int = 0
     what: list[str] = field(default_factory=list)
 
-    def put(self, share: float, what: str) -> None:
-        """Count one test, at a share of the limit; over 1 is a breach."""
+    def put(self, share: float, description: str) -> None:
+        """Count one test with its value as a share of the limit; a share over 1 is a breach."""
         self.tested += 1
         self.nearest = max(self.nearest, share)
         if share > 1.0:
-            self.breach(what)
+            self.breach(description)
 
-    def breach(self, what: str) -> None:
+    def breach(self, description: str) -> None:
         """Count a breach."""
         self.kept = False
         self.breaches += 1
         if len(self.what) < MAX_BREACHES_DESCRIBED:
-            self.what.append(what)
+            self.what.append(description)
--- a/gingervane/emulator/__init__.py
+++ b/gingervane/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""The program's decisions in simulated time: the same driver and module over modelled nodes, network and clients."""
+"""Runs the real driver and decision engine in simulated time, with modelled nodes, network and clients."""
--- a/gingervane/emulator/assumptions.py
+++ b/gingervane/emulator/assumptions.py
@@ -1,4 +1,4 @@
-"""What simulated time takes for granted of processors, networks and lists besides the scenario."""
+"""Parameters of the emulator that a scenario does not set: processing costs, network delay, list delay."""
 
 from __future__ import annotations
 
@@ -6,25 +6,28 @@
 
 
 class ProcessingCosts(NamedTuple):
-    """Seconds of processor, fitted to the throughput of the daemon on sockets (`docs/results/coordinator.md`)."""
+    """Seconds of processor time.
 
-    query: float = 0.00045  # reading, merging and writing of a query, without its parts
-    part: float = 0.00025  # the same for each part
+    They are fitted to the throughput of the daemon on sockets (`docs/results/coordinator.md`).
+    """
+
+    query: float = 0.00045  # reading, merging and writing a query, without its parts
+    part: float = 0.00025  # reading, merging and writing each part of a query
     call: float = 0.00012  # sending a batch request and reading its reply
-    batch: float = 0.00005  # a batch of decisions
-    input: float = 0.00004  # each input of one
+    batch: float = 0.00005  # a batch of decisions, without its inputs
+    input: float = 0.00004  # each input of a batch of decisions
 
 
 class Network(NamedTuple):
-    """Seconds one way."""
+    """The modelled network."""
 
-    delay: float = 0.0002
+    delay: float = 0.0002  # seconds one way
 
 
 class Assumptions(NamedTuple):
-    """What a world assumes.
+    """Parameters of a world.
 
-    `list_delay` is the time in seconds until a co-ordinator has read a changed list, and as much again at random.
+    A co-ordinator reads a changed list after a random delay of one to two times `list_delay` seconds.
     """
 
     net: Network = Network()
--- a/gingervane/emulator/clients.py
+++ b/gingervane/emulator/clients.py
@@ -1,4 +1,4 @@
-"""Modelled clients: each demand is an attempt at some co-ordinator and, where that fails, its retries."""
+"""Modelled clients: each demand is sent to some co-ordinator and retried if the attempt fails."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 from gingervane.scenarios.demands import BASE_MS, Demand
 from gingervane.scenarios.scenario import Scenario
 
-# Seconds past its time that a client which does not leave hangs on, so that a late answer is seen as late.
+# Seconds past its deadline that a client still waits unless it disconnects, to record late answers as such.
 _LATE_ANSWER_WAIT = 0.5
 
 
 class SimClients:
-    """Plays demands against the co-ordinators that `targets` names at the moment of each attempt."""
+    """Sends demands to the co-ordinators that `targets` returns at the time of each attempt."""
 
     def __init__(
         self,
@@ -33,7 +33,7 @@
         self.clock = clock
         self.net = net
         self.tap_of = tap_of
-        self.attempts: list[Record] = []  # those that have ended, in order of their ends
+        self.attempts: list[Record] = []  # completed attempts, in order of completion
         self._scenario = scenario
         self._coordinators = coordinators
         self._targets = targets
@@ -45,7 +45,7 @@
         self._attempt(demand, 0, random.Random(demand.seed))
 
     def retry(self, demand: Demand, number: int, rng: random.Random, retry_after: float) -> None:
-        """Plan the attempt after one that has failed, if there is another."""
+        """Schedule the next attempt after a failed one, unless the client's retries are used up."""
         clients = self._scenario.clients
         if number >= clients.retries:
             return
@@ -53,7 +53,7 @@
         self.clock.after(wait, lambda: self._attempt(demand, number + 1, rng))
 
     def class_number(self, demand: Demand) -> int:
-        """Number of a demand's class in the engine's settings; that for partial results is the next one."""
+        """Return the number of a demand's class in the engine's settings; the next is its partial variant."""
         return self._class_numbers[demand.kind.name] + (1 if demand.kind.partial else 0)
 
     def _attempt(self, demand: Demand, number: int, rng: random.Random) -> None:
@@ -92,7 +92,7 @@
 
 
 class _Attempt:
-    """One attempt at one co-ordinator, from its sending to its outcome."""
+    """One attempt at one co-ordinator, from the send to the outcome."""
 
     def __init__(
         self,
@@ -113,7 +113,7 @@
         self._disconnect: Callable[[], None] | None = None
 
     def send(self, patience: float) -> None:
-        """Send it; after `patience` seconds the client leaves or takes it for lost."""
+        """Send the request; after `patience` seconds the client disconnects or records a timeout."""
         start, end = self._record["start"], self._record["end"]
         weight = 1.0 / len(self._demand.tiles)
         request = ClientRequest(
@@ -161,7 +161,7 @@
         self._finish("left" if self._leaves else "timeout", 0.0)
 
     def _finish(self, outcome: str, retry_after: float, **fields: Any) -> None:
-        """Record the first outcome, and retry what has not been answered."""
+        """Record the first outcome, and retry unless the attempt was answered or the client disconnected."""
         if self._is_over:
             return
         self._is_over = True
--- a/gingervane/emulator/coordinator.py
+++ b/gingervane/emulator/coordinator.py
@@ -1,7 +1,8 @@
-"""A co-ordinator process in simulated time: the daemon's driver, decisions, admission, view and time reserve.
+"""A co-ordinator process in simulated time.
 
-Modelled are its one processor, its senders' connections and its pauses: everything is done in order of coming (the
-interpreter's lock), and what is paused does nothing and reads late.
+It runs the daemon's driver, decision engine, admission, endpoint view and response time reserve. Its single
+processor, its senders' connections and its pauses are modelled. Work is processed in order of arrival, as
+under the interpreter's lock; a paused process does nothing and reads its input after the pause.
 """
 
 from __future__ import annotations
@@ -31,8 +32,8 @@
 class ClientRequest(NamedTuple):
     """A client's attempt as it arrives.
 
-    `on_answer` is given the result, or None if the connection is closed without one, and the time of the answer;
-    `on_read` the time at which the co-ordinator had read the request.
+    `on_answer` receives the result, or None if the connection is closed without one, and the time of the
+    answer. `on_read` receives the time at which the co-ordinator has read the request.
     """
 
     class_name: str
@@ -44,7 +45,7 @@
 
 
 class _SizeCodec:
-    """A codec that knows the size of results and nothing else: no bytes travel here."""
+    """A codec that only returns the size of results, since the emulator transfers no bytes."""
 
     def encode(self, contents: list[Any], seconds_left: list[float], address: tuple[str, int]) -> bytes:
         raise NotImplementedError
@@ -62,7 +63,7 @@
 
 
 class SimCoordinator:
-    """One process, from a launch to its end. A new one takes its place after a kill."""
+    """One process from its launch to its end. It is replaced by a new one after a kill."""
 
     def __init__(
         self,
@@ -75,7 +76,10 @@
         costs: ProcessingCosts,
         record_send: Callable[[SimCoordinator, int, list[Any]], Callable[[dict[str, Any]], None]],
     ) -> None:
-        """Start it; `record_send` is given each request that leaves and gives what takes the node's record."""
+        """Start the process.
+
+        `record_send` is called for each request sent to a node; returns the callback for the node's record.
+        """
         self.number = number
         self._clock = clock
         self._costs = costs
@@ -100,31 +104,31 @@
         self._reserves: dict[str, ResponseTimeReserve] = defaultdict(ResponseTimeReserve)
         self._view = EndpointView()
         self._inbox: list[t.Input] = []
-        self._next_batch = float("inf")  # time for which a batch of decisions is planned
+        self._next_batch = float("inf")  # time for which the next batch of decisions is scheduled
         self._queries = 0
         self._pauses = ProcessPauseDetector(clock.now)
 
     @property
     def alive(self) -> bool:
-        """Whether the process runs or is only paused."""
+        """Whether the process has not been killed; a paused process is alive."""
         return self._processor.alive
 
     @property
     def busy(self) -> float:
-        """Seconds of work that its processor has taken on."""
+        """Seconds of work that the processor has accepted."""
         return self._processor.busy
 
     # ---- events from outside
 
     def endpoints_updated(self, members: tuple[Member, ...], cached: bool = False) -> None:
-        """A server list has been read."""
+        """Apply an endpoint list that has been read."""
         found = self._view.apply_full_list(members, self._clock.now, cached)
         if found:
             self._put(found)
 
     def request_arrived(self, request: ClientRequest) -> Callable[[], None]:
-        """A client's bytes are here; returns what to call when the client disconnects."""
-        query_ids: list[int] = []  # of the one query that it becomes, if it is admitted
+        """Handle the arrival of a client's request; returns the callback for the client's disconnection."""
+        query_ids: list[int] = []  # holds the id of the query once the request is admitted
         cost = self._costs.query / 2 + self._costs.part * len(request.parts) / 2
         self._processor.run(cost, lambda: self._begin(request, query_ids))
 
@@ -135,19 +139,19 @@
         return disconnect
 
     def pause(self, seconds: float) -> None:
-        """The process stands still, as between SIGSTOP and SIGCONT."""
+        """Pause the process, as between SIGSTOP and SIGCONT."""
         now = self._clock.now
         self._processor.pause(seconds)
         self._pauses.record_pause(now, now + seconds)
 
     def kill(self) -> None:
-        """End the process at once; what it had open gets no answer."""
+        """End the process at once; its open queries get no answer."""
         self._processor.alive = False
 
     # ---- queries
 
     def _begin(self, request: ClientRequest, query_ids: list[int]) -> None:
-        """The request has been read: admit it as a query, or answer it."""
+        """Admit a request that has been read as a query, or answer it with a rejection."""
         now = self._clock.now
         request.on_read(now)
         reserve = self._reserves[request.class_name]
@@ -174,7 +178,7 @@
         self._put(t.QuerySubmitted(self._queries, plan, complete))
 
     def _complete(self, request: ClientRequest, until: float, result: t.QueryResult) -> None:
-        """Write a query's answer; one that is ready after the client's time is not written."""
+        """Write a query's answer, unless it is ready only after the client's deadline."""
         completed_at = self._clock.now
         self.admission.reserve_results(result.result_bytes)
 
@@ -193,7 +197,7 @@
         self._plan_batch(self._clock.now)
 
     def _plan_batch(self, moment: float) -> None:
-        """Plan a batch of decisions for a moment, or as soon after it as the processor is free."""
+        """Schedule a batch of decisions for a time; it runs as soon after that as the processor is free."""
         if moment < self._next_batch:
             self._next_batch = moment
             self._clock.at(moment, lambda: self._run_batch(moment))
--- a/gingervane/emulator/events.py
+++ b/gingervane/emulator/events.py
@@ -1,4 +1,4 @@
-"""Simulated time: a deterministic queue of events, ordered by time and then by when each was planned."""
+"""Simulated time: a deterministic queue of events, ordered by time and then by the order of scheduling."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Clock:
-    """An event queue. `now` only moves forward, to the time of the event that is being handled."""
+    """An event queue. `now` is the time of the event that is being handled, and never decreases."""
 
     def __init__(self, start: float) -> None:
         self.now = start
@@ -17,15 +17,15 @@
         self.done = 0  # events that have been handled
 
     def at(self, moment: float, work: Callable[[], None]) -> None:
-        """Call `work` at a moment, or now if that is past."""
+        """Call `work` at a time, or now if that is past."""
         heapq.heappush(self._heap, (max(moment, self.now), next(self._planned), work))
 
     def after(self, seconds: float, work: Callable[[], None]) -> None:
-        """Call `work` so many seconds from now."""
+        """Call `work` the given number of seconds from now."""
         self.at(self.now + seconds, work)
 
     def run(self, until: float) -> None:
-        """Handle all events that are due up to a moment."""
+        """Handle all events that are due up to a time."""
         heap = self._heap
         while heap and heap[0][0] <= until:
             self.now, _, work = heapq.heappop(heap)
--- a/gingervane/emulator/node.py
+++ b/gingervane/emulator/node.py
@@ -1,7 +1,7 @@
-"""A modelled node: the fake servers' own capacity model and fault schedule, without sockets.
+"""A modelled node: the capacity model and fault schedule of the fake servers, without sockets.
 
-What it assumes: a call is one message each way; a reply is as large as any other; a crash resets what is open at
-once; what vanishes says nothing until its callers give up.
+The model assumes that a call is one message each way, that all replies have the same size, that a crash
+resets all open connections at once, and that a node that vanishes does not answer until its callers time out.
 """
 
 from __future__ import annotations
@@ -17,25 +17,25 @@
 
 
 class Reply(Enum):
-    """What a caller sees of a request's end."""
+    """The outcome of a request as its caller sees it."""
 
     GOOD = "good"
-    BAD = "bad"  # an answer that does not count: status 500, a wrong tile
-    NOT_BEGUN = "not begun"  # 503, and says that it has begun nothing
-    CUT = "cut"  # a connection that ends in mid-reply, or before
+    BAD = "bad"  # an invalid answer, such as status 500 or a wrong tile
+    NOT_BEGUN = "not begun"  # status 503 with the header that no work has begun
+    CUT = "cut"  # the connection ends before the whole reply has been sent
 
 
-# Kinds of fault by what a caller sees of a reply.
+# Kinds of fault that make a reply invalid, and those that end the connection within it.
 _BAD_REPLY_FAULTS = ("wrong_tile", "wrong_time", "few_results", "snappy_lies")
 _CUT_REPLY_FAULTS = ("reset_mid_body", "short_body")
-_REPLY_BYTES = 1500.0  # size of a reply, for one that comes a few bytes at a time
-_FOREVER = 1e6  # seconds that a node which was overloaded stays down
+_REPLY_BYTES = 1500.0  # size of a reply, for the duration of one that is sent slowly (`dribble`)
+_FOREVER = 1e6  # seconds that an overloaded node stays down
 
 ReplyCallback = Callable[[Reply], None]
 
 
 class SimNode:
-    """One node. Its records are those of a fake server on sockets."""
+    """One node. It writes the same records as a fake server on sockets."""
 
     def __init__(
         self,
@@ -58,14 +58,14 @@
                 clock.at(start, partial(self._go_down, end, how))
 
     def down(self) -> str | None:
-        """How the node is down, if it is."""
-        found = self.schedule.down(self._clock.now)
-        return found[1] if found else None
+        """Return how the node is down (`crash` or `vanish`), or None if it is up."""
+        outage = self.schedule.down(self._clock.now)
+        return outage[1] if outage else None
 
     def ask(self, contents: list[list[Any]], reply: ReplyCallback) -> tuple[int, dict[str, Any]]:
-        """Take a request; return its number and the record of it.
+        """Accept a request; return its call number and its record.
 
-        `reply` is called at most once, when the node has the reply.
+        `reply` is called at most once, when the node's reply is ready.
         """
         now = self._clock.now
         self._calls += 1
@@ -86,14 +86,14 @@
         return call, self._record("taken", **note)
 
     def leave(self, call: int) -> None:
-        """Drop a request whose caller has disconnected; what its job had not used is given back."""
-        found = self._open.pop(call, None)
-        if found:
-            self._capacity.drop(found[1], self._clock.now)
+        """Drop a request whose caller has disconnected and release the unused time of its job."""
+        dropped = self._open.pop(call, None)
+        if dropped:
+            self._capacity.drop(dropped[1], self._clock.now)
             self._record("dropped", node=self.id, call=call)
 
     def _queue(self, parts: int) -> Job | None:
-        """Queue the work on some parts; None if it is rejected. Too much of it takes the node down."""
+        """Queue the work on a number of parts; None if it is rejected. An overload takes the node down."""
         now = self._clock.now
         job = None
         if not self.schedule.strikes("reject", now):
@@ -104,17 +104,17 @@
         return job
 
     def _finish(self, call: int, began: float) -> None:
-        """The work is done: reply as the faults at its beginning have it."""
-        found = self._open.pop(call, None)
-        if found is None:
+        """Reply to a request whose work is done, with the faults that were active when it arrived."""
+        finished = self._open.pop(call, None)
+        if finished is None:
             return
-        reply, _ = found
+        reply, _ = finished
         if self.schedule.hangs(began) or self.schedule.strikes("lose_answers", began):
             self._record("lost", node=self.id, call=call)
             return
         self._record("done", node=self.id, call=call)
-        what = self._reply_at(began)
-        self._clock.at(self._clock.now + self._reply_delay(began), lambda: reply(what))
+        outcome = self._reply_at(began)
+        self._clock.at(self._clock.now + self._reply_delay(began), lambda: reply(outcome))
 
     def _reply_at(self, began: float) -> Reply:
         if any(self.schedule.strikes(kind, began) for kind in _CUT_REPLY_FAULTS):
@@ -124,7 +124,7 @@
         return Reply.GOOD
 
     def _reply_delay(self, began: float) -> float:
-        """Seconds between the work's end and the caller's having the whole reply."""
+        """Return the seconds between the end of the work and the end of the reply."""
         delay = 0.0
         if pause := self.schedule.find("pause_mid_reply", began):
             delay = pause.size
--- a/gingervane/emulator/senders.py
+++ b/gingervane/emulator/senders.py
@@ -1,6 +1,6 @@
-"""The sender threads of a modelled co-ordinator: their limits, their connections and the ends of batch requests.
+"""The sender threads of a modelled co-ordinator: limits, connections and outcomes of batch requests.
 
-What it assumes: a connection costs one round trip and is kept until the co-ordinator closes it.
+The model assumes that a connection takes one round trip and stays open until the co-ordinator closes it.
 """
 
 from __future__ import annotations
@@ -19,12 +19,12 @@
 from gingervane.emulator.processor import Processor
 from gingervane.interface import AttemptOutcome
 
-# Is given each request that leaves: the node and the contents. Returns what takes the node's record of it.
+# Called with the node and contents of each request that is sent; returns the callback for the node's record.
 RecordSend = Callable[[int, list[Any]], Callable[[dict[str, Any]], None]]
 
 
 class SimSenders:
-    """Carries batch requests to modelled nodes; `report` is given the end of each attempt."""
+    """Sends batch requests to modelled nodes; `report` receives the outcome of each attempt."""
 
     def __init__(
         self,
@@ -49,12 +49,12 @@
         self._in_flight_by_node = Counter[int]()
         self._running = 0
         self._waiting: deque[t.BatchRequest] = deque()
-        # By request id: what to do about a request when nobody waits for it any more.
+        # By request id: called if the request is cancelled.
         self._on_cancel: dict[int, Callable[[], None]] = {}
         self._idle_connections = Counter[int]()
 
     def start(self, request: t.BatchRequest) -> None:
-        """Send a request, or let it wait for a sender; its attempts end at once if there is no room."""
+        """Send or queue a request; if the queue is full, its attempts end at once as never sent."""
         limits = self._limits
         is_full = (
             self._in_flight >= limits.threads + limits.waiting
@@ -72,16 +72,16 @@
             self._connect(request)
 
     def cancel(self, request: t.BatchRequest) -> None:
-        """Nobody waits for a request any more."""
+        """Cancel a request."""
         if on_cancel := self._on_cancel.pop(request.id, None):
             on_cancel()
 
     def close_idle(self, node: int) -> None:
-        """Close the connections to a node that carry nothing."""
+        """Close the idle connections to a node."""
         self._idle_connections[node] = 0
 
     def _connect(self, request: t.BatchRequest) -> None:
-        """Give a request a sender and a connection, a new one after one round trip."""
+        """Assign a sender and a connection to a request; a new connection takes one round trip."""
         self._running += 1
         node = request.replica
         round_trip = 2 * self._net.delay
@@ -103,7 +103,7 @@
             self._finish(request, request.attempts, outcome)
 
     def _write(self, request: t.BatchRequest) -> None:
-        """Claim the attempts that may still be sent and send them; from here on their parts may run."""
+        """Claim the attempts that may still be sent and send them; from here on they may be executed."""
         sendable: list[t.AttemptRequest] = []
         overdue: list[t.AttemptRequest] = []
         if request.id in self._on_cancel:
@@ -121,15 +121,15 @@
         self._exchange(request, sendable)
 
     def _exchange(self, request: t.BatchRequest, attempts: list[t.AttemptRequest]) -> None:
-        """Carry a request to its node and a reply back, unless it is cancelled or its time runs out."""
+        """Carry a request to its node and the reply back, unless it is cancelled or its deadline passes."""
         node = self._nodes[request.replica]
         contents = [attempt.content for attempt in attempts]
         record_arrival = self._record_send(request.replica, contents)
         is_cancelled = False
-        node_call = 0  # the node's own number of it, once it has arrived
+        node_call = 0  # the node's call number of the request, once it has arrived
 
-        def reply(what: Reply) -> None:
-            self._clock.after(self._net.delay, lambda: self._replied(request, attempts, what))
+        def reply(node_reply: Reply) -> None:
+            self._clock.after(self._net.delay, lambda: self._replied(request, attempts, node_reply))
 
         def arrive() -> None:
             nonlocal node_call
@@ -147,7 +147,7 @@
 
         self._on_cancel[request.id] = cancel
         self._clock.after(self._net.delay, arrive)
-        # A reply that never comes holds its sender until the request's time is up.
+        # Without a reply, the sender stays blocked until the request's deadline.
         self._clock.at(request.expires_at, lambda: self._expire(request, attempts))
 
     def _expire(self, request: t.BatchRequest, attempts: list[t.AttemptRequest]) -> None:
@@ -174,7 +174,7 @@
     def _finish(
         self, request: t.BatchRequest, attempts: list[t.AttemptRequest], outcome: AttemptOutcome
     ) -> None:
-        """End a request that has not been cancelled meanwhile, and free its sender."""
+        """Report the outcome of a request and release its sender, unless the request has been cancelled."""
         if request.id not in self._on_cancel:
             return
         self._report_attempts(attempts, outcome)
@@ -188,7 +188,7 @@
             self._report(t.AttemptFinished(attempt.part, attempt.attempt, outcome, now, is_ok, outcome.value))
 
     def _release(self, request: t.BatchRequest) -> None:
-        """Free a sender; requests that wait are next."""
+        """Release a sender and give it to the next waiting request."""
         self._in_flight -= 1
         self._in_flight_by_node[request.replica] -= 1
         self._running -= 1
--- a/gingervane/emulator/world.py
+++ b/gingervane/emulator/world.py
@@ -1,7 +1,7 @@
-"""A whole day in simulated time: a rehearsal's scenario over modelled nodes, network, clients and list.
+"""Runs a whole scenario in simulated time, with modelled nodes, network, clients and endpoint list.
 
-What comes out is what a rehearsal on sockets records, and the same audit judges it. Two runs of one scenario and seed
-are identical, event by event.
+It returns the same records as a scenario run on sockets, and the same audit judges them. Two runs of one
+scenario and seed are identical, event by event.
 """
 
 from __future__ import annotations
@@ -27,13 +27,13 @@
 from gingervane.settings import daemon_settings
 from gingervane.settings.daemon_settings import Config
 
-_DAY_START = 1000.0  # seconds on the simulated clock; what was up before had long been
-_AFTER_DAY = 10.0  # seconds after the day in which what is open ends
+_DAY_START = 1000.0  # seconds on the simulated clock, so late that slow start from time 0 is over
+_AFTER_DAY = 10.0  # seconds after the day for open requests to complete
 _BEFORE_DAY = 1.0  # seconds before the day at which the co-ordinators start
 
 
 class World:
-    """One day. `run` plays it."""
+    """One scenario run (a day) in simulated time."""
 
     def __init__(
         self, scenario: Scenario, seed: int | None = None, assumptions: Assumptions | None = None
@@ -56,9 +56,10 @@
         self._members: tuple[Member, ...] = ()
         self._launches = 0
         self._list_version = 0
-        # When each co-ordinator read each version of the list.
+        # The changes of the list, and when each co-ordinator read each version of it.
         self._catalogue = Catalogue(defaultdict(list), defaultdict(list))
-        self._taken_for_running: dict[int, float] = {}  # killed co-ordinators: until when clients go there
+        # For killed co-ordinators: until when clients still use them.
+        self._taken_for_running: dict[int, float] = {}
         self._taps: dict[SimCoordinator, str] = {}
         self.coordinators: dict[int, SimCoordinator] = {}
         self._clients = SimClients(
@@ -71,7 +72,7 @@
         )
 
     def run(self) -> Day:
-        """Play the day and return what was recorded of it."""
+        """Run the scenario and return its records."""
         scenario, clock = self.scenario, self.clock
         self._publish_list(0.0, {}, {})
         for number in range(scenario.coordinators.count):
@@ -88,7 +89,7 @@
         return self._day(all_demands)
 
     def judge(self, day: Day) -> dict[str, Any]:
-        """Give the audit's report, with how busy the co-ordinators were."""
+        """Return the audit's report, extended by the co-ordinators' processor load and the events handled."""
         report = rules.judge_day(day, samples=False)
         report["busy"] = {n: round(c.busy / self.scenario.seconds, 4) for n, c in self.coordinators.items()}
         report["events"] = self.clock.done
@@ -140,7 +141,7 @@
         self.coordinators[number].pause(seconds)
 
     def _targets(self) -> list[int]:
-        """Co-ordinators that clients take for running."""
+        """Return the co-ordinators that clients assume to be running."""
         roots, now = self.scenario.coordinators.roots, self.clock.now
         return [
             n
@@ -151,7 +152,7 @@
     # ---- the server list
 
     def _publish_list(self, at: float, states: dict[int, str], started: dict[int, float]) -> None:
-        """Change the list; each co-ordinator reads it a little later."""
+        """Change the endpoint list; each co-ordinator reads it after a delay."""
         self._members = self._listed_members(states, started)
         self._record("list", day=at, states={str(n): state for n, state in states.items()})
         self._list_version += 1
@@ -206,7 +207,7 @@
         return record_arrival
 
     def _day(self, all_demands: list[Demand]) -> Day:
-        """Put the records together as those of a rehearsal on sockets are."""
+        """Collect the records in the form of a scenario run on sockets."""
         demand_records: list[Record] = [
             {
                 "t": _DAY_START + d.at,
@@ -218,7 +219,7 @@
             for d in all_demands
         ]
         facts = self.scenario.facts()
-        facts["down"] = {str(n): found for n, found in facts["down"].items()}
+        facts["down"] = {str(n): spans for n, spans in facts["down"].items()}
         return Day(
             facts=facts,
             director=self._director,
@@ -238,22 +239,22 @@
 def emulate(
     scenario: Scenario, seed: int | None = None, assumptions: Assumptions | None = None
 ) -> dict[str, Any]:
-    """Play a scenario in simulated time and judge it.
+    """Run a scenario in simulated time and judge it.
 
-    Faults of Consul, the tree and vectors are not modelled yet: a scenario that has them raises SettingsError.
+    Raises SettingsError for a scenario with Consul, a tree or vectors, which are not modelled.
     """
-    lacking = [
+    unsupported = [
         name
-        for name, has in (
+        for name, is_configured in (
             ("consul", scenario.consul),
             ("vectors", scenario.vectors),
             ("coordinators.tree", scenario.coordinators.tree),
         )
-        if has
+        if is_configured
     ]
-    if lacking:
+    if unsupported:
         raise daemon_settings.SettingsError(
-            f"{scenario.name}: {', '.join(lacking)}: not modelled in simulated time"
+            f"{scenario.name}: {', '.join(unsupported)}: not modelled in simulated time"
         )
     world = World(scenario, seed, assumptions)
     return world.judge(world.run())
--- a/gingervane/fake_servers/__init__.py
+++ b/gingervane/fake_servers/__init__.py
@@ -1,1 +1,1 @@
-"""Fake servers with injected faults, for tests, demonstrations and rehearsals."""
+"""Fake servers with injected faults, for tests, demonstrations and scenario runs."""
--- a/gingervane/fake_servers/capacity.py
+++ b/gingervane/fake_servers/capacity.py
@@ -1,4 +1,4 @@
-"""How much work a fake server can do: cores, a queue, slow start, and overload. Free of I/O."""
+"""The capacity model of a fake server: cores, a queue, slow start and overload. Does no I/O."""
 
 from __future__ import annotations
 
@@ -8,24 +8,25 @@
 
 
 class Model(NamedTuple):
-    """The capacity of a server. The names of the fields are stored in `facts.json`.
+    """The capacity of a server. The field names are keys of `facts.json`.
 
-    A server that has just started does `start_capacity` of its work and all of it after `ramp_time`. Sent more than
-    `fall_multiple` times what it can do, over `fall_time`, it is overloaded and stays down.
+    A server starts with the share `start_capacity` of its speed and reaches full speed after `ramp_time`. If,
+    until then, it is sent more than `fall_multiple` times its capacity within `fall_time`, it is overloaded
+    and stays down.
     """
 
     cores: int = 2
     work: float = 0.004  # core seconds of a part
     call_work: float = 0.001  # core seconds of a request besides its parts
     queue: int = 200  # parts that may wait
-    start_capacity: float = 0.2  # share
+    start_capacity: float = 0.2  # share of full speed
     ramp_time: float = 10.0  # seconds
     fall_multiple: float = 4.0
     fall_time: float = 1.5  # seconds
 
 
 class Job(NamedTuple):
-    """Work that a core does from `start` to `end`."""
+    """Work of a core from `start` to `end`."""
 
     core: int
     start: float
@@ -34,25 +35,25 @@
 
 @dataclass
 class Capacity:
-    """Work as times on cores: a job starts on the core that is free first. The caller does the locking."""
+    """Assigns each job to the core that is free first. Not thread-safe: the caller holds a lock."""
 
     model: Model
     slow_start_from: float
     free: list[float] = field(default_factory=list)
     sent: deque[tuple[float, float]] = field(default_factory=deque)  # when, core seconds
-    fallen: bool = False  # overloaded, and down for good
+    fallen: bool = False  # permanently down after an overload
     _sent_work: float = 0.0  # core seconds in `sent`
 
     def __post_init__(self) -> None:
         self.free = [0.0] * self.model.cores
 
     def speed(self, now: float) -> float:
-        """Give the share of a warm server's speed."""
+        """Return the server's present share of full speed."""
         age, start = max(now - self.slow_start_from, 0.0), self.model.start_capacity
         return min(1.0, start + (1.0 - start) * age / self.model.ramp_time)
 
     def take(self, now: float, parts: int, slowness: float) -> Job | None:
-        """Queue a request; None if the queue is full. Counts it as sent either way."""
+        """Queue a request; return None if the queue is full. A rejected request also counts as sent."""
         work = parts * self.model.work + self.model.call_work
         self._count_sent(now, work)
         waiting = sum(max(free - now, 0.0) for free in self.free) / max(self.model.work, 1e-9)
@@ -65,11 +66,11 @@
         return Job(core, start, end)
 
     def drop(self, job: Job, now: float) -> None:
-        """Give back what a cancelled job had not used."""
+        """Release the core time that a cancelled job has not used."""
         self.free[job.core] -= max(job.end - max(now, job.start), 0.0)
 
     def _count_sent(self, now: float, work: float) -> None:
-        """Watch for overload: what was sent in the last `fall_time` against what could be done in it."""
+        """Detect an overload: compare the work sent in the last `fall_time` with the capacity for it."""
         self.sent.append((now, work))
         self._sent_work += work
         while self.sent[0][0] < now - self.model.fall_time:
--- a/gingervane/fake_servers/consul.py
+++ b/gingervane/fake_servers/consul.py
@@ -1,12 +1,13 @@
-"""A fake Consul on loopback: agents before one catalogue, with blocking queries, TTL checks and faults.
+"""A fake Consul on loopback: agents that share a catalogue, with blocking queries, TTL checks and faults.
 
-Speaks, by the public documentation: /v1/health/service/:name, /v1/catalog/service/:name, /v1/catalog/datacenters,
-/v1/agent/service/register, /deregister/:id, /maintenance/:id, /v1/agent/check/{pass,warn,fail,update}/:id; with
-`index`, `wait`, `stale`, `consistent`, `passing`, `filter` (Service.Meta.KEY == "VALUE" alone) and a token. `PUT
-/control` with `{"fault": ...}` is its own.
+Implements, by the public documentation: /v1/health/service/:name, /v1/catalog/service/:name,
+/v1/catalog/datacenters, /v1/agent/service/register, /deregister/:id, /maintenance/:id and
+/v1/agent/check/{pass,warn,fail,update}/:id, with `index`, `wait`, `stale`, `consistent`, `passing`, `filter`
+(only Service.Meta.KEY == "VALUE") and a token. `PUT /control` with `{"fault": ...}`, which sets a fault, is
+not in Consul.
 
-As a process: `python -m gingervane.fake_servers.consul ORDERS.json`, which prints `ready` and a list of ports, and
-ends when its standard input does.
+As a process: `python -m gingervane.fake_servers.consul ORDERS.json`, which prints `ready` and a list of
+ports, and ends when its standard input is closed.
 """
 
 from __future__ import annotations
@@ -28,10 +29,11 @@
 from gingervane.wire import http1
 from gingervane.wire.http1 import Request
 
-# `stale`: cut off from the others, says so by its contact; `lag`: so behind, and does not say so.
+# Two faults freeze an agent's data at the beginning of the fault. With `stale` the headers say so by the
+# missing leader and the time since the last contact; with `lag` they do not.
 FAULTS = ("", "hang", "late", "500", "429", "empty", "garbage", "half", "cut", "no_leader", "stale", "lag")
 _FILTER = re.compile(r'Service\.Meta\.([\w-]+) == "([^"]*)"')
-# Keys of a registration as they are written here, by their lower case.
+# Canonical spelling of the keys of a registration, by the key in lower case.
 _KEYS = {
     key.lower(): key
     for key in (
@@ -49,12 +51,12 @@
         "DeregisterCriticalServiceAfter",
     )
 }
-# Status that each endpoint of a check sets.
+# Status set by each check endpoint.
 _STATUSES = {"pass": "passing", "warn": "warning", "fail": "critical"}
-_HANG = 300.0  # seconds that an agent which hangs says nothing
-_LATE = 1.0  # seconds that an agent which is late takes more
-_DEFAULT_WAIT = "300s"  # of a blocking query that states none
-_MAX_WAIT = 600.0  # seconds of a blocking query
+_HANG = 300.0  # seconds for which an agent with the fault `hang` does not answer
+_LATE = 1.0  # seconds that the fault `late` adds to each answer
+_DEFAULT_WAIT = "300s"  # for a blocking query without `wait`
+_MAX_WAIT = 600.0  # seconds that a blocking query may wait
 _STOP_TIMEOUT = 5.0  # seconds
 _JSON = [("Content-Type", "application/json")]
 
@@ -62,7 +64,7 @@
 
 
 class Agent:
-    """One agent before a catalogue. `fault` is one of FAULTS, `calls` and `call_times` what it was asked."""
+    """One agent. `fault` is one of FAULTS; `calls` and `call_times` count and time the requests received."""
 
     def __init__(
         self,
@@ -78,9 +80,10 @@
         self.call_times: list[float] = []
         self._recorder = recorder or Recorder(None)
         self._number = number
-        self._at_fault: dict[str, tuple[Entries, int]] = {}  # the catalogue as it was when the fault began
+        self._at_fault: dict[str, tuple[Entries, int]] = {}  # the catalogue when the fault began
         self._fault_since = 0.0
-        self._encoded: tuple[Any, bytes] = (None, b"")  # the last whole list sent, by service and index
+        # (service, index) and JSON of the last full list sent
+        self._encoded: tuple[Any, bytes] = (None, b"")
         self._stop = threading.Event()
         self._rng = random.Random(number)
         self._server = HttpServer("127.0.0.1", 0, self._handle, ServerLimits())
@@ -88,14 +91,14 @@
         self._server.start()
 
     def close(self) -> None:
-        """End blocking queries and stop."""
+        """End all blocking queries and stop the server."""
         self._stop.set()
         with self.catalogue.changed:
             self.catalogue.changed.notify_all()
         self._server.stop(_STOP_TIMEOUT)
 
     def set_fault(self, fault: str) -> None:
-        """Set the fault from now on; blocking queries meet it too. Raises ValueError."""
+        """Set the fault, also for blocking queries that are open. Raises ValueError."""
         if fault not in FAULTS:
             raise ValueError(f"{fault!r} is not one of {', '.join(FAULTS)}")
         with self.catalogue.changed:
@@ -159,7 +162,7 @@
 
     def _catalog_service(self, name: str) -> Reply:
         with self.catalogue.changed:
-            found = [
+            services = [
                 {
                     "ServiceID": s["ID"],
                     "ServiceName": name,
@@ -173,7 +176,7 @@
                 for s in (entry["Service"] for entry in self.catalogue.entries(name))
             ]
             index = self.catalogue.index_of(name)
-        return self._json(found, index)
+        return self._json(services, index)
 
     def _register(self, service: dict[str, Any]) -> Reply:
         checks = [service["Check"]] if service.get("Check") else service.get("Checks") or []
@@ -191,60 +194,70 @@
     # ---- blocking queries
 
     def _health(self, name: str, query: dict[str, str], client: Exchange) -> Reply:
-        """Answer a blocking query, as the fault at its end has it."""
+        """Answer a blocking query; the fault that is active at its end applies."""
         dc = query.get("dc", self.catalogue.datacenters[0])
         if dc not in self.catalogue.datacenters:
             return plain(500, "No path to datacenter")
-        asked = int(query.get("index", "0"))
+        requested_index = int(query.get("index", "0"))
         wait = seconds(query.get("wait", _DEFAULT_WAIT)) if query.get("index") else 0.0
-        until = time.monotonic() + min(wait * (1 + self._rng.random() / 16), _MAX_WAIT)
+        deadline = time.monotonic() + min(wait * (1 + self._rng.random() / 16), _MAX_WAIT)
         if self.fault == "stale" and "consistent" in query:
             return plain(500, "No cluster leader")
-        is_behind = self.fault in ("stale", "lag") and "consistent" not in query
-        found, index = self._wait_for_change(name, asked, until, is_behind)
+        is_frozen = self.fault in ("stale", "lag") and "consistent" not in query
+        entries, index = self._wait_for_change(name, requested_index, deadline, is_frozen)
         if self.fault == "hang":
             self._stop.wait(_HANG)
         if self.fault in ("500", "429"):
             return plain(int(self.fault), "rpc error")
         if self.fault == "empty":
-            found = []
-        found = [entry for entry in found if _is_wanted(entry, query)]
+            entries = []
+        entries = [entry for entry in entries if _matches_query(entry, query)]
         if self.fault == "garbage":
             return Reply(200, [*_JSON, ("X-Consul-Index", "7")], b'{"what": 1}')
         if self.fault == "half":
-            return Reply(200, [*_JSON], json.dumps(found).encode()[:-9])
-        return self._send_entries(name, found, index, query, client)
+            return Reply(200, [*_JSON], json.dumps(entries).encode()[:-9])
+        return self._send_entries(name, entries, index, query, client)
 
-    def _wait_for_change(self, name: str, asked: int, until: float, is_behind: bool) -> tuple[Entries, int]:
-        """Wait while the index is the one asked from and the fault stays; a lower index is answered at once."""
+    def _wait_for_change(
+        self, name: str, requested_index: int, deadline: float, is_frozen: bool
+    ) -> tuple[Entries, int]:
+        """Wait until the index differs from the requested one, the fault changes or the deadline passes.
+
+        A frozen agent with a lower index waits too; otherwise a lower index is answered at once.
+        """
         with self.catalogue.changed:
             fault = self.fault
-            while asked and not self._stop.is_set() and self.fault == fault and fault in ("", "stale", "lag"):
-                index = self._entries(name, is_behind)[1] if is_behind else self.catalogue.index_of(name)
-                if index != asked and not (is_behind and index < asked):
+            while (
+                requested_index
+                and not self._stop.is_set()
+                and self.fault == fault
+                and fault in ("", "stale", "lag")
+            ):
+                index = self._entries(name, is_frozen)[1] if is_frozen else self.catalogue.index_of(name)
+                if index != requested_index and not (is_frozen and index < requested_index):
                     break
-                left = until - time.monotonic()
-                if left <= 0:
+                remaining = deadline - time.monotonic()
+                if remaining <= 0:
                     break
-                self.catalogue.changed.wait(left)
-            return self._entries(name, is_behind)
+                self.catalogue.changed.wait(remaining)
+            return self._entries(name, is_frozen)
 
-    def _entries(self, name: str, is_behind: bool) -> tuple[Entries, int]:
-        """Give a service's entries and index, of now or of when the fault began."""
-        if is_behind:
+    def _entries(self, name: str, is_frozen: bool) -> tuple[Entries, int]:
+        """Return a service's entries and index: the present ones, or those when the fault began if frozen."""
+        if is_frozen:
             return self._at_fault.get(name, ([], 1))
         return self.catalogue.entries(name), self.catalogue.index_of(name)
 
     def _send_entries(
-        self, name: str, found: Entries, index: int, query: dict[str, str], client: Exchange
+        self, name: str, entries: Entries, index: int, query: dict[str, str], client: Exchange
     ) -> Reply:
-        if self.fault not in ("empty", "cut"):  # what is sent as a whole
+        if self.fault not in ("empty", "cut"):  # the full list is sent
             self._recorder.put("told", agent=self._number, peer=client.peer, index=index, service=name)
         is_cacheable = self.fault == "" and not {"passing", "filter"} & query.keys()
         key, encoded = self._encoded
         if is_cacheable and key == (name, index):
-            return self._json(found, index, encoded)
-        reply = self._json(found, index)
+            return self._json(entries, index, encoded)
+        reply = self._json(entries, index)
         if is_cacheable:
             self._encoded = (name, index), reply.body
         if self.fault == "cut":
@@ -255,18 +268,18 @@
 
     def _json(self, body: Any, index: int, encoded: bytes | None = None) -> Reply:
         leader = "false" if self.fault in ("no_leader", "stale") else "true"
-        behind = (time.monotonic() - self._fault_since) * 1000 if self.fault == "stale" else 0.0
+        contact_age_ms = (time.monotonic() - self._fault_since) * 1000 if self.fault == "stale" else 0.0
         fields = [
             *_JSON,
             ("X-Consul-Index", str(index)),
             ("X-Consul-KnownLeader", leader),
-            ("X-Consul-LastContact", str(int(behind))),
+            ("X-Consul-LastContact", str(int(contact_age_ms))),
         ]
         return Reply(200, fields, json.dumps(body).encode() if encoded is None else encoded)
 
 
 def _canonical(table: dict[str, Any]) -> dict[str, Any]:
-    """Consul takes keys in any case."""
+    """Return a registration with its keys in canonical spelling; Consul accepts keys in any case."""
     return {_KEYS.get(key.lower(), key): value for key, value in table.items()}
 
 
@@ -274,20 +287,20 @@
     return plain(200, "") if is_known else plain(404, error)
 
 
-def _is_wanted(entry: dict[str, Any], query: dict[str, str]) -> bool:
+def _matches_query(entry: dict[str, Any], query: dict[str, str]) -> bool:
     """Whether an entry passes a query's filters. Raises ValueError."""
     if "passing" in query and any(check["Status"] != "passing" for check in entry["Checks"]):
         return False
     if "filter" not in query:
         return True
-    found = _FILTER.fullmatch(query["filter"])
-    if not found:
+    match = _FILTER.fullmatch(query["filter"])
+    if not match:
         raise ValueError(f"filter {query['filter']!r}: only Service.Meta.KEY == \"VALUE\" is known here")
-    return bool(entry["Service"]["Meta"].get(found[1]) == found[2])
+    return bool(entry["Service"]["Meta"].get(match[1]) == match[2])
 
 
 def main() -> int:
-    """Run agents by the orders' file until standard input ends."""
+    """Run the agents that the configuration file describes until standard input is closed."""
     orders = json.loads(Path(sys.argv[1]).read_text())
     threading.stack_size(STACK_SIZE)
     recorder = Recorder(Path(orders["records"]) if orders.get("records") else None)
--- a/gingervane/fake_servers/consul_catalogue.py
+++ b/gingervane/fake_servers/consul_catalogue.py
@@ -1,6 +1,7 @@
-"""The catalogue behind the fake Consul's agents: services, their checks with TTLs, and an index of each change.
+"""The catalogue of the fake Consul: services, their checks with TTLs, and indexes.
 
-An index is that of the service's last change; a check's update that changes nothing moves none.
+The index of a service is that of its last change; an update of a check that changes nothing leaves it as it
+is.
 """
 
 from __future__ import annotations
@@ -17,9 +18,9 @@
 
 
 class Catalogue:
-    """Services by id, each with the indexes of its creation and its last change, and its checks.
+    """Services by id, each with its checks and the indexes of its creation and last change.
 
-    Handlers of blocking queries wait on `changed`; a thread waits on it for the next TTL.
+    Handlers of blocking queries wait on `changed`, and a thread waits on it for the next TTL to expire.
     """
 
     def __init__(self, datacenters: tuple[str, ...] = ("dc1",), recorder: Recorder | None = None) -> None:
@@ -28,18 +29,18 @@
         self.index = _FIRST_INDEX
         self._recorder = recorder or Recorder(None)
         self._services: dict[str, dict[str, Any]] = {}
-        self._last_changes: dict[str, int] = {}  # by name of a service: index of its last change
+        self._last_changes: dict[str, int] = {}  # by service name: index of the last change
         self._closed = False
         threading.Thread(target=self._watch_ttls, name="ttl", daemon=True).start()
 
     def close(self) -> None:
-        """End the thread that watches the TTLs."""
+        """Stop the thread that watches the TTLs."""
         with self.changed:
             self._closed = True
             self.changed.notify_all()
 
     def register(self, service: dict[str, Any]) -> None:
-        """Register a service, as the body of /v1/agent/service/register has it."""
+        """Register a service, given in the form of the body of /v1/agent/service/register."""
         with self.changed:
             old = self._services.get(service["ID"], {})
             own = {key: value for key, value in service.items() if key not in ("Check", "Checks")}
@@ -82,7 +83,7 @@
             return check in self._services.get(name, {}).get("Checks", {})
 
     def restore(self, keep: bool = True) -> None:
-        """Do as a restore from a snapshot does: every index is lower and new; or nothing is left at all."""
+        """Simulate a restore from a snapshot: reset all indexes to 1; without `keep`, remove all services."""
         with self.changed:
             self.index = 1
             if not keep:
@@ -93,15 +94,15 @@
             self.changed.notify_all()
 
     def index_of(self, name: str) -> int:
-        """Give the index of a service's last change. Called with the condition held."""
+        """Return the index of a service's last change. The caller holds the condition."""
         return self._last_changes.get(name, 1)
 
     def entries(self, name: str) -> list[dict[str, Any]]:
-        """Give entries as /v1/health/service/:name has them. Called with the condition held."""
+        """Return entries in the form of /v1/health/service/:name. The caller holds the condition."""
         return [self._entry(service) for service in self._services.values() if service["Name"] == name]
 
     def snapshot(self) -> dict[str, tuple[list[dict[str, Any]], int]]:
-        """Give the entries and the index of every service. Called with the condition held."""
+        """Return the entries and the index of every service. The caller holds the condition."""
         return {name: (self.entries(name), self.index_of(name)) for name in list(self._last_changes)}
 
     def _entry(self, service: dict[str, Any]) -> dict[str, Any]:
@@ -114,7 +115,7 @@
         return {"Node": node, "Service": {**own, "Service": own["Name"]}, "Checks": checks}
 
     def _change(self, service: dict[str, Any]) -> None:
-        """Record that a service has changed. Called with the condition held."""
+        """Assign a new index to a changed service and record the change. The caller holds the condition."""
         self.index += 1
         service["ModifyIndex"] = self._last_changes[service["Name"]] = self.index
         checks = {check: known["Status"] for check, known in service["Checks"].items()}
@@ -147,7 +148,10 @@
                     self._expire(self._services[name], check, now)
 
     def _expire(self, service: dict[str, Any], check: str, now: float) -> None:
-        """Handle an expired TTL: critical at first, removed when that has lasted. Called with the condition held."""
+        """Make a check with an expired TTL critical, or remove the service if the check was critical already.
+
+        The caller holds the condition.
+        """
         known = service["Checks"][check]
         if known["Status"] == "critical":
             del self._services[service["ID"]]
@@ -156,12 +160,12 @@
 
 
 def _new_checks(service: dict[str, Any]) -> dict[str, dict[str, Any]]:
-    """Checks of a service that is being registered, by their ids."""
-    given = [service["Check"]] if service.get("Check") else service.get("Checks", [])
+    """Return the checks of a service that is being registered, by their ids."""
+    definitions = [service["Check"]] if service.get("Check") else service.get("Checks", [])
     checks = {}
-    for number, check in enumerate(given, 1):
+    for number, check in enumerate(definitions, 1):
         ttl = seconds(check.get("TTL", "0s"))
-        own_id = f"service:{service['ID']}" + (f":{number}" if len(given) > 1 else "")
+        own_id = f"service:{service['ID']}" + (f":{number}" if len(definitions) > 1 else "")
         checks[check.get("CheckID", own_id)] = {
             "Status": check.get("Status", "critical"),
             "ttl": ttl,
@@ -172,8 +176,8 @@
 
 
 def seconds(text: str) -> float:
-    """Read a Go duration of one unit. Raises ValueError."""
-    found = re.fullmatch(r"([0-9.]+)(ms|s|m)", text)
-    if not found:
+    """Parse a Go duration with a single unit (ms, s or m). Raises ValueError."""
+    match = re.fullmatch(r"([0-9.]+)(ms|s|m)", text)
+    if not match:
         raise ValueError(f"{text!r} is no duration")
-    return float(found[1]) * {"ms": 0.001, "s": 1.0, "m": 60.0}[found[2]]
+    return float(match[1]) * {"ms": 0.001, "s": 1.0, "m": 60.0}[match[2]]
--- a/gingervane/fake_servers/data.py
+++ b/gingervane/fake_servers/data.py
@@ -1,4 +1,4 @@
-"""The grid's data: each sample a function of tile, series and time, so that any answer can be computed again."""
+"""The grid's data: each sample is a function of tile, series and time, so that answers can be recomputed."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 STEP_MS = 15_000
 METRICS = ("wind_speed", "air_temperature")
-POINTS = 3  # series of a metric in a tile
+POINTS = 3  # series per metric and tile
 
 
 def values(tile: str, metric: str, point: int, times: Times) -> Values:
-    """Samples at `times` (ms): a 64-bit mix of what names them, as numbers from 0 to 100."""
+    """Return samples at `times` (ms): numbers from 0 to 100, by a 64-bit hash of series and time."""
     seed = np.uint64(zlib.crc32(f"{tile}\0{metric}\0{point}".encode()))
     with np.errstate(over="ignore"):
         x = times.astype(np.uint64) * np.uint64(0x9E3779B97F4A7C15) + seed * np.uint64(0xBF58476D1CE4E5B9)
@@ -26,13 +26,13 @@
 
 
 def times_of(start_ms: int, end_ms: int) -> Times:
-    """The grid's times from `start_ms` to `end_ms`, both included."""
+    """Return the sample times from `start_ms` to `end_ms`, both included."""
     first = -(-start_ms // STEP_MS) * STEP_MS
     return np.arange(first, end_ms + 1, STEP_MS, dtype=np.int64)
 
 
 def answer(tile: str, query: Query, label: str = "tile") -> list[Series]:
-    """All series of one tile that a query asks for, sorted by labels; those without samples are left out."""
+    """Return the series of one tile that match a query and have samples, sorted by labels."""
     times = times_of(query.start_ms, query.end_ms)
     out = []
     for metric in METRICS:
@@ -44,7 +44,7 @@
 
 
 def tile_of(query: Query, label: str = "tile") -> str | None:
-    """The tile that a query names with an equal matcher."""
+    """Return the tile that a query selects with an equality matcher, or None."""
     return next((m.value for m in _equal(query.matchers) if m.name == label), None)
 
 
--- a/gingervane/fake_servers/fake_server.py
+++ b/gingervane/fake_servers/fake_server.py
@@ -1,7 +1,8 @@
-"""A server on loopback with a capacity model and faults, whatever protocol it speaks.
+"""Base class of the fake servers: a server on loopback with a capacity model and injected faults.
 
-Many servers live in one process. Owners: each server has a thread that accepts (and ends its connections when the
-server goes down) and one for each connection; its capacity and schedule are touched under its lock, never over I/O.
+One process may run many servers. Each server has a thread that accepts connections (and resets them when the
+server goes down) and one thread per connection. Its lock guards its capacity and schedule and is never held
+over I/O.
 """
 
 from __future__ import annotations
@@ -26,20 +27,20 @@
 DEFAULT_MODEL = Model()
 REQUEST_LIMITS = Limits(16384, 16 << 20)  # bytes of a request's head and of its body
 QUEUE_FULL_FIELDS = (("Retry-After", "1"), ("Gingervane-Began", "no"))
-_BACKLOG = 512  # connections that wait to be accepted
-_FOREVER = 1e6  # seconds that a server which was overloaded stays down
-_ACCEPT_POLL = 20  # milliseconds between two looks at the schedule
-_DOWN_POLL = 0.005  # seconds between two looks at the clock while down
-_WORK_POLL = 0.1  # seconds between two looks at the schedule while a job runs
+_BACKLOG = 512  # connections that may wait to be accepted
+_FOREVER = 1e6  # seconds that an overloaded server stays down
+_ACCEPT_POLL = 20  # milliseconds between checks of the schedule
+_DOWN_POLL = 0.005  # seconds between checks of the clock while the server is down
+_WORK_POLL = 0.1  # seconds between checks of the schedule while a job runs
 _IDLE_TIMEOUT = 60.0  # seconds without a byte of a request
-_HOLD_TIMEOUT = 120.0  # seconds that an unanswered connection is kept
+_HOLD_TIMEOUT = 120.0  # seconds that an unanswered connection is kept open
 _SEND_TIMEOUT = 30.0  # seconds
 _STOP_TIMEOUT = 5.0  # seconds
-_LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER by which a close resets the connection
+_LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER value with which a close resets the connection
 
 
 class FakeServer(ABC):
-    """One server on a port of its own. It starts warm unless told when it started."""
+    """One server on its own port. Its slow start begins at `started_at`, which by default is long past."""
 
     def __init__(
         self,
@@ -64,7 +65,7 @@
         self._thread = threading.Thread(target=self._run, name=f"node-{number}", daemon=True)
 
     def start(self) -> Self:
-        """Accept connections from now on."""
+        """Start to accept connections."""
         self._thread.start()
         return self
 
@@ -77,19 +78,19 @@
 
     @property
     def fallen(self) -> bool:
-        """Whether it has been overloaded."""
+        """Whether the server has been overloaded and stays down."""
         return self._capacity.fallen
 
     def fault(
         self, kind: str, seconds: float, size: float = 1.0, delay: float = 0.0, how: str = "crash"
     ) -> None:
-        """Schedule a fault from now on. Raises FaultError."""
+        """Schedule a fault that begins in `delay` seconds. Raises FaultError."""
         with self._lock:
             self.schedule.add(Fault(kind, time.monotonic() + delay, seconds, size, how))
 
     @abstractmethod
     def _answer(self, sock: socket.socket, request: Request, body: bytes) -> bool:
-        """Answer one request; False if the connection is of no more use."""
+        """Answer one request; return False if the connection is to be closed."""
 
     # ---- up and down
 
@@ -112,7 +113,11 @@
                 threading.Thread(target=self._serve, args=(sock,), daemon=True).start()
 
     def _go_down(self, until: float, how: str) -> None:
-        """Crashed: ports closed, connections reset. Vanished: nothing moves. Slow start afterwards."""
+        """Stay down until a time, then begin slow start.
+
+        A crash closes the port and resets all connections at once; a server that vanishes answers nothing and
+        resets its connections at the end.
+        """
         self._recorder.put("down", node=self.id, until=until, how=how)
         if how == "crash":
             self._listener.close()
@@ -141,7 +146,7 @@
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_RESET)
 
     def _is_silent(self, now: float) -> bool:
-        """Whether nothing is read or answered at all."""
+        """Whether the server neither reads nor answers anything."""
         if self.schedule.find("say_nothing", now):
             return True
         down = self.schedule.down(now)
@@ -177,7 +182,7 @@
             now = time.monotonic()
             reap = self.schedule.find("idle_reap", now)
             if reap and now - last > reap.size:
-                self._hold(sock)  # dropped unseen by something in between: silence
+                self._hold(sock)  # as if a middlebox had dropped the connection without a reset
                 return
             body = reader.body(request.headers)
             if not self._answer(sock, request, body):
@@ -185,17 +190,17 @@
             last = time.monotonic()
 
     def _hold(self, sock: socket.socket) -> None:
-        """Say nothing until the other side gives up."""
+        """Discard all input without an answer until the peer closes the connection."""
         with contextlib.suppress(OSError):
             sock.settimeout(_HOLD_TIMEOUT)
             while sock.recv(65536):
                 pass
 
     def _control(self, sock: socket.socket, body: bytes) -> bool:
-        """Schedule a fault from JSON: kind, seconds, and where they matter size, delay and how."""
+        """Schedule a fault given as JSON with kind, seconds and, optionally, size, delay and how."""
         try:
-            order = json.loads(body)
-            self.fault(**order)
+            arguments = json.loads(body)
+            self.fault(**arguments)
         except (ValueError, TypeError, FaultError) as error:
             return self._send(sock, 400, str(error).encode())
         return self._send(sock, 200, b"scheduled")
@@ -207,7 +212,7 @@
         body: bytes,
         fields: tuple[tuple[str, str], ...] = (),
     ) -> bool:
-        """Send a line of plain text."""
+        """Send a response with one line of plain text."""
         sock.settimeout(_SEND_TIMEOUT)
         sock.sendall(http1.encode_response(status, [("Content-Type", "text/plain"), *fields], body + b"\n"))
         return True
@@ -220,7 +225,7 @@
             return self._calls
 
     def _queue(self, now: float, parts: int) -> Job | None:
-        """Queue the work on some parts; None if it is rejected. Too much of it takes the server down."""
+        """Queue the work on a number of parts; None if it is rejected. An overload takes the server down."""
         with self._lock:
             job = None
             if not self.schedule.strikes("reject", now):
@@ -231,7 +236,7 @@
         return job
 
     def _work(self, sock: socket.socket, job: Job) -> bool:
-        """Let the job's time pass; False if the other side left or the server went down meanwhile."""
+        """Wait until a job is done; return False if the peer disconnects or the server goes down first."""
         poll = select.poll()
         poll.register(sock, select.POLLRDHUP | select.POLLHUP | select.POLLERR)
         end = job.end
@@ -243,5 +248,5 @@
         return True
 
     def _never_answers(self, now: float) -> bool:
-        """Whether a request that came at `now` is one whose answer never leaves."""
+        """Whether a request that arrived at `now` is never answered."""
         return self.schedule.hangs(now) or self.schedule.strikes("lose_answers", now)
--- a/gingervane/fake_servers/faults.py
+++ b/gingervane/fake_servers/faults.py
@@ -1,6 +1,6 @@
-"""Faults of a fake server: what each does, and when. Free of I/O; the server asks at each step of a request.
+"""Fault injection for a fake server: kinds of fault and their schedule. Does no I/O.
 
-Times are seconds on the monotonic clock. A fault acts from `start` for `seconds`.
+The server queries its schedule at each step of a request. Times are seconds on the monotonic clock.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-# What `size` means, by the kind of fault.
+# The meaning of `size` for each kind of fault.
 KINDS = {
     "slow": "times slower",
     "ageing": "times slower at the end",
@@ -44,13 +44,13 @@
 
 @dataclass(frozen=True)
 class Fault:
-    """One fault. It acts from `start`, on the monotonic clock, for so many seconds."""
+    """One fault. It is active from `start`, on the monotonic clock, for `seconds`."""
 
     kind: str
     start: float
     seconds: float
     size: float = 1.0
-    how: str = "crash"  # of flapping: crash, vanish or hang
+    how: str = "crash"  # how flapping takes the server down: crash, vanish or hang
 
     def __post_init__(self) -> None:
         if self.kind not in KINDS:
@@ -60,15 +60,15 @@
 
     @property
     def end(self) -> float:
-        """When it stops to act."""
+        """When the fault ends."""
         return self.start + self.seconds
 
     def active(self, now: float) -> bool:
-        """Whether it acts now."""
+        """Whether the fault is active at a time."""
         return self.start <= now < self.end
 
     def down_spans(self) -> list[tuple[float, float, str]]:
-        """Give when the server is down, and how."""
+        """Return the periods in which the server is down: start, end, and `crash` or `vanish`."""
         if self.kind in DOWN:
             return [(self.start, self.end, "vanish" if self.kind == "vanish" else "crash")]
         if self.kind == "flapping" and self.how != "hang":
@@ -83,27 +83,27 @@
 
 
 class Schedule:
-    """All faults of one server, in a list that only grows."""
+    """All faults of one server. Faults are only added, never removed."""
 
     def __init__(self, faults: Iterable[Fault], seed: int) -> None:
         self.faults = list(faults)
         self._random = random.Random(seed)
 
     def add(self, fault: Fault) -> None:
-        """Add a fault."""
+        """Schedule a further fault."""
         self.faults.append(fault)
 
     def find(self, kind: str, now: float) -> Fault | None:
-        """Find the first fault of a kind that acts now."""
+        """Return the first fault of a kind that is active at a time, or None."""
         return next((f for f in self.faults if f.kind == kind and f.active(now)), None)
 
     def strikes(self, kind: str, now: float) -> bool:
-        """Whether a fault that hits a share of requests hits this one."""
+        """Whether a fault that affects a share of requests affects this one, chosen at random."""
         fault = self.find(kind, now)
         return fault is not None and self._random.random() < fault.size
 
     def slowness(self, now: float) -> float:
-        """How many times slower work is now."""
+        """Return the factor by which faults slow down work at a time."""
         factor = 1.0
         for fault in self.faults:
             if fault.active(now) and fault.kind == "slow":
@@ -113,7 +113,7 @@
         return factor
 
     def down(self, now: float) -> tuple[float, str] | None:
-        """Until when and how the server is down, if it is."""
+        """Return until when and how (`crash` or `vanish`) the server is down, or None if it is up."""
         for fault in list(self.faults):
             for start, end, how in fault.down_spans():
                 if start <= now < end:
@@ -121,14 +121,14 @@
         return None
 
     def hangs(self, now: float) -> bool:
-        """Whether a request that comes now is taken and never answered."""
+        """Whether a request that arrives at a time is accepted and never answered."""
         for fault in self.faults:
             if fault.kind == "flapping" and fault.how == "hang" and fault.active(now):
                 return (now - fault.start) % fault.size < fault.size * FLAP_DOWN
         return self.strikes("hang", now)
 
     def still_until(self, now: float) -> float:
-        """Give the end of the pause that holds the server now, or now if none does."""
+        """Return the end of the process pause that is active at `now`, or `now` if there is none."""
         fault = self.find("stand_still", now)
         if fault is None:
             return now
--- a/gingervane/fake_servers/fleet.py
+++ b/gingervane/fake_servers/fleet.py
@@ -1,4 +1,4 @@
-"""Many grid nodes in a process of their own: `python -m gingervane.fake_servers.fleet ORDERS.json`."""
+"""Runs many grid nodes in one process: `python -m gingervane.fake_servers.fleet ORDERS.json`."""
 
 from __future__ import annotations
 
--- a/gingervane/fake_servers/node.py
+++ b/gingervane/fake_servers/node.py
@@ -1,4 +1,4 @@
-"""A fake grid node: remote read over its tiles, with a capacity model and faults; and a ring of such nodes."""
+"""A fake grid node, which answers remote reads of its tiles, and a ring of such nodes."""
 
 from __future__ import annotations
 
@@ -23,15 +23,15 @@
 from gingervane.wire.protobuf import ProtobufError, encode_varint
 from gingervane.wire.remote_read import Query
 
-_MAX_QUERIES = 4096  # in a request
-_MAX_MATCHERS = 64  # in a query
-_WRONG_TIME_SHIFT = data.STEP_MS * 10_000  # milliseconds by which a reply with the wrong time is off
-_FALSE_SIZE = 1 << 31  # bytes that a block claims which lies about its size
-_DRIBBLE_WRITES = 20  # a second, of a reply that dribbles
+_MAX_QUERIES = 4096  # per request
+_MAX_MATCHERS = 64  # per query
+_WRONG_TIME_SHIFT = data.STEP_MS * 10_000  # milliseconds by which the fault `wrong_time` shifts a reply
+_FALSE_SIZE = 1 << 31  # bytes that a Snappy block claims with the fault `snappy_lies`
+_DRIBBLE_WRITES = 20  # writes per second of a reply with the fault `dribble`
 
 
 class GridNode(FakeServer):
-    """One grid node."""
+    """One grid node with its tiles."""
 
     def __init__(
         self,
@@ -60,27 +60,29 @@
         return self._execute(sock, queries)
 
     def _execute(self, sock: socket.socket, queries: tuple[Query, ...]) -> bool:
-        """Do the work of a request and reply, as far as the faults allow."""
+        """Execute a request and reply, subject to the faults."""
         now = time.monotonic()
         tiles = [self._tiles_of(query) for query in queries]
         call = self._next_call()
-        asked = [
-            [tile, q.start_ms, q.end_ms] for found, q in zip(tiles, queries, strict=True) for tile in found
+        parts = [
+            [tile, q.start_ms, q.end_ms]
+            for query_tiles, q in zip(tiles, queries, strict=True)
+            for tile in query_tiles
         ]
-        wanted = {tile for found in tiles for tile in found}
-        # `peer`: the port at the co-ordinator's end, by which both ends' records are matched.
-        note = {"node": self.id, "call": call, "peer": sock.getpeername()[1], "asked": asked}
+        distinct_tiles = {tile for query_tiles in tiles for tile in query_tiles}
+        # `peer` is the port at the co-ordinator's end, by which the records of both ends are matched.
+        note = {"node": self.id, "call": call, "peer": sock.getpeername()[1], "asked": parts}
         if self._is_silent(now):
             self._recorder.put("unheard", **note)
             self._hold(sock)
             return False
-        if wanted - self.tiles:
+        if distinct_tiles - self.tiles:
             self._recorder.put("misdirected", **note)
             return self._send(sock, 421, b"not a tile of this node")
         if self.schedule.strikes("fail_fast", now):
             self._recorder.put("failed", **note)
             return self._send(sock, 500, b"failing fast")
-        job = self._queue(now, len(wanted))
+        job = self._queue(now, len(distinct_tiles))
         if job is None:
             self._recorder.put("rejected", **note)
             return self._send(sock, 503, b"queue full; not begun", QUEUE_FULL_FIELDS)
@@ -93,32 +95,35 @@
             self._hold(sock)
             return False
         self._recorder.put("done", node=self.id, call=call)
-        self.served += len(wanted)
+        self.served += len(distinct_tiles)
         return self._reply(sock, self._reply_body(queries, tiles, now), now)
 
     def _tiles_of(self, query: Query) -> list[str]:
-        """Find the tiles that a query asks of this node: the one it names, or all here that it matches."""
+        """Return the tile that a query selects by equality, or else all matching tiles of this node."""
         if named := data.tile_of(query, self.label):
             return [named]
-        own = [m for m in query.matchers if m.name == self.label]
-        return sorted(tile for tile in self.tiles if all(matches(m, tile) for m in own))
+        tile_matchers = [m for m in query.matchers if m.name == self.label]
+        return sorted(tile for tile in self.tiles if all(matches(m, tile) for m in tile_matchers))
 
     def _reply_body(self, queries: tuple[Query, ...], tiles: list[list[str]], now: float) -> bytes:
-        """Encode the results, or what the faults make of them."""
+        """Encode the results, altered by the faults that are active."""
         strikes = self.schedule.strikes
         if strikes("wrong_tile", now):
-            tiles = [[f"not-{tile}" for tile in found] for found in tiles]
+            tiles = [[f"not-{tile}" for tile in query_tiles] for query_tiles in tiles]
         shift = _WRONG_TIME_SHIFT if strikes("wrong_time", now) else 0
         results = []
-        for query, found in zip(queries, tiles, strict=True):
-            # As the tile asked for would: only what the answer says of itself is wrong.
-            asked = query._replace(
+        for query, query_tiles in zip(queries, tiles, strict=True):
+            # The tile matchers are removed, so that a tile of the fault `wrong_tile` is answered like a
+            # requested one.
+            tile_query = query._replace(
                 matchers=tuple(m for m in query.matchers if m.name != self.label),
                 start_ms=query.start_ms + shift,
                 end_ms=query.end_ms + shift,
             )
-            series = [one for tile in found for one in data.answer(tile, asked, self.label)]
-            results.append(sorted(series, key=lambda one: one.labels))
+            all_series = [
+                series for tile in query_tiles for series in data.answer(tile, tile_query, self.label)
+            ]
+            results.append(sorted(all_series, key=lambda series: series.labels))
         if strikes("few_results", now):
             results = results[:-1]
         body = snappy.compress(remote_read.write_response(results))
@@ -127,7 +132,7 @@
         return body
 
     def _reply(self, sock: socket.socket, body: bytes, now: float) -> bool:
-        """Send a reply, or as much and as fast as the faults let through."""
+        """Send a reply, which faults may cut short, delay or slow down."""
         fields = [("Content-Type", "application/x-protobuf"), ("Content-Encoding", "snappy")]
         reply = http1.encode_response(200, fields, body)
         half = len(reply) - max(len(body) // 2, 1)
@@ -149,7 +154,7 @@
         return True
 
     def _dribble(self, sock: socket.socket, reply: bytes, rate: float) -> bool:
-        """Send at a rate in bytes a second."""
+        """Send a reply at a rate in bytes per second."""
         step = max(int(rate / _DRIBBLE_WRITES), 1)
         for at in range(0, len(reply), step):
             sock.sendall(reply[at : at + step])
@@ -159,7 +164,10 @@
 
 
 class FakeGrid:
-    """A ring of nodes over tiles: node i starts at cell i and holds `width` cells, in zones by turns."""
+    """A ring of nodes: node i holds the tiles of cell i and of the `width` - 1 cells before it.
+
+    The nodes are assigned to the zones in rotation.
+    """
 
     def __init__(
         self,
@@ -172,7 +180,7 @@
         schedule: dict[int, list[Fault]] | None = None,
         only: Iterable[int] | None = None,
     ) -> None:
-        """Start the nodes. `only`: those of the ring that this process runs; all of them if left out."""
+        """Start the nodes. `only`: the nodes of the ring that this process runs, all by default."""
         self.zones = zones
         self.cells = nodes
         self.width = width
@@ -190,15 +198,15 @@
 
     @property
     def addresses(self) -> list[tuple[str, int]]:
-        """Where the nodes of this process listen."""
+        """The addresses of this process's nodes."""
         return [node.address for node in self.nodes]
 
     def zone(self, node: int) -> str:
-        """Name the zone of a node."""
+        """Return the name of a node's zone."""
         return self.zones[node % len(self.zones)]
 
     def list_text(self, states: dict[int, str] | None = None, started: dict[int, float] | None = None) -> str:
-        """Give the server list as a list file has it; `started` in Unix time."""
+        """Return the endpoint list in the form of a list file; `started` is in Unix time."""
         out = []
         for node in self.nodes:
             host, port = node.address
--- a/gingervane/fake_servers/process.py
+++ b/gingervane/fake_servers/process.py
@@ -1,7 +1,8 @@
-"""A process of fake servers, as its parent starts it: `python -m MODULE ORDERS.json`.
+"""Runs fake servers in a process of their own: `python -m MODULE ORDERS.json`.
 
-The orders hold the servers, their faults on the monotonic clock and the file for records. The process prints `ready`
-and a JSON list of ports once all servers listen, and ends when its standard input does.
+The file describes the servers, their faults, with times on the monotonic clock, and the file for records. The
+process prints `ready` and a JSON list of ports once all servers listen, and ends when its standard input is
+closed.
 """
 
 from __future__ import annotations
@@ -18,27 +19,27 @@
 
 
 class Nodes(Protocol):
-    """What a process of fake servers runs."""
+    """A group of fake servers that a process runs."""
 
     @property
     def addresses(self) -> list[tuple[str, int]]:
-        """Where the servers listen."""
+        """The servers' addresses."""
 
     def stop(self) -> None:
         """Stop all servers."""
 
 
 ServerOrders = dict[str, Any]
-STACK_SIZE = 256 * 1024  # bytes a thread, as each connection has one
+STACK_SIZE = 256 * 1024  # bytes per thread; small, because each connection has its own thread
 
 
 def serve(build: Callable[[ServerOrders, Recorder, dict[int, list[Fault]]], Nodes]) -> int:
-    """Build servers from the orders' file, print where they listen, and run until standard input ends."""
+    """Build servers from the configuration file, print their ports and run until standard input is closed."""
     orders = json.loads(Path(sys.argv[1]).read_text())
     threading.stack_size(STACK_SIZE)
     silent = orders.get("silent") or not orders.get("records")
     recorder = Recorder(None if silent else Path(orders["records"]))
-    faults = {int(node): [Fault(**fault) for fault in found] for node, found in orders["faults"].items()}
+    faults = {int(node): [Fault(**table) for table in tables] for node, tables in orders["faults"].items()}
     nodes = build(orders, recorder, faults)
     print("ready", json.dumps([port for _, port in nodes.addresses]), flush=True)
     sys.stdin.read()
--- a/gingervane/fake_servers/recorder.py
+++ b/gingervane/fake_servers/recorder.py
@@ -1,4 +1,4 @@
-"""Records of what passed at a socket end, for an audit: a JSON object a line."""
+"""Writes records of events for the audit, one JSON object per line."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
         self._lock = threading.Lock()
 
     def put(self, kind: str, **fields: Any) -> None:
-        """Append one record."""
+        """Append one record with the present time."""
         if self._file:
             line = json.dumps({"t": time.monotonic(), "kind": kind, **fields}, separators=(",", ":"))
             with self._lock:
                 self._file.write(line + "\n")
 
     def close(self) -> None:
-        """Close the file; what comes later is dropped."""
+        """Close the file; later records are dropped."""
         if self._file:
             with self._lock:
                 self._file.close()
--- a/gingervane/fake_servers/server_list.py
+++ b/gingervane/fake_servers/server_list.py
@@ -1,4 +1,4 @@
-"""Server lists as list files have them."""
+"""Writes endpoint lists in the form of list files."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     table: str = "node",
     name: str = "",
 ) -> str:
-    """Give one [[node]] or [[coordinator]] of a list file; `started` in Unix time."""
+    """Return one [[node]] or [[coordinator]] table of a list file; `started` is in Unix time."""
     name = name or f"n{number}"
     row = f'[[{table}]]\nid = {number}\nname = "{name}"\naddress = "{address}"\nzone = "{zone}"\n'
     row += f'cell = {cell}\nstate = "{state}"\n'
@@ -23,7 +23,7 @@
 
 
 def write_list(path: Path, text: str) -> None:
-    """Replace a list file in one step, so that no reader meets half of it."""
+    """Replace a list file atomically, so that no reader sees an incomplete file."""
     part = path.with_suffix(".part")
     part.write_text(text)
     part.replace(path)
--- a/gingervane/fake_servers/vector_shard.py
+++ b/gingervane/fake_servers/vector_shard.py
@@ -1,4 +1,4 @@
-"""A shard of a fake vector node: exact search with numpy, and versions of its points."""
+"""A shard of a fake vector node: versioned points and exact search with numpy."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from gingervane.vectors.filters import matches_filter
 from gingervane.vectors.points import Collection, order_of
 
-Stored = dict[str, Any]  # id, version, ops (additions since the last upsert), vector, payload, deleted
+Stored = dict[str, Any]  # id, version, ops (increments since the last upsert), vector, payload, deleted
 
 
 class Shard:
-    """Points of one shard of one collection. The caller does the locking."""
+    """The points of one shard of one collection. Not thread-safe: the caller holds a lock."""
 
     def __init__(self, collection: Collection) -> None:
         self.collection = collection
@@ -24,24 +24,24 @@
         self.newest = 0  # version of the newest point
         self._matrix: tuple[list[Stored], Any] | None = None
 
-    def search(self, asked: dict[str, Any]) -> list[dict[str, Any]]:
+    def search(self, query: dict[str, Any]) -> list[dict[str, Any]]:
         """Find the nearest points by brute force."""
         rows, matrix = self._rows()
-        vector = np.asarray(asked["vector"], dtype=np.float64)
+        vector = np.asarray(query["vector"], dtype=np.float64)
         if not rows:
             return []
         scores = self._scores(matrix, vector)
         sign = -1.0 if self.collection.greater_is_nearer else 1.0
-        threshold = asked.get("score_threshold")
-        found = [
+        threshold = query.get("score_threshold")
+        results = [
             (sign * float(score), order_of(row["id"]), row)
             for score, row in zip(scores, rows, strict=True)
             if threshold is None or sign * score <= sign * threshold
         ]
-        if wanted := asked.get("filter"):
-            found = [f for f in found if matches_filter(f[2]["id"], f[2]["payload"], wanted)]
-        found.sort(key=lambda f: f[:2])
-        return [self._point(sign * score, row, asked) for score, _, row in found[: asked["limit"]]]
+        if condition := query.get("filter"):
+            results = [r for r in results if matches_filter(r[2]["id"], r[2]["payload"], condition)]
+        results.sort(key=lambda r: r[:2])
+        return [self._point(sign * score, row, query) for score, _, row in results[: query["limit"]]]
 
     def _scores(self, matrix: Any, vector: Any) -> Any:
         if self.collection.distance == "Euclid":
@@ -52,13 +52,13 @@
             scores = np.divide(scores, norms, out=np.zeros_like(scores), where=norms > 0)
         return scores
 
-    def _point(self, score: float, row: Stored, asked: dict[str, Any]) -> dict[str, Any]:
+    def _point(self, score: float, row: Stored, query: dict[str, Any]) -> dict[str, Any]:
         out = {"id": row["id"], "version": row["version"], "score": score}
-        payload = asked.get("with_payload", False)
+        payload = query.get("with_payload", False)
         if payload:
             names = payload if isinstance(payload, list) else None
             out["payload"] = {k: v for k, v in row["payload"].items() if names is None or k in names}
-        if asked.get("with_vector"):
+        if query.get("with_vector"):
             out["vector"] = row["vector"]
         return out
 
@@ -69,7 +69,7 @@
         return self._matrix
 
     def put(self, row: Stored) -> bool:
-        """Store a point unless a newer version is there; return whether it was stored."""
+        """Store a point unless the same or a newer version is stored; return whether it was stored."""
         known = self.points.get(row["id"])
         if known is not None and rank(known) >= rank(row):
             return False
@@ -78,7 +78,7 @@
         return True
 
     def apply(self, kind: str, body: dict[str, Any], version: int) -> list[Any]:
-        """Do one operation and return the ids of the points that it changed."""
+        """Apply one operation and return the ids of the points that it changed."""
         match kind:
             case "upsert":
                 return self._upsert(body["points"], version)
@@ -112,7 +112,7 @@
         return changed
 
     def _increment_payload(self, body: dict[str, Any], version: int) -> list[Any]:
-        """Add to fields. Counted whatever came before or after: additions have no order, but their number has."""
+        """Add to payload fields. Older versions are applied too, as increments commute; `ops` counts them."""
         changed = []
         for known in self._stored(body["points"]):
             payload = dict(known["payload"])
@@ -131,7 +131,7 @@
         return changed
 
     def _stored(self, ids: list[Any]) -> Iterator[Stored]:
-        """Yield the points of these ids that are stored and not deleted, each as it is when its turn comes."""
+        """Yield the stored points of these ids that are not deleted, each looked up as it is yielded."""
         for number in ids:
             known = self.points.get(number)
             if known is not None and not known["deleted"]:
@@ -139,12 +139,16 @@
 
 
 def digest(row: Stored) -> int:
-    """Digest a point's content."""
+    """Return a 48-bit digest of a point's vector, payload and deletion mark."""
     content = [row["vector"], row["payload"], row["deleted"]]
     data = orjson.dumps(content, option=orjson.OPT_SORT_KEYS)
     return int.from_bytes(hashlib.blake2b(data, digest_size=6).digest(), "big")
 
 
 def rank(row: Stored) -> tuple[int, int, int]:
-    """Order two contents of a point: the newer wins, then that of more additions, then the same one everywhere."""
+    """Return the sort key by which replicas choose between contents of a point; the highest wins.
+
+    It orders by version, then by the number of increments, and then by digest, so that all replicas choose
+    the same.
+    """
     return row["version"], row["ops"], digest(row)
--- a/gingervane/fake_servers/vectors.py
+++ b/gingervane/fake_servers/vectors.py
@@ -1,9 +1,10 @@
-"""A fake vector node: Qdrant's REST API over shards, with a window of idempotency keys and a server's faults.
+"""A fake vector node: Qdrant's REST API over shards, with an idempotency window and injected faults.
 
-It speaks what the co-ordinators' codec needs, with a `shard_key` in each operation, and besides, for repair,
-`GET /collections/{c}/shards/{s}/marks`, `POST .../fetch` and `POST .../put`. An operation is done in one step under
-the node's lock. Every effect is recorded: which key and version, on which points, or that it was a repeat. As a
-process: `python -m gingervane.fake_servers.vectors ORDERS.json`, as the grid's fleet.
+It implements the subset of the API that the co-ordinators' codec uses, with a `shard_key` in each operation,
+and, for repair, `GET /collections/{c}/shards/{s}/marks`, `POST .../fetch` and `POST .../put`. Each operation
+is atomic under the node's lock. Every effect is recorded with its key, its version, the changed points and
+whether it was a repeat. As a process: `python -m gingervane.fake_servers.vectors ORDERS.json`, like
+`gingervane.fake_servers.fleet`.
 """
 
 from __future__ import annotations
@@ -30,7 +31,7 @@
 
 
 class VectorNode(FakeServer):
-    """One node on a loopback port, with some shards of every collection."""
+    """One node on a loopback port. It has the same shards of every collection."""
 
     def __init__(
         self,
@@ -46,7 +47,7 @@
         self.collections = {c.name: c for c in collections}
         self.shards = {(c, s): Shard(self.collections[c]) for c in self.collections for s in shards}
         self._window = window
-        # When a key was first received, by collection and shard.
+        # (idempotency key, collection, shard) -> time at which the key was last applied
         self._keys: dict[tuple[str, str, int], float] = {}
 
     def _answer(self, sock: socket.socket, request: Request, body: bytes) -> bool:
@@ -63,34 +64,34 @@
         if self.schedule.strikes("fail_fast", now):
             return self._send(sock, 500, b"failing fast")
         try:
-            asked = orjson.loads(body) if body else {}
-            operations = self._operations(words, asked)
+            content = orjson.loads(body) if body else {}
+            operations = self._operations(words, content)
         except (ValueError, KeyError, TypeError, IndexError) as error:
             return self._send(sock, 400, repr(error).encode())
         if operations is None:
             return self._send(sock, 404, b"no such page, or a shard that is not here")
         return self._execute(sock, request, words, operations, now)
 
-    def _operations(self, words: list[str], asked: Any) -> list[Operation] | None:
-        """Find what a request asks; None if it is not for here."""
+    def _operations(self, words: list[str], content: Any) -> list[Operation] | None:
+        """Parse the operations of a request; None if its path or one of its shards is unknown here."""
         if len(words) < 4 or words[0] != "collections" or words[1] not in self.collections:
             return None
         if words[2] == "shards":
-            found = [{"shard": int(words[3]), "kind": words[4], "body": asked}]
+            operations = [{"shard": int(words[3]), "kind": words[4], "body": content}]
         elif words[2:] == ["points", "search", "batch"]:
-            found = [
-                {"shard": int(one["shard_key"][1:]), "kind": "search", "body": one}
-                for one in asked["searches"]
+            operations = [
+                {"shard": int(search["shard_key"][1:]), "kind": "search", "body": search}
+                for search in content["searches"]
             ]
         elif words[2:] == ["points", "batch"]:
-            found = [
+            operations = [
                 {"shard": int(body["shard_key"][1:]), "kind": kind, "body": body}
-                for one in asked["operations"]
-                for kind, body in one.items()
+                for item in content["operations"]
+                for kind, body in item.items()
             ]
         else:
             return None
-        return found if all((words[1], one["shard"]) in self.shards for one in found) else None
+        return operations if all((words[1], op["shard"]) in self.shards for op in operations) else None
 
     def _execute(
         self,
@@ -100,19 +101,19 @@
         operations: list[Operation],
         now: float,
     ) -> bool:
-        """Do the work of a request and reply, as far as the faults allow."""
+        """Execute a request and reply, subject to the faults."""
         job = self._queue(now, max(len(operations), 1))
         if job is None:
             return self._send(sock, 503, b"queue full; not begun", QUEUE_FULL_FIELDS)
         is_search = words[-1] == "batch" and words[-2] == "search"
         if not self._work(sock, job) and is_search:
-            return False  # nobody waits for a search; a write that has begun is done all the same
+            return False  # a search without a client is dropped; a write that has begun is completed
         if self.schedule.down(time.monotonic()):
             return False
         collection = words[1]
         key = request.headers.get("idempotency-key")
         version = int(request.headers.get("gingervane-version") or 0)
-        results = [self._do(words, one, key, version) for one in operations]
+        results = [self._do(words, operation, key, version) for operation in operations]
         if self._never_answers(now):
             self._hold(sock)
             return False
@@ -120,9 +121,9 @@
         return self._reply(sock, result, self._freshness(collection, operations), now)
 
     def _freshness(self, collection: str, operations: list[Operation]) -> str:
-        """Give the newest version of each shard that a request touched, as the header has it."""
-        touched = {one["shard"] for one in operations}
-        shards = {f"s{shard}={self.shards[collection, shard].newest}" for shard in touched}
+        """Return the Gingervane-Freshness header: the newest version of each accessed shard."""
+        accessed = {operation["shard"] for operation in operations}
+        shards = {f"s{shard}={self.shards[collection, shard].newest}" for shard in accessed}
         return ",".join(sorted(shards))
 
     def _reply(self, sock: socket.socket, result: Any, freshness: str, now: float) -> bool:
@@ -142,7 +143,7 @@
         return True
 
     def _do(self, words: list[str], operation: Operation, key: str, version: int) -> Any:
-        """Do one operation, in one step."""
+        """Execute one operation atomically and return its result."""
         collection = words[1]
         number, kind, body = operation["shard"], operation["kind"], operation["body"]
         with self._lock:
@@ -153,8 +154,8 @@
                 case "marks":
                     return {str(n): list(rank(row)) for n, row in shard.points.items()}
                 case "fetch":
-                    wanted = set(body["points"])
-                    return [row for n, row in shard.points.items() if str(n) in wanted]
+                    requested = set(body["points"])
+                    return [row for n, row in shard.points.items() if str(n) in requested]
                 case "put":
                     stored = [row["id"] for row in body["points"] if shard.put(row)]
                     self._recorder.put(
@@ -165,7 +166,7 @@
                     return self._write(collection, operation, key, version)
 
     def _write(self, collection: str, operation: Operation, key: str, version: int) -> dict[str, Any]:
-        """Change points unless the key was received within the window. Called with the lock held."""
+        """Change points unless the key was applied within the window. The caller holds the lock."""
         number, kind, body = operation["shard"], operation["kind"], operation["body"]
         now = time.monotonic()
         known = self._keys.get((key, collection, number)) if key else None
@@ -191,7 +192,7 @@
 
 
 class VectorGrid:
-    """A ring of nodes: node i holds shards i, i-1, ..., i-width+1."""
+    """A ring of vector nodes: node i holds shards i, i-1, ..., i-width+1."""
 
     def __init__(
         self,
@@ -218,7 +219,7 @@
 
     @property
     def addresses(self) -> list[tuple[str, int]]:
-        """Where the nodes of this process listen."""
+        """The addresses of this process's nodes."""
         return [node.address for node in self.nodes]
 
     def stop(self) -> None:
