--- a/gingervane/audit/day_reader.py
+++ b/gingervane/audit/day_reader.py
@@ -14,8 +14,8 @@
 from collections import defaultdict
 from pathlib import Path
 
-from gingervane.audit.linking import link_branches, link_nodes, link_replies
-from gingervane.audit.records import Branch, Catalogue, Change, Day, Part, Record, Send
+from gingervane.audit.linking import link_nodes, link_replies, link_subtree_requests
+from gingervane.audit.records import Catalogue, Change, Day, Part, Record, Send, SubtreeRequest
 from gingervane.fake_servers.data import tile_of
 from gingervane.wire import http1, remote_read, snappy
 from gingervane.wire.remote_read import Match, Query
@@ -42,7 +42,7 @@
         nodes=nodes,
         sends=sorted(taps.sends, key=lambda s: s.t),
         bodies=bodies.read_bytes() if bodies.exists() else b"",
-        branches=link_branches(taps.branches, taps.front_records, director),
+        subtree_requests=link_subtree_requests(taps.subtree_requests, taps.front_records, director),
         exchanged=taps.exchanged,
         catalogue=_catalogue(folder, taps.agent_connections) if taps.has_agents else None,
         torn=torn + torn_clients + torn_nodes + taps.torn,
@@ -95,9 +95,9 @@
     records: list[Record] = []
     torn = 0
     for path in sorted(folder.glob("nodes*.jsonl")):
-        found, more = read_lines(path)
-        records += found
-        torn += more
+        file_records, file_torn = read_lines(path)
+        records += file_records
+        torn += file_torn
     records.sort(key=lambda r: float(r["t"]))
     return records, torn
 
@@ -107,7 +107,7 @@
 
     def __init__(self, folder: Path, director: list[Record]) -> None:
         self.sends: list[Send] = []
-        self.branches: list[Branch] = []
+        self.subtree_requests: list[SubtreeRequest] = []
         self.front_records: dict[str, list[Record]] = {}  # client requests and the replies to them, by tap
         self.exchanged: dict[str, int] = {}  # bytes, by tap
         # (number of the Consul agent, local port of the co-ordinator's connection to it) -> tap
@@ -137,9 +137,9 @@
             len(r["data"]) * 3 // 4 for r in calls
         )
         for call in calls:
-            self._sort(launch, call)
+            self._classify(launch, call)
 
-    def _sort(self, launch: Record, call: Record) -> None:
+    def _classify(self, launch: Record, call: Record) -> None:
         """Classify a call of a co-ordinator by the port that it was sent to."""
         tap, near, far = launch["tap"], call["near"], call["far"]
         if far in self._vector_ports:
@@ -152,7 +152,9 @@
             node = self._node_of[far]
             self.sends.append(Send(call["t"], launch["coordinator"], tap, node, near, parts))
         else:
-            self.branches.append(Branch(call["t"], tap, near, far, tuple(parts), call["t"], ""))
+            self.subtree_requests.append(
+                SubtreeRequest(call["t"], tap, near, far, tuple(parts), call["t"], "")
+            )
 
 
 def _ports(director: list[Record], kind: str) -> list[int]:
@@ -166,8 +168,10 @@
     out = Catalogue(defaultdict(list), defaultdict(list))
     for record in records:
         if record["kind"] == "change" and record["service"][:1] == "n":
-            away = not record["here"] or "drain" in record["meta"] or "critical" in record["checks"].values()
-            out.changes[int(record["service"][1:])].append(Change(record["t"], record["index"], away))
+            unready = (
+                not record["here"] or "drain" in record["meta"] or "critical" in record["checks"].values()
+            )
+            out.changes[int(record["service"][1:])].append(Change(record["t"], record["index"], unready))
         elif record["kind"] == "told" and record["service"] == "grid":
             if tap := taps.get((record["agent"], record["peer"])):
                 out.notified[tap].append((record["t"], record["index"]))
--- a/gingervane/audit/draining.py
+++ b/gingervane/audit/draining.py
@@ -20,7 +20,7 @@
     sends_by_node: dict[int, list[Send]] = defaultdict(list)
     for send in day.sends:
         sends_by_node[send.node].append(send)
-    for node, start, end in _absences(day):
+    for node, start, end in _unready_periods(day):
         last_sends: dict[str, float] = {}
         for send in sends_by_node[node]:
             if start < send.t < end:
@@ -29,21 +29,23 @@
         for tap, last in last_sends.items():
             if (notified := _notified_at(day, tap, node, start)) is not None:
                 worst = max(worst, last - notified)
-        verdict.put(worst / grace, f"node {node}: sent to {worst:.3f} s after it was listed as not ready")
+        verdict.count_test(
+            worst / grace, f"node {node}: sent to {worst:.3f} s after it was listed as not ready"
+        )
     return verdict
 
 
-def _absences(day: Day) -> list[tuple[int, float, float]]:
+def _unready_periods(day: Day) -> list[tuple[int, float, float]]:
     """List each period in which a node was listed as not ready: node, start, end."""
     out: list[tuple[int, float, float]] = []
     lists = [r for r in day.director if r["kind"] == "list"]
     for node in range(day.facts["nodes"]):
         since: float | None = None
         for record in lists:
-            is_away = str(node) in record["states"]
-            if is_away and since is None:
+            is_unready = str(node) in record["states"]
+            if is_unready and since is None:
                 since = record["t"]
-            elif not is_away and since is not None:
+            elif not is_unready and since is not None:
                 out.append((node, since, record["t"]))
                 since = None
         if since is not None:
@@ -61,14 +63,14 @@
     """
     if day.catalogue is None:
         return start
-    notified = day.catalogue.notified_of_absence(tap, node, start)
+    notified = day.catalogue.notified_unready_at(tap, node, start)
     for agent in range(day.facts["consul_agents"]):
-        if _agent_was_well(day, agent, start - day.began()):
+        if _agent_was_healthy(day, agent, start - day.began()):
             return start if notified is None else min(notified, start + day.facts["grace"] / 2)
     return notified
 
 
-def _agent_was_well(day: Day, agent: int, at: float) -> bool:
+def _agent_was_healthy(day: Day, agent: int, at: float) -> bool:
     """Whether no fault of an agent was active, just over or imminent at a time (seconds into the day)."""
     return all(
         end + _AGENT_BACKOFF < at or begin > at + day.facts["grace"]
@@ -87,7 +89,7 @@
         for change in (c for c in changes if c.t >= day.began()):
             for notified in catalogue.notified.values():
                 if notified and notified[0][0] < change.t:  # a co-ordinator that ran before the change
-                    delays += [t - change.t for t, index in notified if index >= change.order][:1]
+                    delays += [t - change.t for t, index in notified if index >= change.modify_index][:1]
     return {"count": len(delays)} | {
         f"p{q:g}": round(float(np.percentile(delays, q)) * 1000, 2) for q in (50, 99, 100) if delays
     }
--- a/gingervane/audit/effects.py
+++ b/gingervane/audit/effects.py
@@ -167,6 +167,6 @@
         missing = {int(name[1:]) for name in (r["missing"] or "").split(",") if name}
         covered = [n for n in range(len(points)) if shards[n] not in missing]
         covered.sort(key=lambda n: (-scores[n], order_of(n)))
-        found = [number for number, _ in r["found"]]
-        finding.check(found == covered[: r["limit"]], f"{_describe(r)}: not the nearest")
+        received = [number for number, _ in r["found"]]
+        finding.check(received == covered[: r["limit"]], f"{_describe(r)}: not the nearest")
     return finding
--- a/gingervane/audit/figures.py
+++ b/gingervane/audit/figures.py
@@ -55,20 +55,20 @@
 def stray_work(day: Day) -> dict[str, float]:
     """Requests sent to nodes, and seconds of node work, for queries that had already been answered."""
     replied = {r["start"]: r["replies"][0] for r in day.tries if r.get("replies")}
-    after, sent, late, worked = 0, 0, 0.0, 0.0
+    sends_after_answer, total_sends, work_after_answer, total_work = 0, 0, 0.0, 0.0
     for send in day.sends:
         answers = [replied[part.start] for part in send.parts if part.start in replied]
         if len(answers) < len(send.parts):
             continue
-        sent += 1
-        after += send.t > max(answers)
-        done = day.ends.get((send.node, send.took["call"])) if send.took else None
-        if send.took and done and attempts.was_executed(send):
-            worked += done["t"] - send.took["t"]
-            late += max(done["t"] - max(send.took["t"], *answers), 0.0)
+        total_sends += 1
+        sends_after_answer += send.t > max(answers)
+        end = day.ends.get((send.node, send.took["call"])) if send.took else None
+        if send.took and end and attempts.was_executed(send):
+            total_work += end["t"] - send.took["t"]
+            work_after_answer += max(end["t"] - max(send.took["t"], *answers), 0.0)
     return {
-        "sends": after,
-        "share_of_sends": round(after / max(sent, 1), 5),
-        "work_s": round(late, 3),
-        "share_of_work": round(late / max(worked, 1e-9), 5),
+        "sends": sends_after_answer,
+        "share_of_sends": round(sends_after_answer / max(total_sends, 1), 5),
+        "work_s": round(work_after_answer, 3),
+        "share_of_work": round(work_after_answer / max(total_work, 1e-9), 5),
     }
--- a/gingervane/audit/honest_answers.py
+++ b/gingervane/audit/honest_answers.py
@@ -11,7 +11,7 @@
 from gingervane.wire import remote_read, snappy
 from gingervane.wire.remote_read import Match, Matcher, Query, Series
 
-_COVERAGE_ERROR = 1e-4  # rounding error of a stated coverage
+_COVERAGE_ROUNDING_ERROR = 1e-4
 _MAX_BODY = 1 << 28  # bytes of a decompressed answer
 
 
@@ -28,11 +28,11 @@
         name = attempts.describe(record)
         if fault is not None:
             verdict.tested += 1
-            verdict.breach(f"{name}: {fault}")
+            verdict.count_breach(f"{name}: {fault}")
             continue
         query_class = day.facts["classes"][record["query_class"]]
         least = query_class["least_share"] if record["partial"] else 1.0
-        verdict.put(least / max(share, 1e-9) if share < 1 else 0.0, f"{name}: share {share:g}")
+        verdict.count_test(least / max(share, 1e-9) if share < 1 else 0.0, f"{name}: share {share:g}")
     return verdict
 
 
@@ -47,7 +47,7 @@
     share = len(covered) / len(record["tiles"])
     if not _is_same(received, expected):
         return "the samples are not those of the covered tiles"
-    if abs(stated - share) > _COVERAGE_ERROR:
+    if abs(stated - share) > _COVERAGE_ROUNDING_ERROR:
         return f"states a coverage of {stated:g}, has a coverage of {share:g}"
     if missing and not record["partial"]:
         return "partial, but the client did not accept partial answers"
--- a/gingervane/audit/linking.py
+++ b/gingervane/audit/linking.py
@@ -5,14 +5,14 @@
 import bisect
 from collections import defaultdict
 
-from gingervane.audit.records import Branch, Day, Record, Send, ends_of
+from gingervane.audit.records import Day, Record, Send, SubtreeRequest, ends_of
 
 
-def link_branches(
-    branches: list[Branch],
+def link_subtree_requests(
+    subtree_requests: list[SubtreeRequest],
     front_records: dict[str, list[Record]],
     director: list[Record],
-) -> list[Branch]:
+) -> list[SubtreeRequest]:
     """Add to each subtree request when the child read it: at the next request recorded on that connection."""
     taps: dict[int, list[str]] = defaultdict(list)
     for launch in [r for r in director if r["kind"] == "launched"]:
@@ -23,13 +23,13 @@
             if record["kind"] == "request":
                 requests[tap, record["far"]].append(record["t"])
     out = []
-    for branch in sorted(branches, key=lambda b: b.t):
-        linked = branch
-        for tap in taps[branch.far]:
-            later = [at for at in requests[tap, branch.near] if at >= branch.t]
+    for subtree in sorted(subtree_requests, key=lambda s: s.t):
+        linked = subtree
+        for tap in taps[subtree.far]:
+            later = [at for at in requests[tap, subtree.near] if at >= subtree.t]
             if later:
-                requests[tap, branch.near].remove(min(later))
-                linked = branch._replace(read=min(later), child=tap)
+                requests[tap, subtree.near].remove(min(later))
+                linked = subtree._replace(read=min(later), child=tap)
                 break
         out.append(linked)
     return out
--- a/gingervane/audit/lost_requests.py
+++ b/gingervane/audit/lost_requests.py
@@ -6,8 +6,10 @@
 from gingervane.audit.records import Day, Part, Record
 from gingervane.audit.verdict import Verdict
 
-_LATE = 0.5  # seconds past a client's deadline up to which an answer has no value but is not counted as lost
-_AFTER_PAUSE = 0.15  # seconds after SIGCONT within which requests that expired in the pause are failed
+# Seconds past a client's deadline up to which an answer has no value but the request is not lost.
+_LATE_ANSWER_GRACE = 0.5
+# Seconds after SIGCONT within which requests that expired during the pause are failed.
+_FAILURE_AFTER_PAUSE_GRACE = 0.15
 _CLOCK_ERROR = 0.002  # seconds by which the clock readings of two processes may differ
 
 
@@ -20,14 +22,14 @@
         name = attempts.describe(record)
         if record["outcome"] != "reply":
             verdict.tested += 1
-            verdict.breach(f"{name}: {record['outcome']}, no answer: {record.get('why')}")
+            verdict.count_breach(f"{name}: {record['outcome']}, no answer: {record.get('why')}")
             continue
         replies = record["replies"]
         if len(replies) != 1 or record["extra"]:
-            verdict.breach(f"{name}: {len(replies)} replies on its connection")
+            verdict.count_breach(f"{name}: {len(replies)} replies on its connection")
             continue
         if not failed_late_after_pause(day, record):
-            verdict.put((replies[0] - record["sent"]) / record["timeout"], f"{name}: answered late")
+            verdict.count_test((replies[0] - record["sent"]) / record["timeout"], f"{name}: answered late")
         _judge_sends_after_answer(day, record, verdict)
     return verdict
 
@@ -43,24 +45,30 @@
         for send in day.by_part.get(Part(record["start"], tile), []):
             if send.t > replied + _CLOCK_ERROR and send.tap == record["tap"]:
                 late_ms = (send.t - replied) * 1000
-                verdict.breach(f"{attempts.describe(record)}: {tile} sent {late_ms:.1f} ms after its answer")
+                verdict.count_breach(
+                    f"{attempts.describe(record)}: {tile} sent {late_ms:.1f} ms after its answer"
+                )
 
 
 def failed_late_after_pause(day: Day, record: Record) -> bool:
     """Whether an attempt expired while its co-ordinator was stopped and was failed right after SIGCONT.
 
-    A stopped process cannot answer. By the users' requirements, an answer up to `_LATE` after the deadline
-    has no value but the request is not lost; a request whose connection closes without an answer is lost.
+    A stopped process cannot answer. By the users' requirements, an answer up to `_LATE_ANSWER_GRACE` after
+    the deadline has no value but the request is not lost; a request whose connection closes without an answer
+    is lost.
     """
     deadline = record["sent"] + record["timeout"]
     replied = record["replies"][0]
-    if record["status"] < 500 or replied > deadline + _LATE:
+    if record["status"] < 500 or replied > deadline + _LATE_ANSWER_GRACE:
         return False
     signals = [r for r in day.director if r["kind"] == "signal" and r["coordinator"] == record["coordinator"]]
     for stop in [r["t"] for r in signals if r["signal"] == "SIGSTOP"]:
         resumed = next((r["t"] for r in signals if r["signal"] == "SIGCONT" and r["t"] > stop), None)
         if resumed is None:
             continue
-        if stop <= deadline <= resumed + _AFTER_PAUSE and replied <= resumed + _AFTER_PAUSE:
+        if (
+            stop <= deadline <= resumed + _FAILURE_AFTER_PAUSE_GRACE
+            and replied <= resumed + _FAILURE_AFTER_PAUSE_GRACE
+        ):
             return True
     return False
--- a/gingervane/audit/records.py
+++ b/gingervane/audit/records.py
@@ -31,7 +31,7 @@
     took: Record | None = None  # the node's record of it, if the node read it
 
 
-class Branch(NamedTuple):
+class SubtreeRequest(NamedTuple):
     """One subtree request that a co-ordinator sent to a child co-ordinator."""
 
     t: float
@@ -47,8 +47,8 @@
     """A change of a node's entry in the catalogue."""
 
     t: float
-    order: int  # the catalogue's index after the change
-    away: bool  # removed, draining or critical
+    modify_index: int  # the catalogue's index after the change
+    unready: bool  # removed, draining or critical
 
 
 class Catalogue(NamedTuple):
@@ -57,12 +57,12 @@
     changes: dict[int, list[Change]]
     notified: dict[str, list[tuple[float, int]]]
 
-    def notified_of_absence(self, tap: str, node: int, since: float) -> float | None:
+    def notified_unready_at(self, tap: str, node: int, since: float) -> float | None:
         """When a co-ordinator was notified that a node is not ready since `since`; None if it never was."""
-        away = next((c for c in self.changes.get(node, []) if c.away and c.t >= since), None)
-        if away is None:
+        unready = next((c for c in self.changes.get(node, []) if c.unready and c.t >= since), None)
+        if unready is None:
             return None
-        return next((t for t, index in self.notified.get(tap, []) if index >= away.order), None)
+        return next((t for t, index in self.notified.get(tap, []) if index >= unready.modify_index), None)
 
 
 @dataclass
@@ -76,7 +76,7 @@
     nodes: list[Record]
     sends: list[Send]
     bodies: bytes
-    branches: list[Branch]
+    subtree_requests: list[SubtreeRequest]
     exchanged: dict[str, int]  # bytes exchanged with replicas and children, by tap
     catalogue: Catalogue | None = None
     torn: int = 0  # lines that could not be parsed
--- a/gingervane/audit/retry_budget.py
+++ b/gingervane/audit/retry_budget.py
@@ -34,19 +34,19 @@
                 retries[send.tap].append(send.t)
             senders.add(send.tap)
     subtrees: set[tuple[str, tuple[Part, ...]]] = set()
-    for branch in day.branches:
-        if (branch.tap, branch.parts) in subtrees:
-            retries[branch.tap].append(branch.t)
-        subtrees.add((branch.tap, branch.parts))
+    for subtree in day.subtree_requests:
+        if (subtree.tap, subtree.parts) in subtrees:
+            retries[subtree.tap].append(subtree.t)
+        subtrees.add((subtree.tap, subtree.parts))
     return retries
 
 
 def _received(day: Day) -> dict[str, list[tuple[float, int]]]:
     """Return when each tap's co-ordinator read queries and subtrees, with their numbers of first attempts."""
     received: dict[str, list[tuple[float, int]]] = defaultdict(list)
-    for branch in day.branches:
-        if branch.child:
-            received[branch.child].append((branch.read, 1 + len(branch.parts)))
+    for subtree in day.subtree_requests:
+        if subtree.child:
+            received[subtree.child].append((subtree.read, 1 + len(subtree.parts)))
     for record in day.tries:
         if "tap" in record:
             received[record["tap"]].append((record["read"], 1 + len(record["tiles"])))
@@ -70,4 +70,6 @@
         first_attempts = sums[bisect.bisect_right(read_times, at)] - sums[low]
         allowed = budget["free"] + budget["share"] * first_attempts
         used = index - first + 1
-        verdict.put(used / max(allowed, 1e-9), f"{tap}: {used} further attempts, {allowed:.1f} allowed")
+        verdict.count_test(
+            used / max(allowed, 1e-9), f"{tap}: {used} further attempts, {allowed:.1f} allowed"
+        )
--- a/gingervane/audit/rules.py
+++ b/gingervane/audit/rules.py
@@ -56,7 +56,7 @@
         "further": attempts - parts,
         "copies": figures.hedged_requests(day),
         "most_runs_a_part": figures.most_executions_of_a_part(day),
-        "subtrees": len(day.branches),
+        "subtrees": len(day.subtree_requests),
         "stray": figures.stray_work(day),
         "usage": next((r["usage"] for r in day.director if r["kind"] == "usage"), {}),
         "bytes_exchanged": day.exchanged,
--- a/gingervane/audit/served_weight.py
+++ b/gingervane/audit/served_weight.py
@@ -14,14 +14,14 @@
     The bound gives a query its full weight if a replica of each required tile was up at some time within its
     latency objective. It ignores load, so it is higher than what is possible under overload.
     """
-    began, asked, served, bound = day.began(), 0.0, 0.0, 0.0
+    began, requested, served, bound = day.began(), 0.0, 0.0, 0.0
     attempts: dict[int, list[Record]] = defaultdict(list)
     by_class: dict[str, list[float]] = defaultdict(lambda: [0.0, 0.0])
     for record in day.tries:
         attempts[record["demand"]].append(record)
     for demand in day.demands:
         query_class = day.facts["classes"][demand["query_class"]]
-        asked += query_class["worth"]
+        requested += query_class["worth"]
         by_class[demand["query_class"]][0] += query_class["worth"]
         bound += _most_weight(day, demand, query_class, demand["t"] - began)
         answer = next((r for r in attempts[demand["demand"]] if r.get("status") == 200), None)
@@ -30,7 +30,7 @@
             served += weight
             by_class[demand["query_class"]][1] += weight
     return {
-        "asked": round(asked, 3),
+        "asked": round(requested, 3),
         "served": round(served, 3),
         "bound": round(bound, 3),
         "by_class": {
@@ -48,12 +48,12 @@
     return 0.0
 
 
-def _answer_weight(query_class: Record, took: float, coverage: float) -> float:
-    """Return the weight of an answer with a latency of `took` seconds and a coverage."""
-    if took <= query_class["aim"]:
+def _answer_weight(query_class: Record, latency: float, coverage: float) -> float:
+    """Return the weight of an answer with a latency in seconds and a coverage."""
+    if latency <= query_class["aim"]:
         late = 1.0
     else:
-        late = query_class["late_worth"] if took <= query_class["deadline"] else 0.0
+        late = query_class["late_worth"] if latency <= query_class["deadline"] else 0.0
     return float(
         query_class["worth"] * late * (1.0 if coverage == 1.0 else query_class["short_worth"] * coverage)
     )
--- a/gingervane/audit/slow_start.py
+++ b/gingervane/audit/slow_start.py
@@ -13,13 +13,13 @@
         if record["kind"] == "up":
             up, node = record["t"], record["node"]
             worst = _worst_load(day.facts["model"], up, _received(day, node, up))
-            verdict.put(
+            verdict.count_test(
                 worst,
                 f"node {node}: sent {worst:.2f} of what overloads it, started at {up - day.began():.1f} s",
             )
     for record in day.nodes:
         if record["kind"] == "fell" and verdict.kept:
-            verdict.breach(f"node {record['node']}: overloaded")
+            verdict.count_breach(f"node {record['node']}: overloaded")
     return verdict
 
 
--- a/gingervane/audit/verdict.py
+++ b/gingervane/audit/verdict.py
@@ -21,14 +21,14 @@
     breaches: int = 0
     what: list[str] = field(default_factory=list)
 
-    def put(self, share: float, description: str) -> None:
+    def count_test(self, share: float, description: str) -> None:
         """Count one test with its value as a share of the limit; a share over 1 is a breach."""
         self.tested += 1
         self.nearest = max(self.nearest, share)
         if share > 1.0:
-            self.breach(description)
+            self.count_breach(description)
 
-    def breach(self, description: str) -> None:
+    def count_breach(self, description: str) -> None:
         """Count a breach."""
         self.kept = False
         self.breaches += 1
--- a/gingervane/emulator/clients.py
+++ b/gingervane/emulator/clients.py
@@ -62,17 +62,17 @@
         if not targets:
             self.retry(demand, number, rng, 0.0)
             return
-        chosen = rng.choice(targets)
+        target = rng.choice(targets)
         start = BASE_MS + self._starts
         self._starts += 1
         timeout = kind.deadline * (1.0 - rng.random() * (1.0 - clients.try_share))
-        leaves = rng.random() < clients.impatient
-        patience = timeout * (rng.random() if leaves else 1.0)
-        coordinator = self._coordinators[chosen]
+        will_disconnect = rng.random() < clients.impatient
+        wait_timeout = timeout * (rng.random() if will_disconnect else 1.0)
+        coordinator = self._coordinators[target]
         record: Record = {
             "demand": demand.number,
             "number": number,
-            "coordinator": chosen,
+            "coordinator": target,
             "query_class": kind.name,
             "tiles": demand.tiles,
             "start": start,
@@ -88,7 +88,7 @@
             self.attempts.append(record | {"outcome": "unreached", "ended": self.clock.now})
             self.retry(demand, number, rng, 0.0)
             return
-        _Attempt(self, demand, rng, coordinator, record, leaves).send(patience)
+        _Attempt(self, demand, rng, coordinator, record, will_disconnect).send(wait_timeout)
 
 
 class _Attempt:
@@ -101,19 +101,19 @@
         rng: random.Random,
         coordinator: SimCoordinator,
         record: Record,
-        leaves: bool,
+        will_disconnect: bool,
     ) -> None:
         self._clients = clients
         self._demand = demand
         self._rng = rng
         self._coordinator = coordinator
         self._record = record
-        self._leaves = leaves
-        self._is_over = False
+        self._will_disconnect = will_disconnect
+        self._is_complete = False
         self._disconnect: Callable[[], None] | None = None
 
-    def send(self, patience: float) -> None:
-        """Send the request; after `patience` seconds the client disconnects or records a timeout."""
+    def send(self, wait_timeout: float) -> None:
+        """Send the request; after `wait_timeout` seconds the client disconnects or records a timeout."""
         start, end = self._record["start"], self._record["end"]
         weight = 1.0 / len(self._demand.tiles)
         request = ClientRequest(
@@ -126,7 +126,7 @@
         )
         clock = self._clients.clock
         clock.after(self._clients.net.delay, lambda: self._arrive(request))
-        clock.after(patience + (0.0 if self._leaves else _LATE_ANSWER_WAIT), self._out_of_patience)
+        clock.after(wait_timeout + (0.0 if self._will_disconnect else _LATE_ANSWER_WAIT), self._stop_waiting)
 
     def _arrive(self, request: ClientRequest) -> None:
         if self._coordinator.alive:
@@ -155,16 +155,16 @@
         else:
             self._finish("reply", 0.0, status=502, coverage=None, missing=None)
 
-    def _out_of_patience(self) -> None:
-        if not self._is_over and self._disconnect:
+    def _stop_waiting(self) -> None:
+        if not self._is_complete and self._disconnect:
             self._disconnect()
-        self._finish("left" if self._leaves else "timeout", 0.0)
+        self._finish("left" if self._will_disconnect else "timeout", 0.0)
 
     def _finish(self, outcome: str, retry_after: float, **fields: Any) -> None:
         """Record the first outcome, and retry unless the attempt was answered or the client disconnected."""
-        if self._is_over:
+        if self._is_complete:
             return
-        self._is_over = True
+        self._is_complete = True
         clients = self._clients
         clients.attempts.append(self._record | fields | {"outcome": outcome, "ended": clients.clock.now})
         if outcome != "left" and fields.get("status") != 200:
--- a/gingervane/emulator/coordinator.py
+++ b/gingervane/emulator/coordinator.py
@@ -96,7 +96,7 @@
             net,
             costs,
             lambda node, contents: record_send(self, node, contents),
-            self._put,
+            self._add_input,
         )
         self.admission = Admission(
             AdmissionLimits(limits.open, limits.result_bytes), settings.max_retry_after, lambda: clock.now
@@ -122,19 +122,19 @@
 
     def endpoints_updated(self, members: tuple[Member, ...], cached: bool = False) -> None:
         """Apply an endpoint list that has been read."""
-        found = self._view.apply_full_list(members, self._clock.now, cached)
-        if found:
-            self._put(found)
+        update = self._view.apply_full_list(members, self._clock.now, cached)
+        if update:
+            self._add_input(update)
 
     def request_arrived(self, request: ClientRequest) -> Callable[[], None]:
         """Handle the arrival of a client's request; returns the callback for the client's disconnection."""
         query_ids: list[int] = []  # holds the id of the query once the request is admitted
         cost = self._costs.query / 2 + self._costs.part * len(request.parts) / 2
-        self._processor.run(cost, lambda: self._begin(request, query_ids))
+        self._processor.run(cost, lambda: self._admit(request, query_ids))
 
         def disconnect() -> None:
             if query_ids and self.alive:
-                self._put(t.ClientDisconnected(query_ids[0]))
+                self._add_input(t.ClientDisconnected(query_ids[0]))
 
         return disconnect
 
@@ -150,14 +150,14 @@
 
     # ---- queries
 
-    def _begin(self, request: ClientRequest, query_ids: list[int]) -> None:
+    def _admit(self, request: ClientRequest, query_ids: list[int]) -> None:
         """Admit a request that has been read as a query, or answer it with a rejection."""
         now = self._clock.now
         request.on_read(now)
         reserve = self._reserves[request.class_name]
         self._pauses.mark_running(now)
-        until = self._pauses.arrival_time(now) + request.timeout
-        if until <= now:
+        client_deadline = self._pauses.arrival_time(now) + request.timeout
+        if client_deadline <= now:
             request.on_answer(None, now)
             return
         size = 1 + len(request.parts)
@@ -169,15 +169,15 @@
             return
         self._queries += 1
         query_ids.append(self._queries)
-        deadline = until - reserve.get(len(request.parts), until - now)
+        deadline = client_deadline - reserve.get(len(request.parts), client_deadline - now)
 
         def complete(result: t.QueryResult) -> None:
-            self._complete(request, until, result)
+            self._complete(request, client_deadline, result)
 
         plan = t.QueryPlan(request.class_number, deadline, request.parts, _CODEC, request.class_name)
-        self._put(t.QuerySubmitted(self._queries, plan, complete))
+        self._add_input(t.QuerySubmitted(self._queries, plan, complete))
 
-    def _complete(self, request: ClientRequest, until: float, result: t.QueryResult) -> None:
+    def _complete(self, request: ClientRequest, client_deadline: float, result: t.QueryResult) -> None:
         """Write a query's answer, unless it is ready only after the client's deadline."""
         completed_at = self._clock.now
         self.admission.reserve_results(result.result_bytes)
@@ -186,17 +186,17 @@
             now = self._clock.now
             self._reserves[request.class_name].learn(len(request.parts), now - completed_at)
             self.admission.release(1 + len(request.parts), result.result_bytes)
-            request.on_answer(result if now < until else None, now)
+            request.on_answer(result if now < client_deadline else None, now)
 
         self._processor.run(self._costs.query / 2 + self._costs.part * len(result.results) / 2, write)
 
     # ---- decisions
 
-    def _put(self, item: t.Input) -> None:
+    def _add_input(self, item: t.Input) -> None:
         self._inbox.append(item)
-        self._plan_batch(self._clock.now)
+        self._schedule_batch(self._clock.now)
 
-    def _plan_batch(self, moment: float) -> None:
+    def _schedule_batch(self, moment: float) -> None:
         """Schedule a batch of decisions for a time; it runs as soon after that as the processor is free."""
         if moment < self._next_batch:
             self._next_batch = moment
@@ -207,18 +207,18 @@
             return
         self._next_batch = float("inf")
         if self._processor.free_at > self._clock.now:  # busy, or paused
-            self._plan_batch(self._processor.free_at)
+            self._schedule_batch(self._processor.free_at)
             return
         inputs = self._inbox
         self._inbox = []
         effects = self.driver.step(self._clock.now, inputs)
         cost = self._costs.batch + self._costs.input * len(inputs)
-        self._processor.run(cost, lambda: self._carry_out(effects))
+        self._processor.run(cost, lambda: self._execute(effects))
         due = self.driver.next_due()
         if due < float("inf"):
-            self._plan_batch(max(due, self._clock.now))
+            self._schedule_batch(max(due, self._clock.now))
 
-    def _carry_out(self, effects: list[t.Effect]) -> None:
+    def _execute(self, effects: list[t.Effect]) -> None:
         for effect in effects:
             match effect:
                 case t.StartRequest(request):
--- a/gingervane/emulator/events.py
+++ b/gingervane/emulator/events.py
@@ -13,22 +13,22 @@
     def __init__(self, start: float) -> None:
         self.now = start
         self._heap: list[tuple[float, int, Callable[[], None]]] = []
-        self._planned = count()
-        self.done = 0  # events that have been handled
+        self._sequence = count()
+        self.events_handled = 0
 
-    def at(self, moment: float, work: Callable[[], None]) -> None:
-        """Call `work` at a time, or now if that is past."""
-        heapq.heappush(self._heap, (max(moment, self.now), next(self._planned), work))
+    def at(self, time: float, callback: Callable[[], None]) -> None:
+        """Call `callback` at a time, or now if that is past."""
+        heapq.heappush(self._heap, (max(time, self.now), next(self._sequence), callback))
 
-    def after(self, seconds: float, work: Callable[[], None]) -> None:
-        """Call `work` the given number of seconds from now."""
-        self.at(self.now + seconds, work)
+    def after(self, seconds: float, callback: Callable[[], None]) -> None:
+        """Call `callback` the given number of seconds from now."""
+        self.at(self.now + seconds, callback)
 
     def run(self, until: float) -> None:
         """Handle all events that are due up to a time."""
         heap = self._heap
         while heap and heap[0][0] <= until:
-            self.now, _, work = heapq.heappop(heap)
-            self.done += 1
-            work()
+            self.now, _, callback = heapq.heappop(heap)
+            self.events_handled += 1
+            callback()
         self.now = until
--- a/gingervane/emulator/node.py
+++ b/gingervane/emulator/node.py
@@ -29,7 +29,7 @@
 _BAD_REPLY_FAULTS = ("wrong_tile", "wrong_time", "few_results", "snappy_lies")
 _CUT_REPLY_FAULTS = ("reset_mid_body", "short_body")
 _REPLY_BYTES = 1500.0  # size of a reply, for the duration of one that is sent slowly (`dribble`)
-_FOREVER = 1e6  # seconds that an overloaded node stays down
+_OVERLOAD_DOWNTIME = 1e6  # seconds that an overloaded node stays down
 
 ReplyCallback = Callable[[Reply], None]
 
@@ -62,7 +62,7 @@
         outage = self.schedule.down(self._clock.now)
         return outage[1] if outage else None
 
-    def ask(self, contents: list[list[Any]], reply: ReplyCallback) -> tuple[int, dict[str, Any]]:
+    def receive(self, contents: list[list[Any]], reply: ReplyCallback) -> tuple[int, dict[str, Any]]:
         """Accept a request; return its call number and its record.
 
         `reply` is called at most once, when the node's reply is ready.
@@ -70,22 +70,22 @@
         now = self._clock.now
         self._calls += 1
         call = self._calls
-        note = {"node": self.id, "call": call, "asked": contents}
+        record_fields = {"node": self.id, "call": call, "asked": contents}
         if self.schedule.find("say_nothing", now) or self.down() == "vanish":
-            return call, self._record("unheard", **note)
-        if self.schedule.strikes("fail_fast", now):
+            return call, self._record("unheard", **record_fields)
+        if self.schedule.affects_request("fail_fast", now):
             reply(Reply.BAD)
-            return call, self._record("failed", **note)
+            return call, self._record("failed", **record_fields)
         job = self._queue(len({tile for tile, _, _ in contents}))
         if job is None:
             reply(Reply.NOT_BEGUN)
-            return call, self._record("rejected", **note)
+            return call, self._record("rejected", **record_fields)
         self._open[call] = reply, job
-        end = max(job.end, self.schedule.still_until(job.end))
+        end = max(job.end, self.schedule.paused_until(job.end))
         self._clock.at(end, lambda: self._finish(call, now))
-        return call, self._record("taken", **note)
+        return call, self._record("taken", **record_fields)
 
-    def leave(self, call: int) -> None:
+    def drop_call(self, call: int) -> None:
         """Drop a request whose caller has disconnected and release the unused time of its job."""
         dropped = self._open.pop(call, None)
         if dropped:
@@ -96,39 +96,39 @@
         """Queue the work on a number of parts; None if it is rejected. An overload takes the node down."""
         now = self._clock.now
         job = None
-        if not self.schedule.strikes("reject", now):
+        if not self.schedule.affects_request("reject", now):
             job = self._capacity.take(now, parts, self.schedule.slowness(now))
-        if self._capacity.fallen:
+        if self._capacity.is_overloaded:
             self._record("fell", node=self.id)
-            self.schedule.add(Fault("vanish", now, _FOREVER))
+            self.schedule.add(Fault("vanish", now, _OVERLOAD_DOWNTIME))
         return job
 
-    def _finish(self, call: int, began: float) -> None:
+    def _finish(self, call: int, arrived: float) -> None:
         """Reply to a request whose work is done, with the faults that were active when it arrived."""
         finished = self._open.pop(call, None)
         if finished is None:
             return
         reply, _ = finished
-        if self.schedule.hangs(began) or self.schedule.strikes("lose_answers", began):
+        if self.schedule.leaves_unanswered(arrived) or self.schedule.affects_request("lose_answers", arrived):
             self._record("lost", node=self.id, call=call)
             return
         self._record("done", node=self.id, call=call)
-        outcome = self._reply_at(began)
-        self._clock.at(self._clock.now + self._reply_delay(began), lambda: reply(outcome))
+        outcome = self._reply_outcome(arrived)
+        self._clock.at(self._clock.now + self._reply_delay(arrived), lambda: reply(outcome))
 
-    def _reply_at(self, began: float) -> Reply:
-        if any(self.schedule.strikes(kind, began) for kind in _CUT_REPLY_FAULTS):
+    def _reply_outcome(self, arrived: float) -> Reply:
+        if any(self.schedule.affects_request(kind, arrived) for kind in _CUT_REPLY_FAULTS):
             return Reply.CUT
-        if any(self.schedule.strikes(kind, began) for kind in _BAD_REPLY_FAULTS):
+        if any(self.schedule.affects_request(kind, arrived) for kind in _BAD_REPLY_FAULTS):
             return Reply.BAD
         return Reply.GOOD
 
-    def _reply_delay(self, began: float) -> float:
+    def _reply_delay(self, arrived: float) -> float:
         """Return the seconds between the end of the work and the end of the reply."""
         delay = 0.0
-        if pause := self.schedule.find("pause_mid_reply", began):
+        if pause := self.schedule.find("pause_mid_reply", arrived):
             delay = pause.size
-        if dribble := self.schedule.find("dribble", began):
+        if dribble := self.schedule.find("dribble", arrived):
             delay += _REPLY_BYTES / dribble.size
         return delay
 
@@ -139,8 +139,8 @@
             self._record("dropped", node=self.id, call=call)
             if how == "crash":
                 reply(Reply.CUT)
-        self._clock.at(until, self._come_up)
+        self._clock.at(until, self._restart)
 
-    def _come_up(self) -> None:
+    def _restart(self) -> None:
         self._capacity = Capacity(self._model, self._clock.now)
         self._record("up", node=self.id)
--- a/gingervane/emulator/senders.py
+++ b/gingervane/emulator/senders.py
@@ -136,13 +136,13 @@
             if node.down() == "crash":
                 reply(Reply.CUT)
             elif not is_cancelled:
-                node_call, record = node.ask(contents, reply)
+                node_call, record = node.receive(contents, reply)
                 record_arrival(record)
 
         def cancel() -> None:
             nonlocal is_cancelled
             is_cancelled = True
-            self._clock.after(self._net.delay, lambda: node.leave(node_call))
+            self._clock.after(self._net.delay, lambda: node.drop_call(node_call))
             self._release(request)
 
         self._on_cancel[request.id] = cancel
--- a/gingervane/emulator/world.py
+++ b/gingervane/emulator/world.py
@@ -59,7 +59,7 @@
         # The changes of the list, and when each co-ordinator read each version of it.
         self._catalogue = Catalogue(defaultdict(list), defaultdict(list))
         # For killed co-ordinators: until when clients still use them.
-        self._taken_for_running: dict[int, float] = {}
+        self._assumed_running_until: dict[int, float] = {}
         self._taps: dict[SimCoordinator, str] = {}
         self.coordinators: dict[int, SimCoordinator] = {}
         self._clients = SimClients(
@@ -80,7 +80,7 @@
         for at, states, started in scenario.listings():
             if at > 0:
                 clock.at(_DAY_START + at, partial(self._publish_list, at, states, started))
-        self._plan_coordinator_faults()
+        self._schedule_coordinator_faults()
         tiles = [f"t{i:03d}" for i in range(scenario.nodes.tiles)]
         all_demands = demands(scenario, tiles)
         for demand in all_demands:
@@ -92,7 +92,7 @@
         """Return the audit's report, extended by the co-ordinators' processor load and the events handled."""
         report = rules.judge_day(day, samples=False)
         report["busy"] = {n: round(c.busy / self.scenario.seconds, 4) for n, c in self.coordinators.items()}
-        report["events"] = self.clock.done
+        report["events"] = self.clock.events_handled
         return report
 
     # ---- co-ordinators
@@ -120,21 +120,21 @@
         self._catalogue.notified[tap].append((self.clock.now, self._list_version))
         coordinator.endpoints_updated(self._members)
 
-    def _plan_coordinator_faults(self) -> None:
+    def _schedule_coordinator_faults(self) -> None:
         clock = self.clock
-        for trouble in self.scenario.troubles:
-            start = _DAY_START + trouble.at
-            for number in trouble.coordinators:
-                if trouble.kind == "coordinator_kill":
+        for fault in self.scenario.troubles:
+            start = _DAY_START + fault.at
+            for number in fault.coordinators:
+                if fault.kind == "coordinator_kill":
                     clock.at(start, partial(self._kill, number))
-                    clock.at(start + trouble.seconds, partial(self._launch, number))
-                elif trouble.kind == "coordinator_stall":
-                    for at, seconds in trouble.stalls():
+                    clock.at(start + fault.seconds, partial(self._launch, number))
+                elif fault.kind == "coordinator_stall":
+                    for at, seconds in fault.stalls():
                         clock.at(_DAY_START + at, partial(self._pause, number, seconds))
 
     def _kill(self, number: int) -> None:
         self.coordinators[number].kill()
-        self._taken_for_running[number] = self.clock.now + self.scenario.coordinators.notice
+        self._assumed_running_until[number] = self.clock.now + self.scenario.coordinators.notice
         self._record("killed", coordinator=number)
 
     def _pause(self, number: int, seconds: float) -> None:
@@ -146,7 +146,8 @@
         return [
             n
             for n, coordinator in self.coordinators.items()
-            if (not roots or n < roots) and (coordinator.alive or now < self._taken_for_running.get(n, 0.0))
+            if (not roots or n < roots)
+            and (coordinator.alive or now < self._assumed_running_until.get(n, 0.0))
         ]
 
     # ---- the server list
@@ -228,7 +229,7 @@
             nodes=self._node_records,
             sends=self._sends,
             bodies=b"",
-            branches=[],
+            subtree_requests=[],
             exchanged={},
             catalogue=self._catalogue,
             by_part=self._sends_by_part,
--- a/gingervane/fake_servers/capacity.py
+++ b/gingervane/fake_servers/capacity.py
@@ -41,7 +41,7 @@
     slow_start_from: float
     free: list[float] = field(default_factory=list)
     sent: deque[tuple[float, float]] = field(default_factory=deque)  # when, core seconds
-    fallen: bool = False  # permanently down after an overload
+    is_overloaded: bool = False  # permanently down after an overload
     _sent_work: float = 0.0  # core seconds in `sent`
 
     def __post_init__(self) -> None:
@@ -77,4 +77,4 @@
             self._sent_work -= self.sent.popleft()[1]
         capacity = self.model.cores * self.speed(now) * self.model.fall_time
         if self.speed(now) < 1.0 and self._sent_work > self.model.fall_multiple * capacity:
-            self.fallen = True
+            self.is_overloaded = True
--- a/gingervane/fake_servers/consul.py
+++ b/gingervane/fake_servers/consul.py
@@ -6,7 +6,7 @@
 (only Service.Meta.KEY == "VALUE") and a token. `PUT /control` with `{"fault": ...}`, which sets a fault, is
 not in Consul.
 
-As a process: `python -m gingervane.fake_servers.consul ORDERS.json`, which prints `ready` and a list of
+As a process: `python -m gingervane.fake_servers.consul CONFIG.json`, which prints `ready` and a list of
 ports, and ends when its standard input is closed.
 """
 
@@ -53,8 +53,8 @@
 }
 # Status set by each check endpoint.
 _STATUSES = {"pass": "passing", "warn": "warning", "fail": "critical"}
-_HANG = 300.0  # seconds for which an agent with the fault `hang` does not answer
-_LATE = 1.0  # seconds that the fault `late` adds to each answer
+_HANG_SECONDS = 300.0  # seconds for which an agent with the fault `hang` does not answer
+_LATE_SECONDS = 1.0  # seconds that the fault `late` adds to each answer
 _DEFAULT_WAIT = "300s"  # for a blocking query without `wait`
 _MAX_WAIT = 600.0  # seconds that a blocking query may wait
 _STOP_TIMEOUT = 5.0  # seconds
@@ -80,10 +80,10 @@
         self.call_times: list[float] = []
         self._recorder = recorder or Recorder(None)
         self._number = number
-        self._at_fault: dict[str, tuple[Entries, int]] = {}  # the catalogue when the fault began
+        self._entries_at_fault: dict[str, tuple[Entries, int]] = {}  # the catalogue when the fault began
         self._fault_since = 0.0
         # (service, index) and JSON of the last full list sent
-        self._encoded: tuple[Any, bytes] = (None, b"")
+        self._last_full_list: tuple[Any, bytes] = (None, b"")
         self._stop = threading.Event()
         self._rng = random.Random(number)
         self._server = HttpServer("127.0.0.1", 0, self._handle, ServerLimits())
@@ -102,7 +102,7 @@
         if fault not in FAULTS:
             raise ValueError(f"{fault!r} is not one of {', '.join(FAULTS)}")
         with self.catalogue.changed:
-            self._at_fault = self.catalogue.snapshot()
+            self._entries_at_fault = self.catalogue.snapshot()
             self.fault = fault
             self._fault_since = time.monotonic()
             self.catalogue.changed.notify_all()
@@ -116,31 +116,31 @@
     ) -> Reply:
         target, _, text = request.target.partition("?")
         query = {key: values[0] for key, values in parse_qs(text, keep_blank_values=True).items()}
-        words = [unquote(word) for word in target.strip("/").split("/")]
-        if words == ["control"]:
+        segments = [unquote(word) for word in target.strip("/").split("/")]
+        if segments == ["control"]:
             self.set_fault(json.loads(body)["fault"])
             return plain(200, "")
         self.calls += 1
         self.call_times.append(time.monotonic())
         self._recorder.put("asked", agent=self._number, peer=client.peer, target=request.target)
         if self.fault == "hang":
-            self._stop.wait(_HANG)
+            self._stop.wait(_HANG_SECONDS)
         if self.fault == "late":
-            self._stop.wait(_LATE)
+            self._stop.wait(_LATE_SECONDS)
         if self.fault in ("500", "429"):
             retry_after = (("Retry-After", "1"),) if self.fault == "429" else ()
             return plain(int(self.fault), "rpc error", fields=retry_after)
         if self.token and request.headers.get("x-consul-token") != self.token:
             return plain(403, "Permission denied: token with AccessorID lacks permission")
         try:
-            return self._route(request.method, words, query, body, client)
+            return self._route(request.method, segments, query, body, client)
         except (ValueError, KeyError, TypeError) as error:
             return plain(400, f"bad request: {error!r}")
 
     def _route(
-        self, method: str, words: list[str], query: dict[str, str], body: bytes, client: Exchange
+        self, method: str, segments: list[str], query: dict[str, str], body: bytes, client: Exchange
     ) -> Reply:
-        match [method, *words]:
+        match [method, *segments]:
             case ["GET", "v1", "health", "service", name]:
                 return self._health(name, query, client)
             case ["GET", "v1", "catalog", "service", name]:
@@ -150,11 +150,11 @@
             case ["PUT", "v1", "agent", "service", "register"]:
                 return self._register(_canonical(json.loads(body)))
             case ["PUT", "v1", "agent", "service", "deregister", name]:
-                return _ok_or(self.catalogue.deregister(name), "unknown service")
+                return _ok_or_not_found(self.catalogue.deregister(name), "unknown service")
             case ["PUT", "v1", "agent", "service", "maintenance", name]:
                 status = "critical" if query["enable"] == "true" else None
                 is_known = self.catalogue.check(name, f"_service_maintenance:{name}", status)
-                return _ok_or(is_known, "unknown service")
+                return _ok_or_not_found(is_known, "unknown service")
             case ["PUT", "v1", "agent", "check", verb, check]:
                 status = json.loads(body)["Status"] if verb == "update" else _STATUSES[verb]
                 return self._set_check(check, status)
@@ -206,7 +206,7 @@
         is_frozen = self.fault in ("stale", "lag") and "consistent" not in query
         entries, index = self._wait_for_change(name, requested_index, deadline, is_frozen)
         if self.fault == "hang":
-            self._stop.wait(_HANG)
+            self._stop.wait(_HANG_SECONDS)
         if self.fault in ("500", "429"):
             return plain(int(self.fault), "rpc error")
         if self.fault == "empty":
@@ -245,7 +245,7 @@
     def _entries(self, name: str, is_frozen: bool) -> tuple[Entries, int]:
         """Return a service's entries and index: the present ones, or those when the fault began if frozen."""
         if is_frozen:
-            return self._at_fault.get(name, ([], 1))
+            return self._entries_at_fault.get(name, ([], 1))
         return self.catalogue.entries(name), self.catalogue.index_of(name)
 
     def _send_entries(
@@ -254,12 +254,12 @@
         if self.fault not in ("empty", "cut"):  # the full list is sent
             self._recorder.put("told", agent=self._number, peer=client.peer, index=index, service=name)
         is_cacheable = self.fault == "" and not {"passing", "filter"} & query.keys()
-        key, encoded = self._encoded
+        key, encoded = self._last_full_list
         if is_cacheable and key == (name, index):
             return self._json(entries, index, encoded)
         reply = self._json(entries, index)
         if is_cacheable:
-            self._encoded = (name, index), reply.body
+            self._last_full_list = (name, index), reply.body
         if self.fault == "cut":
             data = http1.encode_response(200, reply.fields, reply.body)
             client.send_raw(data[: len(data) * 2 // 3])
@@ -283,7 +283,7 @@
     return {_KEYS.get(key.lower(), key): value for key, value in table.items()}
 
 
-def _ok_or(is_known: bool, error: str) -> Reply:
+def _ok_or_not_found(is_known: bool, error: str) -> Reply:
     return plain(200, "") if is_known else plain(404, error)
 
 
@@ -301,11 +301,11 @@
 
 def main() -> int:
     """Run the agents that the configuration file describes until standard input is closed."""
-    orders = json.loads(Path(sys.argv[1]).read_text())
+    config = json.loads(Path(sys.argv[1]).read_text())
     threading.stack_size(STACK_SIZE)
-    recorder = Recorder(Path(orders["records"]) if orders.get("records") else None)
-    catalogue = Catalogue(tuple(orders.get("datacenters", ["dc1"])), recorder)
-    agents = [Agent(catalogue, recorder, number) for number in range(orders["agents"])]
+    recorder = Recorder(Path(config["records"]) if config.get("records") else None)
+    catalogue = Catalogue(tuple(config.get("datacenters", ["dc1"])), recorder)
+    agents = [Agent(catalogue, recorder, number) for number in range(config["agents"])]
     print("ready", json.dumps([agent.address[1] for agent in agents]), flush=True)
     sys.stdin.read()
     print("calls", json.dumps([agent.call_times for agent in agents]), flush=True)
--- a/gingervane/fake_servers/fake_server.py
+++ b/gingervane/fake_servers/fake_server.py
@@ -28,12 +28,12 @@
 REQUEST_LIMITS = Limits(16384, 16 << 20)  # bytes of a request's head and of its body
 QUEUE_FULL_FIELDS = (("Retry-After", "1"), ("Gingervane-Began", "no"))
 _BACKLOG = 512  # connections that may wait to be accepted
-_FOREVER = 1e6  # seconds that an overloaded server stays down
+_OVERLOAD_DOWNTIME = 1e6  # seconds that an overloaded server stays down
 _ACCEPT_POLL = 20  # milliseconds between checks of the schedule
 _DOWN_POLL = 0.005  # seconds between checks of the clock while the server is down
 _WORK_POLL = 0.1  # seconds between checks of the schedule while a job runs
 _IDLE_TIMEOUT = 60.0  # seconds without a byte of a request
-_HOLD_TIMEOUT = 120.0  # seconds that an unanswered connection is kept open
+_UNANSWERED_TIMEOUT = 120.0  # seconds that an unanswered connection is kept open
 _SEND_TIMEOUT = 30.0  # seconds
 _STOP_TIMEOUT = 5.0  # seconds
 _LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER value with which a close resets the connection
@@ -77,9 +77,9 @@
         self._thread.join(_STOP_TIMEOUT)
 
     @property
-    def fallen(self) -> bool:
+    def is_overloaded(self) -> bool:
         """Whether the server has been overloaded and stays down."""
-        return self._capacity.fallen
+        return self._capacity.is_overloaded
 
     def fault(
         self, kind: str, seconds: float, size: float = 1.0, delay: float = 0.0, how: str = "crash"
@@ -145,7 +145,7 @@
     def _reset_on_close(self, sock: socket.socket) -> None:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_RESET)
 
-    def _is_silent(self, now: float) -> bool:
+    def _is_unresponsive(self, now: float) -> bool:
         """Whether the server neither reads nor answers anything."""
         if self.schedule.find("say_nothing", now):
             return True
@@ -182,17 +182,17 @@
             now = time.monotonic()
             reap = self.schedule.find("idle_reap", now)
             if reap and now - last > reap.size:
-                self._hold(sock)  # as if a middlebox had dropped the connection without a reset
+                self._wait_for_close(sock)  # as if a middlebox had dropped the connection without a reset
                 return
             body = reader.body(request.headers)
             if not self._answer(sock, request, body):
                 return
             last = time.monotonic()
 
-    def _hold(self, sock: socket.socket) -> None:
+    def _wait_for_close(self, sock: socket.socket) -> None:
         """Discard all input without an answer until the peer closes the connection."""
         with contextlib.suppress(OSError):
-            sock.settimeout(_HOLD_TIMEOUT)
+            sock.settimeout(_UNANSWERED_TIMEOUT)
             while sock.recv(65536):
                 pass
 
@@ -228,11 +228,11 @@
         """Queue the work on a number of parts; None if it is rejected. An overload takes the server down."""
         with self._lock:
             job = None
-            if not self.schedule.strikes("reject", now):
+            if not self.schedule.affects_request("reject", now):
                 job = self._capacity.take(now, parts, self.schedule.slowness(now))
-            if self._capacity.fallen:
+            if self._capacity.is_overloaded:
                 self._recorder.put("fell", node=self.id)
-                self.schedule.add(Fault("vanish", now, _FOREVER))
+                self.schedule.add(Fault("vanish", now, _OVERLOAD_DOWNTIME))
         return job
 
     def _work(self, sock: socket.socket, job: Job) -> bool:
@@ -240,7 +240,7 @@
         poll = select.poll()
         poll.register(sock, select.POLLRDHUP | select.POLLHUP | select.POLLERR)
         end = job.end
-        while (now := time.monotonic()) < (end := max(end, self.schedule.still_until(now))):
+        while (now := time.monotonic()) < (end := max(end, self.schedule.paused_until(now))):
             if poll.poll(min(end - now, _WORK_POLL) * 1000) or self.schedule.down(time.monotonic()):
                 with self._lock:
                     self._capacity.drop(job, time.monotonic())
@@ -249,4 +249,4 @@
 
     def _never_answers(self, now: float) -> bool:
         """Whether a request that arrived at `now` is never answered."""
-        return self.schedule.hangs(now) or self.schedule.strikes("lose_answers", now)
+        return self.schedule.leaves_unanswered(now) or self.schedule.affects_request("lose_answers", now)
--- a/gingervane/fake_servers/faults.py
+++ b/gingervane/fake_servers/faults.py
@@ -13,29 +13,29 @@
 KINDS = {
     "slow": "times slower",
     "ageing": "times slower at the end",
-    "hang": "share of requests that are taken and never answered",
-    "say_nothing": "unused: connections are accepted and nothing is read",
+    "hang": "share of requests that are accepted and never answered",
+    "say_nothing": "unused; connections are accepted, but nothing is read",
     "fail_fast": "share of requests that fail at once",
-    "reject": "share of requests that are rejected, not begun",
-    "reset_mid_body": "share of replies that a reset cuts",
-    "lose_answers": "share of replies that never leave, the work done",
+    "reject": "share of requests that are rejected before any work",
+    "reset_mid_body": "share of replies that a connection reset cuts short",
+    "lose_answers": "share of replies that are not sent although the work is done",
     "pause_mid_reply": "seconds between the two halves of a reply",
-    "dribble": "bytes a second",
+    "dribble": "bytes per second",
     "wrong_tile": "share of replies for another tile",
-    "wrong_time": "share of replies with samples outside the time asked for",
-    "short_body": "share of replies cut by a plain close",
-    "few_results": "share of replies with a result too few",
-    "snappy_lies": "share of replies whose block claims another size",
-    "idle_reap": "seconds of idleness after which a connection is dropped unseen",
-    "stand_still": "seconds of each pause, one a second",
-    "crash": "unused: connections reset, none taken, slow start after",
-    "vanish": "unused: no reset, no answer, slow start after",
-    "flapping": "seconds of a turn, 0.4 of it down",
-    "zone_loss": "unused: crash of a whole zone; the scenario names the nodes",
+    "wrong_time": "share of replies with samples outside the requested time range",
+    "short_body": "share of replies that a connection close cuts short",
+    "few_results": "share of replies with one result missing",
+    "snappy_lies": "share of replies whose Snappy block states a wrong size",
+    "idle_reap": "seconds of idleness after which a connection is dropped without a reset",
+    "stand_still": "seconds of each process pause, one pause per second",
+    "crash": "unused; connections are reset and refused, then slow start",
+    "vanish": "unused; no reset and no answer, then slow start",
+    "flapping": "seconds of a period, 0.4 of it down",
+    "zone_loss": "unused; crash of a whole zone, whose nodes the scenario lists",
 }
 DOWN = {"crash", "vanish", "zone_loss"}
-FLAP_DOWN = 0.4  # share of a turn
-AGEING_CRASH = 2.0  # seconds down at the end
+FLAP_DOWN_SHARE = 0.4  # share of a flapping period in which the server is down
+AGEING_CRASH_SECONDS = 2.0  # downtime at the end of the fault `ageing`
 
 
 class FaultError(ValueError):
@@ -74,11 +74,11 @@
         if self.kind == "flapping" and self.how != "hang":
             spans, at = [], self.start
             while at < self.end:
-                spans.append((at, min(at + self.size * FLAP_DOWN, self.end), self.how))
+                spans.append((at, min(at + self.size * FLAP_DOWN_SHARE, self.end), self.how))
                 at += self.size
             return spans
         if self.kind == "ageing":
-            return [(self.end, self.end + AGEING_CRASH, "crash")]
+            return [(self.end, self.end + AGEING_CRASH_SECONDS, "crash")]
         return []
 
 
@@ -97,7 +97,7 @@
         """Return the first fault of a kind that is active at a time, or None."""
         return next((f for f in self.faults if f.kind == kind and f.active(now)), None)
 
-    def strikes(self, kind: str, now: float) -> bool:
+    def affects_request(self, kind: str, now: float) -> bool:
         """Whether a fault that affects a share of requests affects this one, chosen at random."""
         fault = self.find(kind, now)
         return fault is not None and self._random.random() < fault.size
@@ -120,17 +120,17 @@
                     return end, how
         return None
 
-    def hangs(self, now: float) -> bool:
+    def leaves_unanswered(self, now: float) -> bool:
         """Whether a request that arrives at a time is accepted and never answered."""
         for fault in self.faults:
             if fault.kind == "flapping" and fault.how == "hang" and fault.active(now):
-                return (now - fault.start) % fault.size < fault.size * FLAP_DOWN
-        return self.strikes("hang", now)
+                return (now - fault.start) % fault.size < fault.size * FLAP_DOWN_SHARE
+        return self.affects_request("hang", now)
 
-    def still_until(self, now: float) -> float:
+    def paused_until(self, now: float) -> float:
         """Return the end of the process pause that is active at `now`, or `now` if there is none."""
         fault = self.find("stand_still", now)
         if fault is None:
             return now
-        turn = (now - fault.start) % 1.0
-        return now - turn + fault.size if turn < fault.size else now
+        phase = (now - fault.start) % 1.0
+        return now - phase + fault.size if phase < fault.size else now
--- a/gingervane/fake_servers/fleet.py
+++ b/gingervane/fake_servers/fleet.py
@@ -1,4 +1,4 @@
-"""Runs many grid nodes in one process: `python -m gingervane.fake_servers.fleet ORDERS.json`."""
+"""Runs many grid nodes in one process: `python -m gingervane.fake_servers.fleet CONFIG.json`."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 from gingervane.fake_servers.capacity import Model
 from gingervane.fake_servers.faults import Fault
 from gingervane.fake_servers.node import FakeGrid
-from gingervane.fake_servers.process import ServerOrders, serve
+from gingervane.fake_servers.process import ServerConfig, serve
 from gingervane.fake_servers.recorder import Recorder
 
 
-def _grid(orders: ServerOrders, recorder: Recorder, faults: dict[int, list[Fault]]) -> FakeGrid:
+def _grid(config: ServerConfig, recorder: Recorder, faults: dict[int, list[Fault]]) -> FakeGrid:
     return FakeGrid(
-        orders["nodes"],
-        orders["tiles"],
-        tuple(orders["zones"]),
-        orders["width"],
-        Model(*orders["model"]),
+        config["nodes"],
+        config["tiles"],
+        tuple(config["zones"]),
+        config["width"],
+        Model(*config["model"]),
         recorder,
         faults,
-        orders.get("only"),
+        config.get("only"),
     )
 
 
--- a/gingervane/fake_servers/node.py
+++ b/gingervane/fake_servers/node.py
@@ -71,28 +71,28 @@
         ]
         distinct_tiles = {tile for query_tiles in tiles for tile in query_tiles}
         # `peer` is the port at the co-ordinator's end, by which the records of both ends are matched.
-        note = {"node": self.id, "call": call, "peer": sock.getpeername()[1], "asked": parts}
-        if self._is_silent(now):
-            self._recorder.put("unheard", **note)
-            self._hold(sock)
+        record_fields = {"node": self.id, "call": call, "peer": sock.getpeername()[1], "asked": parts}
+        if self._is_unresponsive(now):
+            self._recorder.put("unheard", **record_fields)
+            self._wait_for_close(sock)
             return False
         if distinct_tiles - self.tiles:
-            self._recorder.put("misdirected", **note)
+            self._recorder.put("misdirected", **record_fields)
             return self._send(sock, 421, b"not a tile of this node")
-        if self.schedule.strikes("fail_fast", now):
-            self._recorder.put("failed", **note)
+        if self.schedule.affects_request("fail_fast", now):
+            self._recorder.put("failed", **record_fields)
             return self._send(sock, 500, b"failing fast")
         job = self._queue(now, len(distinct_tiles))
         if job is None:
-            self._recorder.put("rejected", **note)
+            self._recorder.put("rejected", **record_fields)
             return self._send(sock, 503, b"queue full; not begun", QUEUE_FULL_FIELDS)
-        self._recorder.put("taken", **note)
+        self._recorder.put("taken", **record_fields)
         if not self._work(sock, job):
             self._recorder.put("dropped", node=self.id, call=call)
             return False
         if self._never_answers(now):
             self._recorder.put("lost", node=self.id, call=call)
-            self._hold(sock)
+            self._wait_for_close(sock)
             return False
         self._recorder.put("done", node=self.id, call=call)
         self.served += len(distinct_tiles)
@@ -107,10 +107,10 @@
 
     def _reply_body(self, queries: tuple[Query, ...], tiles: list[list[str]], now: float) -> bytes:
         """Encode the results, altered by the faults that are active."""
-        strikes = self.schedule.strikes
-        if strikes("wrong_tile", now):
+        affects_request = self.schedule.affects_request
+        if affects_request("wrong_tile", now):
             tiles = [[f"not-{tile}" for tile in query_tiles] for query_tiles in tiles]
-        shift = _WRONG_TIME_SHIFT if strikes("wrong_time", now) else 0
+        shift = _WRONG_TIME_SHIFT if affects_request("wrong_time", now) else 0
         results = []
         for query, query_tiles in zip(queries, tiles, strict=True):
             # The tile matchers are removed, so that a tile of the fault `wrong_tile` is answered like a
@@ -124,10 +124,10 @@
                 series for tile in query_tiles for series in data.answer(tile, tile_query, self.label)
             ]
             results.append(sorted(all_series, key=lambda series: series.labels))
-        if strikes("few_results", now):
+        if affects_request("few_results", now):
             results = results[:-1]
         body = snappy.compress(remote_read.write_response(results))
-        if strikes("snappy_lies", now):
+        if affects_request("snappy_lies", now):
             body = encode_varint(_FALSE_SIZE) + body[3:]
         return body
 
@@ -137,11 +137,11 @@
         reply = http1.encode_response(200, fields, body)
         half = len(reply) - max(len(body) // 2, 1)
         sock.settimeout(30.0)
-        if self.schedule.strikes("reset_mid_body", now):
+        if self.schedule.affects_request("reset_mid_body", now):
             sock.sendall(reply[:half])
             self._reset_on_close(sock)
             return False
-        if self.schedule.strikes("short_body", now):
+        if self.schedule.affects_request("short_body", now):
             sock.sendall(reply[:half])
             return False
         if pause := self.schedule.find("pause_mid_reply", now):
--- a/gingervane/fake_servers/process.py
+++ b/gingervane/fake_servers/process.py
@@ -1,4 +1,4 @@
-"""Runs fake servers in a process of their own: `python -m MODULE ORDERS.json`.
+"""Runs fake servers in a process of their own: `python -m MODULE CONFIG.json`.
 
 The file describes the servers, their faults, with times on the monotonic clock, and the file for records. The
 process prints `ready` and a JSON list of ports once all servers listen, and ends when its standard input is
@@ -18,7 +18,7 @@
 from gingervane.fake_servers.recorder import Recorder
 
 
-class Nodes(Protocol):
+class ServerGroup(Protocol):
     """A group of fake servers that a process runs."""
 
     @property
@@ -29,18 +29,18 @@
         """Stop all servers."""
 
 
-ServerOrders = dict[str, Any]
+ServerConfig = dict[str, Any]
 STACK_SIZE = 256 * 1024  # bytes per thread; small, because each connection has its own thread
 
 
-def serve(build: Callable[[ServerOrders, Recorder, dict[int, list[Fault]]], Nodes]) -> int:
+def serve(build: Callable[[ServerConfig, Recorder, dict[int, list[Fault]]], ServerGroup]) -> int:
     """Build servers from the configuration file, print their ports and run until standard input is closed."""
-    orders = json.loads(Path(sys.argv[1]).read_text())
+    config = json.loads(Path(sys.argv[1]).read_text())
     threading.stack_size(STACK_SIZE)
-    silent = orders.get("silent") or not orders.get("records")
-    recorder = Recorder(None if silent else Path(orders["records"]))
-    faults = {int(node): [Fault(**table) for table in tables] for node, tables in orders["faults"].items()}
-    nodes = build(orders, recorder, faults)
+    silent = config.get("silent") or not config.get("records")
+    recorder = Recorder(None if silent else Path(config["records"]))
+    faults = {int(node): [Fault(**table) for table in tables] for node, tables in config["faults"].items()}
+    nodes = build(config, recorder, faults)
     print("ready", json.dumps([port for _, port in nodes.addresses]), flush=True)
     sys.stdin.read()
     nodes.stop()
--- a/gingervane/fake_servers/server_list.py
+++ b/gingervane/fake_servers/server_list.py
@@ -24,6 +24,6 @@
 
 def write_list(path: Path, text: str) -> None:
     """Replace a list file atomically, so that no reader sees an incomplete file."""
-    part = path.with_suffix(".part")
-    part.write_text(text)
-    part.replace(path)
+    temporary = path.with_suffix(".part")
+    temporary.write_text(text)
+    temporary.replace(path)
--- a/gingervane/fake_servers/vectors.py
+++ b/gingervane/fake_servers/vectors.py
@@ -3,7 +3,7 @@
 It implements the subset of the API that the co-ordinators' codec uses, with a `shard_key` in each operation,
 and, for repair, `GET /collections/{c}/shards/{s}/marks`, `POST .../fetch` and `POST .../put`. Each operation
 is atomic under the node's lock. Every effect is recorded with its key, its version, the changed points and
-whether it was a repeat. As a process: `python -m gingervane.fake_servers.vectors ORDERS.json`, like
+whether it was a repeat. As a process: `python -m gingervane.fake_servers.vectors CONFIG.json`, like
 `gingervane.fake_servers.fleet`.
 """
 
@@ -20,7 +20,7 @@
 from gingervane.fake_servers.capacity import Model
 from gingervane.fake_servers.fake_server import DEFAULT_MODEL, QUEUE_FULL_FIELDS, FakeServer
 from gingervane.fake_servers.faults import Fault
-from gingervane.fake_servers.process import ServerOrders, serve
+from gingervane.fake_servers.process import ServerConfig, serve
 from gingervane.fake_servers.recorder import Recorder
 from gingervane.fake_servers.vector_shard import Shard, rank
 from gingervane.vectors.points import Collection
@@ -53,37 +53,37 @@
     def _answer(self, sock: socket.socket, request: Request, body: bytes) -> bool:
         if request.target == "/control":
             return self._control(sock, body)
-        words = request.target.partition("?")[0].strip("/").split("/")
+        segments = request.target.partition("?")[0].strip("/").split("/")
         now = time.monotonic()
         call = self._next_call()
-        note = {"node": self.id, "call": call, "peer": sock.getpeername()[1]}
-        if self._is_silent(now):
-            self._recorder.put("unheard", **note)
-            self._hold(sock)
+        record_fields = {"node": self.id, "call": call, "peer": sock.getpeername()[1]}
+        if self._is_unresponsive(now):
+            self._recorder.put("unheard", **record_fields)
+            self._wait_for_close(sock)
             return False
-        if self.schedule.strikes("fail_fast", now):
+        if self.schedule.affects_request("fail_fast", now):
             return self._send(sock, 500, b"failing fast")
         try:
             content = orjson.loads(body) if body else {}
-            operations = self._operations(words, content)
+            operations = self._operations(segments, content)
         except (ValueError, KeyError, TypeError, IndexError) as error:
             return self._send(sock, 400, repr(error).encode())
         if operations is None:
             return self._send(sock, 404, b"no such page, or a shard that is not here")
-        return self._execute(sock, request, words, operations, now)
+        return self._execute(sock, request, segments, operations, now)
 
-    def _operations(self, words: list[str], content: Any) -> list[Operation] | None:
+    def _operations(self, segments: list[str], content: Any) -> list[Operation] | None:
         """Parse the operations of a request; None if its path or one of its shards is unknown here."""
-        if len(words) < 4 or words[0] != "collections" or words[1] not in self.collections:
+        if len(segments) < 4 or segments[0] != "collections" or segments[1] not in self.collections:
             return None
-        if words[2] == "shards":
-            operations = [{"shard": int(words[3]), "kind": words[4], "body": content}]
-        elif words[2:] == ["points", "search", "batch"]:
+        if segments[2] == "shards":
+            operations = [{"shard": int(segments[3]), "kind": segments[4], "body": content}]
+        elif segments[2:] == ["points", "search", "batch"]:
             operations = [
                 {"shard": int(search["shard_key"][1:]), "kind": "search", "body": search}
                 for search in content["searches"]
             ]
-        elif words[2:] == ["points", "batch"]:
+        elif segments[2:] == ["points", "batch"]:
             operations = [
                 {"shard": int(body["shard_key"][1:]), "kind": kind, "body": body}
                 for item in content["operations"]
@@ -91,13 +91,13 @@
             ]
         else:
             return None
-        return operations if all((words[1], op["shard"]) in self.shards for op in operations) else None
+        return operations if all((segments[1], op["shard"]) in self.shards for op in operations) else None
 
     def _execute(
         self,
         sock: socket.socket,
         request: Request,
-        words: list[str],
+        segments: list[str],
         operations: list[Operation],
         now: float,
     ) -> bool:
@@ -105,19 +105,19 @@
         job = self._queue(now, max(len(operations), 1))
         if job is None:
             return self._send(sock, 503, b"queue full; not begun", QUEUE_FULL_FIELDS)
-        is_search = words[-1] == "batch" and words[-2] == "search"
+        is_search = segments[-1] == "batch" and segments[-2] == "search"
         if not self._work(sock, job) and is_search:
             return False  # a search without a client is dropped; a write that has begun is completed
         if self.schedule.down(time.monotonic()):
             return False
-        collection = words[1]
+        collection = segments[1]
         key = request.headers.get("idempotency-key")
         version = int(request.headers.get("gingervane-version") or 0)
-        results = [self._do(words, operation, key, version) for operation in operations]
+        results = [self._do(segments, operation, key, version) for operation in operations]
         if self._never_answers(now):
-            self._hold(sock)
+            self._wait_for_close(sock)
             return False
-        result = results if words[-1] == "batch" else results[0]
+        result = results if segments[-1] == "batch" else results[0]
         return self._reply(sock, result, self._freshness(collection, operations), now)
 
     def _freshness(self, collection: str, operations: list[Operation]) -> str:
@@ -135,16 +135,18 @@
         ]
         reply = http1.encode_response(200, fields, data)
         sock.settimeout(30.0)
-        if self.schedule.strikes("reset_mid_body", now) or self.schedule.strikes("short_body", now):
+        if self.schedule.affects_request("reset_mid_body", now) or self.schedule.affects_request(
+            "short_body", now
+        ):
             sock.sendall(reply[: len(reply) - max(len(data) // 2, 1)])
             return False
         sock.sendall(reply)
         self.served += 1
         return True
 
-    def _do(self, words: list[str], operation: Operation, key: str, version: int) -> Any:
+    def _do(self, segments: list[str], operation: Operation, key: str, version: int) -> Any:
         """Execute one operation atomically and return its result."""
-        collection = words[1]
+        collection = segments[1]
         number, kind, body = operation["shard"], operation["kind"], operation["body"]
         with self._lock:
             shard = self.shards[collection, number]
@@ -228,16 +230,16 @@
             node.stop()
 
 
-def _grid(orders: ServerOrders, recorder: Recorder, faults: dict[int, list[Fault]]) -> VectorGrid:
+def _grid(config: ServerConfig, recorder: Recorder, faults: dict[int, list[Fault]]) -> VectorGrid:
     return VectorGrid(
-        orders["nodes"],
-        [Collection(*c) for c in orders["collections"]],
-        orders["width"],
-        orders["window"],
-        Model(*orders["model"]),
+        config["nodes"],
+        [Collection(*c) for c in config["collections"]],
+        config["width"],
+        config["window"],
+        Model(*config["model"]),
         recorder,
         faults,
-        orders.get("only"),
+        config.get("only"),
     )
 
 
