--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -1,4 +1,4 @@
-"""The audit sees each of the six rules broken when a co-ordinator is made to break it, and no other way."""
+"""The audit detects a breach of each of the six rules by a mutant co-ordinator, and no breach without one."""
 
 from __future__ import annotations
 
@@ -55,13 +55,14 @@
 RULES = ("lost", "duplicate", "drain", "cold", "honest", "budget")
 
 
-def play(breaks: str, out: Path, day: dict[str, Any] = DAY) -> dict[str, Any]:
+def run_scenario(broken_rule: str, out: Path, day: dict[str, Any] = DAY) -> dict[str, Any]:
     scenario = daemon_settings.validate(Scenario, day, Path("small"))
-    mutant = [sys.executable, "-m", "gingervane.cli.serve_mutant", breaks]
-    return ScenarioRun(scenario, out, mutant if breaks else None).run()
+    mutant = [sys.executable, "-m", "gingervane.cli.serve_mutant", broken_rule]
+    return ScenarioRun(scenario, out, mutant if broken_rule else None).run()
 
 
-# By Consul: drains with both agents well, and with one that hangs or lags; then neither answers.
+# Endpoint list from Consul: a drain with both agents healthy and one while an agent does not answer, followed
+# by errors of both agents.
 CONSUL: dict[str, Any] = DAY | {
     "name": "consul",
     "consul": {"agents": 2, "wait": 3},
@@ -78,12 +79,14 @@
 }
 
 
-# Both fronts: writes while answers are lost, connections reset and a node is away.
+# Remote reads and vector requests: writes while connections are reset, requests are rejected and a node is
+# down.
 WRITES: dict[str, Any] = DAY | {
     "name": "writes",
     "seconds": 6,
     "coordinators": {"count": 2},
-    # A node that must do every write, and that no list says is cold, is not to be pushed over by them.
+    # Every write must reach all its nodes, and no list reports a node's slow start: the load must not
+    # overload it.
     "nodes": {"count": 6, "tiles": 12, "work": 0.002, "queue": 400, "start_capacity": 0.5, "ramp_time": 4.0},
     "vectors": {"upserts": 16, "adds": 12, "searches": 6, "fixed": 60, "window": 4},
     "class": [{"name": "part", "tiles": [2, 4], "aim": 0.8, "deadline": 2.0}],
@@ -97,12 +100,12 @@
 }
 
 
-# Found flaky: at 40 a second one without slow start pushes over a cold node of three (five of six plays) or
-# none where the machine is busy. At half as much again it pushes over all three (six of six).
-COLD: dict[str, Any] = DAY | {"clients": DAY["clients"] | {"rate": 60}}
+# At 40 requests per second, a mutant without slow start overloads one of three cold nodes (5 of 6 runs), or
+# none on a busy machine. At 60 it overloads all three (6 of 6 runs).
+SLOW_START: dict[str, Any] = DAY | {"clients": DAY["clients"] | {"rate": 60}}
 DAYS = {
-    **{breaks: DAY for breaks in ("", *RULES)},
-    "cold": COLD,
+    **{rule: DAY for rule in ("", *RULES)},
+    "cold": SLOW_START,
     "consul/": CONSUL,
     "consul/drain": CONSUL,
     "writes/": WRITES,
@@ -112,67 +115,69 @@
 
 @pytest.fixture(scope="module")
 def reports(tmp_path_factory: pytest.TempPathFactory) -> dict[str, dict[str, Any]]:
-    """All days, a few at a time."""
+    """The reports of all days, run three at a time."""
     folder = tmp_path_factory.mktemp("days")
     with ThreadPoolExecutor(3) as pool:
         jobs = {
-            name: pool.submit(play, name.rpartition("/")[2], folder / (name.replace("/", "-") or "none"), day)
+            name: pool.submit(
+                run_scenario, name.rpartition("/")[2], folder / (name.replace("/", "-") or "none"), day
+            )
             for name, day in DAYS.items()
         }
     return {name: job.result() for name, job in jobs.items()}
 
 
-def test_a_day_by_consul(reports: dict[str, dict[str, Any]]) -> None:
+def test_rules_with_an_endpoint_list_from_consul(reports: dict[str, dict[str, Any]]) -> None:
     assert not reports["consul/drain"]["rules"]["drain"]["kept"], reports["consul/drain"]["rules"]
     report = reports["consul/"]
     assert report["kept"] and report["rules"]["drain"]["tested"] >= 2, report["rules"]
     assert report["told_of_changes_ms"]["count"] >= 4
-    assert set(report["outcomes"]) <= {"200", "closed", "unreached"}, "only the kill costs anybody a try"
+    assert set(report["outcomes"]) <= {"200", "closed", "unreached"}, "only the kill may fail an attempt"
 
 
-def test_a_day_of_writes(reports: dict[str, dict[str, Any]]) -> None:
+def test_rules_with_vector_writes(reports: dict[str, dict[str, Any]]) -> None:
     assert reports["writes/duplicate"]["vectors"]["rules"]["unsafe once"]["breaches"]
     report = reports["writes/"]
-    found = report["vectors"]["rules"]
-    assert report["kept"] and report["vectors"]["settled"], (report["rules"], found)
-    assert min(verdict["tested"] for name, verdict in found.items() if name != "refused is idle") > 20, found
+    verdicts = report["vectors"]["rules"]
+    assert report["kept"] and report["vectors"]["settled"], (report["rules"], verdicts)
+    assert min(v["tested"] for name, v in verdicts.items() if name != "refused is idle") > 20, verdicts
 
 
-def test_an_honest_co_ordinator_keeps_all(reports: dict[str, dict[str, Any]]) -> None:
+def test_an_unmodified_coordinator_keeps_all_rules(reports: dict[str, dict[str, Any]]) -> None:
     report = reports[""]
-    assert report["kept"], {rule: found for rule, found in report["rules"].items() if not found["kept"]}
+    assert report["kept"], {rule: verdict for rule, verdict in report["rules"].items() if not verdict["kept"]}
     assert all(report["rules"][rule]["tested"] for rule in RULES), report["rules"]
     assert 0 < report["worth"]["served"] <= report["worth"]["asked"]
 
 
 @pytest.mark.parametrize("rule", RULES)
-def test_a_broken_rule_is_seen(reports: dict[str, dict[str, Any]], rule: str) -> None:
+def test_a_broken_rule_is_detected(reports: dict[str, dict[str, Any]], rule: str) -> None:
     report = reports[rule]
     assert not report["kept"] and not report["rules"][rule]["kept"], report["rules"]
     assert report["rules"][rule]["breaches"] and report["rules"][rule]["what"]
 
 
-def test_shipped_scenarios_are_good() -> None:
+def test_shipped_scenarios_are_valid() -> None:
     assert "bad-day" in names()
     for name in names():
         scenario = load(name)
         assert scenario.seconds < 60 and scenario.facts()["classes"]
 
 
-def test_a_bad_scenario_is_told_with_its_place(tmp_path: Path) -> None:
+def test_errors_of_an_invalid_scenario_name_their_keys(tmp_path: Path) -> None:
     path = tmp_path / "s.toml"
-    faulty = 'name = "x"\n[[class]]\nname = "a"\naim = 2\ndeadline = 1\n[[trouble]]\nkind = "rain"\nat = 1\n'
-    path.write_text(faulty)
-    with pytest.raises(daemon_settings.SettingsError) as caught:
+    invalid = 'name = "x"\n[[class]]\nname = "a"\naim = 2\ndeadline = 1\n[[trouble]]\nkind = "rain"\nat = 1\n'
+    path.write_text(invalid)
+    with pytest.raises(daemon_settings.SettingsError) as raised:
         load(str(path))
-    lines = str(caught.value).splitlines()
+    lines = str(raised.value).splitlines()
     assert lines == [
         f"{path}: class[0].aim: 2 s is past the deadline of 1 s",
         f"{path}: trouble[0].seconds: missing",
     ]
 
 
-def test_a_bench_day_is_mapped_or_named(tmp_path: Path) -> None:
+def test_import_of_a_bench_day_maps_faults_or_lists_them_as_unmapped(tmp_path: Path) -> None:
     kinds = ["crash", "shared_slow", "pauses", "heavy_tail", "balancer_crash", "zone_loss", "something new"]
     day = {
         "site": "s",
--- a/tests/test_audit_held.py
+++ b/tests/test_audit_held.py
@@ -1,4 +1,4 @@
-"""The audit on lost requests where a co-ordinator was stopped: late failures of that, of nothing else."""
+"""The rule on lost requests excuses late failures of requests that expired during a process pause."""
 
 from __future__ import annotations
 
@@ -12,25 +12,28 @@
 
 
 def day(*signals: tuple[float, int, str]) -> Day:
-    director = [{"t": at, "kind": "signal", "coordinator": who, "signal": what} for at, who, what in signals]
+    director = [
+        {"t": at, "kind": "signal", "coordinator": coordinator, "signal": signal}
+        for at, coordinator, signal in signals
+    ]
     return cast(Day, SimpleNamespace(director=director))
 
 
-HELD = day((9.5, 2, "SIGSTOP"), (10.1, 2, "SIGCONT"))
+PAUSED_DAY = day((9.5, 2, "SIGSTOP"), (10.1, 2, "SIGCONT"))
 
 
 @pytest.mark.parametrize(
     ("sent", "status", "replied", "coordinator", "excused"),
     [
-        (9.0, 504, 10.12, 2, True),  # its time, 1 s, ran out at 10.0 while it was stopped
-        (9.0, 200, 10.12, 2, False),  # an answer is no failure
-        (9.0, 504, 10.4, 2, False),  # not at once
-        (8.4, 504, 10.12, 2, False),  # its time had run out before
-        (9.0, 504, 10.12, 1, False),  # another one was stopped
-        (9.3, 504, 10.9, 2, False),  # past what only earns nothing
+        (9.0, 504, 10.12, 2, True),  # the timeout of 1 s expired at 10.0, during the pause
+        (9.0, 200, 10.12, 2, False),  # answered, not failed
+        (9.0, 504, 10.4, 2, False),  # not failed right after the pause
+        (8.4, 504, 10.12, 2, False),  # expired before the pause
+        (9.0, 504, 10.12, 1, False),  # another co-ordinator was stopped
+        (9.3, 504, 10.9, 2, False),  # failed too long after the deadline
     ],
 )
-def test_only_what_ran_out_in_a_hold_may_fail_late(
+def test_only_requests_that_expired_during_a_pause_may_fail_late(
     sent: float,
     status: int,
     replied: float,
@@ -44,4 +47,4 @@
         "replies": [replied],
         "coordinator": coordinator,
     }
-    assert failed_late_after_pause(HELD, record) is excused
+    assert failed_late_after_pause(PAUSED_DAY, record) is excused
--- a/tests/test_deploy_file.py
+++ b/tests/test_deploy_file.py
@@ -1,4 +1,4 @@
-"""The deploy file names what is there: each module of the decisions, and the files of the node."""
+"""The deploy file lists every module of the decisions, and only files that exist."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
 
 
-def test_every_module_of_the_decisions_is_listed() -> None:
+def test_every_decision_module_is_listed() -> None:
     modules = {path.relative_to(ROOT).as_posix() for path in (ROOT / "gingervane" / "decisions").glob("*.py")}
     assert set(DEPLOY["policy"]) == modules - {"gingervane/decisions/__init__.py"}
 
 
-def test_every_listed_path_is_there() -> None:
+def test_every_listed_path_exists() -> None:
     assert [path for path in DEPLOY["policy"] + DEPLOY["node"] if not (ROOT / path).exists()] == []
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,4 +1,7 @@
-"""Imports within the package go down a fixed order of layers only, wherever in a module they stand."""
+"""Modules import only from their own layer and from lower ones, in a fixed order of layers.
+
+Imports within functions count too.
+"""
 
 from __future__ import annotations
 
@@ -38,7 +41,7 @@
     "experiments",
     "cli",
 )
-# The package itself only passes on the decision engine; all may import it for its version and its path.
+# The package itself only re-exports the decision engine; every layer may import it for its version and path.
 PACKAGE = "gingervane"
 MODULES = sorted(path.relative_to(ROOT) for path in ROOT.rglob("*.py") if path != ROOT / "__init__.py")
 
@@ -48,7 +51,7 @@
 
 
 def imported_modules(source: str) -> Iterator[str]:
-    """Names of modules that a source imports, those in functions too."""
+    """Yield the names of all modules that a source imports, also within functions."""
     for node in ast.walk(ast.parse(source)):
         if isinstance(node, ast.Import):
             yield from (alias.name for alias in node.names)
@@ -59,7 +62,7 @@
 
 
 def imported_layers(source: str) -> Iterator[str]:
-    """Layers of the package that a source imports from."""
+    """Yield the layers of the package that a source imports from."""
     for name in imported_modules(source):
         package, _, rest = name.partition(".")
         layer = rest.partition(".")[0]
@@ -72,15 +75,15 @@
 
 
 @pytest.mark.parametrize("path", MODULES, ids=str)
-def test_imports_go_down(path: Path) -> None:
-    own = LAYERS.index(layer_of_file(path))
-    found = set(imported_layers((ROOT / path).read_text()))
-    assert found <= set(LAYERS), f"unknown layers {sorted(found - set(LAYERS))}"
-    upward = sorted(layer for layer in found if LAYERS.index(layer) > own)
-    assert not upward, f"{path} imports upward from {', '.join(upward)}"
+def test_no_module_imports_from_a_higher_layer(path: Path) -> None:
+    own_level = LAYERS.index(layer_of_file(path))
+    imported = set(imported_layers((ROOT / path).read_text()))
+    assert imported <= set(LAYERS), f"unknown layers {sorted(imported - set(LAYERS))}"
+    higher = sorted(layer for layer in imported if LAYERS.index(layer) > own_level)
+    assert not higher, f"{path} imports from higher layers: {', '.join(higher)}"
 
 
-def test_an_upward_import_is_seen() -> None:
+def test_imports_within_functions_are_detected() -> None:
     source = "def f() -> None:\n    from gingervane.cli.main import main\n    import gingervane.audit.rules\n"
     assert set(imported_layers(source)) == {"cli", "audit"}
     assert list(imported_layers("from gingervane import interface as api")) == ["interface"]
