--- a/gingervane/fake_servers/consul.py
+++ b/gingervane/fake_servers/consul.py
@@ -64,7 +64,7 @@
 
 
 class Agent:
-    """One agent. `fault` is one of FAULTS; `calls` and `call_times` count and time the requests received."""
+    """One agent. `fault` is one of FAULTS; `calls` counts its requests, `call_times` has their times."""
 
     def __init__(
         self,
--- a/gingervane/fake_servers/faults.py
+++ b/gingervane/fake_servers/faults.py
@@ -39,7 +39,7 @@
 
 
 class FaultError(ValueError):
-    """A fault of an unknown kind or with an invalid figure."""
+    """A fault has an unknown kind or an invalid duration or size."""
 
 
 @dataclass(frozen=True)
