--- a/gingervane/audit/duplicate_effects.py
+++ b/gingervane/audit/duplicate_effects.py
@@ -1,4 +1,4 @@
-"""The rule on duplicate effects: nothing takes effect twice, and what may have been executed is not rejected."""
+"""The rule on duplicate effects: no write takes effect twice, and none that was executed is rejected."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def judge(day: Day) -> Verdict:
-    """Judge every part of each attempt whose class is not idempotent by itself."""
+    """Judge every part of each attempt whose query class is keyed or unsafe."""
     verdict = Verdict()
     for record in day.tries:
         query_class = day.facts["classes"][record["query_class"]]
@@ -19,12 +19,13 @@
             sends = day.by_part.get(Part(record["start"], tile), [])
             executed = [send for send in sends if attempts.was_executed(send)]
             if query_class["semantics"] == "unsafe":
-                # A request that no node read may have been executed for all the co-ordinator knew; that it was is
-                # what counts.
-                verdict.put(len(executed) / 1.0, f"{name}: {tile} ran {len(executed)} times")
+                # The co-ordinator cannot know whether a sent request was executed; only executions count.
+                verdict.count_test(len(executed) / 1.0, f"{name}: {tile} was executed {len(executed)} times")
                 if executed and record.get("status") == 503:
-                    verdict.breach(f"{name}: refused though {tile} ran")
+                    verdict.count_breach(f"{name}: rejected, but {tile} was executed")
             elif executed:
                 span = max(s.t for s in executed) - min(s.t for s in executed)
-                verdict.put(span / query_class["repeat_window"], f"{name}: {tile} again after {span:.3f} s")
+                verdict.count_test(
+                    span / query_class["repeat_window"], f"{name}: {tile} executed again after {span:.3f} s"
+                )
     return verdict
--- a/gingervane/emulator/clients.py
+++ b/gingervane/emulator/clients.py
@@ -1,4 +1,4 @@
-"""Modelled clients: each demand is an attempt at some co-ordinator and, where that fails, its retries."""
+"""Modelled clients: each demand is sent to some co-ordinator and retried if the attempt fails."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 from gingervane.scenarios.demands import BASE_MS, Demand
 from gingervane.scenarios.scenario import Scenario
 
-# Seconds past its time that a client which does not leave hangs on, so that a late answer is seen as late.
+# Seconds past its deadline that a client still waits unless it disconnects, to record late answers as such.
 _LATE_ANSWER_WAIT = 0.5
 
 
 class SimClients:
-    """Plays demands against the co-ordinators that `targets` names at the moment of each attempt."""
+    """Sends demands to the co-ordinators that `targets` returns at the time of each attempt."""
 
     def __init__(
         self,
@@ -33,7 +33,7 @@
         self.clock = clock
         self.net = net
         self.tap_of = tap_of
-        self.attempts: list[Record] = []  # those that have ended, in order of their ends
+        self.attempts: list[Record] = []  # completed attempts, in order of completion
         self._scenario = scenario
         self._coordinators = coordinators
         self._targets = targets
@@ -45,7 +45,7 @@
         self._attempt(demand, 0, random.Random(demand.seed))
 
     def retry(self, demand: Demand, number: int, rng: random.Random, retry_after: float) -> None:
-        """Plan the attempt after one that has failed, if there is another."""
+        """Schedule the next attempt after a failed one, unless the client's retries are used up."""
         clients = self._scenario.clients
         if number >= clients.retries:
             return
@@ -53,7 +53,7 @@
         self.clock.after(wait, lambda: self._attempt(demand, number + 1, rng))
 
     def class_number(self, demand: Demand) -> int:
-        """Number of a demand's class in the engine's settings; that for partial results is the next one."""
+        """Return the number of a demand's class in the engine's settings; the next is its partial variant."""
         return self._class_numbers[demand.kind.name] + (1 if demand.kind.partial else 0)
 
     def _attempt(self, demand: Demand, number: int, rng: random.Random) -> None:
@@ -62,17 +62,17 @@
         if not targets:
             self.retry(demand, number, rng, 0.0)
             return
-        chosen = rng.choice(targets)
+        target = rng.choice(targets)
         start = BASE_MS + self._starts
         self._starts += 1
         timeout = kind.deadline * (1.0 - rng.random() * (1.0 - clients.try_share))
-        leaves = rng.random() < clients.impatient
-        patience = timeout * (rng.random() if leaves else 1.0)
-        coordinator = self._coordinators[chosen]
+        will_disconnect = rng.random() < clients.impatient
+        wait_timeout = timeout * (rng.random() if will_disconnect else 1.0)
+        coordinator = self._coordinators[target]
         record: Record = {
             "demand": demand.number,
             "number": number,
-            "coordinator": chosen,
+            "coordinator": target,
             "query_class": kind.name,
             "tiles": demand.tiles,
             "start": start,
@@ -88,11 +88,11 @@
             self.attempts.append(record | {"outcome": "unreached", "ended": self.clock.now})
             self.retry(demand, number, rng, 0.0)
             return
-        _Attempt(self, demand, rng, coordinator, record, leaves).send(patience)
+        _Attempt(self, demand, rng, coordinator, record, will_disconnect).send(wait_timeout)
 
 
 class _Attempt:
-    """One attempt at one co-ordinator, from its sending to its outcome."""
+    """One attempt at one co-ordinator, from the send to the outcome."""
 
     def __init__(
         self,
@@ -101,19 +101,19 @@
         rng: random.Random,
         coordinator: SimCoordinator,
         record: Record,
-        leaves: bool,
+        will_disconnect: bool,
     ) -> None:
         self._clients = clients
         self._demand = demand
         self._rng = rng
         self._coordinator = coordinator
         self._record = record
-        self._leaves = leaves
-        self._is_over = False
+        self._will_disconnect = will_disconnect
+        self._is_complete = False
         self._disconnect: Callable[[], None] | None = None
 
-    def send(self, patience: float) -> None:
-        """Send it; after `patience` seconds the client leaves or takes it for lost."""
+    def send(self, wait_timeout: float) -> None:
+        """Send the request; after `wait_timeout` seconds the client disconnects or records a timeout."""
         start, end = self._record["start"], self._record["end"]
         weight = 1.0 / len(self._demand.tiles)
         request = ClientRequest(
@@ -126,7 +126,7 @@
         )
         clock = self._clients.clock
         clock.after(self._clients.net.delay, lambda: self._arrive(request))
-        clock.after(patience + (0.0 if self._leaves else _LATE_ANSWER_WAIT), self._out_of_patience)
+        clock.after(wait_timeout + (0.0 if self._will_disconnect else _LATE_ANSWER_WAIT), self._stop_waiting)
 
     def _arrive(self, request: ClientRequest) -> None:
         if self._coordinator.alive:
@@ -155,16 +155,16 @@
         else:
             self._finish("reply", 0.0, status=502, coverage=None, missing=None)
 
-    def _out_of_patience(self) -> None:
-        if not self._is_over and self._disconnect:
+    def _stop_waiting(self) -> None:
+        if not self._is_complete and self._disconnect:
             self._disconnect()
-        self._finish("left" if self._leaves else "timeout", 0.0)
+        self._finish("left" if self._will_disconnect else "timeout", 0.0)
 
     def _finish(self, outcome: str, retry_after: float, **fields: Any) -> None:
-        """Record the first outcome, and retry what has not been answered."""
-        if self._is_over:
+        """Record the first outcome, and retry unless the attempt was answered or the client disconnected."""
+        if self._is_complete:
             return
-        self._is_over = True
+        self._is_complete = True
         clients = self._clients
         clients.attempts.append(self._record | fields | {"outcome": outcome, "ended": clients.clock.now})
         if outcome != "left" and fields.get("status") != 200:
