--- a/gingervane/membership/atomic_file.py
+++ b/gingervane/membership/atomic_file.py
@@ -87,7 +87,7 @@
             fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError:
             os.close(self._lock)
-            raise StoreError(f"{path}: locked by another process") from None
+            raise StoreError(f"{path}: kept by another process") from None
 
     def close(self) -> None:
         """Release the lock."""
--- a/gingervane/membership/snapshot_writer.py
+++ b/gingervane/membership/snapshot_writer.py
@@ -105,4 +105,4 @@
             self._writing = False
             self._schedule.record_result(time.monotonic(), not fault, self._schedule.has_unsaved_changes)
         if fault:
-            self._log_warning(f"the snapshot of the server list could not be written: {fault}")
+            self._log_warning(f"the server list could not be kept: {fault}")
--- a/gingervane/membership/source_owner.py
+++ b/gingervane/membership/source_owner.py
@@ -126,7 +126,7 @@
         with self._lock:
             if self._list_published.is_set():
                 return
-            self._log_warning(f"no source has answered; using the snapshot of {stored.age:.0f} s ago")
+            self._log_warning(f"no source has answered; starting from the list kept {stored.age:.0f} s ago")
             self._serving_cached = True
             self._on_update(self._view.full_update(api.MembershipUpdateKind.CACHED))
             self._list_published.set()
@@ -183,8 +183,8 @@
         self._publish(now, report is not None)
         for lower in self._reconciliation.take_unconfirmed_indexes():
             self._log_warning(
-                f"{lower.source}: index {lower.shown_index} is below {lower.newest_index} and not confirmed by the"
-                " leader; it does not make drained or removed servers ready"
+                f"{lower.source}: index {lower.shown_index} is behind {lower.newest_index}, and no leader has vouched"
+                " for it; what it takes back does not count"
             )
         if self._writer and self._writer.is_write_due(now):
             self._writer.submit(self._snapshot_content(now))
--- a/gingervane/node/discovery.py
+++ b/gingervane/node/discovery.py
@@ -169,7 +169,7 @@
             call = DiscoveryCall(CallProgress(self._call_count, self._address), self)
             self._calls.append(call)
             self._interrupt_excess_call()
-            self._update_state("a call is requested")
+            self._update_state("a call is wanted")
             return call
 
     def _interrupt_excess_call(self) -> None:
@@ -255,7 +255,7 @@
         with self._reader_lock:
             self._reader.record_activity()
         if has_resumed:
-            self._promote(call, "data received again")
+            self._promote(call, "it speaks again")
             no_changes = api.MembershipChanged(api.MembershipUpdateKind.DELTA, ())
             self._sink.endpoints_updated(EndpointsUpdated(no_changes, {}))
 
@@ -270,7 +270,7 @@
             if call.interrupted:
                 return
             self._retry_pending = True
-            self._update_state("no data received in time")
+            self._update_state("it fell silent")
         self._sink.watch_interrupted(seconds)
 
     def value_received(self, call: DiscoveryCall, value: bytes, is_json: bool) -> None:
