--- a/tests/recordings/driver_codec.py
+++ b/tests/recordings/driver_codec.py
@@ -1,9 +1,10 @@
-"""The form of the query driver's recordings, and the one place that names what is recorded.
+"""The format of the query driver's recordings; no other module names the recorded types.
 
-The form outlives renames: a value is a positional list `[index of its type in TYPES, field values in order]`, an
-enumeration member is its ordinal in definition order, and an object with an identity is a number given in order of
-first appearance. Text of our own is stored as a marker, or as a short digest where it reaches a client. When a type
-is renamed, change its name here; the fixtures stay as they are. Floats are stored with all their digits.
+The format is independent of names in the code: a value is a positional list `[index of its type in TYPES, field
+values in order]`, an enumeration member is stored as its ordinals in definition order, and an object with an identity
+as a number given in order of first appearance. Text of the program is stored as a marker, or as a short digest if it
+is sent to a client. When a type is renamed, change its name here; the fixtures stay as they are. Floats are stored
+with all their digits.
 """
 
 from __future__ import annotations
@@ -26,12 +27,12 @@
 from .values import field_values, member_at, member_position
 
 DIRECTORY = Path(__file__).parent
-CALLER_TEXT = "~"  # begins each text that the generator made up; such text is stored as it is
-OWN_TEXT = "?"  # stands for any text of ours that no client sees
+CALLER_TEXT = "~"  # prefix of each text that the generator creates; such text is stored unchanged
+OWN_TEXT = "?"  # stored in place of any text of the program that no client sees
 
-SEQUENCE, MAPPING, BYTES, MEMBER, RAISED = -1, -2, -3, -4, -5  # tags of what has no index in TYPES
+SEQUENCE, MAPPING, BYTES, MEMBER, RAISED = -1, -2, -3, -4, -5  # tags of values without an index in TYPES
 
-# Append only: the position is what the fixtures hold.
+# Append only: the fixtures contain the positions.
 TYPES: tuple[type, ...] = (
     api.Settings,
     api.QueryClass,
@@ -97,7 +98,7 @@
     t.SendToPeers,
 )
 
-# Append only, as TYPES.
+# Append only, like TYPES.
 ENUMERATIONS: tuple[type[Enum], ...] = (
     api.RetrySafety,
     api.ReplicaState,
@@ -111,29 +112,29 @@
 
 
 def type_index(kind: type) -> int:
-    """What stands for a type in the fixtures."""
+    """Return the number that represents a type in the fixtures."""
     return TYPES.index(kind)
 
 
 def encode_member(member: Enum) -> list[int]:
-    """An enumeration member, by its ordinals."""
+    """Encode an enumeration member by its ordinals."""
     return [MEMBER, *member_position(ENUMERATIONS, member)]
 
 
 def encode_member_or_value(kind: type[Enum], value: Any) -> list[int]:
-    """A member that may still be carried as its value, an untyped string."""
+    """Encode an enumeration member given as the member or as its value, an untyped string."""
     return encode_member(value if isinstance(value, kind) else kind(value))
 
 
 def encode_text(text: str, seen_by_clients: bool = False) -> str:
-    """Text of the generator as it is; our own as a marker, or a digest where it goes on the wire."""
+    """Return the generator's text unchanged, and the program's as a marker, or as a digest if clients see it."""
     if not text or text.startswith(CALLER_TEXT):
         return text
     return "#" + hashlib.sha256(text.encode()).hexdigest()[:10] if seen_by_clients else OWN_TEXT
 
 
 def encode(value: Any) -> Any:
-    """Values without an identity, as what JSON holds."""
+    """Encode a value without an identity as JSON-compatible data."""
     if value is None or isinstance(value, bool | int | float):
         return value
     if isinstance(value, str):
@@ -154,11 +155,11 @@
         return [type_index(type(value)), *(encode(item) for item in field_values(value))]
     if isinstance(value, list | tuple):
         return [SEQUENCE, *(encode(item) for item in value)]
-    raise TypeError(f"no form for {type(value)}")
+    raise TypeError(f"cannot encode {type(value)}")
 
 
 def decode(form: Any) -> Any:
-    """What `encode` was given; sequences come back as tuples."""
+    """Return the value that `encode` was given; sequences are returned as tuples."""
     if not isinstance(form, list):
         return form
     tag, *rest = form
@@ -173,8 +174,8 @@
     return TYPES[tag](*(decode(item) for item in rest))
 
 
-class RecordedExchange:
-    """A protocol that is never asked to write; `number` stands for it and sets the sizes of results."""
+class RecordedCodec:
+    """A codec that never encodes; recordings store its `number`, which also determines the sizes of results."""
 
     def __init__(self, number: int) -> None:
         self.number = number
@@ -186,18 +187,18 @@
         return 0 if result is None else 10 * self.number + int(result) % 7
 
 
-class RecordedSettled:
-    """Where a query's final answer goes: only its identity is looked at."""
+class RecordedResultCallback:
+    """The callback for a query's result; it is never called, and only identifies the query."""
 
     def __init__(self, query: int) -> None:
         self.query = query
 
-    def __call__(self, final: t.QueryResult) -> None:
+    def __call__(self, result: t.QueryResult) -> None:
         raise NotImplementedError
 
 
 class ScriptedModule:
-    """In place of the decision module: its answers are written down, for what the real one never does."""
+    """Replaces the decision module with scripted actions, also such as the real module never takes."""
 
     def __init__(self, script: Sequence[list[api.Action]]) -> None:
         self._script = list(script)
@@ -209,15 +210,15 @@
 
 
 class Operation(Enum):
-    """What a sender does with calls between two batches."""
+    """An operation of a sender on a batch request or an attempt between two turns."""
 
     CLAIM = 0
-    GO = 1
+    CLAIM_SENDABLE = 1
     SECONDS_LEFT = 2
 
 
 class Batch(NamedTuple):
-    """One turn: what the sender did since the last one and what that gave, the driver's inputs and its outputs."""
+    """One turn: the senders' operations since the last turn, their results, and the driver's inputs and outputs."""
 
     operations: list[Any]
     operation_results: list[Any]
@@ -229,8 +230,11 @@
 
 
 class Recording(NamedTuple):
-    """One run of a driver. `script`: of a scripted module, or None for the real one. `closing`: counts and what
-    `abandon` gave at the end."""
+    """One run of a driver.
+
+    `script`: actions of a scripted module; None for the real module. `closing`: the counts and the result of
+    `abandon` at the end.
+    """
 
     settings: list[Any]
     seed: int
@@ -240,55 +244,59 @@
 
 
 class Session:
-    """A driver with its module, fed and read in the form of the recordings."""
+    """A driver with its module, whose inputs and outputs are in the format of the recordings."""
 
     def __init__(self, settings: list[Any], seed: int, script: list[Any] | None) -> None:
         self.settings: api.Settings = decode(settings)
         self._scripted = None if script is None else ScriptedModule([list(decode(a)) for a in script])
         module = self._scripted or DecisionEngine(self.settings, seed)
         self.driver = Driver(module, self.settings, self._observe)
-        self.calls: list[t.BatchRequest] = []
-        self.errands: list[t.AttemptRequest] = []
-        self._exchanges: dict[int, RecordedExchange] = {}
+        self.batch_requests: list[t.BatchRequest] = []
+        self.attempt_requests: list[t.AttemptRequest] = []
+        self._codecs: dict[int, RecordedCodec] = {}
         self._observed: list[Any] = []
-        self._finals: list[tuple[t.QueryResult, list[Any]]] = []  # as they were when they were given
+        self._results: list[tuple[t.QueryResult, list[Any]]] = []  # each with its form when it was passed on
 
-    # ---- what a sender does
+    # ---- operations of a sender
 
     def operate(self, form: list[Any]) -> Any:
-        """Carry out one operation and give its result."""
+        """Execute one operation and return its result."""
         operation, *arguments = form
         match Operation(operation):
             case Operation.CLAIM:
-                return self.errands[arguments[0]].claim()
-            case Operation.GO:
-                call, now = arguments
-                return [self._numbers(found) for found in self.calls[call].claim_sendable(now)]
+                return self.attempt_requests[arguments[0]].claim()
+            case Operation.CLAIM_SENDABLE:
+                batch, now = arguments
+                return [self._numbers(group) for group in self.batch_requests[batch].claim_sendable(now)]
             case Operation.SECONDS_LEFT:
-                call, errands, now = arguments
-                return self.calls[call].seconds_left([self.errands[n] for n in errands], now)
+                batch, numbers, now = arguments
+                return self.batch_requests[batch].seconds_left(
+                    [self.attempt_requests[n] for n in numbers], now
+                )
 
-    def _numbers(self, errands: list[t.AttemptRequest]) -> list[int]:
-        return [self.errand_number(errand) for errand in errands]
+    def _numbers(self, requests: list[t.AttemptRequest]) -> list[int]:
+        return [self.request_number(request) for request in requests]
 
-    def call_number(self, call: t.BatchRequest) -> int:
-        return next(n for n, known in enumerate(self.calls) if known is call)
+    def batch_number(self, batch: t.BatchRequest) -> int:
+        return next(n for n, known in enumerate(self.batch_requests) if known is batch)
 
-    def errand_number(self, errand: t.AttemptRequest) -> int:
-        return next(n for n, known in enumerate(self.errands) if known is errand)
+    def request_number(self, request: t.AttemptRequest) -> int:
+        return next(n for n, known in enumerate(self.attempt_requests) if known is request)
 
     # ---- turns
 
     def step(self, now: float, inputs: list[Any]) -> tuple[list[t.Effect], list[Any], list[Any], list[Any]]:
-        """One batch: the effects as they are, and the forms of effects, of the driver's state and of what it
-        observed, asked for a second step, and (a scripted module) was told."""
+        """Run one turn; return the effects, and the forms of the effects, of the driver's state and of its calls.
+
+        The calls are those to the observer of attempts, to the second steps of queries, and to a scripted module.
+        """
         self._observed = []
-        items = [self._input(form) for form in inputs]
+        items = [self._decode_input(form) for form in inputs]
         try:
             effects = self.driver.step(now, items)
-        except Exception:  # of any type: what is recorded is that its books can no longer be trusted
+        except Exception:  # of any type: after it, the driver's state may be inconsistent
             return [], [[RAISED]], self._state(), self._take_observed()
-        forms = [self._effect(effect) for effect in effects]
+        forms = [self._encode_effect(effect) for effect in effects]
         return effects, forms, self._state(), self._take_observed()
 
     def _state(self) -> list[Any]:
@@ -302,104 +310,108 @@
         return self._observed
 
     def closing(self) -> list[Any]:
-        """The running totals, and the queries that `abandon` names."""
+        """Return the running totals, and the queries whose callbacks `abandon` returns."""
         counts = self.driver.counts
         totals, by_name = list(counts.totals().values()), []
-        for kind, found in (
+        for kind, counts_by_value in (
             (t.QueryStatus, counts.verdicts),
             (api.AttemptOutcome, counts.outcomes),
             (api.QueryEndReason, counts.reasons),
         ):
-            by_name.append([[encode_member_or_value(kind, key), count] for key, count in found.items()])
-        changed = sum(self._final_form(final) != form for final, form in self._finals)
-        assert not changed, "final answers that changed after they were given"
-        return [totals, by_name, [self._settled_number(settled) for settled in self.driver.abandon()]]
+            by_name.append(
+                [[encode_member_or_value(kind, key), count] for key, count in counts_by_value.items()]
+            )
+        changed = sum(self._result_form(result) != form for result, form in self._results)
+        assert not changed, "results of queries that changed after they were passed on"
+        return [totals, by_name, [self._query_of(on_result) for on_result in self.driver.abandon()]]
 
-    # ---- forms of what has an identity
+    # ---- forms of objects with an identity
 
     def _observe(self, outcome: api.AttemptOutcome, replica: int, seconds: float) -> None:
         self._observed.append([encode(outcome), replica, seconds])
 
-    def _input(self, form: list[Any]) -> t.Input:
+    def _decode_input(self, form: list[Any]) -> t.Input:
         if TYPES[form[0]] is not t.QuerySubmitted:
             item: t.Input = decode(form)
             return item
         _, number, plan = form
-        _, query_class, deadline, parts, exchange, tag, is_repeat, cost, second = plan
-        found = self._exchanges.setdefault(exchange, RecordedExchange(exchange))
-        step = None if second is None else self._second_step(number, second)
-        decoded = t.QueryPlan(query_class, deadline, decode(parts), found, decode(tag), is_repeat, cost, step)
-        return t.QuerySubmitted(number, decoded, RecordedSettled(number))
+        _, query_class, deadline, parts, codec_number, tag, is_client_retry, cost, second_parts = plan
+        codec = self._codecs.setdefault(codec_number, RecordedCodec(codec_number))
+        second_step = None if second_parts is None else self._second_step(number, second_parts)
+        decoded = t.QueryPlan(
+            query_class, deadline, decode(parts), codec, decode(tag), is_client_retry, cost, second_step
+        )
+        return t.QuerySubmitted(number, decoded, RecordedResultCallback(number))
 
     def _second_step(self, query: int, count: int) -> t.SecondStep:
-        """Asks again for the first `count` parts that are in."""
+        """Return a second step that repeats the first `count` parts that have results."""
 
-        def begin(results: dict[int, Any], whole: bool) -> tuple[t.PartPlan, ...]:
-            self._observed.append([query, encode(results), whole])
-            chosen = sorted(results)[:count]
-            return tuple(t.PartPlan(index, 1 / len(chosen), -1 - index) for index in chosen)
+        def begin(results: dict[int, Any], complete: bool) -> tuple[t.PartPlan, ...]:
+            self._observed.append([query, encode(results), complete])
+            indexes = sorted(results)[:count]
+            return tuple(t.PartPlan(index, 1 / len(indexes), -1 - index) for index in indexes)
 
         return begin
 
-    def _settled_number(self, settled: t.ResultCallback) -> int:
-        assert isinstance(settled, RecordedSettled)
-        return settled.query
+    def _query_of(self, on_result: t.ResultCallback) -> int:
+        assert isinstance(on_result, RecordedResultCallback)
+        return on_result.query
 
-    def _effect(self, effect: t.Effect) -> Any:
+    def _encode_effect(self, effect: t.Effect) -> Any:
         tag = type_index(type(effect))
         match effect:
-            case t.StartRequest(call):
-                return [tag, self._call(call)]
-            case t.CancelRequest(call):
-                return [tag, self._call(call), call.open_attempts]
-            case t.AbandonAttempt(call, errand, tell, over):
-                return [tag, self._call(call), self.errand_number(errand), tell, over]
-            case t.CompleteQuery(settled, final, number):
-                return [tag, self._settled_number(settled), self._final(final), number]
+            case t.StartRequest(batch):
+                return [tag, self._encode_batch(batch)]
+            case t.CancelRequest(batch):
+                return [tag, self._encode_batch(batch), batch.open_attempts]
+            case t.AbandonAttempt(batch, request, notify_replica, expired):
+                return [tag, self._encode_batch(batch), self.request_number(request), notify_replica, expired]
+            case t.CompleteQuery(on_result, result, number):
+                return [tag, self._query_of(on_result), self._encode_result(result), number]
         return encode(effect)
 
-    def _final(self, final: t.QueryResult) -> list[Any]:
-        """The form of a final answer, which is kept to see that it does not change later."""
-        form = self._final_form(final)
-        self._finals.append((final, form))
+    def _encode_result(self, result: t.QueryResult) -> list[Any]:
+        """Encode the result of a query, and store the form: `closing` checks that the result has not changed."""
+        form = self._result_form(result)
+        self._results.append((result, form))
         return form
 
-    def _final_form(self, final: t.QueryResult) -> list[Any]:
-        """The reason goes to the client, so that its text is pinned."""
-        form: list[Any] = [type_index(t.QueryResult), *(encode(item) for item in field_values(final))]
-        form[1 + [field.name for field in fields(final)].index("detail")] = encode_text(final.detail, True)
+    def _result_form(self, result: t.QueryResult) -> list[Any]:
+        """Return the form of a result. `detail` is sent to the client, so a digest of its text is stored."""
+        form: list[Any] = [type_index(t.QueryResult), *(encode(item) for item in field_values(result))]
+        form[1 + [field.name for field in fields(result)].index("detail")] = encode_text(result.detail, True)
         return form
 
-    def _call(self, call: t.BatchRequest) -> Any:
-        """All of a call where it is met first (which may be as it is called off), then its number."""
-        if any(known is call for known in self.calls):
-            return self.call_number(call)
-        self.calls.append(call)
-        errands = []
-        for errand in call.attempts:
-            self.errands.append(errand)
-            encoded = [encode(errand.content), encode(errand.retry_safety), errand.expires_at]
-            errands.append([type_index(t.AttemptRequest), errand.part, errand.attempt, *encoded])
-        assert isinstance(call.codec, RecordedExchange)
-        parts = [call.id, call.replica, encode(call.address), call.codec.number]
-        times = [call.expires_at, call.open_attempts, call.decided_at]
-        return [type_index(t.BatchRequest), *parts, errands, *times]
+    def _encode_batch(self, batch: t.BatchRequest) -> Any:
+        """Return all of a batch request at its first appearance, which may be its cancellation, then its number."""
+        if any(known is batch for known in self.batch_requests):
+            return self.batch_number(batch)
+        self.batch_requests.append(batch)
+        attempt_forms = []
+        for request in batch.attempts:
+            self.attempt_requests.append(request)
+            encoded = [encode(request.content), encode(request.retry_safety), request.expires_at]
+            attempt_forms.append([type_index(t.AttemptRequest), request.part, request.attempt, *encoded])
+        assert isinstance(batch.codec, RecordedCodec)
+        head = [batch.id, batch.replica, encode(batch.address), batch.codec.number]
+        times = [batch.expires_at, batch.open_attempts, batch.decided_at]
+        return [type_index(t.BatchRequest), *head, attempt_forms, *times]
 
 
 def encode_input(item: t.Input, second_parts: int | None = None) -> list[Any]:
-    """An input of the generator; `second_parts`: of an arrival whose class has a second step."""
+    """Encode an input of the generator. `second_parts`: number of parts of the query's second step; None without."""
     if not isinstance(item, t.QuerySubmitted):
         form: list[Any] = encode(item)
         return form
-    plan, exchange = item.plan, item.plan.codec
-    assert isinstance(exchange, RecordedExchange)
-    head = [plan.query_class, plan.deadline, encode(plan.parts), exchange.number, encode(plan.tag)]
+    plan, recorded_codec = item.plan, item.plan.codec
+    assert isinstance(recorded_codec, RecordedCodec)
+    head = [plan.query_class, plan.deadline, encode(plan.parts), recorded_codec.number, encode(plan.tag)]
     rest = [plan.is_client_retry, plan.predicted_cost, second_parts]
     return [type_index(t.QuerySubmitted), item.id, [type_index(t.QueryPlan), *head, *rest]]
 
 
 def write_fixture(name: str, content: Any) -> int:
-    """Write a fixture; its size in bytes. The same content gives the same bytes."""
+    """Write a fixture and return its size in bytes. The same content gives the same bytes."""
     text = json.dumps(content, separators=(",", ":")).encode()
     packed = gzip.compress(text, 9, mtime=0)
     (DIRECTORY / name).write_bytes(packed)
@@ -415,17 +427,15 @@
     return Recording(settings, seed, script, [Batch(*batch) for batch in batches], closing)
 
 
-def first_difference(expected: Any, found: Any, where: str = "") -> str:
-    """Where two forms differ first, and how; empty if they are bit-equal."""
-    if isinstance(expected, list) and isinstance(found, list):
-        for index, (left, right) in enumerate(zip(expected, found, strict=False)):
-            if text := first_difference(left, right, f"{where}[{index}]"):
-                return text
-        if len(expected) != len(found):
-            longer = max(expected, found, key=len)[min(len(expected), len(found))]
-            return (
-                f"{where}: {len(expected)} items recorded, {len(found)} found; first without a pair: {longer}"
-            )
+def first_difference(recorded: Any, actual: Any, path: str = "") -> str:
+    """Return the path and description of the first difference of two forms; empty if they are bit-equal."""
+    if isinstance(recorded, list) and isinstance(actual, list):
+        for index, (left, right) in enumerate(zip(recorded, actual, strict=False)):
+            if difference := first_difference(left, right, f"{path}[{index}]"):
+                return difference
+        if len(recorded) != len(actual):
+            unmatched = max(recorded, actual, key=len)[min(len(recorded), len(actual))]
+            return f"{path}: recorded {len(recorded)} items, got {len(actual)}; first unmatched item: {unmatched}"
         return ""
-    same = type(expected) is type(found) and repr(expected) == repr(found)
-    return "" if same else f"{where}: recorded {expected!r}, found {found!r}"
+    equal = type(recorded) is type(actual) and repr(recorded) == repr(actual)
+    return "" if equal else f"{path}: recorded {recorded!r}, got {actual!r}"
--- a/tests/recordings/driver_host.py
+++ b/tests/recordings/driver_host.py
@@ -15,7 +15,7 @@
 from gingervane import interface as api
 from gingervane.coordinator import types as t
 from recordings import driver_codec as codec
-from recordings.driver_codec import Operation, RecordedExchange, RecordedSettled, Session
+from recordings.driver_codec import Operation, RecordedCodec, RecordedResultCallback, Session
 
 START = 1000.0  # the first time on the host's clock
 MIN_TURN_INTERVAL = 0.0003  # seconds between two turns
@@ -166,12 +166,12 @@
             kind,
             round(self.now + seconds, 4),
             parts,
-            RecordedExchange(draw.choice((1, 1, 2))),
+            RecordedCodec(draw.choice((1, 1, 2))),
             f"~{number}",
             self.chance(scenario.client_retries),
             draw.choice((0.0, 0.0, 0.01)),
         )
-        self.put(t.QuerySubmitted(number, plan, RecordedSettled(number)), second)
+        self.put(t.QuerySubmitted(number, plan, RecordedResultCallback(number)), second)
         if self.chance(scenario.disconnects):
             self.schedule(self.now + draw.uniform(0.0, 0.3), lambda: self.put(t.ClientDisconnected(number)))
 
@@ -198,11 +198,11 @@
         for effect in effects:
             match effect:
                 case t.StartRequest(batch):
-                    self._start(self.session.call_number(batch), batch)
+                    self._start(self.session.batch_number(batch), batch)
                 case t.CancelRequest(batch):
-                    self._cancelled |= {self.session.errand_number(request) for request in batch.attempts}
+                    self._cancelled |= {self.session.request_number(request) for request in batch.attempts}
                 case t.AbandonAttempt(_, request, _, True):
-                    self._cancelled.add(self.session.errand_number(request))
+                    self._cancelled.add(self.session.request_number(request))
                 case t.WatchMembership():
                     answer = listed(FAILED) if self.chance(0.7) else listed(FULL, *ROWS)
                     self.schedule(self.now + 0.02, lambda answer=answer: self.put(answer))  # type: ignore[misc]
@@ -228,10 +228,10 @@
     def _send(self, number: int, batch: t.BatchRequest) -> None:
         """Claim and send the attempts of a batch, as a sender does."""
         if self.chance(self.scenario.partial_sends):
-            first = self.session.errand_number(batch.attempts[0])
+            first = self.session.request_number(batch.attempts[0])
             sent = [first] if self._operate(Operation.CLAIM, first) else []
         else:
-            sent, overdue = self._operate(Operation.GO, number, self.now)
+            sent, overdue = self._operate(Operation.CLAIM_SENDABLE, number, self.now)
             for request in overdue:
                 self._end(request, api.AttemptOutcome.NEVER_SENT, self.now, "~late")
         if not sent:
@@ -264,6 +264,6 @@
     def _end(self, number: int, outcome: api.AttemptOutcome, ended_at: float, detail: str) -> None:
         if number in self._cancelled and not self.chance(self.scenario.late_replies):
             return
-        request = self.session.errands[number]
+        request = self.session.attempt_requests[number]
         result = request.content if outcome is api.AttemptOutcome.OK else None
         self.put(t.AttemptFinished(request.part, request.attempt, outcome, ended_at, result, detail))
--- a/tests/recordings/driver_tools.py
+++ b/tests/recordings/driver_tools.py
@@ -20,7 +20,7 @@
 from gingervane.coordinator.retry_after import RetryAfterEstimate
 from gingervane.coordinator.timers import HeapTimers, WheelTimers
 from gingervane.writes.shard_placement import ShardPlacement
-from recordings.driver_codec import RAISED, RecordedExchange, decode, encode
+from recordings.driver_codec import RAISED, RecordedCodec, decode, encode
 
 
 class Clock:
@@ -101,7 +101,7 @@
 
     def is_overdue(self, now: float) -> bool:
         return t.BatchRequest(
-            1, 1, ("~1", 1), RecordedExchange(1), [], 9.0, decided_at=self.decided_at
+            1, 1, ("~1", 1), RecordedCodec(1), [], 9.0, decided_at=self.decided_at
         ).is_send_overdue(now)
 
 
--- a/tests/recordings/record_driver.py
+++ b/tests/recordings/record_driver.py
@@ -25,7 +25,7 @@
 from gingervane import interface as api
 from gingervane.coordinator import types as t
 from recordings import driver_codec as codec
-from recordings.driver_codec import RecordedExchange, RecordedSettled, Session
+from recordings.driver_codec import RecordedCodec, RecordedResultCallback, Session
 from recordings.driver_host import (
     CACHED,
     DELTA,
@@ -343,9 +343,9 @@
     encoded, script = codec.encode(settings), [codec.encode(batch) for batch in actions]
     session = Session(encoded, 0, script)
     parts = t.PartPlan(0, 0.5, 101), t.PartPlan(1, 0.5, 102)
-    plan = t.QueryPlan(0, 1002.0, parts, RecordedExchange(1))
-    arrived = codec.encode_input(t.QuerySubmitted(1, plan, RecordedSettled(1)), second_parts)
-    other = codec.encode_input(t.QuerySubmitted(2, plan, RecordedSettled(2)))
+    plan = t.QueryPlan(0, 1002.0, parts, RecordedCodec(1))
+    arrived = codec.encode_input(t.QuerySubmitted(1, plan, RecordedResultCallback(1)), second_parts)
+    other = codec.encode_input(t.QuerySubmitted(2, plan, RecordedResultCallback(2)))
     good = codec.encode_input(t.AttemptFinished(1, 0, api.AttemptOutcome.OK, 1000.4, 101))
     never = codec.encode_input(t.AttemptFinished(2, 0, api.AttemptOutcome.NEVER_SENT, 1000.4, None, "~1"))
     again = codec.encode_input(t.AttemptFinished(3, 0, api.AttemptOutcome.OK, 1000.55, 103))
