--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -270,9 +270,9 @@
 def test_other_versions(tmp_path: Path) -> None:
     path = tmp_path / "kept"
     snapshot = Snapshot(path, 0.0, 1, 1)
-    reconciliation = Reconciliation(("consul",), MassRemovalGuard())
-    reconciliation.apply_report(SourceReport("consul", members(), 0.0, 7), 50.0)
-    snapshot.save(members(), reconciliation.dump(51.0), EndpointView().dump(0.0))
+    saved_reconciliation = Reconciliation(("consul",), MassRemovalGuard())
+    saved_reconciliation.apply_report(SourceReport("consul", members(), 0.0, 7), 50.0)
+    snapshot.save(members(), saved_reconciliation.dump(51.0), EndpointView().dump(0.0))
     loaded = snapshot.load()
     assert (
         loaded
--- a/tests/test_stored_files.py
+++ b/tests/test_stored_files.py
@@ -71,7 +71,7 @@
     (3, "grid3", ("::1", 9003), 2, 2, "gone", None, 43),
     (4, "grid4", ("grid4.example", 9004), 0, 3, "ready", None, 0),
 ]
-MERGE_STATE: dict[str, Any] = {
+RECONCILIATION_STATE: dict[str, Any] = {
     "now": 1000.0,
     "last": {"consul": 40.5, "file": 96.0},
     "index": {"consul": 9, "file": 0},
@@ -181,9 +181,9 @@
     snapshot = Snapshot(stored / "membership" / "snapshot-v3", 77.0, 3, 4)
     loaded = snapshot.load()
     assert loaded is not None
-    members, age, offset, merge, view = loaded
+    members, age, offset, reconciliation, view = loaded
     assert plain(members) == MEMBERS and (age, offset) == (90.0, OFFSET)
-    assert merge == MERGE_STATE and view == VIEW_STATE
+    assert reconciliation == RECONCILIATION_STATE and view == VIEW_STATE
     snapshot.close()
 
 
@@ -209,20 +209,20 @@
     snapshot = Snapshot(path, OFFSET, 3, 4)
     loaded = snapshot.load()
     assert loaded is not None
-    members, age, offset, merge, view = loaded
+    members, age, offset, reconciliation, view = loaded
     assert plain(members) == [(*row[:7], 0) for row in MEMBERS] and (age, offset) == (30.0, OFFSET)
-    assert view is None and (merge is None) == (version == 1)
-    if merge is not None:
+    assert view is None and (reconciliation is None) == (version == 1)
+    if reconciliation is not None:
         restored = Reconciliation(("consul", "file"), MassRemovalGuard())
-        restored.restore(merge, 1000.0, 0.0)
+        restored.restore(reconciliation, 1000.0, 0.0)
         state = as_json(restored.dump(1000.0))
         assert state["servers"]["1"]["entries"]["consul"] == [
             *[1, "grid1", ["127.0.0.1", 9001], 0, 0, "ready", 512.5, 100.0, 40.0, True, 0, None]
         ]
         assert state["index"] == {"consul": 0, "file": 0}
-    snapshot.save(members, merge, view)
+    snapshot.save(members, reconciliation, view)
     again = snapshot.load()
-    assert again is not None and plain(again[0]) == plain(members) and again[3:] == (merge, view)
+    assert again is not None and plain(again[0]) == plain(members) and again[3:] == (reconciliation, view)
     assert path.read_bytes().startswith(b"gingervane-kept 3 ")
     snapshot.close()
 
@@ -231,14 +231,14 @@
     snapshot = Snapshot(stored / "membership" / "snapshot-v3", 77.0, 3, 4)
     loaded = snapshot.load()
     assert loaded is not None and loaded[3] is not None and loaded[4] is not None
-    merge, view = Reconciliation(("consul", "file"), MassRemovalGuard()), EndpointView()
-    merge.restore(loaded[3], 1000.0, 0.0)
+    reconciliation, view = Reconciliation(("consul", "file"), MassRemovalGuard()), EndpointView()
+    reconciliation.restore(loaded[3], 1000.0, 0.0)
     view.restore(loaded[4], loaded[0], OFFSET)
-    assert as_json(merge.dump(1000.0)) == MERGE_STATE and view.dump(OFFSET) == VIEW_STATE
-    merge.restore(loaded[3], 1000.0, 16.0)
-    later = merge.dump(1000.0)
+    assert as_json(reconciliation.dump(1000.0)) == RECONCILIATION_STATE and view.dump(OFFSET) == VIEW_STATE
+    reconciliation.restore(loaded[3], 1000.0, 16.0)
+    later = reconciliation.dump(1000.0)
     assert later["last"] == {"consul": 56.5, "file": 112.0}
-    servers = merge.view(1000.0).servers
+    servers = reconciliation.view(1000.0).servers
     assert {n: known[0][5].value for n, known in servers.items()} == {
         1: "ready",
         2: "draining",
@@ -266,7 +266,7 @@
     monkeypatch.setattr(time, "time", lambda: UNIX)
     members = made(MEMBERS)
     snapshot = Snapshot(tmp_path / "new", OFFSET, 3, 4)
-    snapshot.save(members, MERGE_STATE, VIEW_STATE)
+    snapshot.save(members, RECONCILIATION_STATE, VIEW_STATE)
     snapshot.close()
     assert (tmp_path / "new").read_bytes() == (stored / "membership" / "snapshot-v3").read_bytes()
 
