--- a/gingervane/coordinator/__init__.py
+++ b/gingervane/coordinator/__init__.py
@@ -1,1 +1,1 @@
-"""The co-ordinator: drives the decision module and executes its actions."""
+"""The co-ordinator: drives the decision engine and executes its actions."""
--- a/gingervane/coordinator/attempt_tracking.py
+++ b/gingervane/coordinator/attempt_tracking.py
@@ -17,7 +17,7 @@
 
 
 class AttemptTracker:
-    """Records the end of each attempt: its result, its record, effects, and one event for the decision module."""
+    """Records the end of each attempt: its result, its record, effects, and one event for the decision engine."""
 
     def __init__(
         self, open_queries: OpenQueries, counts: Counts, cancellation_allowed: bool, observe: AttemptObserver
--- a/gingervane/coordinator/core.py
+++ b/gingervane/coordinator/core.py
@@ -1,6 +1,6 @@
 """The running co-ordinator: one decision thread around a `Driver`.
 
-Ownership: only the decision thread uses the driver, and through it the decision module. Front threads pass queries to
+Ownership: only the decision thread uses the driver, and through it the decision engine. Front threads pass queries to
 `submit`, sender threads pass ended attempts; both only put them into the inbox. The inbox needs no limit of its own:
 admission limits its queries, the attempts in flight limit its ended attempts, and discovery paces its endpoint lists.
 """
@@ -243,7 +243,7 @@
     pool: Pool
     sender_limits: SenderLimits
     admission_limits: AdmissionLimits
-    seed: int | None  # of the decision modules; None: a random seed for each
+    seed: int | None  # of the decision engines; None: a random seed for each
 
     def make(self, settings: api.Settings, observer: QueryObserver, offset: int = 0) -> QueryCoordinator:
         """Return a co-ordinator that is not started; `offset` is added to the seed to make it distinct."""
--- a/gingervane/coordinator/dispatch.py
+++ b/gingervane/coordinator/dispatch.py
@@ -28,7 +28,7 @@
     """A query that a front has parsed."""
 
     class_name: str  # for logs
-    class_index: int  # in the settings of the decision module
+    class_index: int  # in the settings of the decision engine
     parts: Sequence[t.PartPlan]
     codec: t.HttpCodec
     arrived_at: float
--- a/gingervane/coordinator/driver.py
+++ b/gingervane/coordinator/driver.py
@@ -1,12 +1,12 @@
-"""Connects the transport to the decision module. Free of I/O.
+"""Connects the transport to the decision engine. Free of I/O.
 
-Each step takes inputs and the time, passes them to the decision module as one batch of events, and turns its actions
+Each step takes inputs and the time, passes them to the decision engine as one batch of events, and turns its actions
 into effects. For any inputs in any order the driver guarantees:
 
 - each query is completed exactly once, and nothing is sent for it afterwards;
-- each `Send` of the module gets exactly one `AttemptEnded`: if an attempt ends several times (a reply, a
+- each `Send` of the engine gets exactly one `AttemptEnded`: if an attempt ends several times (a reply, a
   cancellation, a timeout), the first end counts and the others are dropped;
-- the result of a part is that of its first successful attempt, the one that the module counts too;
+- the result of a part is that of its first successful attempt, the one that the engine counts too;
 - a query is answered only if its class permits an answer with the results received, and the answer is marked complete
   only if their coverage is sufficient (`decisions.completeness`).
 
@@ -40,7 +40,7 @@
 
 
 class DecisionModule(Protocol):
-    """The interface of the decision module that the driver uses."""
+    """The interface of the decision engine that the driver uses."""
 
     def handle(self, now: float, events: Sequence[api.Event]) -> list[api.Action]:
         """Handle a batch of events and return the actions to take."""
@@ -52,7 +52,7 @@
 
     now: float
     effects: list[t.Effect] = field(default_factory=list)
-    completions: dict[int, Completion] = field(default_factory=dict)  # not decided by the module; by query id
+    completions: dict[int, Completion] = field(default_factory=dict)  # not decided by the engine; by query id
 
 
 def _ignore_attempt(outcome: api.AttemptOutcome, replica: int, seconds: float) -> None:
@@ -60,7 +60,7 @@
 
 
 class Driver:
-    """Drives one decision module."""
+    """Drives one decision engine."""
 
     def __init__(
         self, module: DecisionModule, settings: api.Settings, observe: AttemptObserver = _ignore_attempt
@@ -97,10 +97,10 @@
         return -inf if self._deferred_events else self._timers.next_due()
 
     def step(self, now: float, inputs: Sequence[t.Input]) -> list[t.Effect]:
-        """Pass the inputs, in order, and the due timers to the module as one batch; return the effects."""
+        """Pass the inputs, in order, and the due timers to the engine as one batch; return the effects."""
         self.counts.batches += 1
         turn = _Turn(now)
-        # Endpoint lists go first: the end of an attempt may make the module retry a part, which must not go to a
+        # Endpoint lists go first: the end of an attempt may make the engine retry a part, which must not go to a
         # replica that a list later in the same batch reports as draining or gone.
         events = self._take_endpoints(inputs, turn)
         events += self._take_deferred_events()
@@ -113,7 +113,7 @@
         return _finish_effects(turn.effects)
 
     def abandon(self) -> list[t.ResultCallback]:
-        """Return the callbacks of all open queries after the module has failed; the driver is unusable afterwards."""
+        """Return the callbacks of all open queries after the engine has failed; the driver is unusable afterwards."""
         return [query.submitted.on_result for query in self._open.remove_all()]
 
     # ---- from inputs to events
@@ -195,7 +195,7 @@
         return self._open.begin_step(query, parts, first_index)
 
     def _take_due_timers(self, turn: _Turn) -> list[api.Event]:
-        """Take due timers: an int labels a timer of the module, a pair (part, attempt) the timeout of an attempt."""
+        """Take due timers: an int labels a timer of the engine, a pair (part, attempt) the timeout of an attempt."""
         events: list[api.Event] = []
         for label in self._timers.pop_due(turn.now):
             if isinstance(label, int):
@@ -277,7 +277,7 @@
         coverage = query.coverage
         query_class = self._settings.query_classes[query.submitted.plan.query_class]
         if violation := coverage_violation(query, query_class, coverage, complete):
-            # A fault of the decision module must not produce a wrongly marked answer.
+            # A fault of the decision engine must not produce a wrongly marked answer.
             received = f"{coverage.parts_received} of {coverage.parts_requested} parts are in"
             completion = Completion(
                 t.QueryStatus.FAILED,
--- a/gingervane/coordinator/driver_counts.py
+++ b/gingervane/coordinator/driver_counts.py
@@ -16,7 +16,7 @@
     calls: int = 0  # batch requests
     late_endings: int = 0  # ends of attempts that had already ended
     withheld: int = 0  # attempts that were not sent because the part had reached its `max_executions`
-    batches: int = 0  # batches of the decision module
+    batches: int = 0  # batches of the decision engine
     verdicts: dict[str, int] = field(default_factory=dict)  # completed queries, by `QueryStatus`
     outcomes: dict[str, int] = field(default_factory=dict)  # ended attempts, by `AttemptOutcome`
     reasons: dict[str, int] = field(default_factory=dict)  # completed queries, by `QueryEndReason`
--- a/gingervane/coordinator/pending_queries.py
+++ b/gingervane/coordinator/pending_queries.py
@@ -56,7 +56,7 @@
         self._results.put(CompletedQuery(self, result))
 
     def wait(self) -> t.QueryResult:
-        """Wait for the result of a query with a queue of its own; the decision module ends it by its deadline."""
+        """Wait for the result of a query with a queue of its own; the decision engine ends it by its deadline."""
         completed: CompletedQuery = self._results.get()
         return completed.result
 
--- a/gingervane/coordinator/ports.py
+++ b/gingervane/coordinator/ports.py
@@ -24,7 +24,7 @@
         """An attempt ended, `seconds` after it was decided."""
 
     def log_message(self, text: str) -> None:
-        """The decision module wrote a log message."""
+        """The decision engine wrote a log message."""
 
     def replica_health_changed(self, change: api.ReplicaHealthChange) -> None:
         """A replica was ejected or reinstated."""
@@ -74,7 +74,7 @@
 
 
 class ClusterPorts(NamedTuple):
-    """Services of the cluster that the decision module uses."""
+    """Services of the cluster that the decision engine uses."""
 
     watch_membership: Callable[[], None] = _ignore_watch
     send_to_peers: Callable[[bytes], None] = _ignore_message
--- a/gingervane/coordinator/process_pause.py
+++ b/gingervane/coordinator/process_pause.py
@@ -45,9 +45,8 @@
         `since`: the end of the previous exchange on its connection, before which it cannot have arrived.
         """
         start, end = self._last_pause
-        if (
-            now - self._last_tick > TICK_INTERVAL + TICK_TOLERANCE
-        ):  # after a pause, the ticker has not run yet
+        # A pause that the ticker has not recorded yet.
+        if now - self._last_tick > TICK_INTERVAL + TICK_TOLERANCE:
             start, end = self._last_tick, now
         just_paused = now - end <= BACKLOG_TIME and end > start
         return max(min(start, now), min(since, now)) if just_paused else now
--- a/gingervane/coordinator/query_completion.py
+++ b/gingervane/coordinator/query_completion.py
@@ -1,6 +1,6 @@
 """Completes queries: checks coverage, builds results, and ends queries at a shutdown. Free of I/O.
 
-The coverage that the decision module claims for an answer is checked again, with `decisions.completeness`, against
+The coverage that the decision engine claims for an answer is checked again, with `decisions.completeness`, against
 the results that were actually received.
 """
 
@@ -75,7 +75,7 @@
     """Return the completion of every open query at a shutdown, by query id.
 
     A query is rejected if its client may safely retry it, and fails otherwise. That depends only on the query class
-    and on whether any attempt may have run, so the decision module is not consulted.
+    and on whether any attempt may have run, so the decision engine is not consulted.
     """
     completions: dict[int, Completion] = {}
     for query in open_queries.queries.values():
--- a/gingervane/coordinator/response_time_reserve.py
+++ b/gingervane/coordinator/response_time_reserve.py
@@ -1,6 +1,6 @@
 """How much of a client's time to reserve for merging and writing the answer. Free of I/O; the caller locks.
 
-The decision module may answer just before the deadline that it is given; merging, encoding and writing the answer
+The decision engine may answer just before the deadline that it is given; merging, encoding and writing the answer
 must still fit into the client's time. The reserve is derived from how long that took for recent answers with as many
 parts: the longest of the last `SAMPLE_COUNT` times a safety factor. The longest is used so that after one slow answer
 the following ones are in time.
--- a/gingervane/coordinator/timers.py
+++ b/gingervane/coordinator/timers.py
@@ -1,7 +1,7 @@
 """Timers of the decision thread: due times, each with a label. Free of I/O; the caller provides the time.
 
 Two implementations of one interface. The wheel is the one in use; `benchmarks/timers.py` compares them on the load
-that the decision module creates: one hedge timer for each part, most of which have no effect when they fire.
+that the decision engine creates: one hedge timer for each part, most of which have no effect when they fire.
 """
 
 from __future__ import annotations
--- a/gingervane/coordinator/types.py
+++ b/gingervane/coordinator/types.py
@@ -12,7 +12,7 @@
 from gingervane import interface as api
 
 # Seconds from the decision to send a retry or hedged request until the last byte of its frame must have been written.
-# Retry budgets and idempotency windows apply to what leaves the sockets, so the decision module tightens both by this
+# Retry budgets and idempotency windows apply to what leaves the sockets, so the decision engine tightens both by this
 # delay.
 MAX_SEND_DELAY = 0.05
 
@@ -117,7 +117,7 @@
     """The result of a query; each query gets exactly one.
 
     `results`: of the parts received, by index in the plan. After a second step they are the results of that step,
-    whose indexes continue those of the plan. `marked_complete`: set by the decision module; a class's
+    whose indexes continue those of the plan. `marked_complete`: set by the decision engine; a class's
     `complete_coverage` may permit it with parts missing.
     """
 
@@ -328,7 +328,7 @@
 
 
 class WatchMembership(NamedTuple):
-    """Watch membership: have its changes pushed from now on."""
+    """Watch membership: discovery pushes its changes from now on."""
 
 
 class SendToPeers(NamedTuple):
--- a/gingervane/membership/consul_watcher.py
+++ b/gingervane/membership/consul_watcher.py
@@ -181,7 +181,7 @@
     token_file: Path | None,
     timeout: float,
 ) -> tuple[str, ...]:
-    """Return the names in `wanted` that are not in the catalogue; none if no agent answers.
+    """Return the names in `configured` that are not in the catalogue; none if no agent answers.
 
     `timeout`: seconds for each agent.
     """
--- a/gingervane/membership/reconciliation.py
+++ b/gingervane/membership/reconciliation.py
@@ -5,8 +5,8 @@
   does not. (Rule 3, on drains, counts from when a co-ordinator was notified.)
 - **An older report never overrides a newer one.** Reports of a source with an index (Consul's) are ordered by it,
   across all agents of the source, and a lower index is accepted only if the source's leader has confirmed it. Reports
-  of other sources are ordered by the time from which they are valid: when they were read, less their stated age. An
-  entry older than the source's present one is ignored, except for drains.
+  of other sources are ordered by the time from which they are valid: when they were read, less their stated
+  staleness. An entry older than the source's present one is ignored, except for drains.
 - **A server that its source no longer lists is gone**, unless it is part of a mass removal: a catalogue returns an
   empty or halved list after its own restart, so the missing servers are then retained for a while. This is the only
   case in which a server that its operator removed can get new work for longer than the grace period: when most of its
@@ -99,7 +99,7 @@
         return changed
 
     def take_unconfirmed_indexes(self) -> list[UnconfirmedIndex]:
-        """Return the unconfirmed lower indexes that have become worth a warning since the last call."""
+        """Return the unconfirmed lower indexes that have become due for a warning since the last call."""
         unconfirmed_indexes, self._unconfirmed_indexes = self._unconfirmed_indexes, []
         return unconfirmed_indexes
 
--- a/gingervane/membership/server_record.py
+++ b/gingervane/membership/server_record.py
@@ -1,4 +1,4 @@
-"""All sources' entries of one server, and the state that follows from them. Free of I/O.
+"""All sources' entries of one server, and the state derived from them. Free of I/O.
 
 - The server's state is the worst one that any source reports, so a drain or critical check from any source counts.
 - A server that its source no longer lists is gone at once, unless it was part of a mass removal: then it is retained
@@ -28,7 +28,7 @@
     """The latest entry of a server in one source. Times are in seconds on the monotonic clock."""
 
     member: Member
-    valid_from: float  # time from which the entry is valid: when it was read, less its stated age
+    valid_from: float  # time from which the entry is valid: when it was read, less its stated staleness
     missing_since: float = inf  # when the source stopped listing the server; infinite while it lists it
     retained: bool = False  # the server was removed in a mass removal
     recreated_at: float | None = None  # when the entry was seen to have been re-created
--- a/gingervane/membership/service.py
+++ b/gingervane/membership/service.py
@@ -32,7 +32,7 @@
 
 _FILE_LIST_TIMEOUT = 5.0  # seconds within which a list that has been read from the file is published
 _INDEX_RESET_MARGIN = 1.0  # seconds on top of the longest response time of a healthy agent
-_NO_DATACENTER = ("",)  # stands for the agents' own datacenter
+_NO_DATACENTER = ("",)  # selects the agents' own datacenter
 # A list file is edited on purpose: its changes count at once.
 _FILE_ONLY_GUARD = MassRemovalGuard(readmission_delay=0.0, max_readmission_delay=0.0)
 
--- a/gingervane/membership/source_ordering.py
+++ b/gingervane/membership/source_ordering.py
@@ -35,7 +35,7 @@
 
 
 class UnconfirmedIndex(NamedTuple):
-    """An index below the newest that a source has shown for long and its leader has not confirmed."""
+    """An index lower than the newest, which a source keeps showing and its leader has not confirmed."""
 
     source: str
     shown_index: int
--- a/gingervane/node/discovery.py
+++ b/gingervane/node/discovery.py
@@ -72,7 +72,7 @@
         self._idle_workers = 0  # threads that wait for a call to make
         self._requested = False
         self._address_changed = False
-        self._version_reset_pending = False  # the address has changed, and no call has been begun since
+        self._version_reset_pending = False  # the address has changed, and no call has begun since
         self._stopped = False
         self._retry_pending = False  # a failure was reported; the decision engine will request a call
         self._state = WatchState.IDLE
@@ -88,10 +88,10 @@
         start_thread(self._run_worker, "discovery")
 
     def request_watch(self) -> None:
-        """Begin a call, unless a watch is up."""
+        """Begin a call, unless there is a watch."""
         with self._change:
             self._retry_pending = False
-            # A request made while a watch is up is dropped: kept, it would retry the next failure without backoff.
+            # A request made during a watch is dropped: if kept, it would retry the next failure without backoff.
             self._requested = not self._has_watch()
             needs_worker = self._requested and self._reserve_worker()
             self._change.notify_all()  # all: beginning calls wait here too, and might take a single wake-up
@@ -196,7 +196,8 @@
                 idle_seconds = call.progress.started_at - self._call_ended_at
                 silent_seconds = call.progress.started_at - self._last_line_at
             if resets_version:
-                # Versions at the new address may differ: changes would be dropped as stale. Requests a complete list.
+                # The new address may count versions differently, and its changes would be dropped as stale. Version 0
+                # requests a complete list.
                 self._reader.version = 0
                 self._read_address = call.progress.address
             call.progress.since = self._reader.version
--- a/gingervane/node/endpoint_list.py
+++ b/gingervane/node/endpoint_list.py
@@ -168,8 +168,8 @@
             zone=zone,
             weight=float(entry.get("share", 1.0)),
             state=_STATES[entry["health"]],
-            started_at=born_ms
-            / 1000,  # Unix time, 0 for a start long ago; `_with_monotonic_starts` converts it
+            # Unix time, 0 for a start long ago; `_with_monotonic_starts` converts it.
+            started_at=born_ms / 1000,
         )
         return ListedReplica(replica, address)
 
--- a/gingervane/node/replica_connection.py
+++ b/gingervane/node/replica_connection.py
@@ -40,7 +40,7 @@
 from gingervane.wire.socket_recorder import SOCKET_RECORDER
 
 _RECEIVE_BYTES = 65536
-_FRAME_PREFIX_BYTES = 5  # a frame's length field and letter
+_FRAME_PREFIX_BYTES = 5  # a frame's length field and type
 
 
 class ReplicaConnection:
--- a/tests/recordings/codec.py
+++ b/tests/recordings/codec.py
@@ -70,7 +70,7 @@
 
 
 def random_generator(coordinator: DecisionEngine) -> random.Random:
-    """The one source of randomness of the decision module."""
+    """The one source of randomness of the decision engine."""
     return coordinator.context.random
 
 
@@ -106,7 +106,7 @@
 
 
 class Batch(NamedTuple):
-    """One call of the decision module, encoded."""
+    """One call of the decision engine, encoded."""
 
     now: float
     events: list[JsonValue]
--- a/tests/recordings/driver_codec.py
+++ b/tests/recordings/driver_codec.py
@@ -198,7 +198,7 @@
 
 
 class ScriptedModule:
-    """Replaces the decision module with scripted actions, also such as the real module never takes."""
+    """Replaces the decision engine with scripted actions, also such as the real engine never takes."""
 
     def __init__(self, script: Sequence[list[api.Action]]) -> None:
         self._script = list(script)
--- a/tests/recordings/record_driver.py
+++ b/tests/recordings/record_driver.py
@@ -76,7 +76,7 @@
 
 
 def scenarios() -> list[Scenario]:
-    """All runs with the real decision module."""
+    """All runs with the real decision engine."""
     return [*_load(), *_classes(), *_membership(), *_completions()]
 
 
@@ -291,7 +291,7 @@
     ]
 
 
-# ---- a scripted decision module, for behaviour that the real one never shows
+# ---- a scripted decision engine, for behaviour that the real one never shows
 
 
 def scripted() -> dict[str, list[Any]]:
