--- a/gingervane/coordinator/core.py
+++ b/gingervane/coordinator/core.py
@@ -37,7 +37,7 @@
 
     def __init__(
         self,
-        module: DecisionModule,
+        engine: DecisionModule,
         settings: api.Settings,
         limits: AdmissionLimits,
         observer: QueryObserver,
@@ -50,7 +50,7 @@
         self.observer = observer
         self.admission = Admission(limits, settings.max_retry_after if settings.retry_after_allowed else 0.0)
         self.broken = Event()  # set when the decision thread has failed
-        self._driver = Driver(module, settings, observer.attempt_finished)
+        self._driver = Driver(engine, settings, observer.attempt_finished)
         self._ports = ports or ClusterPorts()
         self._inbox: SimpleQueue[list[t.Input]] = SimpleQueue()
         self._transport = make_transport(self._take_finished_attempts)
--- a/gingervane/coordinator/dispatch.py
+++ b/gingervane/coordinator/dispatch.py
@@ -20,8 +20,8 @@
 class Client(Protocol):
     """The client that sent a query."""
 
-    def watch(self, gone: Callable[[], None]) -> None:
-        """Call `gone` once if the client disconnects before the reply."""
+    def watch(self, on_disconnect: Callable[[], None]) -> None:
+        """Call `on_disconnect` once if the client disconnects before the reply."""
 
 
 class QueryRequest(NamedTuple):
--- a/gingervane/coordinator/driver.py
+++ b/gingervane/coordinator/driver.py
@@ -63,10 +63,10 @@
     """Drives one decision engine."""
 
     def __init__(
-        self, module: DecisionModule, settings: api.Settings, observe: AttemptObserver = _ignore_attempt
+        self, engine: DecisionModule, settings: api.Settings, observe: AttemptObserver = _ignore_attempt
     ) -> None:
         """`observe` is called with the outcome, the replica and the seconds of each attempt that ends."""
-        self._module = module
+        self._module = engine
         self._settings = settings
         self.counts = Counts()
         self._open = OpenQueries()
--- a/gingervane/daemon/observers.py
+++ b/gingervane/daemon/observers.py
@@ -55,9 +55,9 @@
         # Called with the ID of the replica after each successful attempt.
         self.on_replica_answered: Callable[[int], None] | None = None
 
-    def query_completed(self, query: int, plan: t.QueryPlan, final: t.QueryResult, seconds: float) -> None:
+    def query_completed(self, query: int, plan: t.QueryPlan, result: t.QueryResult, seconds: float) -> None:
         """Measure a query. Log it if its answer is not complete; at debug level, log every query."""
-        status = final.status
+        status = result.status
         self._metrics.query_seconds.add((self._class_names[plan.query_class], status.value), seconds)
         complete = status is t.QueryStatus.COMPLETE
         if complete and not self._debug:
@@ -70,11 +70,11 @@
             status=status.value,
             duration_seconds=round(seconds, _DURATION_DIGITS),
             parts_requested=len(plan.parts),
-            coverage=round(final.coverage, _DURATION_DIGITS),
-            attempts=len(final.attempts),
-            reason=final.reason.value,
-            further_attempts=sum(record.attempt > 0 for record in final.attempts),
-            detail=final.detail,
+            coverage=round(result.coverage, _DURATION_DIGITS),
+            attempts=len(result.attempts),
+            reason=result.reason.value,
+            further_attempts=sum(record.attempt > 0 for record in result.attempts),
+            detail=result.detail,
         )
 
     def attempt_finished(self, outcome: api.AttemptOutcome, replica: int, seconds: float) -> None:
@@ -101,19 +101,19 @@
         self,
         query: int,  # noqa: ARG002 - of the observer protocol
         plan: t.QueryPlan,
-        final: t.QueryResult,
+        result: t.QueryResult,
         seconds: float,
     ) -> None:
         """Measure a subtree; log it if it failed."""
-        status = final.status
+        status = result.status
         self._metrics.subtree_seconds.add((plan.tag, status.value), seconds)
         if status not in _UNLOGGED_SUBTREE_STATUSES:
             self._log.info(
                 LogEvent.SUBTREE_FAILED,
                 query_class=plan.tag,
                 status=status.value,
-                detail=final.detail,
-                attempts=" ".join(f"{record.replica}:{record.outcome}" for record in final.attempts),
+                detail=result.detail,
+                attempts=" ".join(f"{record.replica}:{record.outcome}" for record in result.attempts),
             )
 
     def attempt_finished(
@@ -141,11 +141,11 @@
         self,
         query: int,  # noqa: ARG002 - of the observer protocol
         plan: t.QueryPlan,
-        final: t.QueryResult,
+        result: t.QueryResult,
         seconds: float,
     ) -> None:
         """Measure a query; log it if it was rejected or failed."""
-        status = final.status
+        status = result.status
         self._metrics.vector_seconds.add((self._core, plan.tag, status.value), seconds)
         if status in _LOGGED_VECTOR_STATUSES:
             self._log.info(
@@ -153,7 +153,7 @@
                 query_class=plan.tag,
                 status=status.value,
                 parts_requested=len(plan.parts),
-                detail=final.detail,
+                detail=result.detail,
             )
 
     def attempt_finished(
--- a/gingervane/membership/consul_watcher.py
+++ b/gingervane/membership/consul_watcher.py
@@ -177,7 +177,7 @@
 
 def unknown_datacenters(
     agents: tuple[Address, ...],
-    wanted: tuple[str, ...],
+    configured: tuple[str, ...],
     token_file: Path | None,
     timeout: float,
 ) -> tuple[str, ...]:
@@ -191,7 +191,7 @@
             deadline = time.monotonic() + timeout
             status, _, body = get(pool, agent, "/v1/catalog/datacenters", token_file, deadline)
             if status == 200:
-                return tuple(sorted(set(wanted) - set(read_datacenters(orjson.loads(body)))))
+                return tuple(sorted(set(configured) - set(read_datacenters(orjson.loads(body)))))
         except (OSError, ConnectionClosedError, HttpError, ConsulError, ValueError):
             continue
     return ()
--- a/gingervane/membership/endpoint_file.py
+++ b/gingervane/membership/endpoint_file.py
@@ -77,8 +77,8 @@
         faults.append(f"{table}: must be an array of tables, [[{table}]]")
         return ()
     for index, row in enumerate(rows):
-        where = f"{table}[{index}]"
-        parsed = _parse_member(row, where, zones, cells, offset)
+        location = f"{table}[{index}]"
+        parsed = _parse_member(row, location, zones, cells, offset)
         faults += parsed if isinstance(parsed, list) else []
         if isinstance(parsed, Member):
             members.append(parsed)
@@ -100,13 +100,13 @@
 
 
 def _parse_member(
-    row: dict[str, Any], where: str, zones: tuple[str, ...], cells: int, offset: float
+    row: dict[str, Any], location: str, zones: tuple[str, ...], cells: int, offset: float
 ) -> Member | list[str]:
-    faults = [f"{where}.{key}: not a known key" for key in row if key not in _KEYS]
+    faults = [f"{location}.{key}: not a known key" for key in row if key not in _KEYS]
 
     def check(key: str, is_valid: bool, description: str) -> None:
         if not is_valid:
-            faults.append(f"{where}.{key}: {description}")
+            faults.append(f"{location}.{key}: {description}")
 
     member_id = row.get("id")
     cell = row.get("cell")
--- a/gingervane/membership/registration.py
+++ b/gingervane/membership/registration.py
@@ -90,7 +90,7 @@
             return self._record_success()
         if status == 404 and self._next is RegistrationCall.PASS_CHECK:
             # The agent does not know the entry. Register again at once: peers see it as critical or not at all.
-            self._start_anew()
+            self._register_again()
             return jittered(self._backoff.min_interval, self._rng)
         if status == 404 and self._next in (RegistrationCall.DRAIN, RegistrationCall.DEREGISTER):
             self._next = None
@@ -124,11 +124,11 @@
         self._failures += 1
         self.agent = (self.agent + 1) % self._agent_count
         if self._next is RegistrationCall.PASS_CHECK and self._agent_count > 1:
-            self._start_anew()  # the next agent does not know the entry
+            self._register_again()  # the next agent does not know the entry
         # At most ttl/2 with the jitter, so that the check does not expire between two attempts at a recovered agent.
         return jittered(min(self._backoff.delay_after(self._failures), self._ttl / 3), self._rng)
 
-    def _start_anew(self) -> None:
+    def _register_again(self) -> None:
         self.registered = False
         self._next = RegistrationCall.REGISTER
 
--- a/gingervane/membership/service.py
+++ b/gingervane/membership/service.py
@@ -89,9 +89,9 @@
         for name, datacenter in zip(names[bool(table.file) :], datacenters, strict=True):
             self._watch(consul, consul.service, datacenter, ring_sizes.cells, self.nodes, name)
         if consul.coordinators and tree is not None:
-            self._follow_peers(consul, tree, fleet.zone, address)
+            self._watch_peers(consul, tree, fleet.zone, address)
 
-    def _follow_peers(self, consul: ConsulTable, tree: Tree, zone: str, address: tuple[str, int]) -> None:
+    def _watch_peers(self, consul: ConsulTable, tree: Tree, zone: str, address: tuple[str, int]) -> None:
         """Watch the co-ordinators' service, and prepare to register this co-ordinator in it."""
         self._watch(consul, consul.coordinators, "", self._ring_sizes.peers, self.peers, "consul")
         entry = ServiceEntry(
--- a/gingervane/node/discovery_call.py
+++ b/gingervane/node/discovery_call.py
@@ -159,14 +159,14 @@
         """Make the call and read until it ends; return the reason and a detail text."""
         reason, detail = CallEnd.ENDED_BY_DISCOVERY, ""
         try:
-            self._follow()
+            self._request_and_read()
         except (OSError, HttpError, ConnectionClosedError, EndpointListError, ValueTooLongError) as error:
             reason, detail = _classify_error(error, self.progress), str(error) or type(error).__name__
         except Exception as error:  # noqa: BLE001 - a bug must not end a thread that receives changes
             reason, detail = CallEnd.INTERNAL_ERROR, f"internal: {type(error).__name__}: {error}"
         return self.interrupted or reason, detail
 
-    def _follow(self) -> None:
+    def _request_and_read(self) -> None:
         """Send the request and read the answer to its end. Raises ConnectionClosedError there unless interrupted."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         address = self.progress.address
--- a/gingervane/node/parts_in_flight.py
+++ b/gingervane/node/parts_in_flight.py
@@ -68,8 +68,10 @@
         Their ids are kept, because an even later answer with an unknown id would count as a protocol error and fail
         all parts in flight on the connection.
         """
-        self._expired.extend(part for part, until in self._abandoned.items() if until <= now)
-        self._abandoned = {part: until for part, until in self._abandoned.items() if until > now}
+        self._expired.extend(part for part, expires_at in self._abandoned.items() if expires_at <= now)
+        self._abandoned = {
+            part: expires_at for part, expires_at in self._abandoned.items() if expires_at > now
+        }
 
     def pop_answered(self, part_id: str) -> tuple[PartInFlight | None, bool]:
         """Remove an answered part. Return it, or None if it was not in flight, and whether its id is known."""
--- a/gingervane/node/query_log.py
+++ b/gingervane/node/query_log.py
@@ -34,39 +34,45 @@
         self._class_names = class_names
         self._host = host
 
-    def query_completed(self, query: int, plan: t.QueryPlan, final: t.QueryResult, seconds: float) -> None:
+    def query_completed(self, query: int, plan: t.QueryPlan, result: t.QueryResult, seconds: float) -> None:
         """Count a query by status and reason, and log it as `_log_of` decides."""
-        self._telemetry.counters.add(f"queries_{final.status.value}", final.reason)
+        self._telemetry.counters.add(f"queries_{result.status.value}", result.reason)
         if SOCKET_RECORDER.enabled:
             SOCKET_RECORDER.record(
-                "settled", 0, 0, query=plan.tag, verdict=final.status.value, seconds=seconds, why=final.detail
+                "settled",
+                0,
+                0,
+                query=plan.tag,
+                verdict=result.status.value,
+                seconds=seconds,
+                why=result.detail,
             )
-        log = self._log_of(final)
+        log = self._log_of(result)
         if log is None:
             return
-        outcomes = Counter(record.outcome for record in final.attempts)
+        outcomes = Counter(record.outcome for record in result.attempts)
         log(
             LogEvent.QUERY_COMPLETED,
             request=plan.tag,
             query=query,
             query_class=self._class_names[plan.query_class],
-            status=final.status,
-            reason=final.reason,
-            step=final.step,
-            parts_requested=final.parts_requested,
-            parts_received=final.parts_received,
-            coverage=final.coverage,
-            marked_complete=final.marked_complete,
+            status=result.status,
+            reason=result.reason,
+            step=result.step,
+            parts_requested=result.parts_requested,
+            parts_received=result.parts_received,
+            coverage=result.coverage,
+            marked_complete=result.marked_complete,
             duration_seconds=seconds,
             attempts=" ".join(f"{count}x{outcome}" for outcome, count in outcomes.items()),
-            detail=final.detail,
+            detail=result.detail,
         )
 
-    def _log_of(self, final: t.QueryResult) -> Log | None:
+    def _log_of(self, result: t.QueryResult) -> Log | None:
         """Return the log function of the level for a result, or None if it is not logged."""
-        if final.reason in _INTERNAL_FAULTS:
+        if result.reason in _INTERNAL_FAULTS:
             return self._telemetry.error
-        if final.status in _LOGGED_STATUSES and final.reason is not api.QueryEndReason.OVERLOAD:
+        if result.status in _LOGGED_STATUSES and result.reason is not api.QueryEndReason.OVERLOAD:
             return self._telemetry.info
         return self._telemetry.debug if self._telemetry.debug_on else None
 
--- a/gingervane/node/reply_reader.py
+++ b/gingervane/node/reply_reader.py
@@ -43,14 +43,14 @@
         """
         self._frames.feed(data)
         while (frame := self._frames.next_frame()) is not None:
-            letter, body = frame
-            self._read_frame(letter, body, received_at, finished)
+            frame_type, body = frame
+            self._read_frame(frame_type, body, received_at, finished)
 
     def _read_frame(
-        self, letter: bytes, body: bytes, received_at: float, finished: list[t.AttemptFinished]
+        self, frame_type: bytes, body: bytes, received_at: float, finished: list[t.AttemptFinished]
     ) -> None:
-        if letter != frames.REPLY_LETTER:
-            raise FrameError(f"frame {letter!r} that nobody asked for")
+        if frame_type != frames.REPLY_LETTER:
+            raise FrameError(f"frame {frame_type!r} that nobody asked for")
         reply = frames.decode_reply(body)
         with self._lock:
             part, is_known = self._parts.pop_answered(reply.id)
