--- a/gingervane/membership/snapshot.py
+++ b/gingervane/membership/snapshot.py
@@ -111,7 +111,7 @@
     def _age(self, body: Any) -> tuple[float, float]:
         """Return the age of a stored list in seconds, and the offset of its times.
 
-        Both are exact if it was written since the last boot, even if the wall clock has been stepped. Otherwise they
+        Both are exact if the list was stored since the last boot, even if the wall clock was stepped. Otherwise they
         come from the wall clock. Raises ValueError, TypeError or KeyError if the body is malformed.
         """
         at = float(body["at"])
--- a/gingervane/node/replica_connection_types.py
+++ b/gingervane/node/replica_connection_types.py
@@ -67,19 +67,19 @@
 
 
 class FrameCodec:
-    """Encodes parts as one call frame."""
+    """Encodes parts as one batch frame."""
 
     def encode(
         self,
         contents: list[frames.SubqueryRequest],
         seconds_left: list[float],
-        address: tuple[str, int],  # noqa: ARG002 - of the codec's protocol
+        address: tuple[str, int],  # noqa: ARG002 - required by the `Codec` protocol
     ) -> bytes:
         """Encode parts, each with its remaining time, which is sent as at least 1 ms."""
-        return frames.encode_batch(contents, [max(int(left * 1000), 1) for left in seconds_left])
+        return frames.encode_batch(contents, [max(int(seconds * 1000), 1) for seconds in seconds_left])
 
-    def result_size(self, result: PartResult) -> int:  # noqa: ARG002 - of the codec's protocol
-        """Return the size in bytes that a result counts towards the limit on all results held."""
+    def result_size(self, result: PartResult) -> int:  # noqa: ARG002 - required by the `Codec` protocol
+        """Return the size in bytes with which a result counts towards the limit on all results."""
         return _RESULT_BYTES
 
 
