--- a/gingervane/coordinator/dispatch.py
+++ b/gingervane/coordinator/dispatch.py
@@ -20,15 +20,15 @@
 class Client(Protocol):
     """The client that sent a query."""
 
-    def watch(self, gone: Callable[[], None]) -> None:
-        """Call `gone` once if the client disconnects before the reply."""
+    def watch(self, on_disconnect: Callable[[], None]) -> None:
+        """Call `on_disconnect` once if the client disconnects before the reply."""
 
 
 class QueryRequest(NamedTuple):
     """A query that a front has parsed."""
 
     class_name: str  # for logs
-    class_index: int  # in the settings of the decision module
+    class_index: int  # in the settings of the decision engine
     parts: Sequence[t.PartPlan]
     codec: t.HttpCodec
     arrived_at: float
--- a/gingervane/membership/consul_watcher.py
+++ b/gingervane/membership/consul_watcher.py
@@ -177,11 +177,11 @@
 
 def unknown_datacenters(
     agents: tuple[Address, ...],
-    wanted: tuple[str, ...],
+    configured: tuple[str, ...],
     token_file: Path | None,
     timeout: float,
 ) -> tuple[str, ...]:
-    """Return the names in `wanted` that are not in the catalogue; none if no agent answers.
+    """Return the names in `configured` that are not in the catalogue; none if no agent answers.
 
     `timeout`: seconds for each agent.
     """
@@ -191,7 +191,7 @@
             deadline = time.monotonic() + timeout
             status, _, body = get(pool, agent, "/v1/catalog/datacenters", token_file, deadline)
             if status == 200:
-                return tuple(sorted(set(wanted) - set(read_datacenters(orjson.loads(body)))))
+                return tuple(sorted(set(configured) - set(read_datacenters(orjson.loads(body)))))
         except (OSError, ConnectionClosedError, HttpError, ConsulError, ValueError):
             continue
     return ()
--- a/gingervane/membership/service.py
+++ b/gingervane/membership/service.py
@@ -32,7 +32,7 @@
 
 _FILE_LIST_TIMEOUT = 5.0  # seconds within which a list that has been read from the file is published
 _INDEX_RESET_MARGIN = 1.0  # seconds on top of the longest response time of a healthy agent
-_NO_DATACENTER = ("",)  # stands for the agents' own datacenter
+_NO_DATACENTER = ("",)  # selects the agents' own datacenter
 # A list file is edited on purpose: its changes count at once.
 _FILE_ONLY_GUARD = MassRemovalGuard(readmission_delay=0.0, max_readmission_delay=0.0)
 
@@ -89,9 +89,9 @@
         for name, datacenter in zip(names[bool(table.file) :], datacenters, strict=True):
             self._watch(consul, consul.service, datacenter, ring_sizes.cells, self.nodes, name)
         if consul.coordinators and tree is not None:
-            self._follow_peers(consul, tree, fleet.zone, address)
+            self._watch_peers(consul, tree, fleet.zone, address)
 
-    def _follow_peers(self, consul: ConsulTable, tree: Tree, zone: str, address: tuple[str, int]) -> None:
+    def _watch_peers(self, consul: ConsulTable, tree: Tree, zone: str, address: tuple[str, int]) -> None:
         """Watch the co-ordinators' service, and prepare to register this co-ordinator in it."""
         self._watch(consul, consul.coordinators, "", self._ring_sizes.peers, self.peers, "consul")
         entry = ServiceEntry(
