--- a/benchmarks/membership_cost.py
+++ b/benchmarks/membership_cost.py
@@ -156,8 +156,8 @@
         required_coverage=1.0,
         complete_coverage=1.0,
         objective_stretch=None,
-        late_weight=0.0,
-        partial_weight=1.0,
+        late_answer_value=0.0,
+        partial_answer_value=1.0,
     )
     return api.Settings(
         coordinator_count=1,
--- a/gingervane/coordinator/core.py
+++ b/gingervane/coordinator/core.py
@@ -17,7 +17,7 @@
 from gingervane import interface as api
 from gingervane.coordinator import types as t
 from gingervane.coordinator.admission import Admission, AdmissionLimits
-from gingervane.coordinator.driver import DecisionModule, Driver
+from gingervane.coordinator.driver import DecisionEngineProtocol, Driver
 from gingervane.coordinator.driver_counts import Counts
 from gingervane.coordinator.pending_queries import PendingQuery, ResultQueue
 from gingervane.coordinator.ports import ClusterPorts, QueryObserver, TransportFactory
@@ -37,7 +37,7 @@
 
     def __init__(
         self,
-        engine: DecisionModule,
+        engine: DecisionEngineProtocol,
         settings: api.Settings,
         limits: AdmissionLimits,
         observer: QueryObserver,
@@ -97,9 +97,9 @@
         """Report an endpoint list or a change to it."""
         self._inbox.put([update])
 
-    def watch_interrupted(self, silent_for: float) -> None:
-        """Report that the watch of the endpoint list ended or stalled, `silent_for` seconds after its last line."""
-        self._inbox.put([t.WatchInterrupted(silent_for)])
+    def watch_interrupted(self, seconds_without_data: float) -> None:
+        """Report that the endpoint list's watch ended or stalled, `seconds_without_data` after its last line."""
+        self._inbox.put([t.WatchInterrupted(seconds_without_data)])
 
     def peer_message_received(self, sender: int, payload: bytes) -> None:
         """Report a message from another co-ordinator. Messages may be lost: a full inbox drops them."""
--- a/gingervane/coordinator/driver.py
+++ b/gingervane/coordinator/driver.py
@@ -39,7 +39,7 @@
 from gingervane.decisions.completeness import QueryState
 
 
-class DecisionModule(Protocol):
+class DecisionEngineProtocol(Protocol):
     """The interface of the decision engine that the driver uses."""
 
     def handle(self, now: float, events: Sequence[api.Event]) -> list[api.Action]:
@@ -63,10 +63,13 @@
     """Drives one decision engine."""
 
     def __init__(
-        self, engine: DecisionModule, settings: api.Settings, observe: AttemptObserver = _ignore_attempt
+        self,
+        engine: DecisionEngineProtocol,
+        settings: api.Settings,
+        observe: AttemptObserver = _ignore_attempt,
     ) -> None:
         """`observe` is called with the outcome, the replica and the seconds of each attempt that ends."""
-        self._module = engine
+        self._engine = engine
         self._settings = settings
         self.counts = Counts()
         self._open = OpenQueries()
@@ -107,7 +110,7 @@
         events += self._take_inputs(inputs, turn)
         events += self._take_due_timers(turn)
         if events:
-            self._execute(self._module.handle(now, events), turn)
+            self._execute(self._engine.handle(now, events), turn)
         for query_id, completion in turn.completions.items():
             self._complete_query(now, query_id, completion, turn.effects)
         return _finish_effects(turn.effects)
@@ -127,8 +130,8 @@
                     self._addresses.update(item.addresses)
                     events.append(item.membership)
                     events += self._withdraw_replicas(item.membership, turn)
-                case t.WatchInterrupted(silent_for):
-                    events.append(api.WatchInterrupted(silent_for))
+                case t.WatchInterrupted(seconds_without_data):
+                    events.append(api.WatchInterrupted(seconds_without_data))
         return events
 
     def _withdraw_replicas(self, membership: api.MembershipChanged, turn: _Turn) -> list[api.Event]:
--- a/gingervane/coordinator/types.py
+++ b/gingervane/coordinator/types.py
@@ -175,9 +175,9 @@
 
 
 class WatchInterrupted(NamedTuple):
-    """The watch of the endpoint list has ended or stalled, `silent_for` seconds after its last line."""
+    """The watch of the endpoint list has ended or stalled, `seconds_without_data` after its last line."""
 
-    silent_for: float
+    seconds_without_data: float
 
 
 class Shutdown(NamedTuple):
--- a/gingervane/decisions/drain_reports.py
+++ b/gingervane/decisions/drain_reports.py
@@ -15,7 +15,7 @@
 from gingervane import interface as api
 from gingervane.decisions.batch_context import BatchContext
 from gingervane.decisions.membership import Membership
-from gingervane.decisions.membership_watch import WatchTerms
+from gingervane.decisions.membership_watch import WatchOptions
 
 REPORT_DRAINING = b"D"  # last byte of a report, after the ids of the replicas
 ID_BYTES = 8
@@ -30,12 +30,16 @@
     """Sends and receives reports of draining and removed replicas."""
 
     def __init__(
-        self, settings: api.Settings, context: BatchContext, membership: Membership, watch_terms: WatchTerms
+        self,
+        settings: api.Settings,
+        context: BatchContext,
+        membership: Membership,
+        watch_options: WatchOptions,
     ) -> None:
         self._context = context
         self._membership = membership
         self._enabled = (
-            settings.gossip_allowed and settings.membership_polled and watch_terms.notified_within < inf
+            settings.gossip_allowed and settings.membership_polled and watch_options.notified_within < inf
         )
         self._report_probability = min(MEAN_REPORTERS / settings.coordinator_count, 1.0)
         self._report_until = dict[int, float]()  # by replica id: time until which it is reported
--- a/gingervane/decisions/engine.py
+++ b/gingervane/decisions/engine.py
@@ -23,7 +23,7 @@
 from gingervane.decisions.idle_connections import IdleConnectionLimit
 from gingervane.decisions.latency import LatencyEstimator
 from gingervane.decisions.membership import Membership
-from gingervane.decisions.membership_watch import DEFAULT_WATCH_TERMS, WatchTerms
+from gingervane.decisions.membership_watch import DEFAULT_WATCH_OPTIONS, WatchOptions
 from gingervane.decisions.outlier_ejection import FAILURE_WEIGHT, REJECTION_WEIGHT, OutlierDetector
 from gingervane.decisions.query_completion import TIMER_MARGIN, QueryCompletion
 from gingervane.decisions.query_state import Attempt, Part, Query
@@ -43,16 +43,16 @@
     """Takes the decisions of one co-ordinator, from its settings and its events only."""
 
     def __init__(
-        self, settings: api.Settings, seed: int, watch_terms: WatchTerms = DEFAULT_WATCH_TERMS
+        self, settings: api.Settings, seed: int, watch_options: WatchOptions = DEFAULT_WATCH_OPTIONS
     ) -> None:
         self.settings = settings
         self.context = BatchContext(settings.timer_granularity, seed)
-        self.membership = Membership(settings, self.context, watch_terms)
+        self.membership = Membership(settings, self.context, watch_options)
         self.slow_start = SlowStart(settings, self.context, self.membership)
         self.latency = LatencyEstimator(settings.query_classes)
         first_sends = SlidingWindowCount(TRAFFIC_WINDOW)
         self._outlier_detector = OutlierDetector(settings, self.context, self.membership, first_sends)
-        self._drain_reports = DrainReports(settings, self.context, self.membership, watch_terms)
+        self._drain_reports = DrainReports(settings, self.context, self.membership, watch_options)
         self._idle_connections = IdleConnectionLimit(self.context)
         self._retry_budget = RetryBudget(settings, self.context)
         self._selector = ReplicaSelector(settings, self.context, self.membership, self.slow_start)
--- a/gingervane/decisions/hedging.py
+++ b/gingervane/decisions/hedging.py
@@ -142,7 +142,7 @@
         the objective, after which nothing would be sent although a late answer has value.
         """
         query = part.query
-        has_late_value = query.query_class.late_weight > 0.0
+        has_late_value = query.query_class.late_answer_value > 0.0
         if self._can_answer_by(query, query.answer_by if has_late_value else query.objective_at):
             self._send_hedge(part)
 
--- a/gingervane/decisions/membership.py
+++ b/gingervane/decisions/membership.py
@@ -6,16 +6,16 @@
 
 from gingervane import interface as api
 from gingervane.decisions.batch_context import BatchContext
-from gingervane.decisions.membership_watch import MembershipWatch, WatchTerms
+from gingervane.decisions.membership_watch import MembershipWatch, WatchOptions
 from gingervane.decisions.replica_state import KnownReplica
 
 
 class Membership:
     """The replicas of the endpoint list and the holders of each shard."""
 
-    def __init__(self, settings: api.Settings, context: BatchContext, watch_terms: WatchTerms) -> None:
+    def __init__(self, settings: api.Settings, context: BatchContext, watch_options: WatchOptions) -> None:
         self._settings = settings
-        self.watch = MembershipWatch(settings, context, watch_terms)
+        self.watch = MembershipWatch(settings, context, watch_options)
         self.replicas = dict[int, KnownReplica]()
         self.ready_count = 0
         self.unavailable = frozenset[int]()  # ids of the draining and removed replicas in the last event
--- a/gingervane/decisions/membership_watch.py
+++ b/gingervane/decisions/membership_watch.py
@@ -1,6 +1,6 @@
 """Tracks the staleness of the endpoint list, and decides when to request it again from discovery.
 
-Where the host sets a limit (`WatchTerms.notified_within`), a change counts as notified that many seconds after
+Where the host sets a limit (`WatchOptions.notified_within`), a change counts as notified that many seconds after
 discovery had it, received or not. The backoff between two calls, and the time after which a further call is made
 while the first is unanswered, therefore depend on the time that remains: calls become more frequent as it runs out,
 and co-ordinators with a fresh list leave capacity in discovery's queue to those with a stale one.
@@ -72,7 +72,7 @@
 EXPECTED_PARTS_SERVED = 3.0
 
 
-class WatchTerms(NamedTuple):
+class WatchOptions(NamedTuple):
     """Properties of the host's watch of the endpoint list.
 
     `parallel_calls`: number of calls to discovery that can be waiting at once. `notified_within`: seconds after which
@@ -83,7 +83,7 @@
     notified_within: float = inf
 
 
-DEFAULT_WATCH_TERMS = WatchTerms()
+DEFAULT_WATCH_OPTIONS = WatchOptions()
 
 
 class WatchPhase(Enum):
@@ -97,11 +97,11 @@
 class MembershipWatch:
     """Decides on the watch of the endpoint list, and whether replicas may be used while it is down."""
 
-    def __init__(self, settings: api.Settings, context: BatchContext, watch_terms: WatchTerms) -> None:
+    def __init__(self, settings: api.Settings, context: BatchContext, watch_options: WatchOptions) -> None:
         self._context = context
         self._polled = settings.membership_polled
-        self._calls_may_overlap = watch_terms.parallel_calls > 1
-        self._notified_within = watch_terms.notified_within
+        self._calls_may_overlap = watch_options.parallel_calls > 1
+        self._notified_within = watch_options.notified_within
         self._pushed_grace = min(max(settings.drain_grace, settings.timer_granularity), MAX_PUSHED_GRACE)
         coordinators = settings.coordinator_count
         self._min_backoff = min(
@@ -135,12 +135,12 @@
 
     def on_interruption(self, event: api.WatchInterrupted) -> None:
         """Process the end of a watch, or that no data was received on it."""
-        self.record_failure(event.silent_for)
+        self.record_failure(event.seconds_without_data)
 
-    def record_failure(self, silent_for: float = 0.0) -> None:
-        """Record a failed call, or a watch on which the last data came `silent_for` seconds ago, and call again."""
+    def record_failure(self, seconds_without_data: float = 0.0) -> None:
+        """Record a failed call, or a watch that received no data for `seconds_without_data`, and call again."""
         if self._phase is WatchPhase.UP:
-            self._last_current_at = self._context.now - silent_for
+            self._last_current_at = self._context.now - seconds_without_data
         self._phase = WatchPhase.DOWN
         if self._retry_pending:
             return
--- a/gingervane/decisions/query_completion.py
+++ b/gingervane/decisions/query_completion.py
@@ -65,8 +65,8 @@
         if self._context.now < query.objective_at - self._margin:
             return False
         query_class = query.query_class
-        value = query_class.partial_weight * query.weight_received / query_class.complete_coverage
-        return value > query_class.late_weight
+        value = query_class.partial_answer_value * query.weight_received / query_class.complete_coverage
+        return value > query_class.late_answer_value
 
     def on_deadline(self, query: Query) -> None:
         """Shortly before the deadline, give a partial answer if the class permits one, else none."""
--- a/gingervane/experiments/demonstration.py
+++ b/gingervane/experiments/demonstration.py
@@ -10,7 +10,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from gingervane.experiments.embedded import Embedded
+from gingervane.experiments.embedded import EmbeddedFleet
 from gingervane.fronts.client import Answer, Client
 from gingervane.fronts.leaf_codec import PATH_HEADER
 from gingervane.fronts.routing import COVERAGE_HEADER, MISSING_HEADER
@@ -43,9 +43,9 @@
 
 
 @contextmanager
-def embedded_fleet() -> Iterator[Embedded]:
+def embedded_fleet() -> Iterator[EmbeddedFleet]:
     """Run an embedded fleet, and close it at the end of the context."""
-    embedded = Embedded()
+    embedded = EmbeddedFleet()
     try:
         yield embedded
     finally:
--- a/gingervane/experiments/embedded.py
+++ b/gingervane/experiments/embedded.py
@@ -57,7 +57,7 @@
     }
 
 
-class Embedded:
+class EmbeddedFleet:
     """A fake grid, its server list in a temporary folder, and one or more co-ordinators."""
 
     def __init__(
--- a/gingervane/fronts/client_connection.py
+++ b/gingervane/fronts/client_connection.py
@@ -23,14 +23,14 @@
 
     `max_connections` bounds the connections that are not closing. A connection is idle for at most
     `idle_timeout`, and may take `first_byte_timeout` to send its first byte (None: `idle_timeout` applies).
-    When more than `crowd_threshold` connections are open, those that have been idle for `min_idle` may be
+    When more than `eviction_threshold` connections are open, those that have been idle for `min_idle` may be
     closed.
     """
 
     max_connections: int
     idle_timeout: float
     first_byte_timeout: float | None
-    crowd_threshold: int
+    eviction_threshold: int
     min_idle: float
 
     @property
@@ -44,7 +44,7 @@
 
     IDLE_TIMEOUT = "idle"
     FIRST_BYTE_TIMEOUT = "no first byte"
-    OVER_CROWD_THRESHOLD = "crowded"
+    OVER_EVICTION_THRESHOLD = "crowded"
     EVICTED = "made room"
     OVER_LIMIT = "over the limit"
     NO_THREAD = "no thread"
--- a/gingervane/fronts/connections.py
+++ b/gingervane/fronts/connections.py
@@ -260,7 +260,7 @@
             return
         self._awaiting_first_byte[connection] = None
         self._poller.arm(connection)
-        if len(self) > self._limits.crowd_threshold:
+        if len(self) > self._limits.eviction_threshold:
             self._evict_long_idle()
 
     def _evict_long_idle(self) -> None:
@@ -268,7 +268,7 @@
         idle_before = time.monotonic() - self._limits.min_idle
         candidates = oldest(self._idle, _EVICTIONS_PER_ACCEPT)
         for connection in [candidate for candidate in candidates if candidate.idle_since < idle_before]:
-            self._close_unless_requested(connection, CloseReason.OVER_CROWD_THRESHOLD)
+            self._close_unless_requested(connection, CloseReason.OVER_EVICTION_THRESHOLD)
 
     def _evict_silent(self) -> bool:
         """Close the oldest connection that has sent nothing, as hundreds of those would use up the limit."""
--- a/gingervane/fronts/http_server.py
+++ b/gingervane/fronts/http_server.py
@@ -33,7 +33,7 @@
 
     `idle_timeout`: between requests; `head_timeout`, `body_timeout`: to read a request; `write_timeout`: to
     write a reply; `first_byte_timeout`: until a client's first byte (None: `idle_timeout` applies). When more
-    than `crowd_threshold` connections are open, those that have been idle for `min_idle` may be closed.
+    than `eviction_threshold` connections are open, those that have been idle for `min_idle` may be closed.
     """
 
     max_connections: int = 2000
@@ -44,7 +44,7 @@
     message_limits: Limits = Limits()
     thread_stack_bytes: int = 256 * 1024
     first_byte_timeout: float | None = None
-    crowd_threshold: int = 1 << 30
+    eviction_threshold: int = 1 << 30
     min_idle: float = 2.0
 
     def for_connections(self) -> ConnectionLimits:
@@ -53,7 +53,7 @@
             self.max_connections,
             self.idle_timeout,
             self.first_byte_timeout,
-            self.crowd_threshold,
+            self.eviction_threshold,
             self.min_idle,
         )
 
--- a/gingervane/interface.py
+++ b/gingervane/interface.py
@@ -105,8 +105,8 @@
     required_coverage: float
     complete_coverage: float
     objective_stretch: float | None
-    late_weight: float  # value of a complete answer after the latency objective, as a share of one in time
-    partial_weight: float  # value of a partial answer: this times its share of the complete coverage
+    late_answer_value: float  # of a complete answer after the latency objective, as a share of one in time
+    partial_answer_value: float  # value of a partial answer: this times its share of the complete coverage
 
 
 class Settings(NamedTuple):
@@ -157,13 +157,13 @@
 
 
 class WatchInterrupted(NamedTuple):
-    """A watch that had delivered a list ended or stalled; its last data came `silent_for` seconds ago.
+    """A watch that had delivered a list ended or stalled, `seconds_without_data` after its last data.
 
     A stalled watch may stay open. If data is received again, `MembershipChanged` follows, possibly without
     entries.
     """
 
-    silent_for: float
+    seconds_without_data: float
 
 
 class QueryArrived(NamedTuple):
--- a/gingervane/node/discovery.py
+++ b/gingervane/node/discovery.py
@@ -48,8 +48,8 @@
     def endpoints_updated(self, update: EndpointsUpdated) -> None:
         """Receive an endpoint list, a change to it, or the report of a failed call."""
 
-    def watch_interrupted(self, silent_for: float) -> None:
-        """Receive the report that the watch ended or stalled, `silent_for` seconds after its last line."""
+    def watch_interrupted(self, seconds_without_data: float) -> None:
+        """Receive the report that the watch ended or stalled, `seconds_without_data` after its last line."""
 
 
 class DiscoveryWatch:
@@ -214,12 +214,12 @@
             is_reported = not call.interrupted and not self._has_watch() and not self._retry_pending
             self._retry_pending = self._retry_pending or is_reported
             was_watch = call.has_list and not call.is_stalled
-            silent_for = time.monotonic() - self._last_line_at
+            seconds_without_data = time.monotonic() - self._last_line_at
             self._update_state(detail or reason.value)
             needed = not self._idle_workers or self._stopped
             self._workers -= not needed
         if is_reported and was_watch:
-            self._sink.watch_interrupted(silent_for)
+            self._sink.watch_interrupted(seconds_without_data)
         elif is_reported:
             failed = api.MembershipChanged(api.MembershipUpdateKind.FAILED, ())
             self._sink.endpoints_updated(EndpointsUpdated(failed, {}))
--- a/gingervane/node/query_log.py
+++ b/gingervane/node/query_log.py
@@ -74,13 +74,13 @@
             return self._telemetry.error
         if result.status in _LOGGED_STATUSES and result.reason is not api.QueryEndReason.OVERLOAD:
             return self._telemetry.info
-        return self._telemetry.debug if self._telemetry.debug_on else None
+        return self._telemetry.debug if self._telemetry.debug_enabled else None
 
     def attempt_finished(self, outcome: api.AttemptOutcome, replica: int, seconds: float) -> None:
         """Log an attempt at debug level."""
         if SOCKET_RECORDER.enabled:
             SOCKET_RECORDER.record("told", 0, 0, outcome=outcome.value, replica=replica, seconds=seconds)
-        if self._telemetry.debug_on:
+        if self._telemetry.debug_enabled:
             self._telemetry.debug(
                 LogEvent.ATTEMPT_FINISHED,
                 replica=self._host(replica),
--- a/gingervane/node/reply_reader.py
+++ b/gingervane/node/reply_reader.py
@@ -49,7 +49,7 @@
     def _read_frame(
         self, frame_type: bytes, body: bytes, received_at: float, finished: list[t.AttemptFinished]
     ) -> None:
-        if frame_type != frames.REPLY_LETTER:
+        if frame_type != frames.REPLY_FRAME_TYPE:
             raise FrameError(f"frame {frame_type!r} that nobody asked for")
         reply = frames.decode_reply(body)
         with self._lock:
--- a/gingervane/node/service.py
+++ b/gingervane/node/service.py
@@ -19,7 +19,7 @@
 from gingervane.coordinator.ports import ClusterPorts
 from gingervane.coordinator.replica_start_times import ReplicaStartTimes
 from gingervane.decisions.engine import DecisionEngine
-from gingervane.decisions.membership_watch import WatchTerms
+from gingervane.decisions.membership_watch import WatchOptions
 from gingervane.fronts.http_server import HttpServer, ServerLimits
 from gingervane.node import config as configuration
 from gingervane.node.client_front import ClientFront
@@ -95,7 +95,7 @@
         # Enough for every part of as many queries as there can be connections: the descriptors are the limit.
         admission = AdmissionLimits(config.max_sockets * (1 + config.shards), _MAX_RESULT_BYTES)
         return QueryCoordinator(
-            DecisionEngine(settings, config.seed, WatchTerms(PARALLEL_WATCH_CALLS, NOTIFIED_WITHIN)),
+            DecisionEngine(settings, config.seed, WatchOptions(PARALLEL_WATCH_CALLS, NOTIFIED_WITHIN)),
             settings,
             admission,
             QueryLog(self.telemetry, config.class_names, reader.host_name),
@@ -139,7 +139,7 @@
             write_timeout=_WRITE_TIMEOUT,
             message_limits=Limits(_MAX_HEAD_BYTES, _MAX_BODY_BYTES),
             first_byte_timeout=_FIRST_BYTE_TIMEOUT,
-            crowd_threshold=budget.client_soft_limit,
+            eviction_threshold=budget.client_soft_limit,
         )
         return HttpServer(*self._config.listen, self.front.handle, limits)
 
@@ -160,7 +160,7 @@
     def _replica_connection_closed(self, closed: ReplicaConnectionClosed) -> None:
         """Count and log a closed connection. Called by the decision thread or the reader of replica connections."""
         self.telemetry.counters.add("replica_connections_ended", closed.reason)
-        if closed.parts_in_flight or self.telemetry.debug_on:
+        if closed.parts_in_flight or self.telemetry.debug_enabled:
             self.telemetry.info(
                 LogEvent.REPLICA_CONNECTION_CLOSED,
                 address=f"{closed.address[0]}:{closed.address[1]}",
--- a/gingervane/settings/decision_settings.py
+++ b/gingervane/settings/decision_settings.py
@@ -74,7 +74,7 @@
     """
     strict = _query_class(c, 1.0)
     lenient = _query_class(c, c.least_share)._replace(complete_coverage=c.whole_share)
-    collecting = _query_class(c, _COLLECTING_COVERAGE)._replace(late_weight=1.0)
+    collecting = _query_class(c, _COLLECTING_COVERAGE)._replace(late_answer_value=1.0)
     return strict, lenient, collecting
 
 
@@ -88,6 +88,6 @@
         required_coverage=required_coverage,
         complete_coverage=1.0,
         objective_stretch=None,
-        late_weight=c.late_worth,
-        partial_weight=c.short_worth,
+        late_answer_value=c.late_worth,
+        partial_answer_value=c.short_worth,
     )
--- a/gingervane/startup.py
+++ b/gingervane/startup.py
@@ -151,6 +151,6 @@
         required_coverage=reader.required_item("Extra.MinShare", float, index),
         complete_coverage=reader.required_item("Extra.WholeAt", _positive, index),
         objective_stretch=reader.optional(f"Classes.{index}.AimStretch", float),
-        late_weight=reader.required(f"Classes.{index}.LateWorth", float),
-        partial_weight=reader.required_item("Extra.ShortWorth", float, index),
+        late_answer_value=reader.required(f"Classes.{index}.LateWorth", float),
+        partial_answer_value=reader.required_item("Extra.ShortWorth", float, index),
     )
--- a/gingervane/telemetry/node_telemetry.py
+++ b/gingervane/telemetry/node_telemetry.py
@@ -63,7 +63,7 @@
         self._handler.finish()
 
     @property
-    def debug_on(self) -> bool:
+    def debug_enabled(self) -> bool:
         """Whether events at debug level are logged."""
         return self._logger.isEnabledFor(logging.DEBUG)
 
--- a/gingervane/wire/frames.py
+++ b/gingervane/wire/frames.py
@@ -11,9 +11,9 @@
 import struct
 from typing import NamedTuple
 
-BATCH_LETTER = b"q"  # co-ordinator to replica: a batch of subqueries
-CANCEL_LETTER = b"c"  # co-ordinator to replica: the id of a subquery to cancel
-REPLY_LETTER = b"a"  # replica to co-ordinator: the outcome of a subquery
+BATCH_FRAME_TYPE = b"q"  # co-ordinator to replica: a batch of subqueries
+CANCEL_FRAME_TYPE = b"c"  # co-ordinator to replica: the id of a subquery to cancel
+REPLY_FRAME_TYPE = b"a"  # replica to co-ordinator: the outcome of a subquery
 OUTCOMES = ("served", "broke", "skipped")
 MAX_FRAME_BYTES = (
     64 * 1024
@@ -60,12 +60,12 @@
         f"{part.id} {part.shard} d={wait_ms}{part.options} {len(part.text)}\n".encode() + part.text
         for part, wait_ms in zip(parts, waits_ms, strict=True)
     ]
-    return encode_frame(BATCH_LETTER, b"".join(lines))
+    return encode_frame(BATCH_FRAME_TYPE, b"".join(lines))
 
 
 def encode_cancel(part_id: str) -> bytes:
     """Return the frame that cancels a subquery by its id."""
-    return encode_frame(CANCEL_LETTER, part_id.encode())
+    return encode_frame(CANCEL_FRAME_TYPE, part_id.encode())
 
 
 def decode_reply(payload: bytes) -> SubqueryReply:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -10,7 +10,7 @@
 
 import pytest
 from _pytest.terminal import TerminalReporter
-from connection_tools import Held
+from connection_tools import BlockableMethod
 from hypothesis import settings
 from platform_fakes import Platform
 
@@ -30,11 +30,11 @@
 
 
 @pytest.fixture
-def looking(monkeypatch: pytest.MonkeyPatch) -> Iterator[Held]:
+def connection_events(monkeypatch: pytest.MonkeyPatch) -> Iterator[BlockableMethod]:
     """The thread that handles events on client connections: the test can block it."""
-    handler = Held(monkeypatch, ConnectionManager, "_handle_event")
+    handler = BlockableMethod(monkeypatch, ConnectionManager, "_handle_event")
     yield handler
-    handler.let_go()
+    handler.unblock()
 
 
 KNOWN_RED = Path(__file__).parents[1] / "KNOWN-RED.txt"
--- a/tests/connection_tools.py
+++ b/tests/connection_tools.py
@@ -9,17 +9,17 @@
 
 import pytest
 from platform_fakes import (
-    PATIENCE,
+    WAIT_TIMEOUT_SECONDS,
     Platform,
     connections_of,
-    until,
+    wait_until,
 )
 
 from gingervane.fronts.client_connection import has_unread_data
 
 
-class Held:
-    """Patches a method of the node so that, between `hold` and `let_go`, its callers block.
+class BlockableMethod:
+    """Patches a method of the node so that, between `hold` and `unblock`, its callers block.
 
     They block before the method runs, or after it if `after` is set. `entered`: a caller has been blocked.
     """
@@ -33,7 +33,7 @@
             result = function(*args, **kwargs) if after else None
             if self.blocking:
                 self.entered.set()
-                self.go.wait(PATIENCE)
+                self.go.wait(WAIT_TIMEOUT_SECONDS)
             return result if after else function(*args, **kwargs)
 
         patch.setattr(owner, name, blocked)
@@ -41,12 +41,12 @@
     def hold(self) -> None:
         self.blocking = True
 
-    def let_go(self) -> None:
+    def unblock(self) -> None:
         self.blocking = False
         self.go.set()
 
 
-def lies_unread(platform: Platform) -> bool:
+def has_unread_request(platform: Platform) -> bool:
     """Return whether an idle connection has unread data."""
     connections = connections_of(platform)
     with connections._lock:
@@ -56,11 +56,11 @@
         )
 
 
-def rested(platform: Platform) -> socket.socket:
+def idle_client(platform: Platform) -> socket.socket:
     """Return a client connection that is idle after one request."""
     sock = platform.client()
     assert platform.ask("first", {0: 1.0}, sock=sock)[0] == 200
-    until(lambda: len(connections_of(platform)._idle) == 1, "its connection is idle")
+    wait_until(lambda: len(connections_of(platform)._idle) == 1, "its connection is idle")
     return sock
 
 
@@ -69,9 +69,9 @@
     return [part.id for replica in platform.replicas for part in replica.parts.items]
 
 
-def ends_cleanly(sock: socket.socket) -> None:
+def assert_closed_cleanly(sock: socket.socket) -> None:
     """Check that the connection ends without a reset, which could have discarded an answer."""
-    sock.settimeout(PATIENCE)
+    sock.settimeout(WAIT_TIMEOUT_SECONDS)
     assert sock.recv(1) == b""
 
 
--- a/tests/faults/campaign.py
+++ b/tests/faults/campaign.py
@@ -103,9 +103,9 @@
         "attempts": run.attempts,
         "second_steps": run.second_steps,
         "short": run.partial_answers,
-        "ended_early": len(run.ended_early),
+        "ended_early": len(run.unexpected_exits),
         "doubtful": len(run.doubtful_violations),
-        "runs_broken": bool(run.violations or run.ended_early),
+        "runs_broken": bool(run.violations or run.unexpected_exits),
     }
 
 
@@ -121,5 +121,5 @@
         print(f"  kept in {run.saved_to}", flush=True)
     for violation in run.violations[:max_shown]:
         print(f"  {violation.rule}: {violation.what}", flush=True)
-    for name in run.ended_early:
+    for name in run.unexpected_exits:
         print(f"  {name} ended by itself", flush=True)
--- a/tests/faults/judge.py
+++ b/tests/faults/judge.py
@@ -17,9 +17,9 @@
 PART_AFTER_END_TOLERANCE_SECONDS = 0.1
 DEADLINE_TOLERANCE_SECONDS = 0.15  # by which a part's timeout may exceed the client's remaining time
 # Seconds in which parts may still be sent after a node was notified that a replica drains or is gone.
-GRACE = 0.5 + 0.05 + 0.15
+DRAIN_GRACE_SECONDS = 0.5 + 0.05 + 0.15
 # Seconds after which a node counts as notified of a change, provided that discovery can be reached.
-TOLD_WITHIN = 6.0
+NOTIFIED_WITHIN_SECONDS = 6.0
 WAKE_UP_SECONDS = 0.005  # that a thread of the rig takes to wake up, in addition to its longest stall
 # A client may see its connection end this long before the kill is recorded.
 KILL_RECORDING_TOLERANCE_SECONDS = 0.05
@@ -175,7 +175,7 @@
     def _check_drained_part(self, received: PartReceived, change: EndpointChange) -> None:
         notified_at = self._notified_at(received.node, received.at, change)
         earliest = self._earliest(received)
-        if earliest <= notified_at + GRACE:
+        if earliest <= notified_at + DRAIN_GRACE_SECONDS:
             return
         self.races["part to a drained replica"] += 1
         if not self._was_paused(received.node, notified_at, received.at):
@@ -188,16 +188,17 @@
     def _notified_at(self, node: int, at: float, change: EndpointChange) -> float:
         """Return when the process that a node had at `at` counts as notified of a change.
 
-        It is notified once discovery has written the change to it, and at the latest `TOLD_WITHIN` after discovery
-        had the change and could be reached, whether it arrived or not. For a process that was started later, that
-        time counts from its start; if the list in its configuration had the change, it was notified at its start.
+        It is notified once discovery has written the change to it, and at the latest `NOTIFIED_WITHIN_SECONDS` after
+        discovery had the change and could be reached, whether it arrived or not. For a process that was started
+        later, that time counts from its start; if the list in its configuration had the change, it was notified at
+        its start.
         """
         run = self._ledger.run_of(node, at)
         if run.known_version >= change.version:
             return run.started_at
         second = self._plan.discovery.reachable_from(change.at - self._ledger.discovery_began_at)
         reachable_at = self._ledger.discovery_began_at + second
-        latest = max(reachable_at, run.started_at) + TOLD_WITHIN
+        latest = max(reachable_at, run.started_at) + NOTIFIED_WITHIN_SECONDS
         written = [
             item.at
             for item in self._ledger.lists
--- a/tests/faults/kept_runs.py
+++ b/tests/faults/kept_runs.py
@@ -32,6 +32,6 @@
     (saved_to / "ledger.json").write_text(json.dumps(records))
     findings = [*result.violations, *result.doubtful_violations]
     (saved_to / "found.txt").write_text(
-        "\n".join([*map(str, findings), *result.ended_early, "", str(plan), ""])
+        "\n".join([*map(str, findings), *result.unexpected_exits, "", str(plan), ""])
     )
     return saved_to
--- a/tests/faults/rig.py
+++ b/tests/faults/rig.py
@@ -49,7 +49,7 @@
     second_steps: int = 0
     partial_answers: int = 0
     attempts: int = 0
-    ended_early: list[str] = field(default_factory=list)  # nodes that exited without a signal of the rig
+    unexpected_exits: list[str] = field(default_factory=list)  # nodes that exited without a signal of the rig
     stolen_share: float = 0.0  # share of the requested processor time that the host took
     longest_stall: float = 0.0  # of the rig, in seconds
     # Requests for which an answer is expected, by HTTP status, or `none` for no answer.
@@ -108,7 +108,7 @@
         result = _judge(plan, ledger, exited_nodes, stolen_share(before, processor_times()))
         result.longest_stall = meter.longest
         result.expected_answers = ExpectedAnswers(plan, ledger).by_outcome
-        if result.violations or result.doubtful_violations or result.ended_early:
+        if result.violations or result.doubtful_violations or result.unexpected_exits:
             result.saved_to = save_run(folder, plan, ledger, result)
     return result
 
--- a/tests/hosts.py
+++ b/tests/hosts.py
@@ -6,7 +6,7 @@
 
 from gingervane import interface as api
 from gingervane.decisions.engine import DecisionEngine
-from gingervane.decisions.membership_watch import DEFAULT_WATCH_TERMS, WatchTerms
+from gingervane.decisions.membership_watch import DEFAULT_WATCH_OPTIONS, WatchOptions
 
 ANSWER_GRACE = 0.02  # seconds after a query's deadline in which an answer is still accepted
 OK, READY = api.AttemptOutcome.OK, api.ReplicaState.READY
@@ -74,10 +74,10 @@
         settings: api.Settings = BASE,
         replicas: int = 3,
         seed: int = 1,
-        watch_terms: WatchTerms = DEFAULT_WATCH_TERMS,
+        watch_options: WatchOptions = DEFAULT_WATCH_OPTIONS,
     ) -> None:
         self.settings, self.now, self.stalled_at = settings, 1000.0, 0.0
-        self.module = DecisionEngine(settings, seed, watch_terms)
+        self.module = DecisionEngine(settings, seed, watch_options)
         self.timers: list[tuple[float, int]] = []
         self.classes: dict[int, int] = {}
         self.expires: dict[int, float] = {}
--- a/tests/node_tools.py
+++ b/tests/node_tools.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 from platform_fakes import (
-    PATIENCE,
+    WAIT_TIMEOUT_SECONDS,
     Part,
     Platform,
     Replica,
@@ -29,7 +29,7 @@
 
     core.endpoints_updated = apply_update  # type: ignore[method-assign]
     platform.discovery.change(*hosts)
-    assert applied.wait(PATIENCE)
+    assert applied.wait(WAIT_TIMEOUT_SECONDS)
 
 
 def assert_served(answer: tuple[int, dict[str, str], object], name: str, *shards: int) -> None:
--- a/tests/platform_fakes.py
+++ b/tests/platform_fakes.py
@@ -21,7 +21,7 @@
 from gingervane.node.service import Node
 
 ROOT = Path(__file__).parents[1]
-PATIENCE = 20.0  # seconds after which a wait fails its test
+WAIT_TIMEOUT_SECONDS = 20.0  # seconds after which a wait fails its test
 
 
 def cell_of(part: str) -> str:
@@ -29,10 +29,10 @@
     return hashlib.blake2b(part.encode(), digest_size=8).hexdigest()
 
 
-def until(condition: Callable[[], object], description: str) -> None:
+def wait_until(condition: Callable[[], object], description: str) -> None:
     """Poll until the condition holds."""
     pause = threading.Event()
-    for _ in range(int(PATIENCE / 0.005)):
+    for _ in range(int(WAIT_TIMEOUT_SECONDS / 0.005)):
         if condition():
             return
         pause.wait(0.005)
@@ -61,7 +61,9 @@
     def wait(self, count: int = 1, matches: Callable[[Any], bool] = lambda item: True) -> list[Any]:
         """Wait until `count` items match; return all matching items so far."""
         with self._change:
-            enough = self._change.wait_for(lambda: sum(map(matches, self.items)) >= count, PATIENCE)
+            enough = self._change.wait_for(
+                lambda: sum(map(matches, self.items)) >= count, WAIT_TIMEOUT_SECONDS
+            )
             assert enough, f"timed out waiting for {count} items, got {self.items!r:.500}"
             return [item for item in self.items if matches(item)]
 
@@ -84,11 +86,11 @@
     def endpoints_updated(self, update: EndpointsUpdated) -> None:
         self.put(update)
 
-    def watch_interrupted(self, silent_for: float) -> None:
-        self.put(silent_for)
+    def watch_interrupted(self, seconds_without_data: float) -> None:
+        self.put(seconds_without_data)
 
 
-class Recorded(Waiter):
+class RecordedLog(Waiter):
     """A log that records its events: items are (event, fields)."""
 
     def __call__(self, event: str, **fields: Any) -> None:
@@ -165,7 +167,9 @@
     def _serve(self, wire: Wire) -> None:
         data = bytearray()
         with contextlib.suppress(OSError):
-            while self.reads and self.reading.wait(PATIENCE) and (received := wire.sock.recv(65536)):
+            while (
+                self.reads and self.reading.wait(WAIT_TIMEOUT_SECONDS) and (received := wire.sock.recv(65536))
+            ):
                 data += received
                 while len(data) >= 4 and len(data) >= 4 + (length := struct.unpack_from("<I", data)[0]):
                     letter, rest = data[4:5], bytes(data[5 : 4 + length])
@@ -245,7 +249,7 @@
 NO_LENGTH = b"HTTP/1.1 200 OK\r\n\r\n"
 
 
-class Calls:
+class ScriptedDiscovery:
     """A fake discovery whose test answers each call itself: `calls` has each call's socket and request
     target."""
 
@@ -373,7 +377,7 @@
         )
 
     def client(self) -> socket.socket:
-        return socket.create_connection(self.node.server.address, PATIENCE)
+        return socket.create_connection(self.node.server.address, WAIT_TIMEOUT_SECONDS)
 
     def ask(
         self,
--- a/tests/recordings/scenarios.py
+++ b/tests/recordings/scenarios.py
@@ -74,8 +74,8 @@
         required_coverage=required,
         complete_coverage=complete,
         objective_stretch=draw.choice((None, None, 0.5)),
-        late_weight=draw.choice((0.0, 0.3, 1.0)),
-        partial_weight=draw.choice((1.0, 0.5)),
+        late_answer_value=draw.choice((0.0, 0.3, 1.0)),
+        partial_answer_value=draw.choice((1.0, 0.5)),
     )
 
 
@@ -311,7 +311,7 @@
             ),
         ),
     )
-    short = CLASS._replace(required_coverage=0.5, complete_coverage=0.9, late_weight=0.6)
+    short = CLASS._replace(required_coverage=0.5, complete_coverage=0.9, late_answer_value=0.6)
     yield (
         "short-answers",
         Scenario(
@@ -320,7 +320,7 @@
                 query_classes=(
                     short,
                     short._replace(second_step_parts=2),
-                    short._replace(late_weight=1.0, latency_objective=0.4),
+                    short._replace(late_answer_value=1.0, latency_objective=0.4),
                 ),
             ),
             (Load(0.1, 20.0, 4.0, 8, 8, classes=(0, 1, 2), even_weights=False),),
--- a/tests/stored/make_fixtures.py
+++ b/tests/stored/make_fixtures.py
@@ -1,11 +1,11 @@
-"""Writes the fixtures of `tests/test_stored_files.py`: stored files as the code of that time wrote them.
+"""Writes the fixtures of `tests/test_stored_files.py`: stored files as the code of one moment wrote them.
 
 Run once, by hand, from the root of the repository:
 
     python tests/stored/make_fixtures.py
 
-No test runs it: the fixtures are files of an earlier version, which later code must read unchanged. Clocks, boot IDs
-and process IDs are fixed, so that a second run of the same code gives the same bytes.
+No test runs it: the fixtures stand for files that an earlier version left behind, and later code must read them as
+they are. Clocks, boot ids and process ids are fixed, so that a second run of the same code gives the same bytes.
 """
 
 from __future__ import annotations
@@ -44,13 +44,13 @@
 
 FOLDER = Path(__file__).parent
 BOOT = "0d6f3a52-8a1c-4a53-9b1e-fixture00001"
-UNIX = 1_764_600_000.0  # wall clock at the time of writing
-BOOT_SECONDS = 5_000.0  # seconds since the boot at that time
-OFFSET = -1_764_599_000.0  # seconds to add to Unix time to get the members' clock
+UNIX = 1_764_600_000.0  # the wall clock at the moment of writing
+BOOT_SECONDS = 5_000.0  # the clock since the boot at that moment
+OFFSET = -1_764_599_000.0  # turns Unix times into the members' clock
 
 
 def members() -> tuple[Member, ...]:
-    """Return members of each state; two have no start time, one has no create index."""
+    """One member of each state; one without a start, one without an index."""
     return (
         Member(1, "grid1", ("127.0.0.1", 9001), 0, 0, api.ReplicaState.READY, 512.5, 41),
         Member(2, "grid2", ("127.0.0.1", 9002), 1, 1, api.ReplicaState.DRAINING, 640.0, 42),
@@ -60,7 +60,7 @@
 
 
 def snapshots(folder: Path) -> None:
-    """Write a membership snapshot of each version that can be read."""
+    """The membership snapshot in each version that is read."""
     merge, view = Reconciliation(("consul", "file"), MassRemovalGuard()), EndpointView()
     merge.apply_report(SourceReport("consul", members(), 0.0, 7), 900.0)
     merge.apply_report(SourceReport("file", members()[:2]), 904.0)
@@ -77,7 +77,7 @@
         snapshot.save(members(), merge.dump(1000.0), view.dump(OFFSET))
         snapshot.close()
     path.with_name(path.name + ".lock").unlink()
-    # Versions 1 and 2 as earlier versions of the program wrote them; no present code writes them.
+    # Versions 1 and 2 as earlier programs wrote them; nothing writes them any more.
     rows = [
         [
             m.id,
@@ -138,7 +138,7 @@
 
 
 def entries() -> list[tuple[str, IdempotencyRecord]]:
-    """Return the records of the intent log in the order of writing: each state, a result, a non-ASCII key."""
+    """Records of the intent log, in the order of writing: each state, a result, a name that is not ASCII."""
     return [
         ("cos/plain", IdempotencyRecord(WriteState.IN_PROGRESS, "00ff", 101, 4_000.25, 4_000.25)),
         ("cos/done", IdempotencyRecord(WriteState.IN_PROGRESS, "11ee", 102, 4_001.0, 4_001.0)),
@@ -156,7 +156,7 @@
 
 
 def intents(folder: Path) -> None:
-    """Write a log of several segments, and a copy whose last segment ends within a record."""
+    """A log of several segments, and one whose last segment ends in half a record."""
     with mock.patch.object(boot_clock, "boot_id", lambda: BOOT):
         log = WriteAheadLog(folder, 3600.0, lambda: 4_010.0, segment_bytes=200)
         log.recover()
@@ -170,7 +170,7 @@
 
 
 def histogram(*values: int) -> str:
-    """Return a histogram of the values as runs store it."""
+    """Encoded as runs have it."""
     made = HdrHistogram(1, 600_000_000, 2)
     for value in values:
         made.record_value(value)
@@ -179,7 +179,7 @@
 
 
 def runs(path: Path) -> None:
-    """Write runs of experiments, as SQL that creates the same database: a DuckDB file itself is over 500 KB."""
+    """Runs of the lab, as SQL that makes the same file: a DuckDB file itself is over 500 KB."""
     store = RunStore(path.with_suffix(".duckdb"))
     latency = {"look": {"count": 3, "p50": 2.0, "p99": 300.0}, "scan": {"count": 1, "p50": 6.0, "p99": 20.0}}
     report: dict[str, Any] = {"kept": True, "attempts": 12, "parts": 8, "latency_ms": latency}
@@ -199,14 +199,14 @@
 
 
 def literal(value: object) -> str:
-    """Return a value as an SQL literal."""
+    """A value as SQL has it."""
     if isinstance(value, str):
         return "'" + value.replace("'", "''") + "'"
     return str(value).lower() if isinstance(value, bool) else repr(value)
 
 
 def records(folder: Path) -> None:
-    """Write the records of a short scenario run, as the processes of the run write them."""
+    """The records of a small day, as the rehearsal's processes write them."""
     folder.mkdir()
     scenario = Scenario.model_validate(
         {
@@ -326,12 +326,12 @@
 
 
 def held_by(shard: int) -> set[int]:
-    """Return the nodes that hold a shard on a ring of six."""
+    """The nodes that hold a shard, of a ring of six."""
     return {(shard + back) % 6 for back in range(3)}
 
 
 def vector_tries(day: VectorDay) -> list[dict[str, Any]]:
-    """Return the records of clients of the vector front: an upsert, an addition done, one refused, and a search."""
+    """What clients of the vector front recorded: a write, an addition that was refused, one done, a search."""
     vector = [1.0, 0.5]
     points = fixed_points(day)
     matrix = np.asarray([point["vector"] for point in points])
@@ -356,7 +356,7 @@
 
 
 def main() -> None:
-    """Write all fixtures."""
+    """Make all of them anew."""
     for name in ("membership", "intents", "intents-torn", "day"):
         shutil.rmtree(FOLDER / name, ignore_errors=True)
     snapshots(FOLDER / "membership")
--- a/tests/test_answers_property.py
+++ b/tests/test_answers_property.py
@@ -81,7 +81,7 @@
     @initialize(
         shares=st.tuples(st.sampled_from(COVERAGES), st.sampled_from(COVERAGES)),
         second=st.tuples(st.integers(0, 3), st.integers(0, 3)),
-        late_weight=st.sampled_from([0.0, 0.3, 1.0]),
+        late_answer_value=st.sampled_from([0.0, 0.3, 1.0]),
         semantics=st.sampled_from(list(api.RetrySafety)),
         parts_per_request=st.sampled_from([1, 3, 8]),
         hedging=st.booleans(),
@@ -91,7 +91,7 @@
         self,
         shares: Any,
         second: Any,
-        late_weight: float,
+        late_answer_value: float,
         semantics: api.RetrySafety,
         parts_per_request: int,
         hedging: bool,
@@ -100,7 +100,9 @@
         window = 1.0 if semantics is api.RetrySafety.IDEMPOTENCY_KEY else None
         drawn = zip(shares, second, (api.RetrySafety.IDEMPOTENT, semantics), strict=True)
         self.classes = tuple(
-            query_class(OBJECTIVE, DEADLINE, safety, window, count, required, complete, late_weight, 0.9)
+            query_class(
+                OBJECTIVE, DEADLINE, safety, window, count, required, complete, late_answer_value, 0.9
+            )
             for (required, complete), count, safety in drawn
         )
         config = BASE._replace(
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -10,10 +10,10 @@
 from typing import Any
 
 import pytest
-from connection_tools import Held, asked, lies_unread, rested
+from connection_tools import BlockableMethod, asked, has_unread_request, idle_client
 from platform_fakes import (
-    PATIENCE,
     SETTINGS,
+    WAIT_TIMEOUT_SECONDS,
     Part,
     Platform,
     Replica,
@@ -21,7 +21,7 @@
     Wire,
     connections_of,
     query,
-    until,
+    wait_until,
 )
 
 from gingervane.coordinator.core import QueryCoordinator
@@ -60,7 +60,7 @@
     unresponsive.parts.wait(1, lambda part: part.id == "q.0")
     leave(sock)
     assert unresponsive.cancels.wait() == ["q.0"]
-    until(lambda: not connections_of(platform)._open, "its connection is closed")
+    wait_until(lambda: not connections_of(platform)._open, "its connection is closed")
     assert asked(platform) == ["q.0"], "the request pipelined before the disconnect is not executed"
     sock.close()
     platform.close()
@@ -69,16 +69,16 @@
 @pytest.mark.parametrize("leave", DISCONNECTS)
 def test_a_client_that_disconnected_before_its_request_was_read(
     platform: Platform,
-    looking: Held,
+    connection_events: BlockableMethod,
     leave: Callable[[socket.socket], None],
 ) -> None:
-    sock = rested(platform)
-    looking.hold()
+    sock = idle_client(platform)
+    connection_events.hold()
     sock.sendall(query("q", {0: 1.0}))
-    until(lambda: lies_unread(platform), "the request is unread")
+    wait_until(lambda: has_unread_request(platform), "the request is unread")
     leave(sock)
-    looking.let_go()
-    until(lambda: not connections_of(platform)._open, "its connection is closed")
+    connection_events.unblock()
+    wait_until(lambda: not connections_of(platform)._open, "its connection is closed")
     assert platform.ask("after", {0: 1.0})[0] == 200
     assert asked(platform) == ["first.0", "after.0"]
     sock.close()
@@ -88,7 +88,7 @@
     platform: Platform,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    decision_turn = Held(monkeypatch, QueryCoordinator, "_turn")
+    decision_turn = BlockableMethod(monkeypatch, QueryCoordinator, "_turn")
     disconnected, original = Waiter(), QueryCoordinator.client_disconnected
 
     def record_disconnect(self: QueryCoordinator, number: int) -> None:
@@ -97,13 +97,13 @@
 
     monkeypatch.setattr(QueryCoordinator, "client_disconnected", record_disconnect)
     decision_turn.hold()
-    assert decision_turn.entered.wait(PATIENCE)
+    assert decision_turn.entered.wait(WAIT_TIMEOUT_SECONDS)
     sock = platform.client()
     sock.sendall(query("q", {0: 1.0}))
-    until(lambda: platform.node.core.admission.open, "the query is in the inbox")
+    wait_until(lambda: platform.node.core.admission.open, "the query is in the inbox")
     sock.close()
     disconnected.wait()
-    decision_turn.let_go()
+    decision_turn.unblock()
     assert platform.ask("after", {0: 1.0})[0] == 200
     assert asked(platform) == ["after.0"]
 
@@ -132,7 +132,7 @@
             wire.answer(part.id)
 
     decision_turn, disconnected, original = (
-        Held(monkeypatch, QueryCoordinator, "_turn"),
+        BlockableMethod(monkeypatch, QueryCoordinator, "_turn"),
         Waiter(),
         QueryCoordinator.client_disconnected,
     )
@@ -148,7 +148,7 @@
     platform = Platform(tmp_path, *replicas, settings=SETTINGS | {"Limits": limits})
     core, sock = platform.node.core, platform.client()
     decision_turn.go.clear()
-    module: Any = core._driver._module
+    module: Any = core._driver._engine
     module.latency.samples[0].extend([0.4] * 25)  # seconds; latencies that make a hedged request due
 
     def sent_parts() -> list[tuple[Replica, Part]]:
@@ -157,10 +157,10 @@
     def block_next_turn() -> None:
         decision_turn.hold()
         core._inbox.put([])
-        assert decision_turn.entered.wait(PATIENCE)
+        assert decision_turn.entered.wait(WAIT_TIMEOUT_SECONDS)
 
     sock.sendall(query("q", {0: 1.0}, "/rank" if due == NEXT_SENDS[0] else "/look"))
-    until(sent_parts, "its part is sent")
+    wait_until(sent_parts, "its part is sent")
     block_next_turn()
     ((replica, part),) = sent_parts()
 
@@ -170,13 +170,13 @@
 
     def trigger_next_send() -> None:
         if due == "a copy":
-            until(lambda: core._driver.next_due() < time.monotonic(), "the hedged request is due")
+            wait_until(lambda: core._driver.next_due() < time.monotonic(), "the hedged request is due")
             return
         if due == "a retry":
             replica.wires[0].reset()
         else:
             replica.wires[0].answer(part.id)
-        until(lambda: core._inbox.qsize() > len(disconnected.items), "the outcome is in the inbox")
+        wait_until(lambda: core._inbox.qsize() > len(disconnected.items), "the outcome is in the inbox")
 
     actions_by_order = {
         "leaves": [disconnect, trigger_next_send],
@@ -185,9 +185,9 @@
     }
     for action in actions_by_order[first]:
         action()
-    decision_turn.let_go()
+    decision_turn.unblock()
     if first == "stays":
-        until(lambda: len(sent_parts()) > 1, "more is sent")
+        wait_until(lambda: len(sent_parts()) > 1, "more is sent")
     else:
         assert platform.ask("after", {0: 1.0})[0] == 200
         assert [part.id for _, part in sent_parts() if not part.id.startswith("after")] == ["q.0"]
@@ -221,6 +221,6 @@
     for number, sock in enumerate(disconnected):
         sock.sendall(query(f"q{number}", {0: 1.0}))
         sock.close()
-    until(lambda: not connections_of(platform)._open, "all connections are closed")
-    until(lambda: not platform.node.core.admission.open, "no query is open for them")
+    wait_until(lambda: not connections_of(platform)._open, "all connections are closed")
+    wait_until(lambda: not platform.node.core.admission.open, "no query is open for them")
     assert platform.ask("after", {0: 1.0})[0] == 200
--- a/tests/test_client_front.py
+++ b/tests/test_client_front.py
@@ -9,8 +9,8 @@
 import pytest
 from node_tools import assert_served
 from platform_fakes import (
-    PATIENCE,
     SETTINGS,
+    WAIT_TIMEOUT_SECONDS,
     Platform,
     Replica,
     query,
@@ -90,7 +90,7 @@
     platform: Platform, kind: str
 ) -> None:
     with platform.client() as sock:
-        sock.settimeout(PATIENCE)
+        sock.settimeout(WAIT_TIMEOUT_SECONDS)
         with contextlib.suppress(ConnectionError):
             sock.sendall(INVALID_REQUESTS[kind])
         status = reply(sock)[0]
--- a/tests/test_connection_limits.py
+++ b/tests/test_connection_limits.py
@@ -12,11 +12,11 @@
 
 from platform_fakes import (
     HEAD,
-    PATIENCE,
-    Calls,
+    WAIT_TIMEOUT_SECONDS,
     Part,
     Platform,
     Replica,
+    ScriptedDiscovery,
     Wire,
     chunk,
     connections_of,
@@ -37,7 +37,7 @@
     tmp_path: Path,
 ) -> None:
     """The node runs in a separate process, as the system limits descriptors by process."""
-    platform, discovery, limit = Platform(tmp_path), Calls(), 128
+    platform, discovery, limit = Platform(tmp_path), ScriptedDiscovery(), 128
     reserved = ReservedPort()
     data = json.loads(platform.path.read_text()) | {
         "discovery": "{}:{}".format(*discovery.where),
@@ -63,11 +63,11 @@
     assert "closed" in read_until(program.stderr, "watch_state_changed old=following new=idle")
     clients, statuses = [], []
     for _ in range(2 * limit):
-        clients.append(sock := socket.create_connection(where, PATIENCE))
+        clients.append(sock := socket.create_connection(where, WAIT_TIMEOUT_SECONDS))
         sock.sendall(b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n")
         statuses.append(reply(sock)[0])
     assert statuses.count(200) >= limit // 4 and set(statuses) == {200, 503}
-    restarted_discovery = Calls(discovery.where[1])
+    restarted_discovery = ScriptedDiscovery(discovery.where[1])
     restarted_discovery.sock(1).sendall(HEAD + chunk(line(2, host(draining, health="DRAINING"), whole=False)))
     restarted_discovery.sock(1).sendall(chunk(b"{no JSON}\n"))  # logged after the drain is read
     read_until(program.stderr, "endpoint_list_invalid")
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -10,16 +10,23 @@
 from pathlib import Path
 
 import pytest
-from connection_tools import Held, asked, ends_cleanly, in_background, lies_unread, rested
+from connection_tools import (
+    BlockableMethod,
+    asked,
+    assert_closed_cleanly,
+    has_unread_request,
+    idle_client,
+    in_background,
+)
 from platform_fakes import (
-    PATIENCE,
     SETTINGS,
+    WAIT_TIMEOUT_SECONDS,
     Platform,
     Waiter,
     connections_of,
     query,
     reply,
-    until,
+    wait_until,
 )
 
 from gingervane.coordinator.admission import Admission
@@ -33,26 +40,26 @@
 
 def test_an_unread_request_is_served_when_shutdown_begins(
     platform: Platform,
-    looking: Held,
+    connection_events: BlockableMethod,
 ) -> None:
     """If the server shut down its receiving side, the kernel would report the same as for a disconnect."""
-    sock = rested(platform)
-    looking.hold()
+    sock = idle_client(platform)
+    connection_events.hold()
     sock.sendall(query("q", {0: 1.0}))
-    until(lambda: lies_unread(platform), "the request is unread")
+    wait_until(lambda: has_unread_request(platform), "the request is unread")
     platform.node.server.begin_shutdown()
-    looking.let_go()
+    connection_events.unblock()
     status, fields, _ = reply(sock)
     assert status == 200 and fields["connection"] == "close"
-    ends_cleanly(sock)
+    assert_closed_cleanly(sock)
     sock.close()
 
 
 def test_a_request_after_its_connection_was_closed_is_not_executed(platform: Platform) -> None:
-    sock = rested(platform)
+    sock = idle_client(platform)
     platform.node.server.begin_shutdown()
     sock.sendall(query("q", {0: 1.0}))  # the client has not yet noticed that the server closes
-    ends_cleanly(sock)
+    assert_closed_cleanly(sock)
     assert asked(platform) == ["first.0"]
     sock.close()
 
@@ -60,13 +67,13 @@
 def test_shutdown_between_the_first_and_the_last_byte_of_a_request(platform: Platform) -> None:
     request, sock = query("q", {0: 1.0}), platform.client()
     sock.sendall(request[:50])
-    until(lambda: not connections_of(platform)._awaiting_first_byte, "the request has begun")
+    wait_until(lambda: not connections_of(platform)._awaiting_first_byte, "the request has begun")
     shutdown_thread = in_background(platform.node.end)
-    until(lambda: connections_of(platform).shutting_down, "shutdown has begun")
+    wait_until(lambda: connections_of(platform).shutting_down, "shutdown has begun")
     sock.sendall(request[50:])
     status, fields, _ = reply(sock)
     assert status == 503 and fields["connection"] == "close" and not asked(platform)
-    ends_cleanly(sock)
+    assert_closed_cleanly(sock)
     shutdown_thread.join()
     sock.close()
 
@@ -91,20 +98,20 @@
 
 def test_a_connection_in_the_backlog_is_served_at_shutdown(
     platform: Platform,
-    looking: Held,
+    connection_events: BlockableMethod,
 ) -> None:
     """Closing the listener would reset the connection, and the request on it would be lost."""
-    waiting_client = rested(platform)
-    looking.hold()
+    waiting_client = idle_client(platform)
+    connection_events.hold()
     waiting_client.sendall(query("held", {0: 1.0}))
-    looking.entered.wait(PATIENCE)  # from here on no connection is accepted
+    connection_events.entered.wait(WAIT_TIMEOUT_SECONDS)  # from here on no connection is accepted
     sock = platform.client()
     sock.sendall(query("q", {0: 1.0}))
     platform.node.server.stop_accepting()
-    looking.let_go()
+    connection_events.unblock()
     assert reply(sock)[0] == reply(waiting_client)[0] == 200
     for client_socket in (sock, waiting_client):
-        ends_cleanly(client_socket)
+        assert_closed_cleanly(client_socket)
         client_socket.close()
 
 
@@ -113,17 +120,17 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The query was put into the inbox of a decision thread that had ended, and was never answered."""
-    admitting = Held(monkeypatch, Admission, "admit", after=True)
-    closing = Held(monkeypatch, QueryCoordinator, "close")
+    admitting = BlockableMethod(monkeypatch, Admission, "admit", after=True)
+    closing = BlockableMethod(monkeypatch, QueryCoordinator, "close")
     closing.go.set()
     admitting.hold()
     closing.hold()
     sock = platform.client()
     sock.sendall(query("q", {0: 1.0}))
-    assert admitting.entered.wait(PATIENCE)
+    assert admitting.entered.wait(WAIT_TIMEOUT_SECONDS)
     shutdown_thread = in_background(platform.node.end)
-    assert closing.entered.wait(PATIENCE)
-    admitting.let_go()
+    assert closing.entered.wait(WAIT_TIMEOUT_SECONDS)
+    admitting.unblock()
     assert reply(sock)[0] in (200, 503)
     shutdown_thread.join()
     sock.close()
@@ -133,15 +140,15 @@
     platform: Platform,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    decision_turn = Held(monkeypatch, QueryCoordinator, "_turn")
+    decision_turn = BlockableMethod(monkeypatch, QueryCoordinator, "_turn")
     decision_turn.hold()
-    assert decision_turn.entered.wait(PATIENCE)
+    assert decision_turn.entered.wait(WAIT_TIMEOUT_SECONDS)
     sock = platform.client()
     sock.sendall(query("q", {0: 1.0}))
-    until(lambda: platform.node.core.admission.open, "the query is in the inbox")
+    wait_until(lambda: platform.node.core.admission.open, "the query is in the inbox")
     shutdown_thread = in_background(platform.node.end)
-    until(lambda: platform.node.core._stop.is_set(), "the stop is requested after it")
-    decision_turn.let_go()
+    wait_until(lambda: platform.node.core._stop.is_set(), "the stop is requested after it")
+    decision_turn.unblock()
     status, fields, _ = reply(sock)
     assert status == 503 and fields["connection"] == "close"
     shutdown_thread.join()
@@ -161,7 +168,7 @@
     connections._finish_request = after_shutdown_began  # type: ignore[method-assign]
     status, fields, _ = platform.ask("q", {0: 1.0}, sock=sock)
     assert status == 200 and "connection" not in fields
-    ends_cleanly(sock)
+    assert_closed_cleanly(sock)
     sock.close()
 
 
@@ -173,12 +180,12 @@
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 2048)
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
-    sock.settimeout(PATIENCE)
+    sock.settimeout(WAIT_TIMEOUT_SECONDS)
     sock.connect(platform.node.server.address)
     sock.sendall(query("q", dict.fromkeys(range(shards), 1 / shards)))
-    until(lambda: platform.node.core.admission.reserved_bytes, "the answer is being written")
+    wait_until(lambda: platform.node.core.admission.reserved_bytes, "the answer is being written")
     shutdown_thread = in_background(platform.node.end)
-    until(lambda: connections_of(platform).shutting_down, "shutdown has begun")
+    wait_until(lambda: connections_of(platform).shutting_down, "shutdown has begun")
     status, _, body = reply(sock)
     assert status == 200 and len(body["pieces"]) == shards
     shutdown_thread.join()
@@ -190,16 +197,16 @@
     platform: Platform,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    writing = Held(monkeypatch, HttpServer, "_write")
+    writing = BlockableMethod(monkeypatch, HttpServer, "_write")
     writing.hold()
     sock = platform.client()
     sock.sendall(query("q", {0: 1.0}))
-    assert writing.entered.wait(PATIENCE)
+    assert writing.entered.wait(WAIT_TIMEOUT_SECONDS)
     shutdown_thread = in_background(platform.node.end)
-    until(lambda: connections_of(platform).shutting_down, "shutdown has begun")
-    writing.let_go()
+    wait_until(lambda: connections_of(platform).shutting_down, "shutdown has begun")
+    writing.unblock()
     assert reply(sock)[0] == 200
-    ends_cleanly(sock)
+    assert_closed_cleanly(sock)
     shutdown_thread.join()
     sock.close()
 
@@ -208,7 +215,7 @@
     with socket.create_server(("127.0.0.1", 0)) as silent_server:
         platform.node.watch.change_address(silent_server.getsockname()[:2])
         sock, _ = silent_server.accept()  # the discovery call arrives and is never answered
-        in_background(platform.node.end).join(PATIENCE)
+        in_background(platform.node.end).join(WAIT_TIMEOUT_SECONDS)
         assert sock.recv(4096).startswith(b"GET") and sock.recv(1) == b"", "the call ends with the process"
         sock.close()
     with pytest.raises(OSError):
@@ -223,7 +230,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     starting, listening, start_server = (
-        Held(monkeypatch, QueryCoordinator, "start"),
+        BlockableMethod(monkeypatch, QueryCoordinator, "start"),
         Waiter(),
         HttpServer.start,
     )
@@ -236,16 +243,16 @@
     starting.hold()
     platforms = Waiter()
     startup_thread = in_background(lambda: platforms.put(Platform(tmp_path)))
-    assert starting.entered.wait(PATIENCE)
-    with socket.create_connection(listening.wait()[0], PATIENCE) as sock:
+    assert starting.entered.wait(WAIT_TIMEOUT_SECONDS)
+    with socket.create_connection(listening.wait()[0], WAIT_TIMEOUT_SECONDS) as sock:
         for _ in range(2):
             sock.sendall(b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n")
             assert reply(sock)[0] == 503
         sock.sendall(query("early", {0: 1.0}))
-        with socket.create_connection(listening.items[0], PATIENCE) as other:
+        with socket.create_connection(listening.items[0], WAIT_TIMEOUT_SECONDS) as other:
             other.sendall(b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n")
             assert reply(other)[0] == 503, "not ready while a query waits"
-            starting.let_go()
+            starting.unblock()
             assert reply(sock)[0] == 200, "the query was admitted, and it is answered"
             startup_thread.join()
             other.sendall(b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -263,31 +270,31 @@
     last_request = query("q", {0: 1.0}).replace(b"Host: x\r\n", b"Host: x\r\nConnection: close\r\n")
     sock.sendall(last_request + b"x" * 200_000)
     assert reply(sock)[0] == 200
-    ends_cleanly(sock)
+    assert_closed_cleanly(sock)
     sock.close()
 
 
 def test_clients_over_the_limit_get_a_rejection_whatever_they_have_sent(
-    tmp_path: Path, looking: Held
+    tmp_path: Path, connection_events: BlockableMethod
 ) -> None:
     platform = Platform(tmp_path, sockets=64)
     idle_clients = []
     for number in range(8):  # each connection is idle, but not for long enough to be evicted
         idle_clients.append(platform.client())
         assert platform.ask(f"q{number}", {0: 1.0}, sock=idle_clients[-1])[0] == 200
-    until(lambda: len(connections_of(platform)._idle) == 8, "all connections are idle")
-    looking.hold()
+    wait_until(lambda: len(connections_of(platform)._idle) == 8, "all connections are idle")
+    connection_events.hold()
     idle_clients[0].sendall(query("held", {0: 1.0}))
-    assert looking.entered.wait(PATIENCE)  # from here on no connection is accepted
+    assert connection_events.entered.wait(WAIT_TIMEOUT_SECONDS)  # from here on no connection is accepted
     late_clients = [platform.client() for _ in range(40)]
     for number, sock in enumerate(late_clients):
         sock.sendall(query(f"late{number}", {0: 1.0}))
-    looking.let_go()
+    connection_events.unblock()
     statuses = [reply(sock)[0] for sock in late_clients]
     assert set(statuses) == {200, 503} and statuses.count(503) > 2 * MAX_CLOSING
     for sock, status in zip(late_clients, statuses, strict=True):
         if status == 503:
-            ends_cleanly(sock)
+            assert_closed_cleanly(sock)
     for sock in [*idle_clients, *late_clients]:
         sock.close()
     platform.close()
@@ -296,7 +303,7 @@
 def test_closing_connections_are_bounded_in_bytes_and_in_number(platform: Platform) -> None:
     connections = connections_of(platform)
     flooding_client = platform.client()
-    flooding_client.settimeout(PATIENCE)
+    flooding_client.settimeout(WAIT_TIMEOUT_SECONDS)
     flooding_client.sendall(b"no HTTP\r\n\r\n")
     with pytest.raises(ConnectionError):  # past the bound on bytes, closing with unread data resets it
         for _ in range(MAX_DISCARDED_BYTES // 65536 * 200):
--- a/tests/test_consul.py
+++ b/tests/test_consul.py
@@ -11,11 +11,11 @@
 
 import consul as published  # a third-party client library
 import pytest
-from test_hard_cases import ask, told_away
+from test_hard_cases import ask, is_known_not_ready
 
 from gingervane import interface as api
 from gingervane.coordinator.types import EndpointsUpdated
-from gingervane.experiments.embedded import ZONES, Embedded
+from gingervane.experiments.embedded import ZONES, EmbeddedFleet
 from gingervane.fake_servers.consul import Agent
 from gingervane.fake_servers.consul_catalogue import Catalogue
 from gingervane.membership.consul_polling import Backoff
@@ -28,7 +28,7 @@
 READY, DRAINING, GONE = api.ReplicaState.READY, api.ReplicaState.DRAINING, api.ReplicaState.GONE
 
 
-def eventually(condition: Callable[[], bool]) -> None:
+def wait_until(condition: Callable[[], bool]) -> None:
     deadline = time.monotonic() + 30.0
     while not condition():
         assert time.monotonic() < deadline, "the condition did not become true within 30 s"
@@ -134,7 +134,7 @@
 def harness(tmp_path: Path) -> Iterator[ConsulHarness]:
     made = ConsulHarness(tmp_path)
     assert made.start()
-    eventually(lambda: len(made.states()) == 6)
+    wait_until(lambda: len(made.states()) == 6)
     yield made
     made.close()
 
@@ -146,16 +146,16 @@
 
 def test_drains_and_maintenance_are_followed(harness: ConsulHarness) -> None:
     harness.register(1, drain="true")
-    eventually(lambda: harness.states()[1] is DRAINING)
+    wait_until(lambda: harness.states()[1] is DRAINING)
     assert client(harness, 1).agent.service.maintenance("n2", "true", "stopping")
-    eventually(lambda: harness.states()[2] is DRAINING)
+    wait_until(lambda: harness.states()[2] is DRAINING)
     harness.catalogue.check("n3", "service:n3", "critical")
-    eventually(lambda: harness.states()[3] is GONE)
+    wait_until(lambda: harness.states()[3] is GONE)
     harness.catalogue.check("n3", "service:n3", "passing")
-    eventually(lambda: harness.states()[3] is READY)
+    wait_until(lambda: harness.states()[3] is READY)
     assert harness.rows()[3].started_at > 0, "cold after its recovery"
     harness.catalogue.deregister("n4")
-    eventually(lambda: harness.states()[4] is GONE)
+    wait_until(lambda: harness.states()[4] is GONE)
     full_updates = [
         update for update in harness.updates if update.membership.kind is api.MembershipUpdateKind.FULL
     ]
@@ -168,11 +168,11 @@
     with harness.catalogue.changed:  # in one step, so that no answer shows it as gone
         harness.catalogue._services.pop("n5")
         harness.register(5)
-    eventually(lambda: harness.rows()[5].started_at > 0)
+    wait_until(lambda: harness.rows()[5].started_at > 0)
     assert {n for n, row in harness.rows().items() if row.started_at == 0} == set(range(5))
     harness.catalogue.restore()  # re-creates all entries at once: does not mean that the nodes restarted
     harness.register(0, drain="true")
-    eventually(lambda: harness.states()[0] is DRAINING)
+    wait_until(lambda: harness.states()[0] is DRAINING)
     assert {n for n, row in harness.rows().items() if row.started_at == 0} >= {1, 2, 3, 4}
 
 
@@ -192,7 +192,7 @@
     assert harness.calls - calls < 120, "no busy loop"
     harness.fault("")
     harness.register(5, drain="true")
-    eventually(lambda: harness.states()[5] is DRAINING)
+    wait_until(lambda: harness.states()[5] is DRAINING)
 
 
 @pytest.mark.parametrize("fault", ["hang", "lag", "stale"])
@@ -203,21 +203,21 @@
     harness.agents[which].set_fault(fault)
     for number in range(3):
         harness.register(number, drain="yes")
-        eventually(lambda n=number: harness.states()[n] is DRAINING)  # type: ignore[misc]
+        wait_until(lambda n=number: harness.states()[n] is DRAINING)  # type: ignore[misc]
     calls = harness.calls
-    eventually(lambda: harness.calls > calls + 6)  # the stale agent has answered several times
+    wait_until(lambda: harness.calls > calls + 6)  # the stale agent has answered several times
     assert [harness.states()[n] for n in range(4)] == [DRAINING, DRAINING, DRAINING, READY]
     harness.register(1)
-    eventually(lambda: harness.states()[1] is READY)
+    wait_until(lambda: harness.states()[1] is READY)
 
 
 def test_a_restored_catalogue_with_lower_indexes(harness: ConsulHarness) -> None:
     harness.catalogue.restore()
     harness.register(2, drain="1")
-    eventually(lambda: harness.states()[2] is DRAINING)
-    eventually(lambda: sum(watcher.query_state.index_resets for watcher in harness.watchers) >= 1)
+    wait_until(lambda: harness.states()[2] is DRAINING)
+    wait_until(lambda: sum(watcher.query_state.index_resets for watcher in harness.watchers) >= 1)
     harness.register(2)
-    eventually(lambda: harness.states()[2] is READY)
+    wait_until(lambda: harness.states()[2] is READY)
     assert harness.sources._reconciliation.index_resets == 1, "the lower index has been accepted"
 
 
@@ -228,14 +228,14 @@
         for number in range(6):
             harness.catalogue.deregister(f"n{number}")
     calls = harness.calls
-    eventually(lambda: harness.calls > calls + 1)
+    wait_until(lambda: harness.calls > calls + 1)
     assert set(harness.states().values()) == {READY}, "retained"
     for number in (0, 1):
         harness.register(number)
     harness.register(2, drain="true")
-    eventually(lambda: harness.states()[2] is DRAINING)
+    wait_until(lambda: harness.states()[2] is DRAINING)
     assert harness.states()[3] is READY
-    eventually(lambda: harness.states()[3] is GONE)  # no longer retained, as it does not respond any more
+    wait_until(lambda: harness.states()[3] is GONE)  # no longer retained, as it does not respond any more
     assert [harness.states()[n] for n in (0, 1)] == [READY, READY]
 
 
@@ -243,10 +243,10 @@
     waits = []
     for _ in range(4):
         harness.catalogue.check("n1", "service:n1", "critical")
-        eventually(lambda: harness.states()[1] is GONE)
+        wait_until(lambda: harness.states()[1] is GONE)
         since = time.monotonic()
         harness.catalogue.check("n1", "service:n1", "passing")
-        eventually(lambda: harness.states()[1] is READY)
+        wait_until(lambda: harness.states()[1] is READY)
         waits.append(time.monotonic() - since)
     assert waits[3] > 0.4 > 0.05 < waits[0], "0.05 s, doubled each time"
     assert harness.states()[2] is READY
@@ -255,16 +255,16 @@
 def test_a_restart_during_an_outage_keeps_the_states(harness: ConsulHarness) -> None:
     harness.register(1, drain="true")
     harness.catalogue.check("n3", "service:n3", "critical")
-    eventually(lambda: (harness.states()[1], harness.states()[3]) == (DRAINING, GONE))
+    wait_until(lambda: (harness.states()[1], harness.states()[3]) == (DRAINING, GONE))
     harness.catalogue.check("n3", "service:n3", "passing")
-    eventually(lambda: harness.states()[3] is READY)
+    wait_until(lambda: harness.states()[3] is READY)
     cold = harness.rows()[3].started_at
     harness.fault("500")
     assert harness.restart()
     assert harness.updates[0].membership.kind is api.MembershipUpdateKind.CACHED
     assert harness.states()[1] is DRAINING and harness.rows()[3].started_at == pytest.approx(cold, abs=0.5)
     harness.fault("")
-    eventually(
+    wait_until(
         lambda: any(update.membership.kind is api.MembershipUpdateKind.FULL for update in harness.updates)
     )
     assert harness.states()[1] is DRAINING and harness.rows()[3].started_at == pytest.approx(cold, abs=0.5)
@@ -274,11 +274,11 @@
     harness.fault("lag")
     harness.agents[1].set_fault("")
     harness.register(1, drain="true")
-    eventually(lambda: harness.states()[1] is DRAINING)
+    wait_until(lambda: harness.states()[1] is DRAINING)
     harness.agents[1].set_fault("hang")
     assert harness.restart()
     calls = harness.agents[0].calls
-    eventually(lambda: harness.agents[0].calls > calls + 1)
+    wait_until(lambda: harness.agents[0].calls > calls + 1)
     assert harness.states()[1] is DRAINING, "a stale list does not revoke the saved drain"
 
 
@@ -323,9 +323,9 @@
         random.Random(1),
     )
     watcher.start()
-    eventually(lambda: any("status 403" in warning for warning in harness.warnings))
+    wait_until(lambda: any("status 403" in warning for warning in harness.warnings))
     token.write_text("secret\n")
-    eventually(lambda: seen == [1])
+    wait_until(lambda: seen == [1])
     watcher.stop()
 
 
@@ -336,7 +336,7 @@
     host, port = agent.address
     table = {"agents": [f"{host}:{port}"], "service": "grid", "wait": 1.0}
     overrides = {"membership": {"file": None, "consul": table}}
-    grid_of: list[Embedded] = []
+    grid_of: list[EmbeddedFleet] = []
 
     def register(number: int, **meta: str) -> None:
         node = grid_of[0].grid.nodes[number] if grid_of else None
@@ -346,15 +346,15 @@
             {"ID": f"n{number}", "Name": "grid", "Port": address[1], "Address": address[0], "Meta": marks}
         )
 
-    fleet = Embedded(overrides=overrides)
+    fleet = EmbeddedFleet(overrides=overrides)
     try:
         grid_of.append(fleet)
         assert ask(fleet).status == 503 and not fleet.app.membership.has_server_list, "running, but not ready"
         for number in range(6):
             register(number, started="1.0")
-        eventually(lambda: ask(fleet).status == 200)
+        wait_until(lambda: ask(fleet).status == 200)
         register(4, started="1.0", drain="true")
-        eventually(lambda: told_away(fleet, 4))
+        wait_until(lambda: is_known_not_ready(fleet, 4))
         served = fleet.grid.nodes[4].served
         agent.set_fault("500")
         for _ in range(20):
@@ -373,7 +373,7 @@
     membership = {
         "consul": {"agents": [f"{host}:{port}"], "service": "grid", "coordinators": "vane", "wait": 1.0}
     }
-    fleet = Embedded(
+    fleet = EmbeddedFleet(
         nodes=6,
         tiles=24,
         coordinators=4,
@@ -382,15 +382,15 @@
         list_coordinators=False,
     )
     try:
-        eventually(lambda: all(len(app.peers.ready) == 3 for app in fleet.apps))
+        wait_until(lambda: all(len(app.peers.ready) == 3 for app in fleet.apps))
         assert ask(fleet).status == 200 and fleet.app._front.queries_split == 1
         with catalogue.changed:
             assert {e["Service"]["ID"] for e in catalogue.entries("vane")} == {f"c{n}" for n in range(4)}
         catalogue.deregister("c2")  # as if the agent had lost the entry: c2 registers again by itself
-        eventually(lambda: "c2" not in fleet.app.peers.ready)
-        eventually(lambda: "c2" in fleet.app.peers.ready)
+        wait_until(lambda: "c2" not in fleet.app.peers.ready)
+        wait_until(lambda: "c2" in fleet.app.peers.ready)
         fleet.stop(3)
-        eventually(lambda: "c3" not in fleet.app.peers.ring_positions)
+        wait_until(lambda: "c3" not in fleet.app.peers.ring_positions)
         with catalogue.changed:
             assert "c3" not in {e["Service"]["ID"] for e in catalogue.entries("vane")}
     finally:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -15,8 +15,8 @@
 
 import pytest
 from platform_fakes import (
-    PATIENCE,
     SETTINGS,
+    WAIT_TIMEOUT_SECONDS,
     Platform,
     Replica,
     Waiter,
@@ -24,7 +24,7 @@
     cell_of,
     query,
     request,
-    until,
+    wait_until,
 )
 
 from gingervane import interface as api
@@ -64,7 +64,7 @@
     allowed, finish_connect = threading.Event(), ReplicaConnection._finish_connect
 
     def blocked(self: ReplicaConnection) -> None:
-        allowed.wait(PATIENCE)
+        allowed.wait(WAIT_TIMEOUT_SECONDS)
         finish_connect(self)
 
     monkeypatch.setattr(ReplicaConnection, "_finish_connect", blocked)
@@ -112,7 +112,7 @@
     batch = t.BatchRequest(number, 1, replica_address, FrameCodec(), [attempt_request], time.monotonic())
     assert connections.start(batch)
     while len(replica.parts.items) < number:
-        until(
+        wait_until(
             lambda: connections._writable or len(replica.parts.items) == number,
             "the connection is established",
         )
@@ -125,7 +125,10 @@
     replica, reports = Replica(0, lambda wire, part: None), Waiter()
     connections = ReplicaConnections(
         ReplicaConnectionLimits(
-            streams=1, max_connections=4, idle_timeout=PATIENCE, connect_timeout=PATIENCE
+            streams=1,
+            max_connections=4,
+            idle_timeout=WAIT_TIMEOUT_SECONDS,
+            connect_timeout=WAIT_TIMEOUT_SECONDS,
         ),
         reports.put,
     )
@@ -147,21 +150,23 @@
 ) -> None:
     """The reader has removed the part but not yet reported its result, so the connection looks unused."""
     replica, other, reports = Replica(0), Replica(0), Waiter()
-    idle = 0.0 if cause == "idle for too long" else PATIENCE
+    idle = 0.0 if cause == "idle for too long" else WAIT_TIMEOUT_SECONDS
     connections = ReplicaConnections(
-        ReplicaConnectionLimits(streams=4, max_connections=1, idle_timeout=idle, connect_timeout=PATIENCE),
+        ReplicaConnectionLimits(
+            streams=4, max_connections=1, idle_timeout=idle, connect_timeout=WAIT_TIMEOUT_SECONDS
+        ),
         reports.put,
     )
     value, reads, released = ReplyReader._read_result, threading.Event(), threading.Event()
 
     def blocked(self: ReplyReader, *args: Any) -> Any:
         reads.set()
-        released.wait(PATIENCE)
+        released.wait(WAIT_TIMEOUT_SECONDS)
         return value(self, *args)
 
     monkeypatch.setattr(ReplyReader, "_read_result", blocked)
     send(connections, replica, 1, "a.0")
-    assert reads.wait(PATIENCE)
+    assert reads.wait(WAIT_TIMEOUT_SECONDS)
     (connection,) = connections._by_number.values()
     if cause == "told to retire":
         connections.close_idle(connection.address)
@@ -172,7 +177,12 @@
         replica_address = "127.0.0.1", other.port
         assert connections.start(
             t.BatchRequest(
-                2, 2, replica_address, FrameCodec(), [attempt_request], time.monotonic() + PATIENCE
+                2,
+                2,
+                replica_address,
+                FrameCodec(),
+                [attempt_request],
+                time.monotonic() + WAIT_TIMEOUT_SECONDS,
             )
         )
     assert connection.broken
@@ -191,7 +201,10 @@
     replica, reports = Replica(0, lambda wire, part: None), Waiter()
     connections = ReplicaConnections(
         ReplicaConnectionLimits(
-            streams=4, max_connections=4, idle_timeout=PATIENCE, connect_timeout=PATIENCE
+            streams=4,
+            max_connections=4,
+            idle_timeout=WAIT_TIMEOUT_SECONDS,
+            connect_timeout=WAIT_TIMEOUT_SECONDS,
         ),
         reports.put,
     )
@@ -201,7 +214,9 @@
     assert len(replica.wires) == 2
     for wire, part in zip(replica.wires, ("a.0", "b.0"), strict=True):
         wire.raw(answer(part))
-    until(lambda: sum(map(len, reports.items)) == 2, "both results are reported, in one report or in two")
+    wait_until(
+        lambda: sum(map(len, reports.items)) == 2, "both results are reported, in one report or in two"
+    )
     connections._sweep(time.monotonic())
     assert sum(not connection.broken for connection in connections._by_number.values()) == 1
     connections.close()
@@ -263,11 +278,11 @@
 ) -> None:
     """If cancellation is not allowed, the module cancels no attempt; the part used to be sent later."""
     replica = Replica(0)
-    limits = with_limits(Cancelling=cancelling, ConnectTimeoutS=PATIENCE)
+    limits = with_limits(Cancelling=cancelling, ConnectTimeoutS=WAIT_TIMEOUT_SECONDS)
     platform = Platform(tmp_path, replica, settings=limits)
     sock = platform.client()
     sock.sendall(query("gone", {0: 0.5, 1: 0.5}, path))
-    until(lambda: connections_of(platform).in_flight == 2, "the parts wait for their connection")
+    wait_until(lambda: connections_of(platform).in_flight == 2, "the parts wait for their connection")
     sock.close()
     assert completed_queries.wait() == [("gone", t.QueryStatus.CLIENT_DISCONNECTED)]
     connects_allowed.set()
@@ -283,7 +298,7 @@
     cancelling: bool,
 ) -> None:
     replica = Replica(0)
-    limits = with_limits(Cancelling=cancelling, ConnectTimeoutS=PATIENCE)
+    limits = with_limits(Cancelling=cancelling, ConnectTimeoutS=WAIT_TIMEOUT_SECONDS)
     platform = Platform(tmp_path, replica, settings=limits)
     assert platform.ask("late", {0: 1.0}, wait=200)[0] == 503
     connects_allowed.set()
@@ -305,7 +320,7 @@
     text = json.dumps({"tablets": [{"tablet": 0, "fraction": 1}], "statement": "x" * 60000})
     sock.sendall(request("gone", text))
     connections = connections_of(platform)._by_number
-    until(
+    wait_until(
         lambda: any(partly_sent_parts(connection) for connection in connections.values()),
         "the frame is partly sent",
     )
@@ -402,7 +417,10 @@
     replica, reports = replica_not_reading(monkeypatch), Waiter()
     connections = ReplicaConnections(
         ReplicaConnectionLimits(
-            streams=4, max_connections=4, idle_timeout=PATIENCE, connect_timeout=PATIENCE
+            streams=4,
+            max_connections=4,
+            idle_timeout=WAIT_TIMEOUT_SECONDS,
+            connect_timeout=WAIT_TIMEOUT_SECONDS,
         ),
         reports.put,
     )
@@ -411,7 +429,13 @@
         1, 1, SubqueryRequest("a.0", 0, "", b"x" * 60000), RetrySafety.IDEMPOTENCY_KEY
     )
     batch = t.BatchRequest(
-        1, 1, replica_address, FrameCodec(), [attempt_request], now + PATIENCE, decided_at=now + PATIENCE
+        1,
+        1,
+        replica_address,
+        FrameCodec(),
+        [attempt_request],
+        now + WAIT_TIMEOUT_SECONDS,
+        decided_at=now + WAIT_TIMEOUT_SECONDS,
     )
     assert connections.start(batch)
     (connection,) = connections._by_number.values()
@@ -420,10 +444,10 @@
         connections.maintain()
         return True
 
-    until(lambda: maintained() and partly_sent_parts(connection), "the frame is partly sent")
-    batch.decided_at = now - PATIENCE  # longer ago than `MAX_SEND_DELAY`
+    wait_until(lambda: maintained() and partly_sent_parts(connection), "the frame is partly sent")
+    batch.decided_at = now - WAIT_TIMEOUT_SECONDS  # longer ago than `MAX_SEND_DELAY`
     replica.reading.set()
-    until(lambda: maintained() and any(reports.items), "its end is reported")
+    wait_until(lambda: maintained() and any(reports.items), "its end is reported")
     (ended,) = reports.wait(1, bool)[0]
     assert ended.outcome is AttemptOutcome.CONNECT_FAILED, "an incomplete frame does not run"
     replica.ended.wait()
@@ -444,13 +468,13 @@
     unresponsive = Replica(0, lambda wire, part: None)
     platform = Platform(tmp_path, unresponsive, settings=with_limits(Cancelling=cancelling))
     assert platform.ask("q", {0: 0.5, 1: 0.5}, wait=200)[0] == 503
-    until(lambda: connections_of(platform).in_flight == 0, "its parts have ended")
+    wait_until(lambda: connections_of(platform).in_flight == 0, "its parts have ended")
     sent = threading.Thread(target=platform.ask, args=("next", {2: 1.0}))
     sent.start()
     unresponsive.parts.wait(1, lambda part: part.id == "next.2")  # its frame follows any cancellations
     assert sorted(unresponsive.cancels.items) == (["q.0", "q.1"] if cancelling else [])
     assert len(unresponsive.wires) == 1, "their connection stays open"
     unresponsive.wires[0].raw(answer("q.0") + answer("q.1") + answer("next.2"))  # late replies are ignored
-    sent.join(PATIENCE)
+    sent.join(WAIT_TIMEOUT_SECONDS)
     assert not sent.is_alive() and len(unresponsive.wires) == 1
     platform.close()
--- a/tests/test_decisions_drain_reports.py
+++ b/tests/test_decisions_drain_reports.py
@@ -8,12 +8,12 @@
 
 from gingervane import interface as api
 from gingervane.decisions.drain_reports import GONE_REPORT_DURATION, MAX_IDS, MEAN_REPORTERS, REPORT_DRAINING
-from gingervane.decisions.membership_watch import REPORT_LIFETIME, WatchTerms
+from gingervane.decisions.membership_watch import REPORT_LIFETIME, WatchOptions
 from gingervane.interface import MembershipUpdateKind, ReplicaState
 from gingervane.node.service import NOTIFIED_WITHIN, PARALLEL_WATCH_CALLS
 
 SETTINGS = BASE._replace(membership_polled=True, gossip_allowed=True, coordinator_count=MEAN_REPORTERS)
-NODE_WATCH = WatchTerms(PARALLEL_WATCH_CALLS, NOTIFIED_WITHIN)
+NODE_WATCH = WatchOptions(PARALLEL_WATCH_CALLS, NOTIFIED_WITHIN)
 
 
 def sent_reports(actions: list[api.Action]) -> list[bytes]:
@@ -27,7 +27,7 @@
 
 
 def test_draining_and_removed_replicas_are_reported_repeatedly() -> None:
-    host = Host(SETTINGS, watch_terms=NODE_WATCH)
+    host = Host(SETTINGS, watch_options=NODE_WATCH)
     host.members(MembershipUpdateKind.DELTA)
     reports = sent_reports(host.members(MembershipUpdateKind.DELTA, replica(10, state=ReplicaState.DRAINING)))
     assert reports == [drain_report(10).payload]
@@ -45,7 +45,7 @@
 
 
 def test_nothing_is_reported_while_the_watch_is_down() -> None:
-    host = Host(SETTINGS, watch_terms=NODE_WATCH)
+    host = Host(SETTINGS, watch_options=NODE_WATCH)
     host.members(MembershipUpdateKind.DELTA, replica(10, state=ReplicaState.DRAINING))
     host.feed(api.WatchInterrupted(0.0))
     assert not sent_reports(host.wait(10.0))
@@ -54,7 +54,7 @@
 def test_only_a_few_of_many_coordinators_report_a_change() -> None:
     count = 0
     for seed in range(200):
-        host = Host(SETTINGS._replace(coordinator_count=60), seed=seed, watch_terms=NODE_WATCH)
+        host = Host(SETTINGS._replace(coordinator_count=60), seed=seed, watch_options=NODE_WATCH)
         host.members(MembershipUpdateKind.DELTA)
         count += len(
             sent_reports(host.members(MembershipUpdateKind.DELTA, replica(10, state=ReplicaState.DRAINING)))
@@ -63,7 +63,7 @@
 
 
 def test_reports_of_many_replicas_are_split_into_messages_of_bounded_size() -> None:
-    host = Host(SETTINGS, replicas=80, watch_terms=NODE_WATCH)
+    host = Host(SETTINGS, replicas=80, watch_options=NODE_WATCH)
     host.members(MembershipUpdateKind.DELTA)
     rows = [replica(10 + n, cell=n % SETTINGS.cell_count, state=ReplicaState.DRAINING) for n in range(70)]
     reports = sent_reports(host.members(MembershipUpdateKind.DELTA, *rows))
@@ -73,7 +73,7 @@
 
 def test_a_report_excludes_a_replica_for_a_while_where_the_watch_is_down() -> None:
     """A restarted co-ordinator with a stale list, rejected by a busy discovery, sent to drained replicas."""
-    host = Host(SETTINGS, watch_terms=NODE_WATCH)
+    host = Host(SETTINGS, watch_options=NODE_WATCH)
     excluded = host.where(part_of(host, host.query(0)))
     host.feed(api.MembershipChanged(MembershipUpdateKind.FAILED, ()))
     host.feed(drain_report(excluded, 999))
@@ -87,7 +87,7 @@
 
 
 def test_a_report_is_ignored_where_the_watch_is_up() -> None:
-    host = Host(SETTINGS, watch_terms=NODE_WATCH)
+    host = Host(SETTINGS, watch_options=NODE_WATCH)
     host.members(MembershipUpdateKind.DELTA)
     host.feed(drain_report(10, 11, 12))
     assert host.sends[part_of(host, host.query(0))]
@@ -98,13 +98,13 @@
     [
         (SETTINGS._replace(gossip_allowed=False), NODE_WATCH),
         (SETTINGS._replace(membership_polled=False), NODE_WATCH),
-        (SETTINGS, WatchTerms()),
+        (SETTINGS, WatchOptions()),
     ],
 )
 def test_nothing_is_reported_where_gossip_is_off_or_reports_are_of_no_use(
-    settings: api.Settings, terms: WatchTerms
+    settings: api.Settings, terms: WatchOptions
 ) -> None:
-    host = Host(settings, watch_terms=terms)
+    host = Host(settings, watch_options=terms)
     host.members(MembershipUpdateKind.DELTA)
     assert not sent_reports(
         host.members(MembershipUpdateKind.DELTA, replica(10, state=ReplicaState.DRAINING))
@@ -114,7 +114,7 @@
 
 @pytest.mark.parametrize("payload", [b"", b"D", b"1234567D", b"12345678", b"12345678\1", b"123456789D"])
 def test_other_and_malformed_messages_are_not_taken_for_reports(payload: bytes) -> None:
-    host = Host(SETTINGS, watch_terms=NODE_WATCH)
+    host = Host(SETTINGS, watch_options=NODE_WATCH)
     host.feed(api.MembershipChanged(MembershipUpdateKind.FAILED, ()), api.PeerMessageReceived(1, payload))
     watch, replicas = host.module.membership.watch, host.module.membership.replicas
     assert not any(watch.is_excluded(known) for known in replicas.values())
--- a/tests/test_decisions_membership.py
+++ b/tests/test_decisions_membership.py
@@ -10,11 +10,11 @@
 from hosts import BASE, Host, replica
 
 from gingervane import interface as api
-from gingervane.decisions.membership_watch import CACHED_LIST_AGE, EXCLUSION_DURATION, WatchTerms
+from gingervane.decisions.membership_watch import CACHED_LIST_AGE, EXCLUSION_DURATION, WatchOptions
 from gingervane.interface import MembershipUpdateKind, ReplicaState
 from gingervane.node.service import NOTIFIED_WITHIN, PARALLEL_WATCH_CALLS
 
-NODE_WATCH = WatchTerms(PARALLEL_WATCH_CALLS, NOTIFIED_WITHIN)
+NODE_WATCH = WatchOptions(PARALLEL_WATCH_CALLS, NOTIFIED_WITHIN)
 
 
 @pytest.mark.parametrize("state", [ReplicaState.DRAINING, ReplicaState.GONE])
@@ -55,7 +55,7 @@
     had them: the backoff grows at first, and shrinks again as the remaining time runs out."""
     measured = list[list[float]]()
     for seed in range(20):
-        host = Host(BASE._replace(membership_polled=True), seed=seed, watch_terms=NODE_WATCH)
+        host = Host(BASE._replace(membership_polled=True), seed=seed, watch_options=NODE_WATCH)
         assert host.log.count(api.WatchMembership()) == 1
         measured.append(backoffs(host, 12))
     coordinators = BASE.coordinator_count
@@ -102,10 +102,10 @@
     """Backoffs grew with each rejection only: co-ordinators with the stalest lists called least often, and
     those with a list one second old took their places in discovery's queue."""
     counts = []
-    for silent_for in (0.0, 5.0):
-        host = Host(BASE._replace(membership_polled=True, coordinator_count=1), watch_terms=NODE_WATCH)
+    for seconds_without_data in (0.0, 5.0):
+        host = Host(BASE._replace(membership_polled=True, coordinator_count=1), watch_options=NODE_WATCH)
         host.members(MembershipUpdateKind.DELTA)
-        host.feed(api.WatchInterrupted(silent_for))
+        host.feed(api.WatchInterrupted(seconds_without_data))
         count = 0
         for _ in range(300):
             if any(isinstance(action, api.WatchMembership) for action in host.wait(0.01)):
@@ -120,7 +120,7 @@
     and none of them got a list."""
     for coordinators in (40, 200):
         host = Host(
-            BASE._replace(membership_polled=True, coordinator_count=coordinators), watch_terms=NODE_WATCH
+            BASE._replace(membership_polled=True, coordinator_count=coordinators), watch_options=NODE_WATCH
         )
         host.members(MembershipUpdateKind.DELTA)
         host.feed(api.WatchInterrupted(0.0))
@@ -133,7 +133,7 @@
 def test_a_fleet_without_remaining_time_calls_at_a_bounded_rate() -> None:
     for coordinators in (2, 200, 600):
         settings = BASE._replace(membership_polled=True, coordinator_count=coordinators)
-        host = Host(settings, watch_terms=NODE_WATCH)
+        host = Host(settings, watch_options=NODE_WATCH)
         host.wait(20.0)
         measured = backoffs(host, 40)[10:]
         assert sum(measured) / len(measured) >= max(0.05, min(coordinators / 6, 4 / 3)) * 0.8
@@ -141,7 +141,7 @@
 
 def test_an_unanswered_call_gets_further_calls_beside_it_before_its_deadline() -> None:
     """Two consecutive calls that were not answered took all of the 6 s."""
-    host = Host(BASE._replace(membership_polled=True), watch_terms=NODE_WATCH)
+    host = Host(BASE._replace(membership_polled=True), watch_options=NODE_WATCH)
     host.members(MembershipUpdateKind.DELTA)
     host.feed(api.WatchInterrupted(2.5))
     times = watch_request_times(host, NOTIFIED_WITHIN - 2.5)
@@ -152,7 +152,7 @@
 
 
 def test_without_parallel_calls_an_unanswered_call_gets_no_further_one() -> None:
-    host = Host(BASE._replace(membership_polled=True), watch_terms=WatchTerms(1, NOTIFIED_WITHIN))
+    host = Host(BASE._replace(membership_polled=True), watch_options=WatchOptions(1, NOTIFIED_WITHIN))
     host.members(MembershipUpdateKind.DELTA)
     host.feed(api.WatchInterrupted(2.5))
     assert len(watch_request_times(host, 10.0)) == 1
@@ -161,7 +161,7 @@
 @pytest.mark.parametrize("grace", [0.3, 1.5])
 def test_where_lists_are_pushed_an_unanswered_call_gets_another_within_the_grace(grace: float) -> None:
     settings = BASE._replace(membership_polled=False, drain_grace=grace)
-    host = Host(settings, watch_terms=NODE_WATCH)
+    host = Host(settings, watch_options=NODE_WATCH)
     host.feed(api.WatchInterrupted(2.5))
     times = watch_request_times(host, 3 * grace)
     assert max(later - earlier for earlier, later in pairwise(times)) < 0.6 * grace
@@ -169,7 +169,7 @@
 
 def test_while_the_watch_is_down_a_replica_is_trusted_until_its_lease_expires() -> None:
     """A list of any age was used as if it were current."""
-    host = Host(BASE._replace(membership_polled=True), watch_terms=NODE_WATCH)
+    host = Host(BASE._replace(membership_polled=True), watch_options=NODE_WATCH)
     host.members(MembershipUpdateKind.FULL, *(replica(number, zone=0) for number in (10, 11, 12)))
     host.wait(20.0)
     watch, replicas = host.module.membership.watch, host.module.membership.replicas
@@ -195,7 +195,7 @@
 
 def test_a_rejecting_replica_is_used_until_its_lease_expires() -> None:
     """Under overload all replicas reject parts; excluding them at once cost 0.03 of the answers' value."""
-    host = Host(BASE._replace(membership_polled=True), watch_terms=NODE_WATCH)
+    host = Host(BASE._replace(membership_polled=True), watch_options=NODE_WATCH)
     host.members(MembershipUpdateKind.DELTA)
     host.feed(api.WatchInterrupted(0.0))
     rejected = part_of(host, host.query(0))
@@ -206,7 +206,7 @@
 
 def test_a_rejecting_replica_is_excluded_after_its_lease_and_tried_again_much_later() -> None:
     """Where all holders of a shard rejected parts, the retries went to those that drained."""
-    host = Host(BASE._replace(membership_polled=True), replicas=1, watch_terms=NODE_WATCH)
+    host = Host(BASE._replace(membership_polled=True), replicas=1, watch_options=NODE_WATCH)
     host.members(MembershipUpdateKind.DELTA)
     host.feed(api.WatchInterrupted(0.0))
     watch, known = host.module.membership.watch, host.module.membership.replicas[10]
@@ -227,7 +227,7 @@
 def test_a_replica_that_served_nothing_is_excluded_only_if_there_was_enough_traffic() -> None:
     """With little traffic a replica may not have been sent any part: whole shards were rejected."""
     for parts, excluded in ((2, False), (9, True)):
-        host = Host(BASE._replace(membership_polled=True), watch_terms=NODE_WATCH)
+        host = Host(BASE._replace(membership_polled=True), watch_options=NODE_WATCH)
         host.members(MembershipUpdateKind.DELTA)
         host.feed(api.WatchInterrupted(0.0))
         for _ in range(parts):
@@ -241,7 +241,7 @@
 
 def test_parts_are_sent_although_the_leases_of_all_holders_have_expired() -> None:
     """Discovery may be unavailable for long; a replica that is sent nothing cannot prove that it serves."""
-    host = Host(BASE._replace(membership_polled=True), watch_terms=NODE_WATCH)
+    host = Host(BASE._replace(membership_polled=True), watch_options=NODE_WATCH)
     host.members(MembershipUpdateKind.DELTA)
     host.feed(api.WatchInterrupted(0.0))
     host.wait(30.0)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -16,17 +16,17 @@
 from platform_fakes import (
     HEAD,
     NO_LENGTH,
-    PATIENCE,
     SETTINGS,
-    Calls,
+    WAIT_TIMEOUT_SECONDS,
     MembershipRecorder,
     Platform,
-    Recorded,
+    RecordedLog,
     Replica,
+    ScriptedDiscovery,
     chunk,
     host,
     line,
-    until,
+    wait_until,
 )
 
 from gingervane import interface as api
@@ -54,8 +54,8 @@
     """A watch without a node: its updates and log, and two fake discoveries, of which it calls the first."""
 
     def __init__(self, max_calls: int = 3) -> None:
-        self.updates, self.log = MembershipRecorder(), Recorded()
-        self.first_discovery, self.second_discovery = Calls(), Calls()
+        self.updates, self.log = MembershipRecorder(), RecordedLog()
+        self.first_discovery, self.second_discovery = ScriptedDiscovery(), ScriptedDiscovery()
         reader = EndpointListReader(("a",), ReplicaStartTimes(), self.log)
         self.watch = DiscoveryWatch(self.first_discovery.where, reader, self.updates, self.log, max_calls)
         self.watch.start()
@@ -136,7 +136,7 @@
     harness.first_discovery.sock(3).sendall(HEAD + chunk(line(2, entry("DRAINING"))))
     harness.updates.wait()
     assert harness.states() == ["DRAINING"]
-    until(lambda: len(harness.watch._calls) == 1, "both stalled calls have ended")
+    wait_until(lambda: len(harness.watch._calls) == 1, "both stalled calls have ended")
     assert harness.ends() == {"another call was answered": 2}
 
 
@@ -152,7 +152,7 @@
     harness.first_discovery.sock(2).sendall(HEAD + chunk(line(2, entry("DRAINING"))))
     harness.updates.wait(3)
     assert harness.states() == ["READY", "interrupted", "DRAINING"]
-    until(lambda: harness.ends() == {"another call was answered": 1}, "the stalled watch has ended")
+    wait_until(lambda: harness.ends() == {"another call was answered": 1}, "the stalled watch has ended")
 
 
 def test_a_stalled_watch_that_receives_data_again_stays_the_watch(harness: WatchHarness) -> None:
@@ -168,7 +168,7 @@
     first.sendall(chunk(line(2, entry("DRAINING"), whole=False)))
     harness.updates.wait(4)
     assert harness.states() == ["READY", "interrupted", "no change", "DRAINING"]
-    until(lambda: harness.ends() == {"another call was answered": 1}, "the parallel call has ended")
+    wait_until(lambda: harness.ends() == {"another call was answered": 1}, "the parallel call has ended")
 
 
 def test_the_oldest_call_is_never_superseded(harness: WatchHarness) -> None:
@@ -177,11 +177,11 @@
     for number in range(2, 8):
         harness.watch.request_watch()
         harness.first_discovery.sock(number)
-        until(lambda: len(harness.watch._calls) <= 3, "one call was superseded")
+        wait_until(lambda: len(harness.watch._calls) <= 3, "one call was superseded")
     first.sendall(HEAD + chunk(line(1, entry("DRAINING"))))
     harness.updates.wait()
     assert harness.states() == ["DRAINING"]
-    until(lambda: len(harness.watch._calls) == 1, "all other calls have ended")
+    wait_until(lambda: len(harness.watch._calls) == 1, "all other calls have ended")
     assert harness.ends() == {"gave way to a newer call": 4, "another call was answered": 2}
 
 
@@ -197,18 +197,18 @@
         update = read(self, data, *args, **kwargs)
         if data["seq"] == 5 and not read_started.is_set():
             read_started.set()
-            proceed.wait(PATIENCE)
+            proceed.wait(WAIT_TIMEOUT_SECONDS)
         return update
 
     EndpointListReader.read = delayed  # type: ignore[method-assign]
     try:
         second.sendall(HEAD + chunk(line(5, entry("DRAINING"))))
-        assert read_started.wait(PATIENCE)
+        assert read_started.wait(WAIT_TIMEOUT_SECONDS)
         first.sendall(HEAD + chunk(line(4, entry())))  # read after the newer list was reported
-        until(lambda: harness.watch._calls[0].progress.lines == 1, "the older answer waits to be read")
+        wait_until(lambda: harness.watch._calls[0].progress.lines == 1, "the older answer waits to be read")
         proceed.set()
         harness.updates.wait()
-        until(lambda: len(harness.watch._calls) == 1, "one of the calls has ended")
+        wait_until(lambda: len(harness.watch._calls) == 1, "one of the calls has ended")
     finally:
         EndpointListReader.read = read  # type: ignore[method-assign]
     assert "READY" not in harness.states() and harness.states()[0] == "DRAINING"
@@ -222,7 +222,7 @@
             harness.watch.request_watch()
     for number in (1, 2, 3):
         harness.first_discovery.sock(number).close()
-    until(lambda: not harness.watch._calls, "all calls have ended")
+    wait_until(lambda: not harness.watch._calls, "all calls have ended")
     assert harness.states() == ["failed"]
 
 
@@ -233,14 +233,14 @@
     mode: str,
 ) -> None:
     monkeypatch.setattr(discovery_call, "STALL_TIMEOUT", 0.3)
-    calls, draining, serving = Calls(), Replica(0), Replica(0)
+    calls, draining, serving = ScriptedDiscovery(), Replica(0), Replica(0)
     settings = SETTINGS | {"MembershipMode": mode}
     platform = Platform(tmp_path, draining, serving, settings=settings, where=calls.where)
     hosts = host(draining), host(serving)
     calls.sock(1).sendall(HEAD + chunk(line(1, *hosts)))  # and nothing more
     calls.sock(2).sendall(HEAD + chunk(line(2, host(draining, health="DRAINING"), whole=False)))
     assert "since=1" in calls.calls.items[1][1]
-    until(lambda: platform.node.watch._reader.version == 2, "the drain was received")
+    wait_until(lambda: platform.node.watch._reader.version == 2, "the drain was received")
     before = len(draining.parts.items)
     for number in range(10):
         assert platform.ask(f"q{number}", {0: 1.0})[0] == 200
@@ -266,7 +266,7 @@
 def test_a_reset_inside_a_list_without_length_is_a_failure(harness: WatchHarness) -> None:
     first = harness.first_discovery.sock(1)
     first.sendall(NO_LENGTH + line(1, entry("DRAINING"))[:-3])
-    until(lambda: harness.watch._calls[0]._sock is not None, "the call is under way")
+    wait_until(lambda: harness.watch._calls[0]._sock is not None, "the call is under way")
     first.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
     first.close()
     harness.updates.wait()
@@ -372,12 +372,12 @@
     def delayed(*args: Any) -> None:
         if not connect_started.is_set():
             connect_started.set()
-            proceed.wait(PATIENCE)
+            proceed.wait(WAIT_TIMEOUT_SECONDS)
         real_await_connection(*args)
 
     monkeypatch.setattr(discovery_call.DiscoveryCall, "_await_connection", delayed)
     harness = WatchHarness()
-    assert connect_started.wait(PATIENCE)
+    assert connect_started.wait(WAIT_TIMEOUT_SECONDS)
     harness.watch.change_address(harness.second_discovery.where)
     proceed.set()
     harness.second_discovery.sock(1).sendall(HEAD + chunk(line(1, entry())))
@@ -395,12 +395,12 @@
     def delayed(self: EndpointListReader, *args: Any, **kwargs: Any) -> t.EndpointsUpdated | None:
         if not read_started.is_set():
             read_started.set()
-            proceed.wait(PATIENCE)
+            proceed.wait(WAIT_TIMEOUT_SECONDS)
         return read(self, *args, **kwargs)
 
     monkeypatch.setattr(EndpointListReader, "read", delayed)
     harness.first_discovery.sock(1).sendall(HEAD + chunk(line(50, entry())))
-    assert read_started.wait(PATIENCE)
+    assert read_started.wait(WAIT_TIMEOUT_SECONDS)
     harness.watch.change_address(harness.second_discovery.where)
     proceed.set()
     harness.second_discovery.sock(1).sendall(HEAD + chunk(line(2, entry("DRAINING"))))
--- a/tests/test_endpoint_entries.py
+++ b/tests/test_endpoint_entries.py
@@ -6,7 +6,7 @@
 from node_tools import apply_discovery_change, assert_served
 from platform_fakes import (
     Platform,
-    Recorded,
+    RecordedLog,
     host,
 )
 
@@ -16,7 +16,7 @@
 
 
 def test_replica_ids_come_from_host_names_and_invalid_entries_are_skipped() -> None:
-    log = Recorded()
+    log = RecordedLog()
     good = {
         "host": "s-1",
         "dial": "127.0.0.1:80",
--- a/tests/test_first.py
+++ b/tests/test_first.py
@@ -7,20 +7,20 @@
 import numpy as np
 import pytest
 
-from gingervane.experiments.embedded import Embedded
+from gingervane.experiments.embedded import EmbeddedFleet
 from gingervane.fake_servers import data
 from gingervane.fronts.client import Client
 from gingervane.wire.remote_read import Match, Matcher, Query
 
 
 @pytest.fixture(scope="module")
-def fleet() -> Iterator[Embedded]:
-    embedded = Embedded()
+def fleet() -> Iterator[EmbeddedFleet]:
+    embedded = EmbeddedFleet()
     yield embedded
     embedded.close()
 
 
-def test_answers_equal_recomputed_data(fleet: Embedded) -> None:
+def test_answers_equal_recomputed_data(fleet: EmbeddedFleet) -> None:
     client = Client(fleet.address)
     end = 1_764_600_000_000
     queries = [
--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -18,7 +18,7 @@
 
 from gingervane import interface as api
 from gingervane.decisions import engine
-from gingervane.experiments.embedded import Embedded, config_table
+from gingervane.experiments.embedded import EmbeddedFleet, config_table
 from gingervane.experiments.toml_text import toml
 from gingervane.fake_servers import data
 from gingervane.fake_servers.capacity import Model
@@ -29,32 +29,32 @@
 
 END = 1_764_600_000_000
 ALL = Query(END - 600_000, END, (Matcher(Match.EQUAL, "__name__", "wind_speed"),))
-PATIENCE = 30.0
+WAIT_TIMEOUT_SECONDS = 30.0
 
 
-def eventually(condition: Callable[[], bool]) -> None:
-    deadline = time.monotonic() + PATIENCE
+def wait_until(condition: Callable[[], bool]) -> None:
+    deadline = time.monotonic() + WAIT_TIMEOUT_SECONDS
     while not condition():
         assert time.monotonic() < deadline, "condition not met within the timeout"
         time.sleep(0.005)
 
 
 @pytest.fixture
-def fleet() -> Iterator[Embedded]:
-    embedded = Embedded()
+def fleet() -> Iterator[EmbeddedFleet]:
+    embedded = EmbeddedFleet()
     yield embedded
     embedded.close()
 
 
-def ask(fleet: Embedded, query: Query = ALL, query_class: str = "point-lookup", **params: str) -> Answer:
+def ask(fleet: EmbeddedFleet, query: Query = ALL, query_class: str = "point-lookup", **params: str) -> Answer:
     client = Client(fleet.address)
     try:
-        return client.read([query], {"path": "1", "class": query_class, **params}, PATIENCE)
+        return client.read([query], {"path": "1", "class": query_class, **params}, WAIT_TIMEOUT_SECONDS)
     finally:
         client.close()
 
 
-def is_right(answer: Answer, tiles: Sequence[str], query: Query = ALL) -> bool:
+def has_expected_series(answer: Answer, tiles: Sequence[str], query: Query = ALL) -> bool:
     expected = sorted((s for tile in tiles for s in data.answer(tile, query)), key=lambda s: s.labels)
     got = (answer.results or [[]])[0]
     return [s.labels for s in got] == [s.labels for s in expected] and all(
@@ -67,9 +67,9 @@
     return [step.split("/") for step in answer.headers.get("gingervane-path").split(",")]
 
 
-def told_away(fleet: Embedded, number: int) -> bool:
+def is_known_not_ready(fleet: EmbeddedFleet, number: int) -> bool:
     """Return whether the decision engine itself knows that a replica is not ready."""
-    module: Any = fleet.app.core._driver._module
+    module: Any = fleet.app.core._driver._engine
     return number in module.membership.replicas and not module.membership.replicas[number].ready
 
 
@@ -88,7 +88,7 @@
 
 
 @pytest.mark.parametrize("kind", WRONG)
-def test_one_replica_of_three_misbehaves(fleet: Embedded, kind: str) -> None:
+def test_one_replica_of_three_misbehaves(fleet: EmbeddedFleet, kind: str) -> None:
     for _ in range(4):  # the hedging delay is learned from these
         assert ask(fleet).status == 200
     for node in (0, 3):  # no tile is on both
@@ -96,44 +96,44 @@
     for _ in range(3):
         answer = ask(fleet)
         assert answer.status == 200 and answer.headers.get("gingervane-coverage") == "1"
-        assert is_right(answer, fleet.grid.tiles)
+        assert has_expected_series(answer, fleet.grid.tiles)
     assert all(step[3] != "ok" for step in attempt_path(answer) if step[2] in ("0", "3"))
 
 
-def test_the_deadline_passes_during_a_retry(fleet: Embedded) -> None:
+def test_the_deadline_passes_during_a_retry(fleet: EmbeddedFleet) -> None:
     for node in fleet.grid.nodes:  # the first attempts fail, the retries get no answer
         node.fault("fail_fast", 0.2, 1.0)
         node.fault("hang", 60.0, 1.0, delay=0.2)
     answer = ask(fleet, timeout="700ms")
     assert answer.status in (502, 503)
-    eventually(lambda: fleet.app.core.admission.open == 0 and fleet.app.core.requests_in_flight == 0)
+    wait_until(lambda: fleet.app.core.admission.open == 0 and fleet.app.core.requests_in_flight == 0)
 
 
-def test_all_replicas_of_a_shard_are_gone(fleet: Embedded) -> None:
+def test_all_replicas_of_a_shard_are_gone(fleet: EmbeddedFleet) -> None:
     fleet.write_list({n: "gone" for n in (0, 1, 2)})  # all replicas of t000 and t006
     lost = Query(END - 60_000, END, (Matcher(Match.EQUAL, "tile", "t000"),))
-    eventually(lambda: ask(fleet, lost).status == 503)
+    wait_until(lambda: ask(fleet, lost).status == 503)
     whole = ask(fleet)
     assert whole.status == 503 and int(whole.headers.get("retry-after")) >= 1
     assert ask(fleet, query_class="area-report").status == 503, "no partial answer unless requested"
     short = ask(fleet, query_class="area-report", partial_response="true")
     assert short.status == 200 and short.headers.get("gingervane-missing") == "t000,t006"
     assert float(short.headers.get("gingervane-coverage")) == pytest.approx(10 / 12, abs=1e-5)
-    assert is_right(short, [t for t in fleet.grid.tiles if t not in ("t000", "t006")])
+    assert has_expected_series(short, [t for t in fleet.grid.tiles if t not in ("t000", "t006")])
     fleet.write_list()
-    eventually(lambda: ask(fleet).status == 200)
+    wait_until(lambda: ask(fleet).status == 200)
 
 
-def test_an_empty_list_file_has_no_effect(fleet: Embedded) -> None:
+def test_an_empty_list_file_has_no_effect(fleet: EmbeddedFleet) -> None:
     fleet.list_file.write_text("")
     time.sleep(0.2)  # there is no event to wait for: the empty list must have no effect
     assert ask(fleet).status == 200
 
 
-def test_a_drained_replica_gets_no_new_attempts(fleet: Embedded) -> None:
+def test_a_drained_replica_gets_no_new_attempts(fleet: EmbeddedFleet) -> None:
     assert ask(fleet).status == 200
     fleet.write_list({4: "draining"})
-    eventually(lambda: told_away(fleet, 4))
+    wait_until(lambda: is_known_not_ready(fleet, 4))
     served = fleet.grid.nodes[4].served
     for _ in range(20):
         assert ask(fleet).status == 200
@@ -142,7 +142,7 @@
 
 @pytest.mark.parametrize("semantics,status", [("unsafe-read", 502), ("point-lookup", 200)])
 def test_reset_after_the_request_was_written(tmp_path: Path, semantics: str, status: int) -> None:
-    fleet = Embedded(nodes=3, tiles=1)
+    fleet = EmbeddedFleet(nodes=3, tiles=1)
     records = [Recorder(tmp_path / f"{n.id}.jsonl") for n in fleet.grid.nodes]
     for node, record in zip(fleet.grid.nodes, records, strict=True):
         node._recorder = record
@@ -173,7 +173,7 @@
 
 
 def test_a_pause_of_the_decision_thread_ejects_no_replica(
-    fleet: Embedded, monkeypatch: pytest.MonkeyPatch
+    fleet: EmbeddedFleet, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A pause of 1 s in the decision thread is not taken for replicas that do not answer."""
     for _ in range(5):
@@ -196,7 +196,7 @@
 
 def test_two_hundred_clients_disconnect_at_once() -> None:
     slow = Model(cores=2, work=30.0, queue=10_000)
-    fleet = Embedded(
+    fleet = EmbeddedFleet(
         model=slow,
         overrides={
             "limits": {"open": 10_000, "senders": 600, "calls_per_replica": 600},
@@ -208,26 +208,26 @@
         clients = [socket.create_connection(fleet.address) for _ in range(200)]
         for client in clients:
             client.sendall(request)
-        eventually(lambda: fleet.app.core.admission.open == 200 * 13)
+        wait_until(lambda: fleet.app.core.admission.open == 200 * 13)
         for client in clients:
             client.close()
-        eventually(lambda: fleet.app.core.admission.open == 0)
-        eventually(lambda: fleet.app.core.requests_in_flight == 0)
-        eventually(lambda: all(sum(n._capacity.free) < time.monotonic() * 2 + 1 for n in fleet.grid.nodes))
+        wait_until(lambda: fleet.app.core.admission.open == 0)
+        wait_until(lambda: fleet.app.core.requests_in_flight == 0)
+        wait_until(lambda: all(sum(n._capacity.free) < time.monotonic() * 2 + 1 for n in fleet.grid.nodes))
     finally:
         fleet.close()
 
 
 def test_requests_over_a_limit_are_refused() -> None:
     bounds = {"limits": {"open": 13}, "listen": {"max_connections": 3}}
-    fleet = Embedded(model=Model(work=1.0), overrides=bounds)
+    fleet = EmbeddedFleet(model=Model(work=1.0), overrides=bounds)
     try:
         blocker = socket.create_connection(fleet.address)
         blocker.sendall(Client(fleet.address).request([ALL], {}))
-        eventually(lambda: fleet.app.core.admission.open == 13)
+        wait_until(lambda: fleet.app.core.admission.open == 13)
         refused = ask(fleet)
         assert refused.status == 503 and b"are open" in refused.body and refused.headers.get("retry-after")
-        eventually(lambda: fleet.app._server.connections == 1)  # the connection of `ask` has closed
+        wait_until(lambda: fleet.app._server.connections == 1)  # the connection of `ask` has closed
         others = [socket.create_connection(fleet.address) for _ in range(3)]
         reply = http1.Reader(others[-1].recv, http1.Limits()).response()
         assert reply.status == 503 and not reply.keep_alive
@@ -237,10 +237,10 @@
         fleet.close()
 
 
-def send_raw(fleet: Embedded, sent: bytes) -> tuple[int, bytes, bool]:
+def send_raw(fleet: EmbeddedFleet, sent: bytes) -> tuple[int, bytes, bool]:
     """Send bytes; return status and body of the reply, and whether the connection stays usable."""
     with socket.create_connection(fleet.address) as sock:
-        sock.settimeout(PATIENCE)
+        sock.settimeout(WAIT_TIMEOUT_SECONDS)
         sock.sendall(sent)
         reader = http1.Reader(sock.recv, http1.Limits())
         reply = reader.response()
@@ -303,17 +303,17 @@
 }
 
 
-def test_malformed_input_gets_one_clear_error(fleet: Embedded) -> None:
+def test_malformed_input_gets_one_clear_error(fleet: EmbeddedFleet) -> None:
     for name, (sent, status, message, stays_open) in MALFORMED.items():
         got = send_raw(fleet, sent)
         assert (got[0], got[2]) == (status, stays_open), (name, got)
         assert message in got[1].decode(), (name, got)
 
 
-def test_pipelined_and_expected_requests(fleet: Embedded) -> None:
+def test_pipelined_and_expected_requests(fleet: EmbeddedFleet) -> None:
     request = Client(fleet.address).request([ALL], {})
     with socket.create_connection(fleet.address) as sock:
-        sock.settimeout(PATIENCE)
+        sock.settimeout(WAIT_TIMEOUT_SECONDS)
         sock.sendall(request * 3 + b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
         reader = http1.Reader(sock.recv, http1.Limits(1 << 14, 1 << 26))
         bodies = []
@@ -330,19 +330,21 @@
 
 
 def test_slow_clients_are_timed_out() -> None:
-    fleet = Embedded(overrides={"listen": {"head_timeout": 0.2, "body_timeout": 0.2, "idle_timeout": 0.2}})
+    fleet = EmbeddedFleet(
+        overrides={"listen": {"head_timeout": 0.2, "body_timeout": 0.2, "idle_timeout": 0.2}}
+    )
     try:
         assert send_raw(fleet, b"GET / HT")[0] == 408
         status, body, stays_open = send_raw(fleet, post(b"").replace(b"Length: 0", b"Length: 9") + b"ab")
         assert (status, stays_open) == (408, False) and b"request body" in body
         with socket.create_connection(fleet.address) as sock:
-            sock.settimeout(PATIENCE)
+            sock.settimeout(WAIT_TIMEOUT_SECONDS)
             assert sock.recv(1) == b""
     finally:
         fleet.close()
 
 
-def test_metrics_count_answers(fleet: Embedded) -> None:
+def test_metrics_count_answers(fleet: EmbeddedFleet) -> None:
     assert ask(fleet).status == 200
     text = send_raw(fleet, b"GET /metrics HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")[1].decode()
     assert 'gingervane_answers_total{verdict="whole"} 1.0' in text
@@ -351,7 +353,7 @@
 
 @pytest.mark.parametrize("grace,statuses", [(30.0, {200}), (0.2, {503})])
 def test_sigterm_answers_or_refuses_open_queries(tmp_path: Path, grace: float, statuses: set[int]) -> None:
-    fleet = Embedded(nodes=3, tiles=3, model=Model(work=1.5))
+    fleet = EmbeddedFleet(nodes=3, tiles=3, model=Model(work=1.5))
     try:
         table: dict[str, Any] = config_table(fleet.grid, fleet.list_file, "hall-a")
         table["shutdown"] = {"grace": grace}
@@ -364,11 +366,13 @@
         host, _, port = child.stdout.readline().removeprefix("listening on ").strip().rpartition(":")
         client = Client((host, int(port)))
         got: list[int] = []
-        thread = threading.Thread(target=lambda: got.append(client.read([ALL], {}, PATIENCE).status))
+        thread = threading.Thread(
+            target=lambda: got.append(client.read([ALL], {}, WAIT_TIMEOUT_SECONDS).status)
+        )
         thread.start()
-        eventually(lambda: any(sum(n._capacity.free) for n in fleet.grid.nodes))
+        wait_until(lambda: any(sum(n._capacity.free) for n in fleet.grid.nodes))
         child.send_signal(signal.SIGTERM)
-        thread.join(PATIENCE)
-        assert set(got) == statuses and child.wait(PATIENCE) == 0
+        thread.join(WAIT_TIMEOUT_SECONDS)
+        assert set(got) == statuses and child.wait(WAIT_TIMEOUT_SECONDS) == 0
     finally:
         fleet.close()
--- a/tests/test_incident_late_drains.py
+++ b/tests/test_incident_late_drains.py
@@ -20,7 +20,7 @@
 from __future__ import annotations
 
 from faults.discovery_faults import DiscoveryFaults
-from faults.judge import GRACE, TOLD_WITHIN
+from faults.judge import DRAIN_GRACE_SECONDS, NOTIFIED_WITHIN_SECONDS
 from faults.ledger import Ledger
 from faults.plans import ClassPlan, Plan, ProxyFaults, ReplicaFaults
 from faults.rig import play
@@ -28,9 +28,11 @@
 # Times are in seconds from the start of the clients' traffic.
 BREAK = 0.3  # all watches end
 DRAIN = 0.5  # a replica begins to drain
-LIMIT = BREAK + TOLD_WITHIN  # a node counts as notified of any change after its last update from discovery
+LIMIT = (
+    BREAK + NOTIFIED_WITHIN_SECONDS
+)  # a node counts as notified of any change after its last update from discovery
 LATE_OPENING = (LIMIT - 1.4, LIMIT - 0.6)  # span in which discovery accepts calls again
-END = DRAIN + TOLD_WITHIN + GRACE + 6.0
+END = DRAIN + NOTIFIED_WITHIN_SECONDS + DRAIN_GRACE_SECONDS + 6.0
 NODES = 3
 DRAINED = 0  # index of the draining replica
 OVERLOAD_DELAY = 0.5  # seconds by which a part may be late on a machine without enough free processors
@@ -81,5 +83,5 @@
     drained_at = ledger.endpoint_changes[0].at
     late = [part.at - drained_at for part in ledger.parts if part.replica == DRAINED]
     assert (
-        max(late) < TOLD_WITHIN + GRACE + OVERLOAD_DELAY
+        max(late) < NOTIFIED_WITHIN_SECONDS + DRAIN_GRACE_SECONDS + OVERLOAD_DELAY
     ), "parts were sent to the drained replica for too long"
--- a/tests/test_incident_partial.py
+++ b/tests/test_incident_partial.py
@@ -21,8 +21,8 @@
 from faults.rig import play
 from hosts import BASE, query_class, replica
 from platform_fakes import (
-    PATIENCE,
     SETTINGS,
+    WAIT_TIMEOUT_SECONDS,
     Discovery,
     Part,
     Replica,
@@ -142,7 +142,7 @@
     name: str,
 ) -> list[tuple[str, int, object]]:
     """Run one round; return the answers that do not consist of the two pieces of the second step."""
-    socks = [socket.create_connection(where, PATIENCE) for _ in range(QUERIES)]
+    socks = [socket.create_connection(where, WAIT_TIMEOUT_SECONDS) for _ in range(QUERIES)]
     for number, sock in enumerate(socks):
         sock.sendall(query(f"{name}-{number}", dict.fromkeys(range(4), 0.25), "/look", 3000))
     sent = time.monotonic()
@@ -169,7 +169,7 @@
 
 
 def _wait_for(replicas: list[DelayingReplica], part: str) -> None:
-    deadline = time.monotonic() + PATIENCE
+    deadline = time.monotonic() + WAIT_TIMEOUT_SECONDS
     while not any(received.id == part for source in replicas for received in list(source.parts.items)):
         assert time.monotonic() < deadline, f"{part} was not received by any replica"
         time.sleep(0.002)
--- a/tests/test_json_values.py
+++ b/tests/test_json_values.py
@@ -9,7 +9,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from platform_fakes import Discovery, MembershipRecorder, Recorded
+from platform_fakes import Discovery, MembershipRecorder, RecordedLog
 
 from gingervane.coordinator import types as t
 from gingervane.coordinator.replica_start_times import ReplicaStartTimes
@@ -50,7 +50,7 @@
     """A watch of discovery at `address`, with the updates that it reports and its log."""
 
     def __init__(self, address: str) -> None:
-        self.updates, self.log = MembershipRecorder(), Recorded()
+        self.updates, self.log = MembershipRecorder(), RecordedLog()
         reader = EndpointListReader(("a",), ReplicaStartTimes(), self.log)
         self.watch = DiscoveryWatch(parse_address(address, "discovery"), reader, self.updates, self.log)
         self.watch.start()
--- a/tests/test_membership_vouching.py
+++ b/tests/test_membership_vouching.py
@@ -22,7 +22,7 @@
 from pathlib import Path
 
 import pytest
-from test_consul import ConsulHarness, eventually
+from test_consul import ConsulHarness, wait_until
 from test_membership import DRAINING, GONE, GUARD, READY, consul, member, ready
 
 from gingervane.fake_servers.consul import Agent
@@ -154,7 +154,7 @@
 def harness(tmp_path: Path) -> Iterator[ConfirmingHarness]:
     made = ConfirmingHarness(tmp_path)
     assert made.start()
-    eventually(lambda: len(made.states()) == 6)
+    wait_until(lambda: len(made.states()) == 6)
     yield made
     made.close()
 
@@ -164,7 +164,7 @@
     stale_agent, other = harness.agents
     stale_agent.set_fault(fault)
     harness.register(1, drain="true")
-    eventually(lambda: harness.states()[1] is DRAINING)
+    wait_until(lambda: harness.states()[1] is DRAINING)
     other.set_fault("hang")
     assert harness.restart()
     return stale_agent
@@ -176,17 +176,17 @@
     stale_agent = stale_agent_alone(harness, fault)
     calls = stale_agent.calls
     # A blocking query takes 0.5 s; the reset delay is 0.6 s.
-    eventually(lambda: stale_agent.calls > calls + 14)
+    wait_until(lambda: stale_agent.calls > calls + 14)
     assert harness.states()[1] is DRAINING
     assert any("not confirmed by the leader" in line for line in harness.warnings) == (fault == "stale")
     stale_agent.set_fault("")
     harness.register(1)
-    eventually(lambda: harness.states()[1] is READY)
+    wait_until(lambda: harness.states()[1] is READY)
 
 
 def test_a_catalogue_restored_while_this_process_was_down_is_accepted(harness: ConfirmingHarness) -> None:
     harness.register(1, drain="true")
-    eventually(lambda: harness.states()[1] is DRAINING)
+    wait_until(lambda: harness.states()[1] is DRAINING)
     harness.stop()
     harness.updates.clear()
     harness.register(1)
@@ -194,4 +194,4 @@
     harness.agents[1].set_fault("hang")
     harness.sources, harness.watchers = harness.make_sources()
     assert harness.start(0.2)
-    eventually(lambda: harness.states()[1] is READY)
+    wait_until(lambda: harness.states()[1] is READY)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -12,7 +12,7 @@
 
 from node_tools import assert_served, platform_with_first_attempt
 from platform_fakes import (
-    PATIENCE,
+    WAIT_TIMEOUT_SECONDS,
     Discovery,
     Part,
     Platform,
@@ -186,7 +186,7 @@
 
     def slow(wire: Wire, part: Part) -> None:
         def answer_later() -> None:
-            proceed.wait(PATIENCE)
+            proceed.wait(WAIT_TIMEOUT_SECONDS)
             wire.answer(part.id)
 
         threading.Thread(target=answer_later, daemon=True).start()
@@ -199,7 +199,7 @@
     program = start_node(platform.path)
     assert program.stderr is not None
     read_until(program.stderr, "listening")
-    with socket.create_connection(("127.0.0.1", port), PATIENCE) as sock:
+    with socket.create_connection(("127.0.0.1", port), WAIT_TIMEOUT_SECONDS) as sock:
         program.send_signal(signal.SIGHUP)
         read_until(program.stderr, "configuration_reloaded")
         sock.sendall(query("q", {0: 1.0}))
@@ -210,7 +210,7 @@
         assert_served(reply(sock), "q", 0)
         sock.sendall(query("r", {0: 1.0}))  # open connections are served during the graceful shutdown
         assert_served(reply(sock), "r", 0)
-    assert program.wait(PATIENCE) == 0
+    assert program.wait(WAIT_TIMEOUT_SECONDS) == 0
     program.stderr.close()
     platform.close()
     reserved.close()
--- a/tests/test_pinned_forms.py
+++ b/tests/test_pinned_forms.py
@@ -20,7 +20,7 @@
 
 import click
 import pytest
-from platform_fakes import PATIENCE, ROOT
+from platform_fakes import ROOT, WAIT_TIMEOUT_SECONDS
 
 from gingervane import startup
 from gingervane.cli.main import main
@@ -749,10 +749,10 @@
     assert listening
     client = Client(("127.0.0.1", int(listening[1])))
     query = Query(0, 60_000, (Matcher(Match.EQUAL, "tile", "t000"),))
-    assert client.read([query], {}, PATIENCE).status == 200
+    assert client.read([query], {}, WAIT_TIMEOUT_SECONDS).status == 200
     client.close()
     program.send_signal(signal.SIGTERM)
-    assert program.wait(PATIENCE) == 0
+    assert program.wait(WAIT_TIMEOUT_SECONDS) == 0
     program.stdout.close()
     grid.stop()
     recorder.close()
--- a/tests/test_pinned_wire.py
+++ b/tests/test_pinned_wire.py
@@ -21,13 +21,13 @@
 import pytest
 from decision_helpers import part_of
 from hosts import BASE, Host
-from platform_fakes import PATIENCE, Platform, Replica, Waiter
+from platform_fakes import WAIT_TIMEOUT_SECONDS, Platform, Replica, Waiter
 from prometheus_client.parser import text_string_to_metric_families
 
 from gingervane import benchlink
 from gingervane import interface as api
 from gingervane.coordinator.types import InvalidReply
-from gingervane.experiments.embedded import Embedded
+from gingervane.experiments.embedded import EmbeddedFleet
 from gingervane.fake_servers.vectors import VectorGrid
 from gingervane.fronts import subtree_codec
 from gingervane.fronts.http_server import Exchange, HttpServer, Reply, ServerLimits, plain
@@ -571,8 +571,8 @@
     body: bytes
 
 
-def ask(fleet: Embedded, method: str, target: str, body: bytes = b"", **fields: str) -> Answered:
-    connection = http.client.HTTPConnection(*fleet.address, timeout=PATIENCE)
+def ask(fleet: EmbeddedFleet, method: str, target: str, body: bytes = b"", **fields: str) -> Answered:
+    connection = http.client.HTTPConnection(*fleet.address, timeout=WAIT_TIMEOUT_SECONDS)
     connection.request(method, target, body, {key.replace("_", "-"): value for key, value in fields.items()})
     reply = connection.getresponse()
     data, reply_fields = reply.read(), reply.getheaders()
@@ -604,9 +604,9 @@
 
 
 @pytest.fixture(scope="module")
-def fleet() -> Iterator[Embedded]:
+def fleet() -> Iterator[EmbeddedFleet]:
     """Both fronts in one daemon."""
-    embedded = Embedded(vectors=VectorGrid(6, (COSINE,)))
+    embedded = EmbeddedFleet(vectors=VectorGrid(6, (COSINE,)))
     yield embedded
     embedded.close()
 
@@ -620,11 +620,11 @@
         ("GET", READ, Answered(405, [TEXT, ("Allow", "POST")], b"/api/v1/read: only POST is spoken here\n")),
     ],
 )
-def test_the_daemon_s_own_pages(fleet: Embedded, method: str, target: str, reply: Answered) -> None:
+def test_the_daemon_s_own_pages(fleet: EmbeddedFleet, method: str, target: str, reply: Answered) -> None:
     assert ask(fleet, method, target) == reply
 
 
-def test_an_answer_of_remote_read(fleet: Embedded) -> None:
+def test_an_answer_of_remote_read(fleet: EmbeddedFleet) -> None:
     whole = ask(fleet, "POST", READ, BODY)
     assert whole[:2] == (200, [*PROTOBUF, ("Gingervane-Coverage", "1")])
     more = "?class=area-report&timeout=3s&partial_response=true&path=true"
@@ -635,7 +635,7 @@
     assert all(re.fullmatch(r"t00[012]/[0-9]/[0-9]+/[a-z ]+/[0-9]+\.[0-9]", word) for word in path.split(","))
 
 
-def test_an_answer_to_a_parent(fleet: Embedded) -> None:
+def test_an_answer_to_a_parent(fleet: EmbeddedFleet) -> None:
     orders = {"Gingervane_Levels": "0", "Gingervane_Attempts": "2", "Gingervane_Trail": "c0"}
     status, fields, _ = ask(fleet, "POST", READ, BODY, **orders)
     assert status == 200 and fields[:5] == [
@@ -679,20 +679,20 @@
     ],
 )
 def test_errors_of_remote_read(
-    fleet: Embedded, target: str, fields: dict[str, str], status: int, place: str
+    fleet: EmbeddedFleet, target: str, fields: dict[str, str], status: int, place: str
 ) -> None:
     reply = ask(fleet, "POST", READ + target, BODY, **fields)
     assert reply[:2] == (status, [TEXT]) and reply.body.decode().startswith(place)
 
 
-def test_bodies_that_remote_read_cannot_take(fleet: Embedded) -> None:
+def test_bodies_that_remote_read_cannot_take(fleet: EmbeddedFleet) -> None:
     assert ask(fleet, "POST", READ, b"\x05junk!").body.startswith(b"body: snappy: ")
     found = ask(fleet, "POST", READ, snappy.compress(b"\x12\x01\x01"))
     assert found[:2] == (406, [TEXT]) and found.body.startswith(b"accepted_response_types: ")
 
 
 def test_a_refusal_and_a_failure_of_remote_read() -> None:
-    embedded = Embedded(overrides={"limits": {"open": 1}})
+    embedded = EmbeddedFleet(overrides={"limits": {"open": 1}})
     status, fields, body = ask(embedded, "POST", READ, BODY)
     assert (status, fields) == (
         503,
@@ -700,7 +700,7 @@
     )
     assert body.startswith(b"refused: ")
     embedded.close()
-    embedded = Embedded()
+    embedded = EmbeddedFleet()
     for node in embedded.grid.nodes:
         node.fault("fail_fast", 600.0, 1.0)
     status, fields, body = ask(embedded, "POST", READ, BODY)
@@ -717,7 +717,7 @@
 
 def test_a_cycle_of_co_ordinators() -> None:
     tree = {"ring": 2, "fan_out": 4, "levels": 1}
-    embedded = Embedded(coordinators=2, tree=tree)
+    embedded = EmbeddedFleet(coordinators=2, tree=tree)
     headers = {"Gingervane_Levels": "0", "Gingervane_Attempts": "1", "Gingervane_Trail": "c1,c0"}
     status, fields, _ = ask(embedded, "POST", READ, BODY, **headers)
     assert (status, fields) == (508, [TEXT, ("Gingervane-Began", "no")])
@@ -740,7 +740,7 @@
     return json.dumps({"points": [{"id": 1, "vector": [1, 0, 0, 0], "payload": payload}]}).encode()
 
 
-def test_a_collection_described(fleet: Embedded) -> None:
+def test_a_collection_described(fleet: EmbeddedFleet) -> None:
     status, fields, body = ask(fleet, "GET", COLLECTION)
     assert (status, fields) == (200, [JSON]) and json.loads(TIME.sub(b"", body)) == {
         "result": {
@@ -781,14 +781,14 @@
 
 
 @pytest.mark.parametrize(("method", "target", "body"), WRITES)
-def test_an_answer_to_a_write(fleet: Embedded, method: str, target: str, body: bytes) -> None:
+def test_an_answer_to_a_write(fleet: EmbeddedFleet, method: str, target: str, body: bytes) -> None:
     status, fields, found = ask(fleet, method, COLLECTION + target, body)
     assert status == 200 and without_timings_and_versions(found) == DONE
     (kind, (name, share)) = fields
     assert kind == JSON and name == "Gingervane-Holders-Done" and share in ("0.667", "1.000")
 
 
-def test_answers_to_a_key_that_is_used_again(fleet: Embedded) -> None:
+def test_answers_to_a_key_that_is_used_again(fleet: EmbeddedFleet) -> None:
     first = ask(fleet, "PUT", COLLECTION + "/points", point(a=1), Idempotency_Key="again")
     again = ask(fleet, "PUT", COLLECTION + "/points", point(a=1), Idempotency_Key="again")
     assert again.fields == [*first.fields, ("Gingervane-Repeat", "yes")]
@@ -807,7 +807,7 @@
         ("query/batch", b'{"searches":[{"query":[1,0,0,0],"limit":1}]}', '[{"points":[%s}]}]'),
     ],
 )
-def test_an_answer_to_a_search(fleet: Embedded, target: str, body: bytes, result: str) -> None:
+def test_an_answer_to_a_search(fleet: EmbeddedFleet, target: str, body: bytes, result: str) -> None:
     assert ask(fleet, "PUT", COLLECTION + "/points", point(a=1)).status == 200
     for _ in range(1000):  # a replica may lack the write, and its shard is then reported as stale
         status, fields, found = ask(fleet, "POST", f"{COLLECTION}/points/{target}", body)
@@ -849,7 +849,7 @@
     ],
 )
 def test_errors_of_the_vector_front(
-    fleet: Embedded, method: str, target: str, body: bytes, status: int, error: str
+    fleet: EmbeddedFleet, method: str, target: str, body: bytes, status: int, error: str
 ) -> None:
     reply = ask(fleet, method, target, body)
     assert reply[:2] == (status, [JSON])
@@ -885,7 +885,7 @@
     fault: str, target: str, status: int, fields: list[str], error: str
 ) -> None:
     grid = VectorGrid(6, (COSINE,))
-    embedded = Embedded(vectors=grid)
+    embedded = EmbeddedFleet(vectors=grid)
     for node in grid.nodes:
         node.fault(fault, 600.0, 1.0)
     method, _, path = target.partition(" ")
@@ -968,7 +968,7 @@
 
 def test_metrics_and_their_labels() -> None:
     """Two co-ordinators in a tree, with both fronts, after a wide query, a search and a write."""
-    embedded = Embedded(
+    embedded = EmbeddedFleet(
         vectors=VectorGrid(6, (COSINE,)), coordinators=2, tree={"ring": 2, "fan_out": 2, "levels": 1}
     )
     pause = threading.Event()
@@ -976,7 +976,7 @@
         1_764_600_000_000, 1_764_600_060_000, (Matcher(Match.EQUAL, "__name__", "wind_speed"),)
     )
     body = snappy.compress(remote_read.write_request([remote_read.write_query(wide_query)]))
-    deadline = time.monotonic() + PATIENCE
+    deadline = time.monotonic() + WAIT_TIMEOUT_SECONDS
     while b"gingervane_children_listed 1.0" not in ask(embedded, "GET", "/metrics").body:
         assert time.monotonic() < deadline
         pause.wait(0.01)
@@ -1079,7 +1079,7 @@
     server.start()
     (tmp_path / "token").write_text("secret\n")
     pool = Pool(Limits(), 1, 5.0)
-    get(pool, server.address, "/x", tmp_path / "token", time.monotonic() + PATIENCE)
+    get(pool, server.address, "/x", tmp_path / "token", time.monotonic() + WAIT_TIMEOUT_SECONDS)
     pool.close()
     server.stop(0.0)
     assert received_headers == [[("accept", "application/json"), ("x-consul-token", "secret")]]
--- a/tests/test_replica_connections.py
+++ b/tests/test_replica_connections.py
@@ -174,6 +174,6 @@
         assert_served(platform.ask(f"r{number}", {0: 1.0}), f"r{number}", 0)
     driver = platform.node.core._driver
     assert len(driver._addresses) == 2 and not driver._open.parts and not driver._open.queries
-    module = driver._module
+    module = driver._engine
     assert len(module.membership.replicas) == 2  # type: ignore[attr-defined]
     assert not module.completion.queries  # type: ignore[attr-defined]
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 
 import pytest
-from test_consul import eventually
+from test_consul import wait_until
 from test_membership import member
 
 from gingervane import interface as api
@@ -335,9 +335,9 @@
     sources = EndpointSources(("consul",), MassRemovalGuard(), updates.append, warnings.append, snapshot)
     sources.report("consul", members(), 0.0, 5)
     assert sources.start(30.0)
-    eventually(lambda: any("No space left" in text for text in warnings))
+    wait_until(lambda: any("No space left" in text for text in warnings))
     sources.report("consul", members()[:2], 0.0, 6)
-    eventually(lambda: len(updates) == 2)
+    wait_until(lambda: len(updates) == 2)
     sources.stop()
 
 
@@ -353,9 +353,9 @@
     sources = EndpointSources(("consul",), MassRemovalGuard(), updates.append, lambda text: None, snapshot)
     sources.report("consul", (member(1), member(2)), 0.0, 5)
     assert sources.start(30.0)
-    eventually(lambda: (tmp_path / "kept.part").exists())
+    wait_until(lambda: (tmp_path / "kept.part").exists())
     sources.report("consul", (member(1), member(2, api.ReplicaState.DRAINING)), 0.0, 6)
-    eventually(lambda: len(updates) == 2)
+    wait_until(lambda: len(updates) == 2)
     assert not (tmp_path / "kept").exists()
     release.set()
     sources.stop()
@@ -365,14 +365,14 @@
 
 
 def test_a_start_without_its_list_file_uses_the_snapshot(tmp_path: Path) -> None:
-    from gingervane.experiments.embedded import Embedded
+    from gingervane.experiments.embedded import EmbeddedFleet
 
     snapshot_path = str(tmp_path / "kept")
-    first = Embedded(overrides={"membership": {"kept": snapshot_path}})
+    first = EmbeddedFleet(overrides={"membership": {"kept": snapshot_path}})
     first.write_list({2: "draining"})
     nodes = first.app.membership.nodes
     try:
-        eventually(lambda: nodes.members[2].state is api.ReplicaState.DRAINING)
+        wait_until(lambda: nodes.members[2].state is api.ReplicaState.DRAINING)
         first.app.stop()
         first.stopped.add(0)
         first.list_file.unlink()
@@ -384,7 +384,7 @@
             states = {n: m.state for n, m in second.membership.nodes.members.items()}
             assert states == {n: api.ReplicaState("draining" if n == 2 else "ready") for n in range(6)}
             first.write_list()  # restores the list file
-            eventually(lambda: second.membership.nodes.members[2].state is api.ReplicaState.READY)
+            wait_until(lambda: second.membership.nodes.members[2].state is api.ReplicaState.READY)
         finally:
             second.stop()
         Path(snapshot_path).unlink()
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -15,7 +15,10 @@
 def test_no_rule_is_broken_by_a_seeded_soak(seed: int) -> None:
     result = play(draw_soak(seed, SECONDS))
     assert result.requests and result.statuses[200], result
-    assert not result.violations and not result.ended_early, (result.violations[:3], result.ended_early)
+    assert not result.violations and not result.unexpected_exits, (
+        result.violations[:3],
+        result.unexpected_exits,
+    )
 
 
 @pytest.mark.parametrize("seed", [12, 45])
@@ -26,7 +29,10 @@
     replica 0.11 s past the grace.
     """
     result = play(draw_soak(seed, 16.0))
-    assert not result.violations and not result.ended_early, (result.violations[:3], result.ended_early)
+    assert not result.violations and not result.unexpected_exits, (
+        result.violations[:3],
+        result.unexpected_exits,
+    )
 
 
 @pytest.mark.parametrize("seed", [2])
--- a/tests/test_telemetry.py
+++ b/tests/test_telemetry.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 
 import pytest
-from platform_fakes import PATIENCE, Platform, Replica, read_until, start_node, until
+from platform_fakes import WAIT_TIMEOUT_SECONDS, Platform, Replica, read_until, start_node, wait_until
 
 from gingervane import interface as api
 from gingervane.telemetry import daemon_log, log_handler
@@ -52,12 +52,12 @@
     log, stream = telemetry_and_stream
     end_reason = api.QueryEndReason.PARTS_LOST
     log.info(LogEvent.QUERY_COMPLETED, request='a b="c"\n', reason=end_reason, seconds=0.25, whole=True)
-    until(stream.lines, "a line")
+    wait_until(stream.lines, "a line")
     (line,) = stream.lines()
     assert "node=n7 level=info event=query_completed" in line and 'reason="too many parts lost"' in line
     assert "seconds=0.25" in line and "whole=True" in line and "\\n" in line
     log.info("plain", host="s-1")
-    until(lambda: len(stream.lines()) == 2, "the next line")
+    wait_until(lambda: len(stream.lines()) == 2, "the next line")
     assert LINE.match(stream.lines()[1])
 
 
@@ -68,11 +68,11 @@
     for _ in range(RATE_LIMIT_BURST + 40):
         log.info("storm")
     log.info("rare")
-    until(lambda: any("event=rare" in line for line in stream.lines()), "the rare line")
+    wait_until(lambda: any("event=rare" in line for line in stream.lines()), "the rare line")
     storm_lines = sum("event=storm" in line for line in stream.lines())
     assert RATE_LIMIT_BURST <= storm_lines < RATE_LIMIT_BURST + 40
     log.dump()
-    until(lambda: any("event=counters" in line for line in stream.lines()), "counters")
+    wait_until(lambda: any("event=counters" in line for line in stream.lines()), "counters")
     assert f"log_lines_dropped[storm]={RATE_LIMIT_BURST + 40 - storm_lines}" in stream.getvalue()
 
 
@@ -114,9 +114,9 @@
     log.start()
     stream.close()
     log.info("one")
-    until(lambda: log._handler.dropped["unwritable"], "the failed write")
+    wait_until(lambda: log._handler.dropped["unwritable"], "the failed write")
     log.info("two")
-    until(lambda: log._handler.dropped["unwritable"] == 2, "the next one")
+    wait_until(lambda: log._handler.dropped["unwritable"] == 2, "the next one")
 
 
 def test_counters_are_by_name_and_reason_and_written_only_when_they_change(
@@ -127,9 +127,9 @@
     log.counters.add("queries_failed", "other")
     log.dump()
     log.dump()
-    until(stream.lines, "counters")
+    wait_until(stream.lines, "counters")
     log.info("after")
-    until(lambda: "event=after" in stream.getvalue(), "the line behind")
+    wait_until(lambda: "event=after" in stream.getvalue(), "the line behind")
     assert stream.getvalue().count("event=counters") == 1
     assert "queries_failed[other]=1 queries_failed[too_many_parts_lost]=2" in stream.getvalue()
     assert Counters().get("x", "y") == 0
@@ -149,7 +149,7 @@
     assert address
     program.send_signal(signal.SIGTERM)
     read_until(program.stderr, "shutdown_started")
-    assert program.wait(PATIENCE) == 0
+    assert program.wait(WAIT_TIMEOUT_SECONDS) == 0
     program.stderr.close()
     platform.close()
 
@@ -212,7 +212,7 @@
     for _ in range(5):
         log.info("storm")
     log.start()
-    until(lambda: "event=counters" in stream.getvalue(), "counters")
+    wait_until(lambda: "event=counters" in stream.getvalue(), "counters")
     log.stop()
 
 
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -22,7 +22,16 @@
 from faults.plans import draw
 from faults.rig import play
 from hosts import BASE, query_class, replica
-from platform_fakes import PATIENCE, Platform, Replica, Waiter, connections_of, reply, request, until
+from platform_fakes import (
+    WAIT_TIMEOUT_SECONDS,
+    Platform,
+    Replica,
+    Waiter,
+    connections_of,
+    reply,
+    request,
+    wait_until,
+)
 
 from gingervane import interface as api
 from gingervane.coordinator import boot_clock
@@ -47,7 +56,7 @@
 from gingervane.writes.idempotency import IdempotencyLimits, IdempotencyRecords, KeyAction, WriteState
 
 LIMITS = ReplicaConnectionLimits(
-    streams=8, max_connections=4, idle_timeout=PATIENCE, connect_timeout=PATIENCE
+    streams=8, max_connections=4, idle_timeout=WAIT_TIMEOUT_SECONDS, connect_timeout=WAIT_TIMEOUT_SECONDS
 )
 
 
@@ -92,7 +101,7 @@
 
 
 def batch_request(replica: Replica, name: str, text: bytes, attempt: int = 0) -> t.BatchRequest:
-    stop_at = time.monotonic() + PATIENCE
+    stop_at = time.monotonic() + WAIT_TIMEOUT_SECONDS
     attempt_request = t.AttemptRequest(
         1, attempt, SubqueryRequest(f"{name}.0", 0, "", text), api.RetrySafety.IDEMPOTENT, stop_at
     )
@@ -132,12 +141,16 @@
     batch = batch_request(fake_replica, "big", b"x" * (8 << 20))
     assert connections.start(batch)
     (connection,) = connections._by_number.values()
-    until(after_maintenance(connections, lambda: connection._queue.partial), "the frame is partially written")
+    wait_until(
+        after_maintenance(connections, lambda: connection._queue.partial), "the frame is partially written"
+    )
     partial_frame = connection._queue.partial
     assert partial_frame is not None
-    until(lambda: time.monotonic() - partial_frame.encoded_at > t.MAX_SEND_DELAY, "the send delay has passed")
+    wait_until(
+        lambda: time.monotonic() - partial_frame.encoded_at > t.MAX_SEND_DELAY, "the send delay has passed"
+    )
     fake_replica.reading.set()  # the replica reads again
-    until(after_maintenance(connections, lambda: reported.items), "the attempt's outcome is reported")
+    wait_until(after_maintenance(connections, lambda: reported.items), "the attempt's outcome is reported")
     assert reported.items[0].outcome is AttemptOutcome.CONNECT_FAILED and not fake_replica.parts.items
     connections.close()
     fake_replica.close()
@@ -154,7 +167,7 @@
 
 
 def send_request(server: HttpServer) -> tuple[int, dict[str, str], Any]:
-    with socket.create_connection(server.address, PATIENCE) as sock:
+    with socket.create_connection(server.address, WAIT_TIMEOUT_SECONDS) as sock:
         sock.sendall(request("q", "{}"))
         return reply(sock)
 
@@ -169,7 +182,7 @@
     for server in serve(late):
         status, fields, text = send_request(server)
         assert status == 504 and fields["connection"] == "close" and "time is up" in text
-        assert done.wait(PATIENCE)
+        assert done.wait(WAIT_TIMEOUT_SECONDS)
 
 
 def test_a_failure_past_its_deadline_is_sent_unchanged() -> None:
@@ -215,7 +228,7 @@
 
     for server in serve(handler):
         start = time.monotonic() - 1.0
-        server._pauses.record_pause(start, time.monotonic() + PATIENCE)
+        server._pauses.record_pause(start, time.monotonic() + WAIT_TIMEOUT_SECONDS)
         assert send_request(server)[0] == 200 and arrivals == [start]
 
 
@@ -466,7 +479,7 @@
 @pytest.mark.parametrize(("seed", "words"), SHIMMED)
 def test_a_seeded_run_with_failing_calls_and_a_stepped_clock_breaks_no_rule(seed: int, words: str) -> None:
     result = play(draw(seed), env=shim(seed, words))
-    assert not result.untimed_violations and not result.ended_early and result.requests > 20
+    assert not result.untimed_violations and not result.unexpected_exits and result.requests > 20
 
 
 # ---- the wall clock
@@ -493,7 +506,7 @@
 
 def test_times_of_another_boot_are_not_comparable() -> None:
     now = boot_clock.moment()
-    assert boot_clock.since(now) == pytest.approx(0.0, abs=PATIENCE)
+    assert boot_clock.since(now) == pytest.approx(0.0, abs=WAIT_TIMEOUT_SECONDS)
     assert (
         boot_clock.since(now._replace(boot="another")) is None
         and boot_clock.since(boot_clock.Moment("", 5.0)) is None
--- a/tests/test_tree_sockets.py
+++ b/tests/test_tree_sockets.py
@@ -14,9 +14,9 @@
 
 import pytest
 from ports import ReservedPort
-from test_hard_cases import ALL, PATIENCE, ask, eventually, is_right
+from test_hard_cases import ALL, WAIT_TIMEOUT_SECONDS, ask, has_expected_series, wait_until
 
-from gingervane.experiments.embedded import ZONES, Embedded
+from gingervane.experiments.embedded import ZONES, EmbeddedFleet
 from gingervane.fake_servers.capacity import Model
 from gingervane.fake_servers.recorder import Recorder
 from gingervane.fake_servers.server_list import list_row
@@ -47,7 +47,7 @@
 
     def _handle(self, request: Request, body: bytes, arrived: float, client: Exchange) -> Reply:
         if self._blocked_root and self._blocked_root in request.headers.get("gingervane-trail").split(","):
-            self.released.wait(PATIENCE)
+            self.released.wait(WAIT_TIMEOUT_SECONDS)
         self.request_count += 1
         skip = ("host", "content-length")
         fields = [
@@ -58,7 +58,7 @@
         head = http1.encode_head(
             f"POST {request.target} HTTP/1.1", [("Host", "x"), ("Content-Length", str(len(body))), *fields]
         )
-        status, headers, reply_body = self._client.exchange(head + body, PATIENCE)
+        status, headers, reply_body = self._client.exchange(head + body, WAIT_TIMEOUT_SECONDS)
         kept = [(k, v) for k, v in headers.pairs if k != "content-length"]
         return self._change(Reply(status, kept, reply_body), self)
 
@@ -73,7 +73,7 @@
 
 
 def silent(reply: Reply, child: Child) -> Reply:
-    child.released.wait(PATIENCE)
+    child.released.wait(WAIT_TIMEOUT_SECONDS)
     return reply
 
 
@@ -128,9 +128,9 @@
 
 
 @pytest.fixture
-def fleet(tmp_path: Path) -> Iterator[Embedded]:
+def fleet(tmp_path: Path) -> Iterator[EmbeddedFleet]:
     tree = {"ring": 4, "width": 4, "fan_out": 4, "levels": 1}
-    embedded = Embedded(nodes=6, tiles=12, coordinators=2, tree=tree)
+    embedded = EmbeddedFleet(nodes=6, tiles=12, coordinators=2, tree=tree)
     for node in embedded.grid.nodes:
         node._recorder = Recorder(tmp_path / f"{node.id}.jsonl")
     yield embedded
@@ -139,7 +139,7 @@
     embedded.close()
 
 
-def list_children(fleet: Embedded, *addresses: tuple[str, int]) -> None:
+def list_children(fleet: EmbeddedFleet, *addresses: tuple[str, int]) -> None:
     """List these as the only children of the root, and the real co-ordinator behind them as gone."""
     rows = [
         list_row(10 + i, f"{host}:{port}", ZONES[i], i + 2, "ready", 1.0, "coordinator", f"x{i}")
@@ -147,7 +147,7 @@
     ]
     fleet.write_list(coordinators={1: "gone"}, extra="\n".join(rows))
     names = {f"x{i}" for i in range(len(addresses))}
-    eventually(lambda: fleet.app.peers.ready == names)
+    wait_until(lambda: fleet.app.peers.ready == names)
 
 
 def executions_by_leaf(tmp_path: Path) -> Counter[tuple[int, str]]:
@@ -165,7 +165,7 @@
     return ALL._replace(start_ms=ALL.start_ms + index)
 
 
-def start_children(fleet: Embedded, *changes: Change, strip: bool = False) -> list[Child]:
+def start_children(fleet: EmbeddedFleet, *changes: Change, strip: bool = False) -> list[Child]:
     children = [Child(fleet.apps[1].address, change, strip) for change in changes]
     list_children(fleet, *[child.server.address for child in children])
     return children
@@ -175,13 +175,13 @@
 
 
 @pytest.mark.parametrize("change", BAD, ids=lambda f: str(f.__name__))
-def test_one_child_of_two_is_bad(fleet: Embedded, tmp_path: Path, change: Change) -> None:
+def test_one_child_of_two_is_bad(fleet: EmbeddedFleet, tmp_path: Path, change: Change) -> None:
     children = start_children(fleet, change, unchanged)
     try:
         for index in range(4):
             answer = ask(fleet, wide_query(index), "area-report", timeout="4s")
             assert answer.status == 200 and answer.headers.get("gingervane-coverage") == "1"
-            assert is_right(answer, fleet.grid.tiles, wide_query(index))
+            assert has_expected_series(answer, fleet.grid.tiles, wide_query(index))
         assert children[0].request_count and children[1].request_count
     finally:
         for child in children:
@@ -193,7 +193,7 @@
 
 
 @pytest.mark.parametrize("bad", [(refuses, refuses), (loops, refuses), (lacks_a_tile, lacks_a_tile)])
-def test_all_children_are_bad(fleet: Embedded, bad: tuple[Change, Change]) -> None:
+def test_all_children_are_bad(fleet: EmbeddedFleet, bad: tuple[Change, Change]) -> None:
     """The root queries the leaves directly, in the time reserved for that and if attempts remain.
 
     The attempts that an invalid reply reports as used are ignored. Two children with such replies may have
@@ -204,20 +204,20 @@
         answer = ask(fleet, ALL, "area-report", timeout="4s")
         invalid_replies = lacks_a_tile in bad
         assert answer.status == 200 or (invalid_replies and answer.status == 503)
-        assert answer.status != 200 or is_right(answer, fleet.grid.tiles)
+        assert answer.status != 200 or has_expected_series(answer, fleet.grid.tiles)
     finally:
         for child in children:
             child.close()
 
 
-def test_an_older_child_knows_no_headers(fleet: Embedded) -> None:
+def test_an_older_child_knows_no_headers(fleet: EmbeddedFleet) -> None:
     def drop_headers(reply: Reply, child: Child) -> Reply:
         return reply._replace(fields=[(k, v) for k, v in reply.fields if not k.startswith("gingervane")])
 
     children = start_children(fleet, drop_headers, drop_headers, strip=True)
     try:
         answer = ask(fleet, ALL, "area-report")
-        assert answer.status == 200 and is_right(answer, fleet.grid.tiles)
+        assert answer.status == 200 and has_expected_series(answer, fleet.grid.tiles)
         assert children[0].request_count + children[1].request_count >= 3
         splits = fleet.apps[1]._front.queries_split
         assert splits == 0, "without a context the child applies its own bounds, which allow a flat plan"
@@ -226,17 +226,17 @@
             child.close()
 
 
-def test_a_plain_server_can_stand_in_for_a_child(fleet: Embedded) -> None:
+def test_a_plain_server_can_stand_in_for_a_child(fleet: EmbeddedFleet) -> None:
     """A remote read server that holds all tiles is listed as a child."""
     grid = fleet.grid
     grid.nodes[0].tiles = frozenset(grid.tiles)
     list_children(fleet, grid.nodes[0].address)
     answer = ask(fleet, ALL, "area-report")
-    assert answer.status == 200 and is_right(answer, grid.tiles)
+    assert answer.status == 200 and has_expected_series(answer, grid.tiles)
     assert {step.split("/")[2] for step in answer.headers.get("gingervane-path").split(",")} == {"10"}
 
 
-def test_a_dead_child(fleet: Embedded) -> None:
+def test_a_dead_child(fleet: EmbeddedFleet) -> None:
     children = start_children(fleet, unchanged)
     dead = ReservedPort()
     list_children(fleet, dead.address, children[0].server.address)
@@ -251,18 +251,18 @@
 def test_a_child_that_only_one_root_reaches(tmp_path: Path) -> None:
     """Each root decides by its own observations: only one of them gets answers through the child."""
     tree = {"ring": 5, "width": 5, "fan_out": 4, "levels": 1}
-    fleet = Embedded(nodes=6, tiles=12, coordinators=3, tree=tree)
+    fleet = EmbeddedFleet(nodes=6, tiles=12, coordinators=3, tree=tree)
     child = Child(fleet.apps[1].address, unchanged, blocked_root="c0")
     host, port = child.server.address
     row = list_row(10, f"{host}:{port}", ZONES[0], 4, "ready", 1.0, "coordinator", "x")
     try:
         fleet.write_list(coordinators={0: "gone", 1: "gone", 2: "gone"}, extra=row)
-        eventually(lambda: all(fleet.apps[n].peers.ready == {"x"} for n in (0, 2)))
+        wait_until(lambda: all(fleet.apps[n].peers.ready == {"x"} for n in (0, 2)))
         for root in (0, 2, 0, 2):
             client = Client(fleet.apps[root].address)
-            answer = client.read([ALL], {"class": "area-report", "timeout": "4s"}, PATIENCE)
+            answer = client.read([ALL], {"class": "area-report", "timeout": "4s"}, WAIT_TIMEOUT_SECONDS)
             client.close()
-            assert answer.status == 200 and is_right(answer, fleet.grid.tiles)
+            assert answer.status == 200 and has_expected_series(answer, fleet.grid.tiles)
         assert (
             child.request_count >= 6
             and fleet.apps[0]._front.queries_split == fleet.apps[2]._front.queries_split == 2
@@ -272,11 +272,11 @@
         fleet.close()
 
 
-def test_a_child_is_drained_in_mid_query(fleet: Embedded) -> None:
+def test_a_child_is_drained_in_mid_query(fleet: EmbeddedFleet) -> None:
     unblock = threading.Event()
 
     def slow(reply: Reply, child: Child) -> Reply:
-        unblock.wait(PATIENCE)
+        unblock.wait(WAIT_TIMEOUT_SECONDS)
         return reply
 
     children = start_children(fleet, slow)
@@ -284,13 +284,13 @@
         answers: list[Answer] = []
         thread = threading.Thread(target=lambda: answers.append(ask(fleet, ALL, "area-report", timeout="4s")))
         thread.start()
-        eventually(lambda: children[0].request_count > 0)
+        wait_until(lambda: children[0].request_count > 0)
         fleet.write_list(coordinators={1: "gone"})
-        eventually(lambda: not fleet.app.peers.ready)
+        wait_until(lambda: not fleet.app.peers.ready)
         request_count = children[0].request_count
         unblock.set()
-        thread.join(PATIENCE)
-        assert answers[0].status == 200 and is_right(answers[0], fleet.grid.tiles)
+        thread.join(WAIT_TIMEOUT_SECONDS)
+        assert answers[0].status == 200 and has_expected_series(answers[0], fleet.grid.tiles)
         assert ask(fleet, ALL, "area-report").status == 200 and children[0].request_count == request_count
     finally:
         unblock.set()
@@ -304,7 +304,7 @@
     deadline the connection would be closed without a reply.
     """
     tree = {"ring": 4, "width": 4, "fan_out": 4, "levels": 1}
-    fleet = Embedded(nodes=6, tiles=12, coordinators=2, tree=tree, model=Model(work=0.06))
+    fleet = EmbeddedFleet(nodes=6, tiles=12, coordinators=2, tree=tree, model=Model(work=0.06))
     assert ask(fleet, ALL, "area-report").status == 200
     client = Client(fleet.apps[1].address)
     body = snappy.compress(remote_read.write_request([remote_read.write_query(ALL)]))
@@ -322,14 +322,14 @@
         )
 
     for _ in range(10):  # answers to which the child fits its cost model
-        assert client.exchange(request_from_parent("4s") + body, PATIENCE)[0] == 200
+        assert client.exchange(request_from_parent("4s") + body, WAIT_TIMEOUT_SECONDS)[0] == 200
     head = request_from_parent("40ms")
-    status, headers, text = client.exchange(head + body, PATIENCE)
+    status, headers, text = client.exchange(head + body, WAIT_TIMEOUT_SECONDS)
     assert status == 503 and headers.get("gingervane-began") == "no" and b"needed" in text
     head_with_cycle = head.replace(b"Trail: c0", b"Trail: c0,c1")
-    assert client.exchange(head_with_cycle + body, PATIENCE)[0] == 508
+    assert client.exchange(head_with_cycle + body, WAIT_TIMEOUT_SECONDS)[0] == 508
     for bad in (b"Levels: x", b"Levels: 99"):
-        status, _, text = client.exchange(head.replace(b"Levels: 0", bad) + body, PATIENCE)
+        status, _, text = client.exchange(head.replace(b"Levels: 0", bad) + body, WAIT_TIMEOUT_SECONDS)
         assert status == 400 and b"Gingervane-Levels" in text
     client.close()
     fleet.close()
@@ -337,7 +337,7 @@
 
 def test_cancellation_reaches_all_levels_of_the_tree() -> None:
     """After the client disconnects, no query and no request stays open at any level."""
-    fleet = Embedded(
+    fleet = EmbeddedFleet(
         nodes=6,
         tiles=24,
         model=Model(work=30.0, queue=10_000),
@@ -346,12 +346,12 @@
         overrides={"class": [{"name": "point-lookup", "aim": 500.0, "deadline": 600.0}]},
     )
     try:
-        eventually(lambda: all(len(app.peers.ready) == 4 for app in fleet.apps))
+        wait_until(lambda: all(len(app.peers.ready) == 4 for app in fleet.apps))
         with socket.create_connection(fleet.address) as sock:
             sock.sendall(Client(fleet.address).request([ALL], {}))
-            eventually(lambda: sum(app.core.requests_in_flight for app in fleet.apps) >= 6)
+            wait_until(lambda: sum(app.core.requests_in_flight for app in fleet.apps) >= 6)
             assert fleet.app._front.queries_split == 1
-        eventually(
+        wait_until(
             lambda: all(
                 core.admission.open == 0 and core.requests_in_flight == 0
                 for app in fleet.apps
@@ -362,7 +362,7 @@
         fleet.close()
 
 
-def test_unsafe_queries_are_never_executed_twice(fleet: Embedded, tmp_path: Path) -> None:
+def test_unsafe_queries_are_never_executed_twice(fleet: EmbeddedFleet, tmp_path: Path) -> None:
     children = start_children(fleet, lacks_a_tile, lacks_a_tile)
     try:
         query = Query(ALL.start_ms, ALL.end_ms, (Matcher(Match.REGEX, "tile", ".*"),))
--- a/tests/test_vectors.py
+++ b/tests/test_vectors.py
@@ -12,11 +12,11 @@
 import numpy as np
 import pytest
 from qdrant_client import QdrantClient, models
-from test_consul import eventually
+from test_consul import wait_until
 from test_hard_cases import ask
 
 from gingervane.daemon.app import App
-from gingervane.experiments.embedded import Embedded
+from gingervane.experiments.embedded import EmbeddedFleet
 from gingervane.fake_servers.vectors import VectorGrid
 from gingervane.vectors.points import Collection, order_of, shard_of
 from gingervane.wire import http1
@@ -27,7 +27,7 @@
 NODES = 6
 
 
-class Fleet(Embedded):
+class Fleet(EmbeddedFleet):
     """Both fronts in one daemon, six vector nodes, three replicas per shard, and a write quorum of two."""
 
     def __init__(self, folder: Path | None = None, window: float = 2.0, **table: Any) -> None:
@@ -209,7 +209,7 @@
     assert fleet.put(7, "k", a=1) == 200 == fleet.put(7, "k", a=1)
     assert fleet.put(7, "k", a=2) == 422, "different content under the same key"
     assert fleet.app.vectors and fleet.app.vectors.front.counts["repeats"] == 1
-    eventually(lambda: all(row and row["payload"] == {"a": 1} for row in fleet.on_replicas(7)))
+    wait_until(lambda: all(row and row["payload"] == {"a": 1} for row in fleet.on_replicas(7)))
     assert len({row["version"] for row in fleet.on_replicas(7)}) == 1
 
 
@@ -237,10 +237,10 @@
     assert headers.get("gingervane-holders-done") == "0.667"
     assert failing_node.shards["cos", shard].points.get(5) is None
     repair = fleet.app.vectors.shards.repairer
-    eventually(lambda: repair.metrics()["shards_owed"] >= 1)
+    wait_until(lambda: repair.metrics()["shards_owed"] >= 1)
     failing_node.schedule.faults.clear()
-    eventually(lambda: None not in fleet.on_replicas(5))
-    eventually(lambda: repair.metrics()["shards_owed"] == 0)
+    wait_until(lambda: None not in fleet.on_replicas(5))
+    wait_until(lambda: repair.metrics()["shards_owed"] == 0)
     assert (
         len({row["version"] for row in fleet.on_replicas(5)}) == 1
         and repair.metrics()["points_repaired"] >= 1
@@ -256,13 +256,13 @@
     fleet.app.vectors.shards.repairer.stop()  # so that the replica stays stale
     assert fleet.put(5) == 200
     # The query has completed and sends no more. Requests in flight must end, or they may still be executed.
-    eventually(lambda: fleet.app.vectors is not None and not fleet.app.vectors.cores[1].requests_in_flight)
+    wait_until(lambda: fleet.app.vectors is not None and not fleet.app.vectors.cores[1].requests_in_flight)
     assert fleet.on_replicas(5).count(None) == 1
     failing_node.schedule.faults.clear()
     body = {"vector": [1, 0, 0, 0], "limit": 3}
     observed = set()
 
-    modules: list[Any] = [core._driver._module for core in fleet.app.vectors.cores]
+    modules: list[Any] = [core._driver._engine for core in fleet.app.vectors.cores]
     servers = [server for module in modules for server in module.membership.replicas.values()]
 
     def stale_answer_observed() -> bool:
@@ -276,14 +276,14 @@
         observed.add((point_found, headers.get("gingervane-stale-shards")))
         return (False, f"s{shard}") in observed
 
-    eventually(stale_answer_observed)
+    wait_until(stale_answer_observed)
     assert observed <= {(True, ""), (False, f"s{shard}")}, "every stale answer is marked"
 
 
 def test_a_repeat_after_the_window_does_not_replace_a_newer_write(fleet: Fleet) -> None:
     assert fleet.vectors
     assert fleet.put(8, "k", a=1) == 200 == fleet.put(8, "later", a=2)
-    eventually(lambda: all(row and row["payload"] == {"a": 2} for row in fleet.on_replicas(8)))
+    wait_until(lambda: all(row and row["payload"] == {"a": 2} for row in fleet.on_replicas(8)))
     old_version = min(row["version"] for row in fleet.on_replicas(8)) - (1 << 14)
     node = next(n for n in fleet.vectors.nodes if ("cos", shard_of(8, NODES)) in n.shards)
     node._keys.clear()  # simulates the end of the window
@@ -299,7 +299,7 @@
     replica_ids = [n.id for n in fleet.vectors.nodes if ("cos", shard) in n.shards]
     fleet.write_vectors({n: "draining" for n in replica_ids[:2]})
     service = fleet.app.vectors
-    eventually(
+    wait_until(
         lambda: sum(replica.state.value == "ready" for replica in service.shards.placement.replicas_of(shard))
         == 1
     )
@@ -307,7 +307,7 @@
     assert status == 503 and "1 holders are ready, 2 must" in found["status"]["error"]
     assert headers.get("gingervane-began") == "no" and headers.get("retry-after")
     fleet.write_vectors()
-    eventually(lambda: fleet.put(9) == 200)
+    wait_until(lambda: fleet.put(9) == 200)
 
 
 def test_partial_answers_are_given_only_on_request(fleet: Fleet) -> None:
@@ -342,7 +342,7 @@
             ("Idempotency-Key", "lost"),
         )
         assert status == 502, "the write may have been executed"
-        eventually(lambda: all(row for row in fleet.on_replicas(2)))
+        wait_until(lambda: all(row for row in fleet.on_replicas(2)))
         for node in fleet.vectors.nodes:
             node.schedule.faults.clear()
         first_versions = {row["version"] for row in fleet.on_replicas(2)}
@@ -362,7 +362,7 @@
             return fleet.call("PUT", "cos/points", content, ("Idempotency-Key", "lost"))[0]
 
         assert retry() in (200, 409)  # 200 within the window of the key, 409 after it
-        eventually(lambda: retry() in (200, 409))
+        wait_until(lambda: retry() in (200, 409))
         assert {
             row["version"] for row in fleet.on_replicas(2)
         } == first_versions, "the write keeps its version"
