--- a/gingervane/audit/draining.py
+++ b/gingervane/audit/draining.py
@@ -29,9 +29,7 @@
         for tap, last in last_sends.items():
             if (notified := _notified_at(day, tap, node, start)) is not None:
                 worst = max(worst, last - notified)
-        verdict.count_test(
-            worst / grace, f"node {node}: sent to {worst:.3f} s after it was listed as not ready"
-        )
+        verdict.count_test(worst / grace, f"node {node}: sent to {worst:.3f} s after it was listed away")
     return verdict
 
 
--- a/gingervane/audit/duplicate_effects.py
+++ b/gingervane/audit/duplicate_effects.py
@@ -20,12 +20,12 @@
             executed = [send for send in sends if attempts.was_executed(send)]
             if query_class["semantics"] == "unsafe":
                 # The co-ordinator cannot know whether a sent request was executed; only executions count.
-                verdict.count_test(len(executed) / 1.0, f"{name}: {tile} was executed {len(executed)} times")
+                verdict.count_test(len(executed) / 1.0, f"{name}: {tile} ran {len(executed)} times")
                 if executed and record.get("status") == 503:
-                    verdict.count_breach(f"{name}: rejected, but {tile} was executed")
+                    verdict.count_breach(f"{name}: refused though {tile} ran")
             elif executed:
                 span = max(s.t for s in executed) - min(s.t for s in executed)
                 verdict.count_test(
-                    span / query_class["repeat_window"], f"{name}: {tile} executed again after {span:.3f} s"
+                    span / query_class["repeat_window"], f"{name}: {tile} again after {span:.3f} s"
                 )
     return verdict
--- a/gingervane/audit/effects.py
+++ b/gingervane/audit/effects.py
@@ -123,12 +123,12 @@
     by_key: dict[str, list[int]] = defaultdict(list)
     for r in attempts:
         if r["kind_of"] == "add" and r["status"] == 503:
-            finding.check(r["name"] not in added, f"{_describe(r)}: rejected, but executed")
+            finding.check(r["name"] not in added, f"{_describe(r)}: refused, and done")
         elif r["kind_of"] == "upsert":
             by_key[f"k{r['demand']}"].append(r["status"])
     for key, statuses in by_key.items():
         if set(statuses) == {503}:
-            finding.check(key not in keys, f"{key}: every try rejected, but executed")
+            finding.check(key not in keys, f"{key}: every try refused, and done")
     return finding
 
 
@@ -136,9 +136,9 @@
     """Every acknowledged point is stored at all its replicas once no missed write is left to repair."""
     finding = Finding()
     if final is None:
-        finding.check(False, "the final state of the nodes was not recorded")
+        finding.check(False, "no look at the nodes was taken")
         return finding
-    finding.check(final["settled"], "missed writes were still to be repaired when the settle time was over")
+    finding.check(final["settled"], "something was still owed when the time to settle was over")
     for r in attempts:
         if r["kind_of"] != "upsert" or r["status"] != 200:
             continue
@@ -147,7 +147,7 @@
             replicas = [(shard + back) % day.nodes for back in range(day.width)]
             stored = sum(str(point) in final["marks"][str(n)][str(shard)] for n in replicas)
             finding.check(
-                stored == day.width, f"point {point} of {_describe(r)}: at {stored} of {day.width} replicas"
+                stored == day.width, f"point {point} of {_describe(r)}: at {stored} of {day.width} holders"
             )
     return finding
 
--- a/gingervane/audit/honest_answers.py
+++ b/gingervane/audit/honest_answers.py
@@ -46,11 +46,11 @@
     stated = float(record["coverage"] or "nan")
     share = len(covered) / len(record["tiles"])
     if not _is_same(received, expected):
-        return "the samples are not those of the covered tiles"
+        return "the samples are not those of the tiles that it covers"
     if abs(stated - share) > _COVERAGE_ROUNDING_ERROR:
-        return f"states a coverage of {stated:g}, has a coverage of {share:g}"
+        return f"states a coverage of {stated:g}, has {share:g}"
     if missing and not record["partial"]:
-        return "partial, but the client did not accept partial answers"
+        return "not whole, and its client did not ask for that"
     return None
 
 
--- a/gingervane/audit/slow_start.py
+++ b/gingervane/audit/slow_start.py
@@ -15,11 +15,11 @@
             worst = _worst_load(day.facts["model"], up, _received(day, node, up))
             verdict.count_test(
                 worst,
-                f"node {node}: sent {worst:.2f} of what overloads it, started at {up - day.began():.1f} s",
+                f"node {node}: sent {worst:.2f} of what pushes it over, {up - day.began():.1f} s in",
             )
     for record in day.nodes:
         if record["kind"] == "fell" and verdict.kept:
-            verdict.count_breach(f"node {record['node']}: overloaded")
+            verdict.count_breach(f"node {record['node']}: fell over")
     return verdict
 
 
