--- a/gingervane/coordinator/process_pause.py
+++ b/gingervane/coordinator/process_pause.py
@@ -1,7 +1,8 @@
 """Detects pauses of this process, and estimates the arrival time of requests read just after one. Free of I/O.
 
 A request that is read as a pause ends may have arrived at any time during it, and its client's timeout has been
-running since. It is taken to have arrived when the pause began: taking the time of reading would answer it too late.
+running since. Its arrival is taken to be the start of the pause: with the time of reading, its answer would
+come too late.
 
 A ticker calls `tick` every `TICK_INTERVAL` seconds; a call that is late by more than `TICK_TOLERANCE` shows that the
 whole process was paused.
--- a/gingervane/coordinator/types.py
+++ b/gingervane/coordinator/types.py
@@ -74,7 +74,7 @@
 
 @dataclass(frozen=True)
 class QueryPlan:
-    """A query that a front has parsed. `deadline`: of the client. `tag`: names the query in logs.
+    """A query that a front has parsed. `deadline`: of its result. `tag`: names the query in logs.
 
     `is_client_retry`: the client states that it has sent the query before. `predicted_cost`: seconds of work, 0 if
     unknown. `second_step`: for classes with two steps; called on the decision thread when the first step ends.
--- a/gingervane/node/client_front.py
+++ b/gingervane/node/client_front.py
@@ -63,7 +63,7 @@
             query_id, plan = self._read_query(request, class_name, body, arrived)
         except HttpError as error:
             return plain(error.status, error.detail)
-        if client.is_disconnected():  # its request may still be unread when a client disconnects
+        if client.is_disconnected():  # a client may disconnect before its request is read
             return plain(500, "its client has left", close=True)
         with self._lock:
             if query_id in self._open_ids:
--- a/gingervane/node/endpoint_list.py
+++ b/gingervane/node/endpoint_list.py
@@ -156,7 +156,7 @@
     def _parse_entry(self, entry: Any) -> ListedReplica:
         if not isinstance(entry, dict):
             raise TypeError("not an object")
-        if entry.get("health") == "DELETED":  # ignores all other fields, which must not keep it listed
+        if entry.get("health") == "DELETED":  # an invalid value of another field must not keep it listed
             deleted = api.Replica(replica_id(str(entry["host"])), 0, -1, 0.0, api.ReplicaState.GONE, 0.0)
             return ListedReplica(deleted, None)
         address = parse_address(entry["dial"], "dial")
