--- a/gingervane/coordinator/core.py
+++ b/gingervane/coordinator/core.py
@@ -168,12 +168,12 @@
         return inputs
 
     def _carry_out(self, effects: list[t.Effect]) -> None:
-        not_started: list[t.Input] = []
+        unsent_attempts: list[t.Input] = []
         for effect in effects:
             match effect:
                 case t.StartRequest(batch):
                     if not self._transport.start(batch):
-                        not_started += _never_sent(batch)
+                        unsent_attempts += _finish_unsent(batch)
                 case t.CancelRequest(batch):
                     self._transport.cancel(batch)
                 case t.AbandonAttempt(batch, attempt, notify_replica, expired):
@@ -184,8 +184,8 @@
                     on_result(result)
                 case _:
                     self._notify(effect)
-        if not_started:
-            self._inbox.put(not_started)
+        if unsent_attempts:
+            self._inbox.put(unsent_attempts)
 
     def _notify(self, effect: t.Effect) -> None:
         """Pass an effect that concerns neither a request nor a query to the observer or the cluster ports."""
@@ -221,7 +221,7 @@
                     item.on_result(failed)
 
 
-def _never_sent(batch: t.BatchRequest) -> list[t.AttemptFinished]:
+def _finish_unsent(batch: t.BatchRequest) -> list[t.AttemptFinished]:
     """Return the ends of all attempts of a batch request that the transport had no capacity for."""
     now = time.monotonic()
     return [
--- a/gingervane/coordinator/replica_start_times.py
+++ b/gingervane/coordinator/replica_start_times.py
@@ -8,7 +8,8 @@
   offset between the clocks is corrected by it, for all replicas.
 - A replica that is new, or has a new start time, started after the previous list, or at most `LISTING_LAG` before it.
   A start time earlier than that shows that the clock is ahead, and the replica counts as started just now.
-- If the wall clock has been stepped since the process began, the later of its two readings is taken.
+- If the wall clock has been stepped since the process began, a start time is converted with both the recorded
+  and the present offset, and the later result is taken unless it is in the future.
 - A start time that is listed again unchanged keeps its converted value: a change would look like a restart.
 
 A clock that was ahead before the process began is not detected for the replicas of the first list.
@@ -55,24 +56,24 @@
         now = self._monotonic()
         self._correct_offset(max(starts.values(), default=0.0), now)
         present_offset = self._monotonic() - self._wall()
-        placed = {
+        monotonic_starts = {
             replica: self._convert_one(replica, start, now, present_offset)
             for replica, start in starts.items()
         }
-        self._remember(starts, placed)
+        self._remember(starts, monotonic_starts)
         if not cached:
             self._last_listed = now
-        return placed
+        return monotonic_starts
 
     def message_received(self) -> None:
         """Record that discovery has sent a message; before its first list this has no effect."""
         if self._last_listed is not None:
             self._last_listed = self._monotonic()
 
-    def _remember(self, starts: Mapping[int, float], placed: Mapping[int, float]) -> None:
+    def _remember(self, starts: Mapping[int, float], monotonic_starts: Mapping[int, float]) -> None:
         for replica, start in starts.items():
             self._known_starts.pop(replica, None)
-            self._known_starts[replica] = start, placed[replica]
+            self._known_starts[replica] = start, monotonic_starts[replica]
         while len(self._known_starts) > MAX_REMEMBERED_STARTS:
             del self._known_starts[next(iter(self._known_starts))]
 
@@ -86,15 +87,15 @@
         """Convert one start time; `present_offset`: between the clocks as they read now."""
         if not start:
             return 0.0
-        known = self._known_starts.get(replica)
-        if known is not None and known[0] == start:
-            return known[1]
-        place = start + self._offset
-        stepped = abs(present_offset - self._initial_offset) > STEP_THRESHOLD
-        if stepped and place < start + present_offset <= now:
-            place = start + present_offset
-        if is_too_early(place, self._last_listed):
+        known_start = self._known_starts.get(replica)
+        if known_start is not None and known_start[0] == start:
+            return known_start[1]
+        monotonic_start = start + self._offset
+        was_stepped = abs(present_offset - self._initial_offset) > STEP_THRESHOLD
+        if was_stepped and monotonic_start < start + present_offset <= now:
+            monotonic_start = start + present_offset
+        if is_too_early(monotonic_start, self._last_listed):
             self.corrections += 1
             self._offset = now - start  # an upper bound, which later lists correct downwards
             return now
-        return min(place, now)
+        return min(monotonic_start, now)
--- a/gingervane/coordinator/request_senders.py
+++ b/gingervane/coordinator/request_senders.py
@@ -125,14 +125,14 @@
         """Accept a batch request; false if the limits are reached. Never blocks; for the decision thread only."""
         limits = self._limits
         with self._lock:
-            full = self._in_flight >= limits.threads + limits.waiting
-            if full or self._in_flight_by_replica[batch.replica] >= limits.max_per_replica:
+            is_full = self._in_flight >= limits.threads + limits.waiting
+            if is_full or self._in_flight_by_replica[batch.replica] >= limits.max_per_replica:
                 return False
             self._in_flight += 1
             self._in_flight_by_replica[batch.replica] += 1
-            grow = self._in_flight > len(self._threads) < limits.threads
+            needs_thread = self._in_flight > len(self._threads) < limits.threads
         batch.transport_token = Lease()
-        if grow:
+        if needs_thread:
             thread = Thread(target=self._run, name=f"sender-{len(self._threads)}", daemon=True)
             self._threads.append(thread)
             thread.start()
@@ -169,7 +169,7 @@
                 finished = self._send_batch(batch)
             except Exception as error:  # noqa: BLE001 - a bug must not leave an attempt unreported
                 detail = f"internal: {type(error).__name__}: {error}"
-                finished = _fail(batch.attempts, _Failure(AttemptOutcome.ERROR, detail))
+                finished = _failed_attempts(batch.attempts, _Failure(AttemptOutcome.ERROR, detail))
             with self._lock:
                 self._in_flight -= 1
                 self._in_flight_by_replica[batch.replica] -= 1
@@ -179,7 +179,7 @@
         """Run the exchange and return the ends of the batch's attempts, except of overdue ones, already reported."""
         lease: Lease = batch.transport_token
         if lease.cancelled:
-            return _fail(batch.attempts, _CANCELLED)
+            return _failed_attempts(batch.attempts, _CANCELLED)
         exchange = _Exchange(batch, lease, self._pool.acquire_idle(batch.address))
         try:
             connection = self._connect(exchange)
@@ -187,15 +187,15 @@
             if not attempts:
                 # No byte was sent: the connection can be reused unless it was shut.
                 self._release_connection(exchange, connection, reusable=True)
-                return _fail(batch.attempts, _CANCELLED)
+                return _failed_attempts(batch.attempts, _CANCELLED)
             reply = exchange.run(connection, attempts)
         except (OSError, ConnectionClosedError) as error:
             failure = exchange.transport_failure(error)
             exchange.drop_connection()
-            return _fail(batch.attempts, failure)
+            return _failed_attempts(batch.attempts, failure)
         except HttpError as error:
             exchange.drop_connection()
-            return _fail(batch.attempts, _Failure(AttemptOutcome.ERROR, error.detail))
+            return _failed_attempts(batch.attempts, _Failure(AttemptOutcome.ERROR, error.detail))
         self._release_connection(exchange, connection, reply.response.keep_alive)
         return _results(batch, attempts, reply)
 
@@ -216,7 +216,7 @@
         """
         sendable, overdue = batch.claim_sendable(time.monotonic())
         if overdue:  # reported at once, independent of the other attempts
-            self._report(_fail(overdue, _Failure(AttemptOutcome.NEVER_SENT, "waited too long")))
+            self._report(_failed_attempts(overdue, _Failure(AttemptOutcome.NEVER_SENT, "waited too long")))
         return sendable
 
     def _release_connection(self, exchange: _Exchange, connection: Connection, reusable: bool) -> None:
@@ -239,7 +239,7 @@
     except t.InvalidReply as error:
         detail = str(error)
         return [
-            _finish(attempt, _invalid_reply_failure(attempt, error, detail), reply.received_at)
+            _failed_attempt(attempt, _invalid_reply_failure(attempt, error, detail), reply.received_at)
             for attempt in batch.attempts
         ]
     return [
@@ -253,13 +253,13 @@
     return _Failure(outcome, detail)
 
 
-def _fail(attempts: Iterable[t.AttemptRequest], failure: _Failure) -> list[t.AttemptFinished]:
+def _failed_attempts(attempts: Iterable[t.AttemptRequest], failure: _Failure) -> list[t.AttemptFinished]:
     """Return the ends of attempts that all end now with the same failure."""
     now = time.monotonic()
-    return [_finish(attempt, failure, now) for attempt in attempts]
+    return [_failed_attempt(attempt, failure, now) for attempt in attempts]
 
 
-def _finish(attempt: t.AttemptRequest, failure: _Failure, finished_at: float) -> t.AttemptFinished:
+def _failed_attempt(attempt: t.AttemptRequest, failure: _Failure, finished_at: float) -> t.AttemptFinished:
     return t.AttemptFinished(
         attempt.part, attempt.attempt, failure.outcome, finished_at, None, failure.detail
     )
--- a/gingervane/coordinator/retry_after.py
+++ b/gingervane/coordinator/retry_after.py
@@ -19,23 +19,23 @@
     def __init__(self, max_retry_after: float) -> None:
         """`max_retry_after`: seconds."""
         self._max_retry_after = max_retry_after
-        self._freed: deque[tuple[float, int]] = deque()  # times and amounts of the releases within the window
-        self._freed_total = 0
+        self._releases: deque[tuple[float, int]] = deque()  # time and amount of each, within the window
+        self._released_total = 0
 
     def record_release(self, now: float, size: int) -> None:
         """Record that `size` of capacity was released."""
-        self._freed.append((now, size))
-        self._freed_total += size
+        self._releases.append((now, size))
+        self._released_total += size
         self._expire(now)
 
     def seconds_until_free(self, now: float, missing: int) -> float:
         """Return the estimated seconds until `missing` more capacity is free."""
         self._expire(now)
-        if not self._freed_total:
+        if not self._released_total:
             return self._max_retry_after
-        span = max(min(now - self._freed[0][0], RATE_WINDOW), MIN_RETRY_AFTER)
-        return min(max(missing * span / self._freed_total, MIN_RETRY_AFTER), self._max_retry_after)
+        span = max(min(now - self._releases[0][0], RATE_WINDOW), MIN_RETRY_AFTER)
+        return min(max(missing * span / self._released_total, MIN_RETRY_AFTER), self._max_retry_after)
 
     def _expire(self, now: float) -> None:
-        while self._freed and self._freed[0][0] < now - RATE_WINDOW:
-            self._freed_total -= self._freed.popleft()[1]
+        while self._releases and self._releases[0][0] < now - RATE_WINDOW:
+            self._released_total -= self._releases.popleft()[1]
--- a/gingervane/limits/fair_queue.py
+++ b/gingervane/limits/fair_queue.py
@@ -61,25 +61,27 @@
 
         Raises QueueFull if too many wait; `admit_always`: never raises.
         """
-        traffic = self._classes[name]
-        if not traffic.active:
+        traffic_class = self._classes[name]
+        if not traffic_class.active:
             others = [other.virtual_time for other in self._classes.values() if other.active]
-            traffic.virtual_time = max(traffic.virtual_time, min(others, default=traffic.virtual_time))
+            traffic_class.virtual_time = max(
+                traffic_class.virtual_time, min(others, default=traffic_class.virtual_time)
+            )
         if self._free_slots and not any(other.waiting for other in self._classes.values()):
             self._free_slots -= 1
-            traffic.running += 1
+            traffic_class.running += 1
             return True
-        if len(traffic.waiting) >= self._max_waiting and not admit_always:
-            raise QueueFull(name, len(traffic.waiting), self._retry_after(traffic))
-        traffic.waiting.append(waiter)
+        if len(traffic_class.waiting) >= self._max_waiting and not admit_always:
+            raise QueueFull(name, len(traffic_class.waiting), self._retry_after(traffic_class))
+        traffic_class.waiting.append(waiter)
         return False
 
     def release(self, name: str, seconds: float) -> Waiter | None:
         """Release a slot after work that took `seconds`; return the waiter that is granted it, if any."""
-        traffic = self._classes[name]
-        traffic.running -= 1
-        traffic.virtual_time += max(seconds, _MIN_SERVICE_TIME) / traffic.weight
-        traffic.service_time += _SERVICE_TIME_SMOOTHING * (seconds - traffic.service_time)
+        traffic_class = self._classes[name]
+        traffic_class.running -= 1
+        traffic_class.virtual_time += max(seconds, _MIN_SERVICE_TIME) / traffic_class.weight
+        traffic_class.service_time += _SERVICE_TIME_SMOOTHING * (seconds - traffic_class.service_time)
         self._free_slots += 1
         return self._grant_next()
 
@@ -93,17 +95,17 @@
 
     def _grant_next(self) -> Waiter | None:
         """Grant a free slot to the waiting class with the smallest virtual time."""
-        candidates = [traffic for traffic in self._classes.values() if traffic.waiting]
+        candidates = [traffic_class for traffic_class in self._classes.values() if traffic_class.waiting]
         if not candidates or not self._free_slots:
             return None
-        traffic = min(candidates, key=lambda candidate: candidate.virtual_time)
+        traffic_class = min(candidates, key=lambda candidate: candidate.virtual_time)
         self._free_slots -= 1
-        traffic.running += 1
-        return traffic.waiting.popleft()
+        traffic_class.running += 1
+        return traffic_class.waiting.popleft()
 
-    def _retry_after(self, traffic: _TrafficClass[Waiter]) -> float:
+    def _retry_after(self, traffic_class: _TrafficClass[Waiter]) -> float:
         """Return the seconds until half of a class's queue has been granted slots, at the class's share of them."""
         active_weight = sum(other.weight for other in self._classes.values() if other.active)
-        share = self._slots * traffic.weight / max(active_weight, traffic.weight)
-        rate = share / max(traffic.service_time, _MIN_SERVICE_TIME)
-        return len(traffic.waiting) / 2 / rate
+        share = self._slots * traffic_class.weight / max(active_weight, traffic_class.weight)
+        rate = share / max(traffic_class.service_time, _MIN_SERVICE_TIME)
+        return len(traffic_class.waiting) / 2 / rate
--- a/gingervane/node/descriptor_budget.py
+++ b/gingervane/node/descriptor_budget.py
@@ -22,8 +22,11 @@
 
 
 def divide_descriptors(descriptors: int) -> DescriptorBudget:
-    """Give half to replicas and half to clients, whose requests need no more than a third of theirs."""
+    """Give half of the descriptors to replicas and half to clients.
+
+    Requests need at most a third of the clients' half; idle client connections beyond that may be closed.
+    """
     replicas = max(descriptors // 2 - OWN_DESCRIPTORS - SPARE_DESCRIPTORS, 1)
     clients = max(descriptors - replicas - SPARE_DESCRIPTORS - OWN_DESCRIPTORS - MAX_CLOSING, 1)
-    half_of_request_share = descriptors // 6
-    return DescriptorBudget(replicas, clients, half_of_request_share)
+    third_of_client_half = descriptors // 6
+    return DescriptorBudget(replicas, clients, third_of_client_half)
--- a/gingervane/node/discovery.py
+++ b/gingervane/node/discovery.py
@@ -60,7 +60,7 @@
     ) -> None:
         """`max_calls`: how many calls may wait for an answer at once."""
         self._address = address
-        self._read_address = address  # to which the reader's version belongs; guarded by `_reader_lock`
+        self._version_address = address  # whose version the reader holds; guarded by `_reader_lock`
         self._reader = reader
         self._sink = sink
         self._log = log
@@ -70,7 +70,7 @@
         self._calls: list[DiscoveryCall] = []  # open calls, oldest first
         self._workers = 0  # threads
         self._idle_workers = 0  # threads that wait for a call to make
-        self._requested = False
+        self._call_requested = False
         self._address_changed = False
         self._version_reset_pending = False  # the address has changed, and no call has begun since
         self._stopped = False
@@ -92,9 +92,9 @@
         with self._change:
             self._retry_pending = False
             # A request made during a watch is dropped: if kept, it would retry the next failure without backoff.
-            self._requested = not self._has_watch()
-            needs_worker = self._requested and self._reserve_worker()
-            self._change.notify_all()  # all: beginning calls wait here too, and might take a single wake-up
+            self._call_requested = not self._has_watch()
+            needs_worker = self._call_requested and self._reserve_worker()
+            self._change.notify_all()  # not `notify`: a call that is beginning might take the only wake-up
         if needs_worker:
             self._start_worker()
 
@@ -109,7 +109,7 @@
             for call in self._calls:
                 call.interrupt(CallEnd.ADDRESS_CHANGED)
             needs_worker = self._reserve_worker()
-            self._change.notify_all()  # all: beginning calls wait here too, and might take a single wake-up
+            self._change.notify_all()  # not `notify`: a call that is beginning might take the only wake-up
         if needs_worker:
             self._start_worker()
 
@@ -158,18 +158,18 @@
         """Wait until a call is requested, and return it; None once the watch is stopped."""
         with self._change:
             self._idle_workers += 1
-            while not (self._requested or self._address_changed or self._stopped):
+            while not (self._call_requested or self._address_changed or self._stopped):
                 self._change.wait()
             self._idle_workers -= 1
             if self._stopped:
                 return None
-            self._requested = False
+            self._call_requested = False
             self._address_changed = False
             self._call_count += 1
             call = DiscoveryCall(CallProgress(self._call_count, self._address), self)
             self._calls.append(call)
             self._interrupt_excess_call()
-            self._update_state("a call is wanted")
+            self._update_state("a call is requested")
             return call
 
     def _interrupt_excess_call(self) -> None:
@@ -199,7 +199,7 @@
                 # The new address may count versions differently, and its changes would be dropped as stale. Version 0
                 # requests a complete list.
                 self._reader.version = 0
-                self._read_address = call.progress.address
+                self._version_address = call.progress.address
             call.progress.since = self._reader.version
         call.progress.log_start(self._log, idle_seconds, silent_seconds)
 
@@ -256,7 +256,7 @@
         with self._reader_lock:
             self._reader.record_activity()
         if has_resumed:
-            self._promote(call, "it speaks again")
+            self._promote(call, "data is received again")
             no_changes = api.MembershipChanged(api.MembershipUpdateKind.DELTA, ())
             self._sink.endpoints_updated(EndpointsUpdated(no_changes, {}))
 
@@ -271,7 +271,7 @@
             if call.interrupted:
                 return
             self._retry_pending = True
-            self._update_state("it fell silent")
+            self._update_state("no data is received")
         self._sink.watch_interrupted(seconds)
 
     def value_received(self, call: DiscoveryCall, value: bytes, is_json: bool) -> None:
@@ -284,7 +284,7 @@
         with self._reader_lock:
             # An interrupted call's lists are applied too, as the protocol counts this node as notified of them; but
             # not those of a previous address.
-            if call.progress.address != self._read_address:
+            if call.progress.address != self._version_address:
                 return
             since = None if call.has_list else call.progress.since
             try:
--- a/gingervane/node/query_log.py
+++ b/gingervane/node/query_log.py
@@ -24,18 +24,18 @@
 class QueryLog:
     """Observes the core: counts all events, and logs failures and changes of replicas.
 
-    `host` returns a replica's name. Called on the decision thread.
+    `host_name` returns a replica's name. Called on the decision thread.
     """
 
     def __init__(
-        self, telemetry: Telemetry, class_names: tuple[str, ...], host: Callable[[int], str]
+        self, telemetry: Telemetry, class_names: tuple[str, ...], host_name: Callable[[int], str]
     ) -> None:
         self._telemetry = telemetry
         self._class_names = class_names
-        self._host = host
+        self._host_name = host_name
 
     def query_completed(self, query: int, plan: t.QueryPlan, result: t.QueryResult, seconds: float) -> None:
-        """Count a query by status and reason, and log it as `_log_of` decides."""
+        """Count a query by status and reason, and log it if `_log_function` returns a function for it."""
         self._telemetry.counters.add(f"queries_{result.status.value}", result.reason)
         if SOCKET_RECORDER.enabled:
             SOCKET_RECORDER.record(
@@ -47,7 +47,7 @@
                 seconds=seconds,
                 why=result.detail,
             )
-        log = self._log_of(result)
+        log = self._log_function(result)
         if log is None:
             return
         outcomes = Counter(record.outcome for record in result.attempts)
@@ -68,7 +68,7 @@
             detail=result.detail,
         )
 
-    def _log_of(self, result: t.QueryResult) -> Log | None:
+    def _log_function(self, result: t.QueryResult) -> Log | None:
         """Return the log function of the level for a result, or None if it is not logged."""
         if result.reason in _INTERNAL_FAULTS:
             return self._telemetry.error
@@ -83,7 +83,7 @@
         if self._telemetry.debug_enabled:
             self._telemetry.debug(
                 LogEvent.ATTEMPT_FINISHED,
-                replica=self._host(replica),
+                replica=self._host_name(replica),
                 outcome=outcome,
                 duration_seconds=seconds,
             )
@@ -94,7 +94,7 @@
 
     def replica_health_changed(self, change: api.ReplicaHealthChange) -> None:
         """Count and log the ejection or reinstatement of a replica."""
-        replica = self._host(change.replica)
+        replica = self._host_name(change.replica)
         if isinstance(change, api.ReplicaEjected):
             self._telemetry.counters.add("replicas_ejected", change.reason)
             self._telemetry.info(
--- a/tests/platform_fakes.py
+++ b/tests/platform_fakes.py
@@ -361,7 +361,7 @@
 
     def configure(self, discovery: Discovery | str) -> None:
         address = discovery if isinstance(discovery, str) else discovery.address
-        known = {"seq": 0, "whole": True, "hosts": [host(r) for r in self.replicas]}
+        cached_list = {"seq": 0, "whole": True, "hosts": [host(r) for r in self.replicas]}
         self.path.write_text(
             json.dumps(
                 {
@@ -370,7 +370,7 @@
                     "discovery": address,
                     "seed": "5",
                     "limits": {"cores": 1.0, "memory_mb": 64, "sockets": self.sockets},
-                    "known": known,
+                    "known": cached_list,
                     "settings": self.settings,
                 }
             )
@@ -385,11 +385,11 @@
         tablets: dict[int, float],
         path: str = "/look",
         sock: socket.socket | None = None,
-        wait: int = 6000,
+        timeout_ms: int = 6000,
     ) -> tuple[int, dict[str, str], Any]:
         """Send one query and return its answer, on a new connection unless `sock` is given."""
         connection = sock or self.client()
-        connection.sendall(query(name, tablets, path, wait))
+        connection.sendall(query(name, tablets, path, timeout_ms))
         result = reply(connection)
         if sock is None:
             connection.close()
@@ -407,14 +407,14 @@
     return platform.node.server._connections
 
 
-def query(name: str, tablets: dict[int, float], path: str = "/look", wait: int = 6000) -> bytes:
+def query(name: str, tablets: dict[int, float], path: str = "/look", timeout_ms: int = 6000) -> bytes:
     parts = [{"tablet": shard, "fraction": weight} for shard, weight in tablets.items()]
-    return request(name, json.dumps({"tablets": parts, "statement": "c41e"}), path, wait)
+    return request(name, json.dumps({"tablets": parts, "statement": "c41e"}), path, timeout_ms)
 
 
-def request(name: str, text: str, path: str = "/look", wait: int = 6000) -> bytes:
+def request(name: str, text: str, path: str = "/look", timeout_ms: int = 6000) -> bytes:
     body = text.encode()
-    head = f"POST {path} HTTP/1.1\r\nHost: x\r\nX-Request-ID: {name}\r\nX-Timeout-Ms: {wait}\r\n"
+    head = f"POST {path} HTTP/1.1\r\nHost: x\r\nX-Request-ID: {name}\r\nX-Timeout-Ms: {timeout_ms}\r\n"
     return head.encode() + b"Content-Length: %d\r\n\r\n" % len(body) + body
 
 
--- a/tests/test_answers_property.py
+++ b/tests/test_answers_property.py
@@ -212,12 +212,12 @@
 
     def turn(self) -> None:
         inputs, self.pending = self.pending, []
-        before = {number for number, model in self.models.items() if model.results}
+        completed = {number for number, model in self.models.items() if model.results}
         for effect in self.driver.step(self.now, inputs):
             match effect:
                 case t.StartRequest(batch):
                     for attempt in batch.attempts:
-                        assert attempt.content.query not in before, "sent for a completed query"
+                        assert attempt.content.query not in completed, "sent for a completed query"
                         if attempt.claim():
                             self.in_flight.append(attempt)
                 case t.CompleteQuery(on_result, result, _):
@@ -255,16 +255,16 @@
                     result.reason is not api.QueryEndReason.COVERAGE_CHECK_FAILED
                 ), "the module made an answer that fails the coverage check"
                 if result.status in (t.QueryStatus.COMPLETE, t.QueryStatus.PARTIAL):
-                    self._check(number, model, result)
+                    self._check_answer(number, model, result)
 
-    def _check(self, number: int, model: QueryModel, result: t.QueryResult) -> None:
+    def _check_answer(self, number: int, model: QueryModel, result: t.QueryResult) -> None:
         kind, step = model.kind, 2 if model.kind.second_step_parts else 1
         received_shards = {content.shard for content in result.results.values()}
         assert all(content == Content(number, step, content.shard) for content in result.results.values())
         assert received_shards <= {
             shard for s, shard in model.answered if s == step
         }, "a result of a part that was not answered"
-        marked = result.status is t.QueryStatus.COMPLETE or result.marked_complete
+        is_marked_complete = result.status is t.QueryStatus.COMPLETE or result.marked_complete
         if step == 1:
             share = model.first_step_weight(received_shards)
             assert (
@@ -272,14 +272,14 @@
                 and share >= min(kind.required_coverage, kind.complete_coverage) - WEIGHT_TOLERANCE
             ), "below the required coverage"
             assert (
-                not marked or share >= kind.complete_coverage - WEIGHT_TOLERANCE
+                not is_marked_complete or share >= kind.complete_coverage - WEIGHT_TOLERANCE
             ), "an incomplete answer marked as complete"
             return
         assert model.second_step_shards, "answered without a second step"
         share = len(received_shards) / len(model.second_step_shards)
         required = kind.required_coverage if kind.required_coverage < kind.complete_coverage else 1.0
         assert share >= required - WEIGHT_TOLERANCE, "below the required coverage"
-        assert not marked or (
+        assert not is_marked_complete or (
             model.first_step_complete and share == 1.0
         ), "an incomplete answer marked as complete"
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -48,14 +48,14 @@
 @pytest.fixture
 def completed_queries(monkeypatch: pytest.MonkeyPatch) -> Waiter:
     """Collects the id and status of each query as the decision thread completes it."""
-    seen, original = Waiter(), QueryLog.query_completed
+    completed, original = Waiter(), QueryLog.query_completed
 
     def record(self: QueryLog, number: int, plan: t.QueryPlan, final: t.QueryResult, seconds: float) -> None:
         original(self, number, plan, final, seconds)
-        seen.put((plan.tag, final.status))
+        completed.put((plan.tag, final.status))
 
     monkeypatch.setattr(QueryLog, "query_completed", record)
-    return seen
+    return completed
 
 
 @pytest.fixture
@@ -63,11 +63,11 @@
     """No connection to a replica is established until this event is set."""
     allowed, finish_connect = threading.Event(), ReplicaConnection._finish_connect
 
-    def blocked(self: ReplicaConnection) -> None:
+    def finish_when_allowed(self: ReplicaConnection) -> None:
         allowed.wait(WAIT_TIMEOUT_SECONDS)
         finish_connect(self)
 
-    monkeypatch.setattr(ReplicaConnection, "_finish_connect", blocked)
+    monkeypatch.setattr(ReplicaConnection, "_finish_connect", finish_when_allowed)
     yield allowed
     allowed.set()
 
@@ -235,7 +235,7 @@
 
     with monkeypatch.context() as patch:
         patch.setattr(ReplicaConnection, "__init__", none_left)
-        assert platform.ask("q", {0: 1.0}, "/book", wait=500)[0] == 503
+        assert platform.ask("q", {0: 1.0}, "/book", timeout_ms=500)[0] == 503
     assert platform.ask("after", {0: 1.0})[0] == 200
     platform.close()
 
@@ -245,18 +245,18 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Its attempt ended as `connect failed`, that is, it did not run: it must not be sent afterwards."""
-    late, finish_connect = list[ReplicaConnection](), ReplicaConnection._finish_connect
+    delayed, finish_connect = list[ReplicaConnection](), ReplicaConnection._finish_connect
 
-    def blocked(self: ReplicaConnection) -> None:
-        late.extend([self] if not late else [])
-        if self is not late[0] or self.broken:
+    def delay_first_connection(self: ReplicaConnection) -> None:
+        delayed.extend([self] if not delayed else [])
+        if self is not delayed[0] or self.broken:
             finish_connect(self)
 
-    monkeypatch.setattr(ReplicaConnection, "_finish_connect", blocked)
+    monkeypatch.setattr(ReplicaConnection, "_finish_connect", delay_first_connection)
     platform = Platform(tmp_path, settings=with_limits(ConnectTimeoutS=0.1))
     assert platform.ask("q", {0: 1.0}, "/book")[0] == 200
-    assert late[0].broken
-    late[0]._finish_connect()  # as if the connection were established now
+    assert delayed[0].broken
+    delayed[0]._finish_connect()  # as if the connection were established now
     connections_of(platform).maintain()
     for number in range(10):
         assert platform.ask(f"after{number}", {0: 1.0})[0] == 200
@@ -300,7 +300,7 @@
     replica = Replica(0)
     limits = with_limits(Cancelling=cancelling, ConnectTimeoutS=WAIT_TIMEOUT_SECONDS)
     platform = Platform(tmp_path, replica, settings=limits)
-    assert platform.ask("late", {0: 1.0}, wait=200)[0] == 503
+    assert platform.ask("late", {0: 1.0}, timeout_ms=200)[0] == 503
     connects_allowed.set()
     assert platform.ask("after", {0: 1.0})[0] == 200
     assert received_parts(replica) == ["after.0"]
@@ -345,8 +345,8 @@
     """Settings in which a class is keyed, with an idempotency window of 1 s."""
     keyed = {"Semantics": "keyed", "WindowS": 1.0}
     classes = [SETTINGS["Classes"][0] | keyed, *SETTINGS["Classes"][1:]]
-    made = SETTINGS | {"Classes": classes, "Rules": SETTINGS["Rules"] | rules}
-    platform = Platform(tmp_path, Replica(0), settings=made)
+    keyed_class_settings = SETTINGS | {"Classes": classes, "Rules": SETTINGS["Rules"] | rules}
+    platform = Platform(tmp_path, Replica(0), settings=keyed_class_settings)
     platform.close()
     return configuration.read_config(platform.path).settings
 
@@ -380,7 +380,7 @@
         )
         for batch in retries:
             delays = (0.0, 0.02, t.MAX_SEND_DELAY, 0.06)
-            latest = max(late for late in delays if not batch.is_send_overdue(now + late))
+            latest = max(delay for delay in delays if not batch.is_send_overdue(now + delay))
             assert (
                 after + latest <= 1.0 and batch.claim_sendable(now + latest)[0]
             ), "it is sent, and within the window"
@@ -467,7 +467,7 @@
     """It used to be cancelled at its timeout whatever the settings were."""
     unresponsive = Replica(0, lambda wire, part: None)
     platform = Platform(tmp_path, unresponsive, settings=with_limits(Cancelling=cancelling))
-    assert platform.ask("q", {0: 0.5, 1: 0.5}, wait=200)[0] == 503
+    assert platform.ask("q", {0: 0.5, 1: 0.5}, timeout_ms=200)[0] == 503
     wait_until(lambda: connections_of(platform).in_flight == 0, "its parts have ended")
     sent = threading.Thread(target=platform.ask, args=("next", {2: 1.0}))
     sent.start()
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -344,7 +344,7 @@
     harness.watch.request_watch()
     harness.first_discovery.sock(1).close()
     harness.updates.wait(2)
-    assert not harness.watch._requested and len(harness.first_discovery.calls.items) == 1
+    assert not harness.watch._call_requested and len(harness.first_discovery.calls.items) == 1
     harness.watch.request_watch()
     harness.first_discovery.calls.wait(2)
 
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -101,15 +101,17 @@
         event = api.MembershipChanged(api.MembershipUpdateKind.FULL, rows)
         self.step(t.EndpointsUpdated(event, {r.id: ("127.0.0.1", r.id + 1) for r in rows}))
 
-    def ended(self, batch: t.BatchRequest, outcome: api.AttemptOutcome) -> list[t.Input]:
+    def finish_batch(self, batch: t.BatchRequest, outcome: api.AttemptOutcome) -> list[t.Input]:
         inputs: list[t.Input] = []
         for attempt in batch.attempts:
             claimed = attempt.claim()
-            good = outcome is api.AttemptOutcome.OK and (claimed or attempt.content[2])
+            has_result = outcome is api.AttemptOutcome.OK and (claimed or attempt.content[2])
             name = f"{attempt.part}/{attempt.attempt}"
             self.results[name] = attempt.content[0], attempt.content[1]
             inputs.append(
-                t.AttemptFinished(attempt.part, attempt.attempt, outcome, self.now, name if good else None)
+                t.AttemptFinished(
+                    attempt.part, attempt.attempt, outcome, self.now, name if has_result else None
+                )
             )
         return inputs
 
@@ -136,13 +138,13 @@
         pick=st.integers(0, 1 << 20),
         outcome=st.sampled_from([api.AttemptOutcome.OK] * 6 + OUTCOMES),
         deferred=st.booleans(),
-        again=st.booleans(),
+        may_end_twice=st.booleans(),
     )
-    def end(self, pick: int, outcome: api.AttemptOutcome, deferred: bool, again: bool) -> None:
+    def end(self, pick: int, outcome: api.AttemptOutcome, deferred: bool, may_end_twice: bool) -> None:
         """End a batch, which may be cancelled; it may end twice, or in one step with other batches."""
         index = pick % len(self.batches)
-        batch = self.batches[index] if again else self.batches.pop(index)
-        self.pending += self.ended(batch, outcome)
+        batch = self.batches[index] if may_end_twice else self.batches.pop(index)
+        self.pending += self.finish_batch(batch, outcome)
         if not deferred:
             self.step()
 
@@ -184,8 +186,8 @@
                 assert final.status is not t.QueryStatus.COMPLETE or len(final.results) == len(plan.parts)
                 for index, name in final.results.items():
                     assert name is not None and self.results[name] == (number, index)
-                short = final.status is t.QueryStatus.PARTIAL
-                assert not short or final.coverage >= CLASSES[plan.query_class].required_coverage - 1e-9
+                is_partial = final.status is t.QueryStatus.PARTIAL
+                assert not is_partial or final.coverage >= CLASSES[plan.query_class].required_coverage - 1e-9
 
     def teardown(self) -> None:
         """Fire all timers: nothing stays open, and the module was notified of the end of each attempt."""
@@ -225,25 +227,25 @@
         self.step(t.EndpointsUpdated(event, {r.id: ("127.0.0.1", 1) for r in rows}))
 
     def step(self, *inputs: t.Input) -> list[t.BatchRequest]:
-        out = []
+        started = []
         for effect in self.driver.step(self.now, inputs):
             if isinstance(effect, t.CompleteQuery):
                 effect.on_result(effect.result)
             elif isinstance(effect, t.StartRequest):
-                out.append(effect.request)
-        return out
+                started.append(effect.request)
+        return started
 
     def submit(self, seconds: float) -> list[t.BatchRequest]:
         plan = t.QueryPlan(0, self.now + seconds, (t.PartPlan(0, 1.0, "x"),), CODEC)
         return self.step(t.QuerySubmitted(1, plan, self.query_results.append))
 
     def run_until(self, at: float) -> list[t.BatchRequest]:
-        out = []
+        started = []
         while (due := self.driver.next_due()) <= at:
             self.now = max(self.now, due)
-            out += self.step()
+            started += self.step()
         self.now = at
-        return out
+        return started
 
 
 def succeed(batch: t.BatchRequest, now: float, result: str) -> t.AttemptFinished:
@@ -317,16 +319,18 @@
         ]
         return t.BatchRequest(1, 1, ("h", 1), UnusedCodec(), attempts, 9.0, decided_at=5.0)
 
-    made = batch()
-    sendable, overdue = made.claim_sendable(5.04)
+    batch_request = batch()
+    sendable, overdue = batch_request.claim_sendable(5.04)
     assert (
-        [e.part for e in sendable] == [1, 2] and not overdue and made.claim_sendable(5.04) == ([], [])
+        [e.part for e in sendable] == [1, 2]
+        and not overdue
+        and batch_request.claim_sendable(5.04) == ([], [])
     ), "claimed once"
     sendable, overdue = batch().claim_sendable(5.06)
     assert [e.part for e in sendable] == [1] and [e.part for e in overdue] == [2]
-    made = batch()
-    made.attempts[1].claim()  # the driver has ended this attempt
-    assert [len(group) for group in made.claim_sendable(5.06)] == [1, 0]
+    batch_request = batch()
+    batch_request.attempts[1].claim()  # the driver has ended this attempt
+    assert [len(group) for group in batch_request.claim_sendable(5.06)] == [1, 0]
 
 
 def test_arrival_time_of_requests_read_after_a_process_pause() -> None:
@@ -370,10 +374,10 @@
 
     The driver has no address for a replica that is gone; sending to one raised in the decision thread.
     """
-    for state, which in itertools.product((api.ReplicaState.DRAINING, api.ReplicaState.GONE), (1, 2)):
+    for state, offset in itertools.product((api.ReplicaState.DRAINING, api.ReplicaState.GONE), (1, 2)):
         harness = DriverHarness(query_class(aim=1.0, deadline=3.0))
         (batch,) = harness.submit(3.0)
-        ready_replica = (batch.replica + which) % 3
+        ready_replica = (batch.replica + offset) % 3
         rows = tuple(
             replica(i, state=api.ReplicaState.READY if i == ready_replica else state) for i in range(3)
         )
--- a/tests/test_incident_late_drains.py
+++ b/tests/test_incident_late_drains.py
@@ -26,15 +26,15 @@
 from faults.rig import play
 
 # Times are in seconds from the start of the clients' traffic.
-BREAK = 0.3  # all watches end
-DRAIN = 0.5  # a replica begins to drain
-LIMIT = (
-    BREAK + NOTIFIED_WITHIN_SECONDS
-)  # a node counts as notified of any change after its last update from discovery
-LATE_OPENING = (LIMIT - 1.4, LIMIT - 0.6)  # span in which discovery accepts calls again
-END = DRAIN + NOTIFIED_WITHIN_SECONDS + DRAIN_GRACE_SECONDS + 6.0
+BREAK_AT = 0.3  # all watches end
+DRAIN_AT = 0.5  # a replica begins to drain
+# From this time on, a node counts as notified of any change after its last update from discovery.
+NOTIFICATION_LIMIT = BREAK_AT + NOTIFIED_WITHIN_SECONDS
+# Span in which discovery accepts calls again.
+LATE_OPENING = (NOTIFICATION_LIMIT - 1.4, NOTIFICATION_LIMIT - 0.6)
+END = DRAIN_AT + NOTIFIED_WITHIN_SECONDS + DRAIN_GRACE_SECONDS + 6.0
 NODES = 3
-DRAINED = 0  # index of the draining replica
+DRAINED_REPLICA = 0  # index of the draining replica
 OVERLOAD_DELAY = 0.5  # seconds by which a part may be late on a machine without enough free processors
 
 
@@ -59,8 +59,8 @@
         replica_faults=(ReplicaFaults(latency=0.01, slow=0.15),) * 4,
         proxy_faults=ProxyFaults(),
         disconnects=0.0,
-        changes=((DRAIN, DRAINED, "DRAINING"),),
-        discovery=DiscoveryFaults(breaks=(BREAK,), openings=((-60.0, BREAK), *openings)),
+        changes=((DRAIN_AT, DRAINED_REPLICA, "DRAINING"),),
+        discovery=DiscoveryFaults(breaks=(BREAK_AT,), openings=((-60.0, BREAK_AT), *openings)),
     )
 
 
@@ -81,7 +81,7 @@
     assert result.statuses[200] > result.requests / 2, result.statuses
     assert not result.violations, result.violations[:3]
     drained_at = ledger.endpoint_changes[0].at
-    late = [part.at - drained_at for part in ledger.parts if part.replica == DRAINED]
+    seconds_after_drain = [part.at - drained_at for part in ledger.parts if part.replica == DRAINED_REPLICA]
     assert (
-        max(late) < NOTIFIED_WITHIN_SECONDS + DRAIN_GRACE_SECONDS + OVERLOAD_DELAY
+        max(seconds_after_drain) < NOTIFIED_WITHIN_SECONDS + DRAIN_GRACE_SECONDS + OVERLOAD_DELAY
     ), "parts were sent to the drained replica for too long"
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -46,8 +46,8 @@
 def test_slots_are_shared_by_weight_and_not_by_count() -> None:
     even = shares({"a": 1.0, "b": 1.0}, {"a": 0.001, "b": 0.05}, 50.0)
     assert even["a"] == pytest.approx(0.5, abs=0.02), "longer requests get fewer slots"
-    three = shares({"a": 3.0, "b": 1.0}, {"a": 0.01, "b": 0.01}, 20.0)
-    assert three["a"] == pytest.approx(0.75, abs=0.02)
+    weighted = shares({"a": 3.0, "b": 1.0}, {"a": 0.01, "b": 0.01}, 20.0)
+    assert weighted["a"] == pytest.approx(0.75, abs=0.02)
 
 
 def test_idle_time_earns_no_credit() -> None:
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -102,7 +102,7 @@
     closed_replica = Replica(0)
     closed_replica.close()
     platform = Platform(tmp_path, closed_replica)
-    status, fields, _ = platform.ask("q", {0: 1.0}, "/book", wait=6000)
+    status, fields, _ = platform.ask("q", {0: 1.0}, "/book", timeout_ms=6000)
     assert status == 503 and 0 < float(fields["retry-after"]) <= 0.5
     platform.close()
 
--- a/tests/test_recorded_driver.py
+++ b/tests/test_recorded_driver.py
@@ -46,7 +46,7 @@
 
 def replay(session: Session, batch: Batch) -> list[Any]:
     """Return the driver's outputs for a batch: results of operations, effects, state, and observed calls."""
-    results = [session.operate(form) for form in batch.operations]
+    results = [session.operate(encoded) for encoded in batch.operations]
     _, effects, state, observed = session.step(batch.now, batch.inputs)
     return [results, effects, state, observed]
 
@@ -85,8 +85,8 @@
         batches += len(recording.batches)
         assert recording.batches and any(batch.effects for batch in recording.batches), path.name
         for batch in recording.batches:
-            inputs.update(form[0] for form in batch.inputs)
-            effects.update(form[0] for form in batch.effects)
+            inputs.update(encoded[0] for encoded in batch.inputs)
+            effects.update(encoded[0] for encoded in batch.effects)
             count_members(batch.effects, members)
             count_members(batch.observed, members)
     assert len(FIXTURES) >= MIN_RECORDINGS and batches >= MIN_BATCHES
@@ -114,12 +114,12 @@
     assert used.total() >= MIN_TOOL_CALLS
 
 
-def count_members(form: Any, members: Counter[tuple[int, int]]) -> None:
+def count_members(encoded: Any, members: Counter[tuple[int, int]]) -> None:
     """Count the enumeration members in an encoded value."""
-    if isinstance(form, list):
-        if len(form) == 3 and form[0] == codec.MEMBER:
-            members[form[1], form[2]] += 1
-        for item in form:
+    if isinstance(encoded, list):
+        if len(encoded) == 3 and encoded[0] == codec.MEMBER:
+            members[encoded[1], encoded[2]] += 1
+        for item in encoded:
             count_members(item, members)
 
 
@@ -135,6 +135,6 @@
         ("a", "b"),
     ],
 )
-def test_forms_are_compared_bit_by_bit(recorded: Any, actual: Any) -> None:
+def test_encoded_values_are_compared_bit_by_bit(recorded: Any, actual: Any) -> None:
     assert codec.first_difference(recorded, actual)
     assert not codec.first_difference(recorded, recorded)
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -176,10 +176,10 @@
     """Guards against a co-ordinator that, paused past its client's deadline, closes without an answer."""
     done = threading.Event()
 
-    def late(request: Request, body: bytes, arrived: float, client: Exchange) -> Reply:
+    def late_handler(request: Request, body: bytes, arrived: float, client: Exchange) -> Reply:
         return plain(200, "an answer")._replace(until=time.monotonic() - 1.0, done=done.set)
 
-    for server in serve(late):
+    for server in serve(late_handler):
         status, fields, text = send_request(server)
         assert status == 504 and fields["connection"] == "close" and "time is up" in text
         assert done.wait(WAIT_TIMEOUT_SECONDS)
@@ -189,10 +189,10 @@
     """Guards against plain text in place of the front's JSON, which a vector client got on an overloaded
     machine."""
 
-    def late(request: Request, body: bytes, arrived: float, client: Exchange) -> Reply:
+    def late_handler(request: Request, body: bytes, arrived: float, client: Exchange) -> Reply:
         return plain(502, "in the front's own words")._replace(until=time.monotonic() - 1.0)
 
-    for server in serve(late):
+    for server in serve(late_handler):
         status, _, text = send_request(server)
         assert status == 502 and text == "in the front's own words\n"
 
@@ -239,23 +239,23 @@
     """An epoll some of whose calls fail."""
 
     def __init__(self, real: Any) -> None:
-        self.real, self.fail = real, dict[str, int]()  # call -> number of failures still to come
+        self.real, self.failures_left = real, dict[str, int]()  # call -> number of failures still to come
 
-    def _maybe(self, call: str) -> None:
-        if self.fail.get(call, 0) > 0:
-            self.fail[call] -= 1
+    def _fail_if_due(self, call: str) -> None:
+        if self.failures_left.get(call, 0) > 0:
+            self.failures_left[call] -= 1
             raise OSError(errno.ENOMEM, os.strerror(errno.ENOMEM))
 
-    def register(self, number: int, what: int) -> None:
-        self._maybe("register")
-        self.real.register(number, what)
+    def register(self, number: int, event_mask: int) -> None:
+        self._fail_if_due("register")
+        self.real.register(number, event_mask)
 
-    def modify(self, number: int, what: int) -> None:
-        self._maybe("modify")
-        self.real.modify(number, what)
+    def modify(self, number: int, event_mask: int) -> None:
+        self._fail_if_due("modify")
+        self.real.modify(number, event_mask)
 
     def poll(self, seconds: float) -> Any:
-        self._maybe("poll")
+        self._fail_if_due("poll")
         return self.real.poll(seconds)
 
     def unregister(self, number: int) -> None:
@@ -309,10 +309,10 @@
     assert isinstance(connections, ReplicaConnections)
     poll = FailingPoll(connections._poll)
     connections._poll = poll  # type: ignore[assignment]
-    poll.fail[call] = 1
+    poll.failures_left[call] = 1
     first = platform.ask("q1", {0: 1.0})[0]
     assert not platform.node.core.broken.is_set() and first in (200, 503)
-    assert platform.ask("q2", {0: 1.0})[0] == 200 and not poll.fail[call]
+    assert platform.ask("q2", {0: 1.0})[0] == 200 and not poll.failures_left[call]
     platform.close()
 
 
@@ -348,11 +348,13 @@
     """Calls fail on the co-ordinator's side of all connections, and not on the test's side."""
     platform = Platform(tmp_path)
     sock = platform.client()
-    real, own, count = getattr(socket.socket, call), threading.current_thread(), [0]
+    real, test_thread, count = getattr(socket.socket, call), threading.current_thread(), [0]
 
     def flaky(self: socket.socket, *args: Any) -> Any:
-        mine = threading.current_thread() is own or threading.current_thread().name.startswith("Thread-")
-        if not mine and count[0] < 6:
+        is_test_side = (
+            threading.current_thread() is test_thread or threading.current_thread().name.startswith("Thread-")
+        )
+        if not is_test_side and count[0] < 6:
             count[0] += 1
             raise OSError(code, os.strerror(code))
         return real(self, *args)
@@ -369,10 +371,10 @@
     connections = connections_of(platform)
     poll = FailingPoll(connections._poller._epoll)
     connections._poller._epoll = poll  # type: ignore[assignment]
-    poll.fail[call] = 3
+    poll.failures_left[call] = 3
     for number in range(5):
         assert platform.ask(f"q{number}", {0: 1.0})[0] == 200
-    assert not poll.fail[call]
+    assert not poll.failures_left[call]
 
 
 class FailingListener:
@@ -404,24 +406,24 @@
 
 
 def test_a_local_error_does_not_mean_that_the_client_disconnected(monkeypatch: pytest.MonkeyPatch) -> None:
-    near, far = socket.socketpair()
-    near.setblocking(False)
+    server_side, client_side = socket.socketpair()
+    server_side.setblocking(False)
     monkeypatch.setattr(client_connection, "is_transient", local_failures.is_transient)
-    far.sendall(b"x")
+    client_side.sendall(b"x")
     real = socket.socket.recv
 
     def short_of_memory(self: socket.socket, *args: Any) -> bytes:
         raise OSError(errno.ENOMEM, os.strerror(errno.ENOMEM))
 
     monkeypatch.setattr(socket.socket, "recv", short_of_memory)
-    assert client_connection.has_unread_data(near) is None, "must be unknown after a local failure"
+    assert client_connection.has_unread_data(server_side) is None, "must be unknown after a local failure"
     monkeypatch.setattr(socket.socket, "recv", real)
-    assert client_connection.has_unread_data(near) is True
-    far.close()
-    near.close()
+    assert client_connection.has_unread_data(server_side) is True
+    client_side.close()
+    server_side.close()
 
 
-class NoThreads:
+class FailingThreadStart:
     """Makes starting a client thread fail `times` times."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, times: int) -> None:
@@ -439,7 +441,7 @@
     platform: Platform,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    threads = NoThreads(monkeypatch, 3)
+    threads = FailingThreadStart(monkeypatch, 3)
     assert platform.ask("q1", {0: 1.0})[0] == 200 and not threads.remaining
 
 
@@ -447,9 +449,9 @@
     platform: Platform,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    NoThreads(monkeypatch, 1 << 30)
+    FailingThreadStart(monkeypatch, 1 << 30)
     assert platform.ask("q1", {0: 1.0})[0] == 503
-    assert not any(each.parts.items for each in platform.replicas)
+    assert not any(source.parts.items for source in platform.replicas)
 
 
 def test_local_failures_at_startup_are_retried_for_a_while(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -473,12 +475,15 @@
 # ---- real processes, with failing system calls and a stepped wall clock
 
 
-SHIMMED = ((3, "0.02:0"), (12, "0.01:3600"), (20, "0.02:-3600"), (41, "0:7200"))
+# Seed of a run and its shim's RATE:STEP, the rate of failing calls and the wall clock's step in seconds.
+SHIM_RUNS = ((3, "0.02:0"), (12, "0.01:3600"), (20, "0.02:-3600"), (41, "0:7200"))
 
 
-@pytest.mark.parametrize(("seed", "words"), SHIMMED)
-def test_a_seeded_run_with_failing_calls_and_a_stepped_clock_breaks_no_rule(seed: int, words: str) -> None:
-    result = play(draw(seed), env=shim(seed, words))
+@pytest.mark.parametrize(("seed", "shim_arguments"), SHIM_RUNS)
+def test_a_seeded_run_with_failing_calls_and_a_stepped_clock_breaks_no_rule(
+    seed: int, shim_arguments: str
+) -> None:
+    result = play(draw(seed), env=shim(seed, shim_arguments))
     assert not result.untimed_violations and not result.unexpected_exits and result.requests > 20
 
 
