--- a/tests/test_membership_vouching.py
+++ b/tests/test_membership_vouching.py
@@ -178,7 +178,7 @@
     # A blocking query takes 0.5 s; the reset delay is 0.6 s.
     wait_until(lambda: stale_agent.calls > calls + 14)
     assert harness.states()[1] is DRAINING
-    assert any("not confirmed by the leader" in line for line in harness.warnings) == (fault == "stale")
+    assert any("no leader has vouched" in line for line in harness.warnings) == (fault == "stale")
     stale_agent.set_fault("")
     harness.register(1)
     wait_until(lambda: harness.states()[1] is READY)
