--- a/gingervane/membership/consul_polling.py
+++ b/gingervane/membership/consul_polling.py
@@ -54,7 +54,7 @@
     The order is random, which spreads the co-ordinators over the agents. Watchers without an agent are left out.
     """
     order = rng.sample(range(agents), agents)
-    return [order[first::watchers] for first in range(min(watchers, agents))]
+    return [order[watcher::watchers] for watcher in range(min(watchers, agents))]
 
 
 class BlockingQueryState:
--- a/gingervane/membership/reconciliation.py
+++ b/gingervane/membership/reconciliation.py
@@ -85,9 +85,9 @@
     def refresh(self, now: float) -> dict[int, Member | None]:
         """Evaluate what is due; return the members changed since the last call by ID, None for those removed."""
         for source in self._sources.values():
-            if not source.pending or now < source.reset_due(self._guard):
+            if not source.pending or now < source.reset_due_at(self._guard):
                 continue
-            if not source.pending_consistent:
+            if not source.is_pending_confirmed:
                 self._unconfirmed_indexes.append(source.report_unconfirmed_index())
                 continue
             self.index_resets += 1
@@ -122,7 +122,7 @@
 
     def next_due(self, now: float) -> float:
         """Return the earliest time at which the view may change without a report; infinite if it cannot."""
-        due = min((s.reset_due(self._guard) for s in self._sources.values() if s.pending), default=inf)
+        due = min((s.reset_due_at(self._guard) for s in self._sources.values() if s.pending), default=inf)
         for server_id in self._time_dependent:
             due = min([due, *self._servers[server_id].next_changes(self._guard, now)])
         return due
--- a/gingervane/membership/reconciliation_state.py
+++ b/gingervane/membership/reconciliation_state.py
@@ -49,15 +49,17 @@
             for name, age in stored["last"].items()
             if name in sources
         }
-        index = {name: int(at) for name, at in stored.get("index", {}).items() if name in sources}
+        source_index = {
+            name: int(index) for name, index in stored.get("index", {}).items() if name in sources
+        }
         servers = {
             int(server_id): _decode_server(row, sources, stored_at, clock_shift)
             for server_id, row in stored["servers"].items()
         }
     except (KeyError, TypeError, ValueError, AttributeError, IndexError) as error:
         raise ValueError(f"malformed reconciliation state: {error!r}") from None
-    listed = {server_id: server for server_id, server in servers.items() if server.entries}
-    return RestoredState(latest_valid_from, index, listed)
+    servers_with_entries = {server_id: server for server_id, server in servers.items() if server.entries}
+    return RestoredState(latest_valid_from, source_index, servers_with_entries)
 
 
 def _encode_server(server: ServerRecord, now: float) -> dict[str, Any]:
@@ -65,7 +67,7 @@
         "entries": {source: _encode_entry(entry, now) for source, entry in server.entries.items()},
         "away": server.unavailable,
         "ready_in": server.ready_from - now,
-        "returns": [now - at for at in server.return_times],
+        "returns": [now - at for at in server.recovery_times],
     }
 
 
@@ -86,7 +88,7 @@
     row: dict[str, Any], sources: Container[str], stored_at: float, clock_shift: float
 ) -> ServerRecord:
     server = ServerRecord(unavailable=bool(row["away"]), ready_from=stored_at + row["ready_in"])
-    server.return_times = [stored_at - age for age in row["returns"]]
+    server.recovery_times = [stored_at - age for age in row["returns"]]
     for source, fields in row["entries"].items():
         entry = _decode_entry(fields, stored_at, clock_shift, source in sources)
         if entry is not None:
@@ -95,12 +97,14 @@
 
 
 def _decode_entry(
-    fields: list[Any], stored_at: float, clock_shift: float, configured: bool
+    fields: list[Any], stored_at: float, clock_shift: float, is_configured: bool
 ) -> ServerEntry | None:
     """Decode an entry; None for a well-formed one whose source is no longer configured."""
-    server_id, name, address, zone, cell, state, started, age, missing_for, retained, *more = fields
-    create_index, recreated_for = more or (0, None)  # older versions do not store these
-    if not configured:
+    server_id, name, address, zone, cell, state, started, age, missing_for, retained, *optional_fields = (
+        fields
+    )
+    create_index, recreated_for = optional_fields or (0, None)  # older versions do not store these
+    if not is_configured:
         return None
     member = Member(
         server_id,
--- a/gingervane/membership/server_record.py
+++ b/gingervane/membership/server_record.py
@@ -61,9 +61,9 @@
     """One server: its entries by source, and its history. Times are in seconds on the monotonic clock."""
 
     entries: dict[str, ServerEntry] = field(default_factory=dict)
-    unavailable: bool = False  # it was gone or critical at the last evaluation
+    unavailable: bool = False  # the server was gone or critical at the last evaluation
     ready_from: float = 0.0  # when the last readmission delay ends
-    return_times: list[float] = field(default_factory=list)  # recoveries within the flap window
+    recovery_times: list[float] = field(default_factory=list)  # recoveries within the flap window
     last_response_at: float = -inf  # last successful response to this co-ordinator
 
     def worst_status(self, guard: MassRemovalGuard, now: float) -> EntryStatus | None:
@@ -82,9 +82,9 @@
         """Record whether the server is available now; a recovery starts a readmission delay."""
         unavailable = status is None or status.state is api.ReplicaState.GONE
         if self.unavailable and not unavailable:
-            recent = [at for at in self.return_times if now - at < guard.flap_window]
-            self.return_times = [*recent, now]
-            delay = guard.readmission_delay * 2 ** (len(self.return_times) - 1)
+            recent_times = [past for past in self.recovery_times if now - past < guard.flap_window]
+            self.recovery_times = [*recent_times, now]
+            delay = guard.readmission_delay * 2 ** (len(self.recovery_times) - 1)
             self.ready_from = now + min(delay, guard.max_readmission_delay)
         self.unavailable = unavailable
 
@@ -121,8 +121,8 @@
         member = entry.member._replace(state=status.state)
         if status.state is api.ReplicaState.READY and now < self.ready_from:
             return member._replace(state=api.ReplicaState.GONE)
-        if member.started_at is None and (self.return_times or entry.recreated_at is not None):
-            returned_at = self.ready_from if self.return_times else -inf
+        if member.started_at is None and (self.recovery_times or entry.recreated_at is not None):
+            recovered_at = self.ready_from if self.recovery_times else -inf
             recreated_at = -inf if entry.recreated_at is None else entry.recreated_at
-            return member._replace(started_at=max(returned_at, recreated_at))
+            return member._replace(started_at=max(recovered_at, recreated_at))
         return member
--- a/gingervane/membership/source_ordering.py
+++ b/gingervane/membership/source_ordering.py
@@ -53,8 +53,8 @@
     # The newest report received after a confirmed `pending` and not older than it; accepted together with it.
     pending_successor: SourceReport | None = None
     pending_since: float = inf  # when the first report with a lower index was received
-    pending_consistent: bool = False  # the leader has confirmed `pending`
-    unconfirmed_reported: bool = False  # the warning that `pending` is unconfirmed has been given
+    is_pending_confirmed: bool = False  # the leader has confirmed `pending`
+    unconfirmed_warning_given: bool = False  # the warning about an unconfirmed `pending` has been issued
     superseded_index: int = 0  # the index that was replaced by a lower one
     failed_resets: int = 0  # how often a superseded index reappeared
     awaits_confirmation: bool = False  # a superseded index reappeared and is not confirmed yet
@@ -70,12 +70,12 @@
             self._set_index(report.source_index)
             return not self.awaits_confirmation
         self.pending_since = min(self.pending_since, now)
-        if report.consistent or not self.pending_consistent:
+        if report.consistent or not self.is_pending_confirmed:
             self.pending = report
             self.pending_successor = None
         elif self.pending and report.source_index >= self.pending.source_index:
             self.pending_successor = report
-        self.pending_consistent = self.pending_consistent or report.consistent
+        self.is_pending_confirmed = self.is_pending_confirmed or report.consistent
         return False
 
     def accept_by_time(self, report: SourceReport, valid_from: float) -> bool:
@@ -83,11 +83,11 @@
         self.index = report.source_index
         return valid_from >= self.latest_valid_from
 
-    def reset_due(self, guard: MassRemovalGuard) -> float:
+    def reset_due_at(self, guard: MassRemovalGuard) -> float:
         """Return when the pending report is to be accepted or reported as unconfirmed; infinite if neither."""
-        if self.pending_consistent:
+        if self.is_pending_confirmed:
             return self.pending_since + guard.consistent_index_reset_delay * 2.0**self.failed_resets
-        return inf if self.unconfirmed_reported else self.pending_since + guard.index_reset_delay
+        return inf if self.unconfirmed_warning_given else self.pending_since + guard.index_reset_delay
 
     def accept_reset(self) -> list[SourceReport]:
         """Make the pending report's lower index the current one; return the reports to apply, in order."""
@@ -100,7 +100,7 @@
     def report_unconfirmed_index(self) -> UnconfirmedIndex:
         """Return the pending report's unconfirmed index, and mark it as reported."""
         assert self.pending is not None
-        self.unconfirmed_reported = True
+        self.unconfirmed_warning_given = True
         return UnconfirmedIndex(self.pending.source, self.pending.source_index, self.index)
 
     def _set_index(self, index: int) -> None:
@@ -108,5 +108,5 @@
         self.pending = None
         self.pending_successor = None
         self.pending_since = inf
-        self.pending_consistent = False
-        self.unconfirmed_reported = False
+        self.is_pending_confirmed = False
+        self.unconfirmed_warning_given = False
--- a/gingervane/membership/source_owner.py
+++ b/gingervane/membership/source_owner.py
@@ -153,7 +153,7 @@
     def stop(self) -> None:
         """Stop the owner's thread, and write a last snapshot if there are unsaved changes."""
         self._queue.put(None)
-        if self._thread.ident:  # it may never have been started
+        if self._thread.ident:  # the thread may never have been started
             self._thread.join(_JOIN_TIMEOUT)
         if self._writer:
             unsaved = self._writer.has_unsaved_changes
@@ -164,10 +164,10 @@
         while True:
             now = time.monotonic()
             next_write_at = self._writer.next_write_at() if self._writer else inf
-            due = min(self._reconciliation.next_due(now), next_write_at)
+            wake_at = min(self._reconciliation.next_due(now), next_write_at)
             report: SourceReport | None = None
             try:
-                report = self._queue.get(timeout=min(max(due - now, _MIN_WAIT), _MAX_POLL_INTERVAL))
+                report = self._queue.get(timeout=min(max(wake_at - now, _MIN_WAIT), _MAX_POLL_INTERVAL))
                 if report is None:
                     return
             except Empty:
@@ -176,15 +176,15 @@
 
     def _update(self, report: SourceReport | None, now: float) -> None:
         """Apply recorded responses and the report if there is one, then publish and save what has changed."""
-        for server, at in list(self._response_times.items()):
-            self._reconciliation.record_response(server, at)
+        for server, responded_at in list(self._response_times.items()):
+            self._reconciliation.record_response(server, responded_at)
         if report is not None:
             self._reconciliation.apply_report(report, now)
         self._publish(now, report is not None)
-        for lower in self._reconciliation.take_unconfirmed_indexes():
+        for unconfirmed in self._reconciliation.take_unconfirmed_indexes():
             self._log_warning(
-                f"{lower.source}: index {lower.shown_index} is behind {lower.newest_index}, and no leader has vouched"
-                " for it; what it takes back does not count"
+                f"{unconfirmed.source}: index {unconfirmed.shown_index} is behind {unconfirmed.newest_index},"
+                " and no leader has vouched for it; what it takes back does not count"
             )
         if self._writer and self._writer.is_write_due(now):
             self._writer.submit(self._snapshot_content(now))
--- a/gingervane/membership/view.py
+++ b/gingervane/membership/view.py
@@ -124,22 +124,24 @@
                 or member.id not in self._start_times
             ):
                 self._start_times[member.id] = self._bounded_start(
-                    member.started_at, now, restarted=previous is not None
+                    member.started_at, now, was_listed_before=previous is not None
                 )
         elif not self._awaiting_first_list and (has_returned or has_moved or previous is None):
             self._start_times[member.id] = now
 
-    def _bounded_start(self, started: float, now: float, restarted: bool) -> float:
-        """Return the start time, limited to the present, and to `now` if a restart seems to precede the last list.
+    def _bounded_start(self, started: float, now: float, was_listed_before: bool) -> float:
+        """Return the start time, but `now` if it is in the future or a restart seems to precede the last list.
 
         A wall clock that is off thus does not make a cold replica look warm. The second limit does not apply to a
         member listed for the first time: it may have run for long, as list files are edited by hand.
         """
-        if restarted and is_too_early(started, self._last_update_at):
+        if was_listed_before and is_too_early(started, self._last_update_at):
             return now
         return min(started, now)
 
     def _as_update(self, kind: api.MembershipUpdateKind, members: tuple[Member, ...]) -> EndpointsUpdated:
-        started = self._start_times
-        rows = tuple(api.Replica(m.id, m.cell, m.zone, 1.0, m.state, started.get(m.id, 0.0)) for m in members)
+        start_times = self._start_times
+        rows = tuple(
+            api.Replica(m.id, m.cell, m.zone, 1.0, m.state, start_times.get(m.id, 0.0)) for m in members
+        )
         return EndpointsUpdated(api.MembershipChanged(kind, rows), {m.id: m.address for m in members})
--- a/gingervane/settings/validation.py
+++ b/gingervane/settings/validation.py
@@ -32,25 +32,25 @@
 
 
 def _fault_line(model: type[BaseModel], error: Any) -> str:
-    where = "".join(f"[{p}]" if isinstance(p, int) else f".{p}" for p in error["loc"]).lstrip(".")
+    key_path = "".join(f"[{p}]" if isinstance(p, int) else f".{p}" for p in error["loc"]).lstrip(".")
     if error["type"] == "extra_forbidden":
         similar = difflib.get_close_matches(str(error["loc"][-1]), _known_keys(model, error["loc"][:-1]), 1)
-        return f"{where}: not a known key" + (f"; is {similar[0]} meant?" if similar else "")
+        return f"{key_path}: not a known key" + (f"; is {similar[0]} meant?" if similar else "")
     if error["type"] == "missing":
-        return f"{where}: missing"
+        return f"{key_path}: missing"
     description = str(error["msg"]).removeprefix("Value error, ")
     if error["type"] == "value_error" and ": " in description:  # the validator of a table names the key
         key, _, description = description.partition(": ")
-        return f"{where}.{key}: {description}".lstrip(".")
-    return f"{where}: {description[:1].lower()}{description[1:]}, not {error['input']!r}"
+        return f"{key_path}.{key}: {description}".lstrip(".")
+    return f"{key_path}: {description[:1].lower()}{description[1:]}, not {error['input']!r}"
 
 
 def _known_keys(model: type[BaseModel], loc: tuple[str | int, ...]) -> list[str]:
     """Return the keys of the table at location `loc` in a model."""
-    for step in loc:
-        if isinstance(step, int):
+    for location_item in loc:
+        if isinstance(location_item, int):
             continue
-        field = next(f for name, f in model.model_fields.items() if step in (name, f.alias))
-        kinds = [field.annotation, *get_args(field.annotation)]
-        model = next(k for k in kinds if isinstance(k, type) and issubclass(k, BaseModel))
+        field = next(f for name, f in model.model_fields.items() if location_item in (name, f.alias))
+        annotated_types = [field.annotation, *get_args(field.annotation)]
+        model = next(k for k in annotated_types if isinstance(k, type) and issubclass(k, BaseModel))
     return [field.alias or name for name, field in model.model_fields.items()]
--- a/gingervane/writes/missed_writes.py
+++ b/gingervane/writes/missed_writes.py
@@ -29,7 +29,7 @@
 class MissedWrite:
     """Repair state of a shard of which a replica may lack a write."""
 
-    since: float
+    first_missed_at: float
     next_attempt_at: float
     failed_attempts: int = 0
 
@@ -69,14 +69,14 @@
 
     def oldest_age(self, now: float) -> float:
         """Return the seconds since the oldest missed write; 0 if there is none."""
-        return max((now - missed.since for missed in self._missed.values()), default=0.0)
+        return max((now - missed.first_missed_at for missed in self._missed.values()), default=0.0)
 
     def next_shard(self, now: float) -> ShardKey | None:
         """Return the shard to compare now, or None if none is due or the budget allows no copying."""
         self._refill(now)
         if self._tokens < 1.0:
             return None
-        due = min(
+        next_retry = min(
             (
                 (missed.next_attempt_at, shard)
                 for shard, missed in self._missed.items()
@@ -84,7 +84,7 @@
             ),
             default=None,
         )
-        return due[1] if due is not None else self._next_of_sweep(now)
+        return next_retry[1] if next_retry is not None else self._next_of_sweep(now)
 
     def capacity(self, now: float) -> int:
         """Return how many points may be copied now."""
@@ -132,7 +132,7 @@
 class _AwaitedWrite(NamedTuple):
     """A write, and the replicas that have not acknowledged it yet."""
 
-    due: float
+    due_at: float  # when the last acknowledgement must have arrived
     replicas: set[int]
 
 
@@ -146,35 +146,35 @@
 
     def __init__(self, max_writes: int = 100_000) -> None:
         self._max_writes = max_writes
-        self._awaited: OrderedDict[tuple[ShardKey, int], _AwaitedWrite] = OrderedDict()
+        self._awaited_writes: OrderedDict[tuple[ShardKey, int], _AwaitedWrite] = OrderedDict()
         self._evicted: list[ShardKey] = []
 
-    def add(self, shard: ShardKey, version: int, replicas: Iterable[int], due: float) -> None:
-        """Track a write of `version` that these replicas must acknowledge by the time `due`."""
-        if len(self._awaited) >= self._max_writes:
-            (oldest_shard, _), _ = self._awaited.popitem(last=False)
+    def add(self, shard: ShardKey, version: int, replicas: Iterable[int], due_at: float) -> None:
+        """Track a write of `version` that these replicas must acknowledge by the time `due_at`."""
+        if len(self._awaited_writes) >= self._max_writes:
+            (oldest_shard, _), _ = self._awaited_writes.popitem(last=False)
             self._evicted.append(oldest_shard)
-        self._awaited[shard, version] = _AwaitedWrite(due, set(replicas))
+        self._awaited_writes[shard, version] = _AwaitedWrite(due_at, set(replicas))
 
     def acknowledge(self, shard: ShardKey, version: int, replica: int) -> None:
         """Record that a replica has executed a write."""
-        awaited = self._awaited.get((shard, version))
-        if awaited is not None:
-            awaited.replicas.discard(replica)
-            if not awaited.replicas:
-                del self._awaited[shard, version]
+        awaited_write = self._awaited_writes.get((shard, version))
+        if awaited_write is not None:
+            awaited_write.replicas.discard(replica)
+            if not awaited_write.replicas:
+                del self._awaited_writes[shard, version]
 
     def discard(self, shard: ShardKey, version: int) -> None:
         """Stop tracking a write that, by proof, no replica has executed."""
-        self._awaited.pop((shard, version), None)
+        self._awaited_writes.pop((shard, version), None)
 
     def pop_overdue(self, now: float) -> list[ShardKey]:
         """Remove the writes whose acknowledgements are overdue, and return their shards."""
         overdue = self._evicted
         self._evicted = []
-        for (shard, version), awaited in list(self._awaited.items()):
-            if awaited.due > now:
-                break  # writes are in order of sending; one that is due before its predecessor waits for it
-            del self._awaited[shard, version]
+        for (shard, version), awaited_write in list(self._awaited_writes.items()):
+            if awaited_write.due_at > now:
+                break  # writes are in order of sending; a write due before its predecessor is removed after it
+            del self._awaited_writes[shard, version]
             overdue.append(shard)
         return overdue
--- a/gingervane/writes/repair.py
+++ b/gingervane/writes/repair.py
@@ -117,8 +117,8 @@
         while not self._stop.wait(_POLL_INTERVAL):
             with self._lock:
                 now = time.monotonic()
-                for overdue in self._pending.pop_overdue(now):
-                    self._missed_writes.add(overdue, now)
+                for overdue_shard in self._pending.pop_overdue(now):
+                    self._missed_writes.add(overdue_shard, now)
                 shard = self._missed_writes.next_shard(now)
                 capacity = self._missed_writes.capacity(now)
             if shard is not None:
@@ -129,8 +129,10 @@
         with self._lock:
             self._missed_writes.record_comparison(shard, time.monotonic(), copied, conflicts, complete)
         if conflicts:
-            where = f"{shard.collection}/s{shard.shard}"
-            self._log_message(f"{where}: {conflicts} points have different contents under the same version")
+            shard_name = f"{shard.collection}/s{shard.shard}"
+            self._log_message(
+                f"{shard_name}: {conflicts} points have different contents under the same version"
+            )
 
     def _compare(self, shard: ShardKey, capacity: int) -> _Comparison:
         """Compare the ready replicas of a shard once, and copy at most `capacity` points between them."""
@@ -146,9 +148,11 @@
                 states[number] = replica_states
         plan = plan_copies(states, capacity) if len(states) > 1 else CopyPlan([], 0, 0)
         copied = sum(self._copy(shard, ready, copy) for copy in plan.copies)
-        planned = sum(len(copy.points) for copy in plan.copies)
+        planned_count = sum(len(copy.points) for copy in plan.copies)
         all_compared = len(states) == self._replication_factor
-        return _Comparison(copied, plan.conflicts, all_compared and copied == planned and not plan.remaining)
+        return _Comparison(
+            copied, plan.conflicts, all_compared and copied == planned_count and not plan.remaining
+        )
 
     def _copy(self, shard: ShardKey, replicas: dict[int, ShardReplica], copy: PointCopy) -> int:
         source = replicas[copy.source]
--- a/gingervane/writes/repair_plan.py
+++ b/gingervane/writes/repair_plan.py
@@ -48,10 +48,10 @@
     conflicts: set[str] = set()
     for replica, points in sorted(states.items()):
         for point, state in points.items():
-            known = newest.get(point)
-            if known is not None and _in_conflict(known[0], state):
+            newest_so_far = newest.get(point)
+            if newest_so_far is not None and _in_conflict(newest_so_far[0], state):
                 conflicts.add(point)
-            if known is None or state > known[0]:
+            if newest_so_far is None or state > newest_so_far[0]:
                 newest[point] = state, replica
     missing: dict[tuple[int, int], list[str]] = {}  # points by source and target
     for point, (state, source) in sorted(newest.items()):
@@ -62,11 +62,11 @@
     capacity = max(max_points, 0)
     remaining = 0
     for (source, target), missing_points in sorted(missing.items()):
-        chosen = missing_points[:capacity]
-        if chosen:
-            copies.append(PointCopy(source, target, tuple(chosen)))
-        capacity -= len(chosen)
-        remaining += len(missing_points) - len(chosen)
+        planned_points = missing_points[:capacity]
+        if planned_points:
+            copies.append(PointCopy(source, target, tuple(planned_points)))
+        capacity -= len(planned_points)
+        remaining += len(missing_points) - len(planned_points)
     return CopyPlan(copies, remaining, len(conflicts))
 
 
--- a/gingervane/writes/shard_placement.py
+++ b/gingervane/writes/shard_placement.py
@@ -60,7 +60,7 @@
         return tuple(
             shard
             for shard, replicas in self._by_shard.items()
-            if any(placed.replica == replica for placed in replicas)
+            if any(shard_replica.replica == replica for shard_replica in replicas)
         )
 
     def replicas_of(self, shard: int) -> tuple[ShardReplica, ...]:
@@ -79,7 +79,9 @@
         for number, replica in sorted(self._replicas.items()):
             if replica.state is api.ReplicaState.GONE:
                 continue
-            placed = ShardReplica(number, self._own_cells[number], replica.state, self._addresses[number])
+            shard_replica = ShardReplica(
+                number, self._own_cells[number], replica.state, self._addresses[number]
+            )
             for offset in range(min(self._replication_factor, self._cell_count)):
-                by_shard[(replica.cell - offset) % self._cell_count].append(placed)
+                by_shard[(replica.cell - offset) % self._cell_count].append(shard_replica)
         return {shard: tuple(replicas) for shard, replicas in by_shard.items()}
--- a/gingervane/writes/write_ahead_log.py
+++ b/gingervane/writes/write_ahead_log.py
@@ -182,10 +182,10 @@
         self._condition = threading.Condition()
         self._pending: list[_PendingRecord] = []
         self._stopped = False
-        self._closed: dict[Path, float] = {}  # time at which each segment was closed or recovered
-        self._number = 0  # of the open segment
+        self._closed_at: dict[Path, float] = {}  # time at which each segment was closed or recovered
+        self._segment_number = 0  # of the open segment
         self._file = -1  # descriptor of the open segment; -1 if none is open
-        self._position = 0  # bytes of the open segment that are on the disk
+        self._confirmed_bytes = 0  # bytes of the open segment that are on the disk
         self._thread = threading.Thread(target=self._run, name="intents", daemon=True)
         folder.mkdir(parents=True, exist_ok=True)
 
@@ -204,8 +204,8 @@
                 _truncate(path, segment.valid_bytes)
             elif segment.fault:
                 faults.append(f"{path}: byte {segment.valid_bytes}: {segment.fault}")
-            self._closed[path] = self._now()
-            self._number = int(path.stem.rpartition("-")[2])
+            self._closed_at[path] = self._now()
+            self._segment_number = int(path.stem.rpartition("-")[2])
         self._open_segment()
         self._thread.start()
         return RecoveredLog(records, faults, record_count)
@@ -270,13 +270,13 @@
         """Write and sync records. An error abandons the segment, so that no record follows a torn one."""
         data = memoryview(b"".join(records))
         try:
-            if self._file < 0 or self._position >= self._segment_bytes:
+            if self._file < 0 or self._confirmed_bytes >= self._segment_bytes:
                 self._open_segment()
             written = 0
             while written < len(data):
                 written += self._write_to(self._file, bytes(data[written:]))
             self._sync(self._file)
-            self._position += len(data)
+            self._confirmed_bytes += len(data)
         except OSError as error:
             self._abandon_segment()
             return error
@@ -286,14 +286,14 @@
         """Close the segment after an error, and truncate it to its confirmed bytes if possible."""
         if self._file < 0:
             return
-        with suppress(OSError):  # correctness does not depend on it
-            os.ftruncate(self._file, self._position)
+        with suppress(OSError):  # correctness does not depend on the truncation
+            os.ftruncate(self._file, self._confirmed_bytes)
         self._close_segment()
 
     def _close_segment(self) -> None:
         file = self._file
         self._file = -1
-        self._closed[self._segment_path()] = self._now()
+        self._closed_at[self._segment_path()] = self._now()
         with suppress(OSError):
             os.close(file)
 
@@ -303,10 +303,10 @@
         if self._file >= 0:
             self._close_segment()
         self._remove_expired_segments(now)
-        self._number += 1
+        self._segment_number += 1
         flags = os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_APPEND | os.O_CLOEXEC
         self._file = os.open(self._segment_path(), flags, 0o644)
-        self._position = 0
+        self._confirmed_bytes = 0
         try:
             _sync_folder(self._folder)
             self._write_boot_id()
@@ -320,17 +320,17 @@
         frame = encode_boot_id(boot_clock.boot_id())
         if self._write_to(self._file, frame) != len(frame):
             raise OSError(errno.ENOSPC, "a short write at the head of a segment")
-        self._position = len(frame)
+        self._confirmed_bytes = len(frame)
 
     def _remove_expired_segments(self, now: float) -> None:
-        for path, newest in list(self._closed.items()):
-            if now - newest > self._retention:
+        for path, closed_at in list(self._closed_at.items()):
+            if now - closed_at > self._retention:
                 with suppress(OSError):  # removal is retried when the next segment is opened
                     path.unlink(missing_ok=True)
-                    del self._closed[path]
+                    del self._closed_at[path]
 
     def _segment_path(self) -> Path:
-        return self._folder / f"intents-{self._number:08d}.log"
+        return self._folder / f"intents-{self._segment_number:08d}.log"
 
 
 def _truncate(path: Path, size: int) -> None:
--- a/tests/test_consul.py
+++ b/tests/test_consul.py
@@ -66,7 +66,7 @@
             self.warnings.append,
             Snapshot(self.snapshot_path, 0.0, 1, 8),
         )
-        made = watchers_of(
+        watchers = watchers_of(
             consul_service,
             ("x",),
             8,
@@ -75,7 +75,7 @@
             self.warnings.append,
             random.Random(1),
         )
-        return sources, made
+        return sources, watchers
 
     def start(self, timeout: float = 30.0) -> bool:
         for watcher in self.watchers:
@@ -132,11 +132,11 @@
 
 @pytest.fixture
 def harness(tmp_path: Path) -> Iterator[ConsulHarness]:
-    made = ConsulHarness(tmp_path)
-    assert made.start()
-    wait_until(lambda: len(made.states()) == 6)
-    yield made
-    made.close()
+    consul_harness = ConsulHarness(tmp_path)
+    assert consul_harness.start()
+    wait_until(lambda: len(consul_harness.states()) == 6)
+    yield consul_harness
+    consul_harness.close()
 
 
 def client(harness: ConsulHarness, agent: int = 0) -> Any:
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -90,9 +90,9 @@
             self.logged[key] = record
         del self.in_progress[key]
 
-    @rule(down=st.sampled_from([0.0, 3.0, 9.6, 60.0]))
-    def crash(self, down: float) -> None:
-        self.now += down
+    @rule(down_seconds=st.sampled_from([0.0, 3.0, 9.6, 60.0]))
+    def crash(self, down_seconds: float) -> None:
+        self.now += down_seconds
         self.records = IdempotencyRecords(LIMITS)
         for key, record in sorted(self.logged.items(), key=lambda item: item[1].updated_at):
             self.records.restore(key, record)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -69,7 +69,7 @@
                 del self.unrevoked[key]  # no longer listed by this source
 
     @rule(number=st.integers(0, 6))
-    def answers(self, number: int) -> None:
+    def server_responds(self, number: int) -> None:
         self.reconciliation.record_response(number, self.now)
 
     @rule(elapsed=st.sampled_from([0.0, 2.0, 50.0]))
@@ -87,12 +87,12 @@
         self.now += seconds
 
     @invariant()
-    def holds(self) -> None:
+    def every_view_is_valid(self) -> None:
         view = self.reconciliation.view(self.now)
         assert set(view.servers) <= self.listed, "a server that no source has listed"
-        for number, known in view.servers.items():
+        for number, server in view.servers.items():
             reported = [source for source, n in self.unrevoked if n == number]
-            assert not reported or known.member.state is not READY, "a drain was wrongly revoked"
+            assert not reported or server.member.state is not READY, "a drain was wrongly revoked"
 
     def teardown(self) -> None:
         """After any faults, two good lists from each source give the right view in bounded time."""
--- a/tests/test_membership_vouching.py
+++ b/tests/test_membership_vouching.py
@@ -31,15 +31,15 @@
 from gingervane.membership.reconciliation import Reconciliation
 from gingervane.membership.source_owner import EndpointSources
 
-LONG_SECONDS = 20 * GUARD.index_reset_delay
+MANY_RESET_DELAYS_SECONDS = 20 * GUARD.index_reset_delay
 
 
 def make_reconciliation() -> Reconciliation:
     """Servers 0 to 3 at index 100: 0 is draining, 1 is critical, 2 has been removed and 3 is ready."""
-    made = Reconciliation(("consul",), GUARD)
-    consul(made, 0.0, 90, *(member(n) for n in range(4)))
-    consul(made, 1.0, 100, member(0, DRAINING), member(1, GONE), member(3))
-    return made
+    reconciliation = Reconciliation(("consul",), GUARD)
+    consul(reconciliation, 0.0, 90, *(member(n) for n in range(4)))
+    consul(reconciliation, 1.0, 100, member(0, DRAINING), member(1, GONE), member(3))
+    return reconciliation
 
 
 @pytest.mark.parametrize("restarted", [False, True])
@@ -54,7 +54,7 @@
             reconciliation = restored
         index = first_index and first_index + step // 10
         consul(reconciliation, now, index, *(member(n) for n in range(4)))
-        now += LONG_SECONDS / 200
+        now += MANY_RESET_DELAYS_SECONDS / 200
         assert ready(reconciliation, now) == {3}, (step, now)
     assert reconciliation.index_resets == 0
     consul(reconciliation, now, 101, *(member(n) for n in range(4)))
@@ -76,15 +76,15 @@
     reconciliation = make_reconciliation()
     restored = [member(n) for n in range(5)]
     consul(reconciliation, 2.0, 5, *restored)
-    assert ready(reconciliation, 2.0 + LONG_SECONDS) == {3}
-    began = 3.0 + LONG_SECONDS
-    consul(reconciliation, began, 6, *restored, consistent=True)
-    consul(reconciliation, began + 0.1, 7, *restored)
+    assert ready(reconciliation, 2.0 + MANY_RESET_DELAYS_SECONDS) == {3}
+    confirmed_at = 3.0 + MANY_RESET_DELAYS_SECONDS
+    consul(reconciliation, confirmed_at, 6, *restored, consistent=True)
+    consul(reconciliation, confirmed_at + 0.1, 7, *restored)
     wait = GUARD.consistent_index_reset_delay
-    assert reconciliation.next_due(began + 0.1) <= began + wait
-    ready(reconciliation, began + wait)
+    assert reconciliation.next_due(confirmed_at + 0.1) <= confirmed_at + wait
+    ready(reconciliation, confirmed_at + wait)
     assert reconciliation.index_resets == 1
-    assert ready(reconciliation, began + wait + 2 * GUARD.readmission_delay) == {0, 1, 2, 3, 4}
+    assert ready(reconciliation, confirmed_at + wait + 2 * GUARD.readmission_delay) == {0, 1, 2, 3, 4}
 
 
 def test_a_superseded_index_revokes_nothing_until_the_leader_confirms_it() -> None:
@@ -99,25 +99,25 @@
     assert 3 in ready(reconciliation, 110.0)
 
 
-def test_stale_answers_have_the_leader_asked_less_and_less_often() -> None:
+def test_stale_answers_cause_ever_fewer_consistent_queries() -> None:
     backoff = Backoff(min_interval=0.1, initial_delay=0.5, max_delay=8.0, blocking_wait=30.0)
     query_state = BlockingQueryState(1, backoff, random.Random(1))
-    now, calls, asked = 0.0, 0, list[float]()
+    now, calls, confirmation_times = 0.0, 0, list[float]()
     while now < 600.0:
         query_state.record_request(now)
         calls += 1
         if query_state.consistent:
-            asked.append(now)
+            confirmation_times.append(now)
             now += query_state.record_failure()
         else:
             now += query_state.wait if query_state.is_blocking else 0.0
             now += query_state.record_success(5, False, now, known_index=100)
-    assert asked[0] < 10.0 and 10 < len(asked) < 30, asked
+    assert confirmation_times[0] < 10.0 and 10 < len(confirmation_times) < 30, confirmation_times
     assert calls < 80
-    assert max(later - first for first, later in pairwise(asked)) < 80.0, "requests never stop"
+    assert max(later - first for first, later in pairwise(confirmation_times)) < 80.0, "requests never stop"
 
 
-def test_briefly_stale_agents_do_not_have_the_leader_asked() -> None:
+def test_briefly_stale_agents_cause_no_consistent_query() -> None:
     query_state = BlockingQueryState(1, Backoff(), random.Random(1))
     for index in range(10, 200):
         query_state.record_request(float(index))
@@ -137,7 +137,7 @@
         consul_service = ConsulService(
             tuple(agent.address for agent in self.agents), "grid", backoff=Backoff(0.01, 0.05, 0.3, 0.5)
         )
-        made = create_watchers(
+        watchers = create_watchers(
             consul_service,
             ("x",),
             8,
@@ -147,19 +147,19 @@
             random.Random(1),
             lambda: sources.known_index("consul"),
         )
-        return sources, made
+        return sources, watchers
 
 
 @pytest.fixture
 def harness(tmp_path: Path) -> Iterator[ConfirmingHarness]:
-    made = ConfirmingHarness(tmp_path)
-    assert made.start()
-    wait_until(lambda: len(made.states()) == 6)
-    yield made
-    made.close()
+    confirming_harness = ConfirmingHarness(tmp_path)
+    assert confirming_harness.start()
+    wait_until(lambda: len(confirming_harness.states()) == 6)
+    yield confirming_harness
+    confirming_harness.close()
 
 
-def stale_agent_alone(harness: ConfirmingHarness, fault: str) -> Agent:
+def restart_with_only_a_stale_agent(harness: ConfirmingHarness, fault: str) -> Agent:
     """A drain is saved; then one agent is stale, the other does not answer, and the co-ordinator restarts."""
     stale_agent, other = harness.agents
     stale_agent.set_fault(fault)
@@ -173,7 +173,7 @@
 # With "lag" the leader can be asked, with "stale" it cannot.
 @pytest.mark.parametrize("fault", ["lag", "stale"])
 def test_a_drain_outlasts_many_reset_delays(harness: ConfirmingHarness, fault: str) -> None:
-    stale_agent = stale_agent_alone(harness, fault)
+    stale_agent = restart_with_only_a_stale_agent(harness, fault)
     calls = stale_agent.calls
     # A blocking query takes 0.5 s; the reset delay is 0.6 s.
     wait_until(lambda: stale_agent.calls > calls + 14)
--- a/tests/test_reconciliation_model.py
+++ b/tests/test_reconciliation_model.py
@@ -49,9 +49,9 @@
     tuple(member(n, state) for n, state in zip(SERVERS, states, strict=True) if state)
     for states in itertools.product((None, READY, DRAINING), repeat=2)
 ]
-GOOD = tuple(member(n, READY) for n in SERVERS)
+ALL_READY = tuple(member(n, READY) for n in SERVERS)
 # Index and list of reports that the leader has confirmed; index 1 as of a restored catalogue.
-CONFIRMED_REPORTS = [(1, LISTS[1]), (1, GOOD), (1, LISTS[-1]), (2, GOOD)]
+CONFIRMED_REPORTS = [(1, LISTS[1]), (1, ALL_READY), (1, LISTS[-1]), (2, ALL_READY)]
 
 
 class ReportHistory(NamedTuple):
@@ -95,7 +95,7 @@
         return None if at in (inf, -inf) else min(now - at, 4)
 
     source = reconciliation._sources["s"]
-    waiting = tuple(
+    pending_reports = tuple(
         report and (report.source_index, report.members)
         for report in (source.pending, source.pending_successor)
     )
@@ -104,7 +104,7 @@
             n,
             server.unavailable,
             max(server.ready_from - now, 0),
-            tuple(age(at) for at in server.return_times if now - at < 2),
+            tuple(age(recovery_time) for recovery_time in server.recovery_times if now - recovery_time < 2),
             min(age(server.last_response_at) or 0, 2) if server.last_response_at > -inf else None,
             tuple((e.member, age(e.missing_since), e.retained) for e in server.entries.values()),
         )
@@ -112,10 +112,10 @@
     )
     ordering = (
         source.index,
-        waiting,
+        pending_reports,
         age(source.pending_since),
-        source.pending_consistent,
-        source.unconfirmed_reported,
+        source.is_pending_confirmed,
+        source.unconfirmed_warning_given,
         source.superseded_index,
         source.failed_resets,
         source.awaits_confirmation,
@@ -124,8 +124,8 @@
 
 
 def copy(reconciliation: Reconciliation) -> Reconciliation:
-    made: Reconciliation = pickle.loads(pickle.dumps(reconciliation))
-    return made
+    duplicate: Reconciliation = pickle.loads(pickle.dumps(reconciliation))
+    return duplicate
 
 
 def successors(state: State) -> Iterable[tuple[str, State]]:
@@ -150,19 +150,21 @@
     yield "tick", State(reconciliation, state.now + 1, state.history)
 
 
-def recovered(state: State) -> State:
+def state_after_recovery(state: State) -> State:
     """Return the state once faults have ended: after a tick and a confirmed report of all servers as
     ready."""
     reconciliation = copy(state.reconciliation)
     reconciliation.refresh(state.now + 1)
-    reconciliation.apply_report(SourceReport("s", GOOD, 0.0, max(INDEXES), consistent=True), state.now + 1)
+    reconciliation.apply_report(
+        SourceReport("s", ALL_READY, 0.0, max(INDEXES), consistent=True), state.now + 1
+    )
     reconciliation.refresh(state.now + 1)
-    return State(reconciliation, state.now + 1, state.history.report(max(INDEXES), GOOD, confirmed=True))
+    return State(reconciliation, state.now + 1, state.history.report(max(INDEXES), ALL_READY, confirmed=True))
 
 
 def labels(state: State) -> set[str]:
     reconciled = state.reconciliation.latest_view(state.now).servers
-    ready = {n for n, known in reconciled.items() if known.member.state is READY}
+    ready = {n for n, reconciled_server in reconciled.items() if reconciled_server.member.state is READY}
     out = set()
     if set(reconciled) - state.history.listed:
         out.add("unnamed")
@@ -176,12 +178,12 @@
 def explore(make: Callable[[], Reconciliation], depth: int) -> tuple[Kripke, Kripke]:
     """Return the graph of all states within `depth` steps, and the graph from each of them once faults have
     ended."""
-    first = State(make(), 0, ReportHistory())
-    numbers: dict[Any, int] = {state_key(first): 0}
-    state_labels: list[set[str]] = [labels(first)]
+    initial_state = State(make(), 0, ReportHistory())
+    numbers: dict[Any, int] = {state_key(initial_state): 0}
+    state_labels: list[set[str]] = [labels(initial_state)]
     edges: set[tuple[int, int]] = set()
     after: dict[int, int] = {}
-    queue = deque([(0, first, 0)])
+    queue = deque([(0, initial_state, 0)])
 
     def number_of(state: State, depth_reached: int) -> int:
         position = numbers.setdefault(state_key(state), len(numbers))
@@ -197,7 +199,7 @@
                 edges.add((current, number_of(later, depth_reached + 1)))
         else:
             edges.add((current, current))
-        after[current] = number_of(recovered(state), max(depth_reached, depth))
+        after[current] = number_of(state_after_recovery(state), max(depth_reached, depth))
     states = range(len(state_labels))
     labelling = dict(enumerate(state_labels))
     return (
@@ -230,10 +232,10 @@
     """Never readmits a server that was unavailable."""
 
     def _evaluate(self, number: int, now: float) -> ReconciledServer | None:
-        known = super()._evaluate(number, now)
-        if (server := self._servers.get(number)) and server.return_times:
+        reconciled_server = super()._evaluate(number, now)
+        if (server := self._servers.get(number)) and server.recovery_times:
             server.ready_from = inf
-        return known
+        return reconciled_server
 
 
 class Inventive(Reconciliation):
@@ -249,7 +251,7 @@
 
 
 @pytest.fixture(autouse=True)
-def few_doublings(monkeypatch: pytest.MonkeyPatch) -> None:
+def limit_reset_doublings(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(source_ordering, "MAX_RESET_DOUBLINGS", 1)
 
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -13,7 +13,7 @@
 from gingervane.membership.view import EndpointView, Member
 from gingervane.settings import daemon_settings
 
-GOOD = """
+VALID_SETTINGS = """
 [shards]
 names = ["a", "b"]
 cells = 2
@@ -41,7 +41,7 @@
 
 def test_good_settings(tmp_path: Path) -> None:
     path = tmp_path / "c.toml"
-    path.write_text(GOOD)
+    path.write_text(VALID_SETTINGS)
     config = daemon_settings.load(path)
     assert config.membership.file == tmp_path / "servers.toml"
     settings = config.module_settings()
@@ -51,7 +51,7 @@
 
 def test_all_faults_at_once(tmp_path: Path) -> None:
     text = (
-        GOOD.replace("aim = 1.0", "aim = 3.0").replace('zone = "y"', 'zone = "z"')
+        VALID_SETTINGS.replace("aim = 1.0", "aim = 3.0").replace('zone = "y"', 'zone = "z"')
         + """
 repeat_windw = 1.0
 [limits]
@@ -72,11 +72,13 @@
             "listen.port: input should be less than or equal to 65535, not 70000",
         ]
     )
-    assert faults(GOOD.replace("aim = 1.0", "aim = 3.0"), tmp_path) == [
+    assert faults(VALID_SETTINGS.replace("aim = 1.0", "aim = 3.0"), tmp_path) == [
         "class[0].aim: 3 s is past the deadline of 2 s"
     ]
-    assert faults(GOOD + 'semantics = "keyed"\n', tmp_path)[0].startswith("class[0].repeat_window: goes with")
-    assert faults(GOOD.replace("[fleet]", "[fleat]"), tmp_path) == [
+    assert faults(VALID_SETTINGS + 'semantics = "keyed"\n', tmp_path)[0].startswith(
+        "class[0].repeat_window: goes with"
+    )
+    assert faults(VALID_SETTINGS.replace("[fleet]", "[fleat]"), tmp_path) == [
         "fleet: missing",
         "fleat: not a known key; is fleet meant?",
     ]
@@ -85,7 +87,10 @@
 
 def test_check_config_reports_the_result(tmp_path: Path) -> None:
     path = tmp_path / "c.toml"
-    cases = ((GOOD, 0, "1 classes, 2 shards"), (GOOD + "x = 1\n", 2, "class[0].x: not a known"))
+    cases = (
+        (VALID_SETTINGS, 0, "1 classes, 2 shards"),
+        (VALID_SETTINGS + "x = 1\n", 2, "class[0].x: not a known"),
+    )
     for text, status, out in cases:
         path.write_text(text)
         command = [sys.executable, "-m", "gingervane.cli.main", "check-config", str(path)]
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -45,11 +45,11 @@
 class ObservedDisk(Disk):
     """Calls `at` before each operation, with its number, its name and the bytes to be written."""
 
-    def __init__(self, at: Callable[[int, str, bytes], None]) -> None:
-        self.at, self.done = at, list[str]()
+    def __init__(self, before_operation: Callable[[int, str, bytes], None]) -> None:
+        self.before_operation, self.done = before_operation, list[str]()
 
     def _next(self, name: str, data: bytes = b"") -> None:
-        self.at(len(self.done), name, data)
+        self.before_operation(len(self.done), name, data)
         self.done.append(name)
 
     def create(self, path: Path) -> int:
@@ -77,7 +77,7 @@
         super().fsync_directory(path)
 
 
-def in_child(work: Callable[[], None]) -> int:
+def run_in_child(work: Callable[[], None]) -> int:
     """Run `work` in a child process; return its wait status."""
     child = os.fork()
     if not child:
@@ -106,11 +106,11 @@
     def write() -> None:
         AtomicFile(path, 3, ObservedDisk(kill)).save(NEW)
 
-    status = in_child(write)
+    status = run_in_child(write)
     assert (os.WTERMSIG(status) == signal.SIGKILL) if cut < len(OPS) else status == 0
     again = AtomicFile(path, 3)  # the lock ended with the process
-    found = again.load()
-    assert found == (3, NEW if cut > OPS.index("rename") else OLD)
+    loaded_content = again.load()
+    assert loaded_content == (3, NEW if cut > OPS.index("rename") else OLD)
     again.save(b"later")
     assert again.load() == (3, b"later")
     again.close()
@@ -236,7 +236,7 @@
         except OSError:
             os._exit(7 if not path.with_name("kept.part").exists() else 8)
 
-    assert os.WEXITSTATUS(in_child(fill)) == 7, "the error is raised, and the temporary file is removed"
+    assert os.WEXITSTATUS(run_in_child(fill)) == 7, "the error is raised, and the temporary file is removed"
     store = AtomicFile(path, 3)
     assert store.load() == (3, OLD)
     store.close()
--- a/tests/test_stored_files.py
+++ b/tests/test_stored_files.py
@@ -167,12 +167,12 @@
 VIEW_STATE = {"started": {"1": 1764599512.5, "2": 1764599640.0}, "gone": [3, 4]}
 
 
-def plain(members: tuple[Member, ...]) -> list[tuple[Any, ...]]:
+def to_rows(members: tuple[Member, ...]) -> list[tuple[Any, ...]]:
     """Return the members as tuples, with states as they are stored."""
     return [(*member[:5], member[5].value, *member[6:]) for member in members]
 
 
-def made(rows: list[tuple[Any, ...]]) -> tuple[Member, ...]:
+def to_members(rows: list[tuple[Any, ...]]) -> tuple[Member, ...]:
     """Return the members of such tuples."""
     return tuple(Member._make((*row[:5], api.ReplicaState(row[5]), *row[6:])) for row in rows)
 
@@ -182,7 +182,7 @@
     loaded = snapshot.load()
     assert loaded is not None
     members, age, offset, reconciliation, view = loaded
-    assert plain(members) == MEMBERS and (age, offset) == (90.0, OFFSET)
+    assert to_rows(members) == MEMBERS and (age, offset) == (90.0, OFFSET)
     assert reconciliation == RECONCILIATION_STATE and view == VIEW_STATE
     snapshot.close()
 
@@ -210,7 +210,7 @@
     loaded = snapshot.load()
     assert loaded is not None
     members, age, offset, reconciliation, view = loaded
-    assert plain(members) == [(*row[:7], 0) for row in MEMBERS] and (age, offset) == (30.0, OFFSET)
+    assert to_rows(members) == [(*row[:7], 0) for row in MEMBERS] and (age, offset) == (30.0, OFFSET)
     assert view is None and (reconciliation is None) == (version == 1)
     if reconciliation is not None:
         restored = Reconciliation(("consul", "file"), MassRemovalGuard())
@@ -222,7 +222,7 @@
         assert state["index"] == {"consul": 0, "file": 0}
     snapshot.save(members, reconciliation, view)
     again = snapshot.load()
-    assert again is not None and plain(again[0]) == plain(members) and again[3:] == (reconciliation, view)
+    assert again is not None and to_rows(again[0]) == to_rows(members) and again[3:] == (reconciliation, view)
     assert path.read_bytes().startswith(b"gingervane-kept 3 ")
     snapshot.close()
 
@@ -247,7 +247,7 @@
     }
     snapshot.save(loaded[0], later, loaded[4])
     again = snapshot.load()
-    assert again is not None and plain(again[0]) == MEMBERS and again[3:] == (as_json(later), loaded[4])
+    assert again is not None and to_rows(again[0]) == MEMBERS and again[3:] == (as_json(later), loaded[4])
     snapshot.close()
 
 
@@ -264,7 +264,7 @@
     """An earlier version that is put back reads what a later one has written."""
     monkeypatch.setattr(boot_clock, "moment", lambda: (BOOT, BOOT_SECONDS))
     monkeypatch.setattr(time, "time", lambda: UNIX)
-    members = made(MEMBERS)
+    members = to_members(MEMBERS)
     snapshot = Snapshot(tmp_path / "new", OFFSET, 3, 4)
     snapshot.save(members, RECONCILIATION_STATE, VIEW_STATE)
     snapshot.close()
@@ -278,7 +278,7 @@
     snapshot = Snapshot(path, OFFSET, 3, 4)
     with pytest.raises(NewerVersionError):
         snapshot.load()
-    snapshot.save(made(MEMBERS))
+    snapshot.save(to_members(MEMBERS))
     assert path.with_name("snapshot-v3.v4").read_bytes() == later
     assert path.with_name("snapshot-v3.lock").exists()
     snapshot.close()
@@ -290,12 +290,12 @@
 def test_the_list_file_is_read_to_the_same_members(stored: Path) -> None:
     text = (stored / "membership" / "servers.toml").read_text()
     nodes, coordinators = endpoint_file.parse(text, ("hall-a", "hall-b"), 4, OFFSET, 2)
-    assert plain(nodes) == [
+    assert to_rows(nodes) == [
         (1, "grid1", ("127.0.0.1", 9001), 0, 0, "ready", 512.5, 0),
         (2, "2", ("::1", 9002), 1, 3, "draining", None, 0),
         (9223372036854775807, "grid3", ("grid3.example", 65535), 1, 1, "gone", 0.0, 0),
     ]
-    assert plain(coordinators) == [(0, "c0", ("127.0.0.1", 8000), 0, 1, "ready", None, 0)]
+    assert to_rows(coordinators) == [(0, "c0", ("127.0.0.1", 8000), 0, 1, "ready", None, 0)]
 
 
 # ---- the intent log
@@ -309,11 +309,11 @@
 }
 
 
-def by_position(entries: dict[str, IdempotencyRecord]) -> dict[str, tuple[Any, ...]]:
+def to_tuples(entries: dict[str, IdempotencyRecord]) -> dict[str, tuple[Any, ...]]:
     return {key: (entry[0].value, *entry[1:]) for key, entry in entries.items()}
 
 
-def opened(folder: Path) -> Iterator[tuple[WriteAheadLog, Any]]:
+def opened_log(folder: Path) -> Iterator[tuple[WriteAheadLog, Any]]:
     """Yield the log and the result of its recovery; close it afterwards."""
     log = WriteAheadLog(folder, 3600.0, lambda: 4_100.0)
     yield log, log.recover()
@@ -322,8 +322,8 @@
 
 def test_the_intent_log_is_read_and_goes_on(stored: Path, same_boot: None) -> None:
     folder = stored / "intents"
-    for log, (entries, faults, count) in opened(folder):
-        assert by_position(entries) == INTENTS and list(entries) == list(INTENTS)
+    for log, (entries, faults, count) in opened_log(folder):
+        assert to_tuples(entries) == INTENTS and list(entries) == list(INTENTS)
         assert faults == [] and count == 6
         log.append_durably(
             "cos/new", IdempotencyRecord(WriteState.IN_PROGRESS, "55aa", 105, 4_090.0, 4_090.0)
@@ -337,9 +337,9 @@
         "intents-00000002.log",
         "intents-00000003.log",
     ]
-    for _, (entries, faults, count) in opened(folder):
+    for _, (entries, faults, count) in opened_log(folder):
         assert faults == [] and count == 8
-        assert by_position(entries) == INTENTS | {
+        assert to_tuples(entries) == INTENTS | {
             "cos/plain": ("done", "00ff", 101, 4000.25, 4091.0, {"share": 1.0}),
             "cos/new": ("open", "55aa", 105, 4090.0, 4090.0, None),
         }
@@ -349,17 +349,17 @@
     folder = stored / "intents-torn"
     whole = {key: value for key, value in INTENTS.items() if value[1] != "44bb"}
     for _ in range(2):  # the second time there is nothing to cut off
-        for _, (entries, faults, count) in opened(folder):
-            assert by_position(entries) == whole and faults == [] and count == 5
+        for _, (entries, faults, count) in opened_log(folder):
+            assert to_tuples(entries) == whole and faults == [] and count == 5
 
 
 def test_intents_of_another_boot_are_out_of_their_window(
     stored: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(boot_clock, "boot_id", lambda: "another boot")
-    for _, (entries, faults, _) in opened(stored / "intents"):
+    for _, (entries, faults, _) in opened_log(stored / "intents"):
         assert faults == []
-        assert by_position(entries) == {
+        assert to_tuples(entries) == {
             key: (*value[:3], -inf, 4100.0, value[5]) for key, value in INTENTS.items()
         }
 
@@ -368,7 +368,7 @@
     """Done: the result is replayed. Idle: sent as new with its version. Open or unknown: may have been
     executed."""
     known = IdempotencyRecords(IdempotencyLimits(window=10.0, safety_margin=0.5, retention=3600.0))
-    for _, (entries, _, _) in opened(stored / "intents"):
+    for _, (entries, _, _) in opened_log(stored / "intents"):
         for key, entry in entries.items():
             known.restore(key, entry)
     assert known.begin("cos/done", "11ee", 900, 4_005.0) == (
