--- a/gingervane/membership/consul_polling.py
+++ b/gingervane/membership/consul_polling.py
@@ -49,9 +49,10 @@
 
 
 def assign_agents(agents: int, watchers: int, rng: random.Random) -> list[list[int]]:
-    """Return the indexes of each watcher's agents. No two watchers share one, so a stalled agent blocks only one.
+    """Return the indexes of each watcher's agents; watchers without an agent are left out.
 
-    The order is random, which spreads the co-ordinators over the agents. Watchers without an agent are left out.
+    Watchers share no agent, so a stalled agent blocks only one watcher. The order is random, which spreads the
+    co-ordinators over the agents.
     """
     order = rng.sample(range(agents), agents)
     return [order[watcher::watchers] for watcher in range(min(watchers, agents))]
@@ -156,8 +157,9 @@
         """
         self._failures += 1
         self.agent = (self.agent + 1) % self._agent_count
-        # The next agent may be behind this one's index: its present list must be read before a change is waited for.
-        # A failed consistent request confirms nothing; it is repeated, less and less often, while there is doubt.
+        # The next agent may be behind this one's index: its present list must be read before a change is waited
+        # for. A failed consistent request confirms nothing; while answers stay doubtful, it is repeated less and
+        # less often.
         if self.consistent:
             self._highest_index = 0
             self._stale_answers = 0
--- a/gingervane/membership/reconciliation.py
+++ b/gingervane/membership/reconciliation.py
@@ -83,7 +83,7 @@
         self._evaluate_all(self._unevaluated, now)
 
     def refresh(self, now: float) -> dict[int, Member | None]:
-        """Evaluate what is due; return the members changed since the last call by ID, None for those removed."""
+        """Apply the changes that are due; return the members changed since the last call by ID (None: removed)."""
         for source in self._sources.values():
             if not source.pending or now < source.reset_due_at(self._guard):
                 continue
--- a/gingervane/membership/view.py
+++ b/gingervane/membership/view.py
@@ -132,7 +132,7 @@
     def _bounded_start(self, started: float, now: float, was_listed_before: bool) -> float:
         """Return the start time, but `now` if it is in the future or a restart seems to precede the last list.
 
-        A wall clock that is off thus does not make a cold replica look warm. The second limit does not apply to a
+        A cold replica whose wall clock is wrong thus does not look warm. The second condition does not apply to a
         member listed for the first time: it may have run for long, as list files are edited by hand.
         """
         if was_listed_before and is_too_early(started, self._last_update_at):
--- a/tests/test_membership_vouching.py
+++ b/tests/test_membership_vouching.py
@@ -170,7 +170,7 @@
     return stale_agent
 
 
-# With "lag" the leader can be asked, with "stale" it cannot.
+# With "lag" consistent queries reach the leader, with "stale" they fail.
 @pytest.mark.parametrize("fault", ["lag", "stale"])
 def test_a_drain_outlasts_many_reset_delays(harness: ConfirmingHarness, fault: str) -> None:
     stale_agent = restart_with_only_a_stale_agent(harness, fault)
