--- a/gingervane/benchlink.py
+++ b/gingervane/benchlink.py
@@ -43,12 +43,12 @@
 
     def __init__(self) -> None:
         self._engines: dict[int, DecisionEngine] = {}
-        self._tables: dict[int, tuple[api.Replica, ...]] = {}
+        self._endpoint_tables: dict[int, tuple[api.Replica, ...]] = {}
 
     def answer(self, now: float, count: int, batch: int, body: bytes) -> bytes:
         """Return the reply frame to one batch."""
         reader = RecordReader(body, batch)
-        processor = _BatchProcessor(now, self._engines, self._tables)
+        processor = _BatchProcessor(now, self._engines, self._endpoint_tables)
         for _ in range(count):
             processor.process_record(reader, reader.read_code())
         reader.expect_end()
@@ -63,11 +63,11 @@
         self,
         now: float,
         engines: dict[int, DecisionEngine],
-        tables: dict[int, tuple[api.Replica, ...]],
+        endpoint_tables: dict[int, tuple[api.Replica, ...]],
     ) -> None:
         self._now = now
         self._engines = engines
-        self._tables = tables
+        self._endpoint_tables = endpoint_tables
         self._instance = -1
         self._events = list[api.Event]()  # events of that instance, not handled yet
         self._replies = dict[int, list[bytes]]()  # by instance, in the order of their first events
@@ -85,7 +85,7 @@
             self._engines.pop(self._instance, None)
         elif code == RecordCode.TABLE:
             table_number, rows = reader.read_fields(TABLE, "table")
-            self._tables[table_number] = tuple(read_replica(reader) for _ in range(rows))
+            self._endpoint_tables[table_number] = tuple(read_replica(reader) for _ in range(rows))
         elif code == RecordCode.ENDPOINTS:
             self._events.append(self._read_endpoints(reader))
         elif code in EVENT_READERS:
@@ -109,7 +109,7 @@
         kind = reader.look_up(UPDATE_KINDS, kind_code, "list form")
         if kind is api.MembershipUpdateKind.FAILED:
             return api.MembershipChanged(kind, ())
-        return api.MembershipChanged(kind, reader.look_up(self._tables, table, "table"))
+        return api.MembershipChanged(kind, reader.look_up(self._endpoint_tables, table, "table"))
 
     def flush(self) -> None:
         """Pass the collected events to the current instance."""
@@ -125,12 +125,12 @@
     def reply(self, batch: int) -> bytes:
         """The frame with all reply records."""
         body = bytearray()
-        total = 0
+        record_count = 0
         for instance, records in self._replies.items():
             if records:
                 body += encode_instance(instance) + b"".join(records)
-                total += len(records) + 1
-        return REPLY_HEADER.pack(total, REPLY_HEADER.size + len(body), batch) + bytes(body)
+                record_count += len(records) + 1
+        return REPLY_HEADER.pack(record_count, REPLY_HEADER.size + len(body), batch) + bytes(body)
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
--- a/gingervane/decisions/admission.py
+++ b/gingervane/decisions/admission.py
@@ -75,10 +75,10 @@
         head-of-line blocked replica.
         """
         now = self._context.now
-        limit = ADMISSION_LIMIT_OVER_QUOTA if self._is_over_quota(query.arrived.tenant) else ADMISSION_LIMIT
+        limit = ADMISSION_LIMIT_OVER_QUOTA if self._is_over_quota(query.arrival.tenant) else ADMISSION_LIMIT
         limit /= 2 if query.query_class.second_step_parts else 1
-        slowest = self._expected_latency_at(replicas) * self._slowest_to_mean_ratio(query, replicas)
-        if slowest > limit * (query.objective_at - now):
+        slowest_latency = self._expected_latency_at(replicas) * self._slowest_to_mean_ratio(query, replicas)
+        if slowest_latency > limit * (query.objective_at - now):
             return True
         assigned = dict(zip(map(id, parts), replicas, strict=True))
 
@@ -92,8 +92,8 @@
         if not quota:
             return False
         queries = self._queries_by_tenant[tenant].count(self._context.now)
-        excess = queries - QUOTA_TOLERANCE * sqrt(queries)
-        return excess * self._coordinator_count > TRAFFIC_WINDOW * quota
+        min_query_count = queries - QUOTA_TOLERANCE * sqrt(queries)
+        return min_query_count * self._coordinator_count > TRAFFIC_WINDOW * quota
 
     @staticmethod
     def _slowest_to_mean_ratio(query: Query, replicas: list[KnownReplica]) -> float:
@@ -104,7 +104,7 @@
         that replicas are counted and not parts.
         """
         count = len(set(replicas))
-        needed = min(query.query_class.complete_coverage, query.query_class.required_coverage)
-        unneeded = int(count * (1.0 - needed) + WEIGHT_ERROR)
-        unneeded_harmonic = log(unneeded + HARMONIC_OFFSET) if unneeded else HARMONIC_AT_ZERO
+        needed_share = min(query.query_class.complete_coverage, query.query_class.required_coverage)
+        unneeded_count = int(count * (1.0 - needed_share) + WEIGHT_ERROR)
+        unneeded_harmonic = log(unneeded_count + HARMONIC_OFFSET) if unneeded_count else HARMONIC_AT_ZERO
         return max(log(count + HARMONIC_OFFSET) - unneeded_harmonic, 1.0)
--- a/gingervane/decisions/attempt_dispatch.py
+++ b/gingervane/decisions/attempt_dispatch.py
@@ -65,7 +65,7 @@
         replica.slow_start_tokens -= 1.0
         self._selector.record_send(replica)
         attempt = self._open(part, replica, hedged)
-        self._context.actions.append(api.Send(part.arrived.id, replica.endpoint.id, part.query.answer_by))
+        self._context.actions.append(api.Send(part.arrival.id, replica.endpoint.id, part.query.answer_by))
         self._start_hedge_timer(attempt)
         return True
 
@@ -79,7 +79,7 @@
         idle_before = self._idle_connections.prepare_send(replica)
         attempt = Attempt(part, part.attempts_made, replica, request, hedged, idle_before, requests_ahead)
         replica.requests[request] = replica.requests.get(request, 0) + 1
-        self.open_attempts[part.arrived.id, attempt.number] = attempt
+        self.open_attempts[part.arrival.id, attempt.number] = attempt
         part.attempts_made += 1
         part.attempts.append(attempt)
         part.tried_replicas.append(replica)
@@ -144,4 +144,4 @@
         for attempt in part.attempts:
             if attempt.open:
                 attempt.open = False
-                self._context.actions.append(api.Cancel(part.arrived.id, attempt.number))
+                self._context.actions.append(api.Cancel(part.arrival.id, attempt.number))
--- a/gingervane/decisions/drain_reports.py
+++ b/gingervane/decisions/drain_reports.py
@@ -21,7 +21,7 @@
 ID_BYTES = 8
 MAX_IDS = 31  # in one message, which is limited to 256 bytes
 # Mean number of co-ordinators that report one change.
-MEAN_REPORTERS = 3
+REPORTERS_PER_CHANGE = 3
 REPEAT_INTERVAL = 2.0  # seconds between repetitions of a report
 GONE_REPORT_DURATION = 12.0  # seconds for which a removed or no longer listed replica is reported
 
@@ -41,7 +41,7 @@
         self._enabled = (
             settings.gossip_allowed and settings.membership_polled and watch_options.notified_within < inf
         )
-        self._report_probability = min(MEAN_REPORTERS / settings.coordinator_count, 1.0)
+        self._report_probability = min(REPORTERS_PER_CHANGE / settings.coordinator_count, 1.0)
         self._report_until = dict[int, float]()  # by replica id: time until which it is reported
         self._repeat_scheduled = False  # whether the timer of the next repetition is set
 
--- a/gingervane/decisions/engine.py
+++ b/gingervane/decisions/engine.py
@@ -151,7 +151,7 @@
         query = self.completion.queries_by_number.get(event.query_number)
         if query is not None:
             query.add_part(Part(event, query, self.context.now))
-            self._changed_queries[query.arrived.id] = query
+            self._changed_queries[query.arrival.id] = query
 
     def _start_parts(self, query: Query) -> None:
         """Send the parts of a step, or reject the query."""
@@ -185,7 +185,7 @@
 
         If the reason is a lack of replicas, its parts earn slow-start tokens, except those of client retries.
         """
-        if query.is_unanswerable() and not query.arrived.is_client_retry:
+        if query.is_unanswerable() and not query.arrival.is_client_retry:
             self.slow_start.record_unservable(len(query.parts))
         self.completion.reject_or_fail(query, reason)
 
@@ -214,7 +214,7 @@
             median_count = part.attempts_made
         elif outcome is api.AttemptOutcome.NEVER_SENT and part.attempts_not_sent > 1:
             median_count = part.attempts_not_sent
-        return median_count * self.latency.percentile(part.query.arrived.query_class, 0.5)
+        return median_count * self.latency.percentile(part.query.arrival.query_class, 0.5)
 
     def _record_health(self, attempt: Attempt, outcome: api.AttemptOutcome) -> None:
         """Record an outcome as evidence for or against the health of the replicas concerned."""
@@ -263,7 +263,7 @@
         rejected = event.outcome is api.AttemptOutcome.REJECTED
         latency = query.query_class.latency_objective if rejected else event.latency
         self.latency.record_outcome(
-            replica, query.arrived.query_class, latency, attempt.requests_ahead, self.context.now
+            replica, query.arrival.query_class, latency, attempt.requests_ahead, self.context.now
         )
 
     def _receive_part(self, part: Part, latency: float) -> None:
@@ -273,7 +273,7 @@
             # A part rescued by a hedge counts as the hedge delay only. With the latency of the hedge added, rescued
             # parts would raise the percentile to the objective where over 5% of parts get no response.
             hedge_delay = part.may_have_run.get(1, 0.0) - part.first_sent_at
-            self.latency.samples[query.arrived.query_class].append(max(latency, hedge_delay))
+            self.latency.samples[query.arrival.query_class].append(max(latency, hedge_delay))
         self._dispatcher.cancel(part)
         query.receive(part)
         self.completion.update(query)
--- a/gingervane/decisions/hedging.py
+++ b/gingervane/decisions/hedging.py
@@ -58,16 +58,16 @@
         self._latency = latency
         self._outlier_detector = outlier_detector
         self._selector = selector
-        self._hedges = CircuitBreaker(TRAFFIC_WINDOW)
-        self.failures = CircuitBreaker(TRAFFIC_WINDOW)
+        self._hedge_breaker = CircuitBreaker(TRAFFIC_WINDOW)
+        self.failure_breaker = CircuitBreaker(TRAFFIC_WINDOW)
 
     def record_failure(self) -> None:
         """Count a failed attempt: many failures suspend hedging."""
-        self.failures.add(self._context.now)
+        self.failure_breaker.add(self._context.now)
 
     def start_timer(self, attempt: Attempt) -> None:
         """Schedule a check of the attempt after the hedge delay."""
-        delay = self._latency.percentile(attempt.part.query.arrived.query_class, HEDGE_PERCENTILE)
+        delay = self._latency.percentile(attempt.part.query.arrival.query_class, HEDGE_PERCENTILE)
         self._context.set_timer(delay, partial(self._on_timer, attempt))
 
     def _on_timer(self, attempt: Attempt) -> None:
@@ -120,8 +120,8 @@
         """Update both breakers, as each changes its state only when read, and return whether either is open."""
         now = self._context.now
         parts = self._first_sends.count(now)
-        hedges_open = self._hedges.is_open(now, parts)
-        failures_open = self.failures.is_open(now, parts)
+        hedges_open = self._hedge_breaker.is_open(now, parts)
+        failures_open = self.failure_breaker.is_open(now, parts)
         return hedges_open or failures_open
 
     def _is_queueing(self, part: Part) -> bool:
@@ -130,7 +130,7 @@
         A part of a query that is nearly complete is a straggler: its lateness does not indicate queueing.
         """
         query = part.query
-        baseline_latency = self._latency.baseline[query.arrived.query_class]
+        baseline_latency = self._latency.baseline[query.arrival.query_class]
         queueing = self._admission.expected_latency() > QUEUEING_LATENCY * baseline_latency
         return queueing and query.weight_received < 1 - MAX_STRAGGLER_WEIGHT
 
@@ -155,7 +155,7 @@
 
     def _can_answer_by(self, query: Query, due: float) -> bool:
         """Whether an attempt that is sent now would be answered by `due`, at the median latency of the class."""
-        median = self._latency.percentile(query.arrived.query_class, 0.5)
+        median = self._latency.percentile(query.arrival.query_class, 0.5)
         return self._context.now + median <= due
 
     def _is_below_cap(self, part: Part) -> bool:
@@ -171,4 +171,4 @@
         if replica is None or not self._selector.is_preferred(replica, part.query):
             return
         if self._dispatcher.send(part, replica, hedged=True):
-            self._hedges.add(self._context.now)
+            self._hedge_breaker.add(self._context.now)
--- a/gingervane/decisions/idle_connections.py
+++ b/gingervane/decisions/idle_connections.py
@@ -25,8 +25,8 @@
         self._context = context
         self._idle_limit = inf  # shortest idle time in seconds after which there was no response
         self._idle_limit_at = 0.0
-        self._longest_safe = 0.0  # longest idle time in seconds after which a part was answered
-        self._longest_safe_at = 0.0
+        self._longest_safe_idle = 0.0  # longest idle time in seconds after which a part was answered
+        self._longest_safe_idle_at = 0.0
 
     def record_no_response(self, attempt: Attempt) -> None:
         """Lower the limit after a missing response, unless a part was recently answered after as long an idle time.
@@ -42,12 +42,14 @@
     def record_answer(self, attempt: Attempt) -> None:
         """Record an idle time after which a part was answered."""
         if attempt.idle_before > self._safe_idle_time():
-            self._longest_safe = attempt.idle_before
-            self._longest_safe_at = self._context.now
+            self._longest_safe_idle = attempt.idle_before
+            self._longest_safe_idle_at = self._context.now
 
     def _safe_idle_time(self) -> float:
         """The longest recent idle time after which a part was answered; it decays as the limit grows."""
-        return self._longest_safe * float(0.5 ** ((self._context.now - self._longest_safe_at) / HALF_LIFE))
+        return self._longest_safe_idle * float(
+            0.5 ** ((self._context.now - self._longest_safe_idle_at) / HALF_LIFE)
+        )
 
     def prepare_send(self, replica: KnownReplica) -> float:
         """Close the replica's idle connections if necessary, and return their idle time in seconds before this send.
@@ -55,11 +57,11 @@
         A replica that stopped responding may be healthy behind a dropped connection: the next send opens a new one.
         """
         now = self._context.now
-        idle = now - replica.last_sent_at if replica.last_sent_at else 0.0  # 0 for the first send
-        too_long = idle * 0.5 ** ((now - self._idle_limit_at) / HALF_LIFE) >= self._idle_limit
-        if too_long or now < replica.unresponsive_until:
+        idle_seconds = now - replica.last_sent_at if replica.last_sent_at else 0.0  # 0 for the first send
+        is_too_long = idle_seconds * 0.5 ** ((now - self._idle_limit_at) / HALF_LIFE) >= self._idle_limit
+        if is_too_long or now < replica.unresponsive_until:
             self._context.actions.append(api.CloseIdle(replica.endpoint.id))
             replica.unresponsive_until = 0.0
-            idle = 0.0  # a new connection says nothing about idle times
+            idle_seconds = 0.0  # a new connection says nothing about idle times
         replica.last_sent_at = now
-        return idle
+        return idle_seconds
--- a/gingervane/decisions/latency.py
+++ b/gingervane/decisions/latency.py
@@ -13,9 +13,9 @@
 # Factor by which the baseline median may grow with each query of the class (docs/design.md).
 BASELINE_GROWTH = 1.02
 # Number of outcomes over which the moving means are taken (docs/design.md, admission).
-MEAN_OUTCOMES = 40
+OUTCOMES_PER_MOVING_MEAN = 40
 # Half-life in seconds of the expected latency while no attempt ends (docs/design.md, admission).
-MEAN_HALF_LIFE = 2.0
+EXPECTED_LATENCY_HALF_LIFE = 2.0
 # Number of parts over which a replica's relative latency is averaged (docs/design.md, relative latency).
 RELATIVE_LATENCY_PARTS = 3
 # Half-life in seconds of a replica's relative latency, which decays to 1 (docs/design.md, relative latency).
@@ -30,8 +30,8 @@
     It detects replicas that are slow but still answer. Lost hedges alone are too rare for that where a co-ordinator
     sends to each replica once in several seconds.
     """
-    faded = float(0.5 ** ((now - replica.relative_latency_at) / RELATIVE_LATENCY_HALF_LIFE))
-    return 1.0 + (replica.relative_latency - 1.0) * faded
+    decay = float(0.5 ** ((now - replica.relative_latency_at) / RELATIVE_LATENCY_HALF_LIFE))
+    return 1.0 + (replica.relative_latency - 1.0) * decay
 
 
 class LatencyEstimator:
@@ -42,10 +42,10 @@
 
     def __init__(self, query_classes: tuple[api.QueryClass, ...]) -> None:
         self.samples = [RankedSamples() for _ in query_classes]
-        self._initial = [c.latency_objective * INITIAL_PERCENTILE for c in query_classes]
-        self.baseline = list(self._initial)  # usual median of each class, without queueing
-        self.mean = 0.0  # moving mean of the latest outcomes, seconds
-        self.mean_at = 0.0  # time of the latest outcome
+        self._initial_percentiles = [c.latency_objective * INITIAL_PERCENTILE for c in query_classes]
+        self.baseline = list(self._initial_percentiles)  # usual median of each class, without queueing
+        self.mean_latency = 0.0  # moving mean of the latest outcomes, seconds
+        self.mean_latency_at = 0.0  # time of the latest outcome
         self.mean_requests_ahead = (
             0.0  # moving mean of the requests that were open at the replica before these
         )
@@ -55,30 +55,30 @@
         ranked = self.samples[query_class].ranked
         if len(ranked) >= MIN_SAMPLES:
             return ranked[int(share * (len(ranked) - 1))]
-        return self._initial[query_class]
+        return self._initial_percentiles[query_class]
 
     def update_baseline(self, query_class: int) -> None:
         """Lower the baseline to the class's median at once, or raise it slowly, once for each query."""
-        grown = self.baseline[query_class] * BASELINE_GROWTH
-        self.baseline[query_class] = min(grown, self.percentile(query_class, 0.5))
+        raised_baseline = self.baseline[query_class] * BASELINE_GROWTH
+        self.baseline[query_class] = min(raised_baseline, self.percentile(query_class, 0.5))
 
     def expected(self, requests_per_replica: float, now: float) -> float:
         """Mean latency in seconds at this load: the last mean, scaled by the open requests now and at that time.
 
         It decays while no outcomes are recorded; otherwise a co-ordinator that rejects everything would never stop.
         """
-        time_without_outcome = max(now - self.mean_at - self.mean, 0.0)
-        scaled = self.mean * (1 + requests_per_replica) / (1 + self.mean_requests_ahead)
-        return scaled * float(0.5 ** (time_without_outcome / MEAN_HALF_LIFE))
+        time_without_outcome = max(now - self.mean_latency_at - self.mean_latency, 0.0)
+        latency_at_load = self.mean_latency * (1 + requests_per_replica) / (1 + self.mean_requests_ahead)
+        return latency_at_load * float(0.5 ** (time_without_outcome / EXPECTED_LATENCY_HALF_LIFE))
 
     def record_outcome(
         self, replica: KnownReplica, query_class: int, latency: float, requests_ahead: int, now: float
     ) -> None:
         """Update the estimates from an attempt that the replica answered with any response."""
-        self.mean += (latency - self.mean) / MEAN_OUTCOMES
-        self.mean_at = now
+        self.mean_latency += (latency - self.mean_latency) / OUTCOMES_PER_MOVING_MEAN
+        self.mean_latency_at = now
         relative = relative_latency(replica, now)
         median = max(self.percentile(query_class, 0.5), MIN_MEDIAN)
         replica.relative_latency = relative + (latency / median - relative) / RELATIVE_LATENCY_PARTS
         replica.relative_latency_at = now
-        self.mean_requests_ahead += (requests_ahead - self.mean_requests_ahead) / MEAN_OUTCOMES
+        self.mean_requests_ahead += (requests_ahead - self.mean_requests_ahead) / OUTCOMES_PER_MOVING_MEAN
--- a/gingervane/decisions/membership_watch.py
+++ b/gingervane/decisions/membership_watch.py
@@ -104,7 +104,7 @@
         self._notified_within = watch_options.notified_within
         self._pushed_grace = min(max(settings.drain_grace, settings.timer_granularity), MAX_PUSHED_GRACE)
         coordinators = settings.coordinator_count
-        self._min_backoff = min(
+        self._urgent_backoff = min(
             max(MIN_URGENT_BACKOFF, coordinators / MAX_FLEET_CALL_RATE), MAX_URGENT_BACKOFF
         )
         self._fleet_backoff = LARGE_FLEET_BACKOFF_PER_COORDINATOR * coordinators
@@ -208,7 +208,7 @@
             return self._pushed_grace / PUSHED_BACKOFFS_PER_GRACE
         remaining = self._remaining_time()
         large_fleet_backoff = min(remaining / LARGE_FLEET_BACKOFFS_IN_REMAINING_TIME, self._fleet_backoff)
-        return max(remaining / BACKOFFS_IN_REMAINING_TIME, large_fleet_backoff, self._min_backoff)
+        return max(remaining / BACKOFFS_IN_REMAINING_TIME, large_fleet_backoff, self._urgent_backoff)
 
     def _call_timeout(self) -> float:
         if not self._polled:
--- a/gingervane/decisions/query_completion.py
+++ b/gingervane/decisions/query_completion.py
@@ -34,8 +34,8 @@
 
     def open(self, query: Query) -> None:
         """Keep a query until it completes."""
-        self.queries[query.arrived.id] = query
-        self.queries_by_number[query.arrived.number] = query
+        self.queries[query.arrival.id] = query
+        self.queries_by_number[query.arrival.number] = query
 
     def update(self, query: Query) -> None:
         """Answer the query's step or end the query if its outcome is known.
@@ -76,7 +76,7 @@
             self.reject_or_fail(query, api.QueryEndReason.DEADLINE)
 
     def _answer(self, query: Query, complete: bool, reason: api.QueryEndReason) -> None:
-        answer = api.Answer(query.arrived.id, complete and query.first_step_complete, reason)
+        answer = api.Answer(query.arrival.id, complete and query.first_step_complete, reason)
         self._context.actions.append(answer)
         if query.query_class.second_step_parts and query.state is QueryState.FIRST_STEP:
             self._cancel_parts(query)
@@ -90,9 +90,9 @@
             part.may_have_run for part in query.parts
         )
         if harmless and query.state is QueryState.FIRST_STEP:
-            self._context.actions.append(api.Reject(query.arrived.id, self._retry_after(), reason))
+            self._context.actions.append(api.Reject(query.arrival.id, self._retry_after(), reason))
         else:
-            self._context.actions.append(api.Fail(query.arrived.id, reason))
+            self._context.actions.append(api.Fail(query.arrival.id, reason))
         self.close(query)
 
     def _retry_after(self) -> float:
@@ -110,8 +110,8 @@
 
     def close(self, query: Query) -> None:
         """Remove a query and cancel its open attempts."""
-        del self.queries[query.arrived.id]
-        del self.queries_by_number[query.arrived.number]
+        del self.queries[query.arrival.id]
+        del self.queries_by_number[query.arrival.number]
         self._cancel_parts(query)
         query.settle()
 
--- a/gingervane/decisions/query_state.py
+++ b/gingervane/decisions/query_state.py
@@ -29,7 +29,7 @@
 class Part:
     """One part of a query."""
 
-    arrived: api.PartArrived
+    arrival: api.PartArrived
     query: Query
     first_sent_at: float
     attempts_made: int = 0
@@ -51,7 +51,7 @@
 class Query:
     """A query and the state of its present step."""
 
-    arrived: api.QueryArrived
+    arrival: api.QueryArrived
     query_class: api.QueryClass
     objective_at: float
     answer_by: float
@@ -78,11 +78,11 @@
 
     def is_unanswerable(self) -> bool:
         """Whether no answer is possible without the parts that are lost."""
-        return self._needs([p.arrived.weight for p in self.parts if p.lost and not p.done])
+        return self._needs([p.arrival.weight for p in self.parts if p.lost and not p.done])
 
     def is_unanswerable_without(self, is_missing: Callable[[Part], bool]) -> bool:
         """Whether no answer is possible without the parts for which `is_missing` returns true."""
-        return self._needs([p.arrived.weight for p in self.parts if is_missing(p) and not p.done])
+        return self._needs([p.arrival.weight for p in self.parts if is_missing(p) and not p.done])
 
     def _needs(self, missing: list[float]) -> bool:
         """Whether an answer needs some of the parts with the weights `missing`."""
@@ -107,12 +107,12 @@
         if self.state is QueryState.BETWEEN_STEPS:
             self.state = QueryState.SECOND_STEP
         self.parts.append(part)
-        self.weight_requested += part.arrived.weight
+        self.weight_requested += part.arrival.weight
 
     def receive(self, part: Part) -> None:
         """Add a part to the received coverage."""
         self.parts_received += 1
-        self.weight_received += part.arrived.weight
+        self.weight_received += part.arrival.weight
 
     def settle(self) -> None:
         """Mark the query as completed.
--- a/gingervane/decisions/replica_selection.py
+++ b/gingervane/decisions/replica_selection.py
@@ -62,7 +62,7 @@
     def has_usable_holder(self, part: Part) -> bool:
         """Whether the part has a holder that may be sent to."""
         may_send = self._slow_start.may_send
-        return any(may_send(replica) for replica in self._membership.holders(part.arrived.shard))
+        return any(may_send(replica) for replica in self._membership.holders(part.arrival.shard))
 
     def is_preferred(self, replica: KnownReplica, query: Query) -> bool:
         """Whether the replica may be sent a part of the query without reservations.
@@ -74,8 +74,8 @@
         if self._membership.watch.is_lease_expired(replica):
             return False
         if replica.ejected_for:
-            due = now >= replica.ejected_until and not replica.requests
-            if not due or self._trials >= max(1.0, MAX_TRIAL_SHARE * len(query.parts)):
+            is_due = now >= replica.ejected_until and not replica.requests
+            if not is_due or self._trials >= max(1.0, MAX_TRIAL_SHARE * len(query.parts)):
                 return False
         if is_head_of_line_blocked(replica, query, now):
             return False
@@ -87,15 +87,15 @@
         Preferred and untried replicas come first, then other preferred ones, then any that may be sent to, and last
         those with an expired lease: a draining one would reject the part at best.
         """
-        occupied = [attempt.replica for attempt in part.attempts]
-        others = [
+        open_at = [attempt.replica for attempt in part.attempts]
+        other_holders = [
             replica
-            for replica in self._membership.holders(part.arrived.shard)
-            if self._slow_start.may_send(replica) and replica not in occupied
+            for replica in self._membership.holders(part.arrival.shard)
+            if self._slow_start.may_send(replica) and replica not in open_at
         ]
-        if not others:
+        if not other_holders:
             return None
-        return min(others, key=lambda replica: self._substitution_rank(replica, part))
+        return min(other_holders, key=lambda replica: self._substitution_rank(replica, part))
 
     def _substitution_rank(self, replica: KnownReplica, part: Part) -> tuple[bool, bool, bool, float, bool]:
         return (
@@ -110,11 +110,19 @@
         """The replicas of the position with the fewest open requests, one for each part."""
         holders = [self._usable_holders(part) for part in parts]
         positions = max(map(len, holders), default=1)
-        candidates = [[row[index % len(row)] for row in holders] for index in range(positions)]
+        candidates = [
+            [part_holders[index % len(part_holders)] for part_holders in holders]
+            for index in range(positions)
+        ]
         # A further candidate consists of holders in the own zone where there are any: it avoids the zone cost.
-        own_zone = [[r for r in row if r.endpoint.zone == self._zone] or row for row in holders]
+        own_zone = [
+            [r for r in part_holders if r.endpoint.zone == self._zone] or part_holders
+            for part_holders in holders
+        ]
         if own_zone != holders:
-            candidates.append([row[self._context.batch % len(row)] for row in own_zone])
+            candidates.append(
+                [part_holders[self._context.batch % len(part_holders)] for part_holders in own_zone]
+            )
         loads = [sum(map(self._load, candidate)) for candidate in candidates]
         # Ties are broken at random, so that many idle co-ordinators do not all choose the same position.
         random = self._context.random.random
@@ -129,7 +137,7 @@
         """The part's holders by position, with a substitute for each one that should not be sent to."""
         query = part.query
         now = self._context.now
-        holders = self._membership.holders(part.arrived.shard)
+        holders = self._membership.holders(part.arrival.shard)
         latencies = [
             relative_latency(replica, now) if self.is_preferred(replica, query) else inf
             for replica in holders
--- a/gingervane/decisions/slow_start.py
+++ b/gingervane/decisions/slow_start.py
@@ -85,8 +85,8 @@
         answered = self._parts_answered.count(now) + ANSWER_RATIO_PRIOR
         answer_ratio = answered / (self._parts_requested.count(now) + ANSWER_RATIO_PRIOR)
         probability = capacity * min(1.0, answer_ratio * self._safe_multiple)
-        drawn = replica.slow_start_sample < probability and replica.slow_start_tokens > -MAX_TOKEN_DEBT
-        return drawn or (replica.slow_start_tokens >= MAX_TOKENS and not conservative)
+        is_drawn = replica.slow_start_sample < probability and replica.slow_start_tokens > -MAX_TOKEN_DEBT
+        return is_drawn or (replica.slow_start_tokens >= MAX_TOKENS and not conservative)
 
     def _refill_tokens(self, replica: KnownReplica, capacity: float) -> None:
         """Add the tokens that the replica has earned since the last refill.
@@ -102,11 +102,11 @@
             / self._coordinator_count
             * (now - replica.slow_start_tokens_at)
         )
-        gained = max(self.answered_per_replica - replica.answered_at_refill, floor) * capacity
+        earned_tokens = max(self.answered_per_replica - replica.answered_at_refill, floor) * capacity
         if replica.slow_start_tokens_at < replica.slow_start_began_at:
             replica.slow_start_tokens = self._context.random.random()
         else:
-            tokens = replica.slow_start_tokens + gained * max(self._safe_multiple, 1.0)
+            tokens = replica.slow_start_tokens + earned_tokens * max(self._safe_multiple, 1.0)
             replica.slow_start_tokens = min(MAX_TOKENS, tokens)
         replica.slow_start_tokens_at = now
         replica.answered_at_refill = self.answered_per_replica
--- a/gingervane/startup.py
+++ b/gingervane/startup.py
@@ -34,13 +34,13 @@
             for index, item in enumerate(value):
                 pairs |= flatten(item, f"{key}.{index}.")
         elif isinstance(value, list):
-            pairs[key] = ",".join(map(_text, value))
+            pairs[key] = ",".join(map(_format_value, value))
         else:
-            pairs[key] = _text(value)
+            pairs[key] = _format_value(value)
     return pairs
 
 
-def _text(value: Any) -> str:
+def _format_value(value: Any) -> str:
     if value is None:
         return ""
     return str(value).lower() if isinstance(value, bool) else str(value)
@@ -55,86 +55,86 @@
     def __contains__(self, key: str) -> bool:
         return key in self._pairs
 
-    def required(self, key: str, read: Callable[[str], T]) -> T:
+    def required(self, key: str, parse: Callable[[str], T]) -> T:
         """The value of a required key."""
         if key not in self._pairs:
             raise SettingsError(f"settings: key {key} is missing")
         try:
-            return read(self._pairs[key])
+            return parse(self._pairs[key])
         except (ValueError, KeyError, IndexError):
             raise SettingsError(f"settings: key {key} has the bad value {self._pairs[key]!r}") from None
 
-    def optional(self, key: str, read: Callable[[str], T]) -> T | None:
+    def optional(self, key: str, parse: Callable[[str], T]) -> T | None:
         """The value of an optional key; None if it is absent or empty."""
-        return self.required(key, read) if self._pairs.get(key) else None
+        return self.required(key, parse) if self._pairs.get(key) else None
 
-    def required_item(self, key: str, read: Callable[[str], T], index: int) -> T:
+    def required_item(self, key: str, parse: Callable[[str], T], index: int) -> T:
         """One value of a required comma-separated list."""
-        return self.required(key, lambda value: read(value.split(",")[index]))
+        return self.required(key, lambda value: parse(value.split(",")[index]))
 
 
 # These parsers reject values that would make decisions fail long after the start, or wait without end.
 
 
-def _number(value: str) -> float:
+def _parse_non_negative(value: str) -> float:
     number = float(value)
     if not 0.0 <= number < inf:  # also rejects NaN
         raise ValueError
     return number
 
 
-def _positive(value: str) -> float:
-    number = _number(value)
+def _parse_positive(value: str) -> float:
+    number = _parse_non_negative(value)
     if not number:
         raise ValueError
     return number
 
 
-def _count(value: str) -> int:
+def _parse_count(value: str) -> int:
     count = int(value)
     if count < 1:
         raise ValueError
     return count
 
 
-def _flag(value: str) -> bool:
+def _parse_flag(value: str) -> bool:
     return {"true": True, "false": False}[value]
 
 
-def _is_polled(value: str) -> bool:
+def _parse_membership_mode(value: str) -> bool:
     return {"ask": True, "push": False}[value]
 
 
 def read_settings(pairs: Mapping[str, str]) -> api.Settings:
     """Read the settings. Unknown keys are ignored; a `SettingsError` names a missing or bad key."""
     reader = _SettingsReader(pairs)
-    drain_grace = reader.optional("Rules.StopSendingWithinS", _number)
+    drain_grace = reader.optional("Rules.StopSendingWithinS", _parse_non_negative)
     tenants = range(reader.required("Tenants.count", int) if "Tenants.count" in reader else 0)
     return api.Settings(
-        coordinator_count=reader.required("Balancers", _count),
+        coordinator_count=reader.required("Balancers", _parse_count),
         zone=reader.required("Locality", int),
         query_classes=tuple(
-            _read_query_class(reader, i) for i in range(reader.required("Classes.count", _count))
+            _read_query_class(reader, i) for i in range(reader.required("Classes.count", _parse_count))
         ),
-        tenant_quotas=tuple(reader.optional(f"Tenants.{i}.QuotaPerS", _number) for i in tenants),
-        timer_granularity=reader.required("GranularityS", _positive),
-        cell_count=reader.required("Extra.Sets", _count),
-        cells_per_replica=reader.required("Extra.Width", _count),
-        max_parts_per_request=reader.required("Extra.PerCall", _count),
-        max_attempts=reader.required("Limits.SendCap", _count),
-        cancellation_allowed=reader.required("Limits.Cancelling", _flag),
-        gossip_allowed=reader.required("Limits.Peers", _flag),
-        hedging_allowed=reader.required("Limits.SecondCopies", _flag),
-        retry_after_allowed=reader.required("Limits.RetryAfter", _flag),
-        max_retry_after=reader.required("Limits.MaxRetryAfterS", _number),
-        membership_polled=reader.required("MembershipMode", _is_polled),
-        slow_start_capacity=reader.required("Rules.StartCapacity", _number),
-        slow_start_duration=reader.required("Rules.RampTimeS", _number),
-        overload_window=reader.required("Rules.FallS", _number),
-        overload_multiple=reader.required("Rules.TipMultiple", _number),
-        retry_budget_free=reader.optional("Rules.BudgetFree", _number),
-        retry_budget_share=reader.optional("Rules.ExtraRatio", _number),
-        retry_budget_window=reader.optional("Rules.ResendSpanS", _number),
+        tenant_quotas=tuple(reader.optional(f"Tenants.{i}.QuotaPerS", _parse_non_negative) for i in tenants),
+        timer_granularity=reader.required("GranularityS", _parse_positive),
+        cell_count=reader.required("Extra.Sets", _parse_count),
+        cells_per_replica=reader.required("Extra.Width", _parse_count),
+        max_parts_per_request=reader.required("Extra.PerCall", _parse_count),
+        max_attempts=reader.required("Limits.SendCap", _parse_count),
+        cancellation_allowed=reader.required("Limits.Cancelling", _parse_flag),
+        gossip_allowed=reader.required("Limits.Peers", _parse_flag),
+        hedging_allowed=reader.required("Limits.SecondCopies", _parse_flag),
+        retry_after_allowed=reader.required("Limits.RetryAfter", _parse_flag),
+        max_retry_after=reader.required("Limits.MaxRetryAfterS", _parse_non_negative),
+        membership_polled=reader.required("MembershipMode", _parse_membership_mode),
+        slow_start_capacity=reader.required("Rules.StartCapacity", _parse_non_negative),
+        slow_start_duration=reader.required("Rules.RampTimeS", _parse_non_negative),
+        overload_window=reader.required("Rules.FallS", _parse_non_negative),
+        overload_multiple=reader.required("Rules.TipMultiple", _parse_non_negative),
+        retry_budget_free=reader.optional("Rules.BudgetFree", _parse_non_negative),
+        retry_budget_share=reader.optional("Rules.ExtraRatio", _parse_non_negative),
+        retry_budget_window=reader.optional("Rules.ResendSpanS", _parse_non_negative),
         drain_grace=inf if drain_grace is None else drain_grace,
     )
 
@@ -143,13 +143,15 @@
     retry_safety = reader.required(f"Classes.{index}.Semantics", api.RetrySafety)
     has_key = retry_safety is api.RetrySafety.IDEMPOTENCY_KEY
     return api.QueryClass(
-        latency_objective=reader.required(f"Classes.{index}.AimS", _number),
-        deadline=reader.required(f"Classes.{index}.DeadlineS", _positive),
+        latency_objective=reader.required(f"Classes.{index}.AimS", _parse_non_negative),
+        deadline=reader.required(f"Classes.{index}.DeadlineS", _parse_positive),
         retry_safety=retry_safety,
-        idempotency_window=reader.required(f"Classes.{index}.WindowS", _number) if has_key else None,
+        idempotency_window=reader.required(f"Classes.{index}.WindowS", _parse_non_negative)
+        if has_key
+        else None,
         second_step_parts=reader.required_item("Extra.ClassFetch", int, index),
         required_coverage=reader.required_item("Extra.MinShare", float, index),
-        complete_coverage=reader.required_item("Extra.WholeAt", _positive, index),
+        complete_coverage=reader.required_item("Extra.WholeAt", _parse_positive, index),
         objective_stretch=reader.optional(f"Classes.{index}.AimStretch", float),
         late_answer_value=reader.required(f"Classes.{index}.LateWorth", float),
         partial_answer_value=reader.required_item("Extra.ShortWorth", float, index),
--- a/tests/hosts.py
+++ b/tests/hosts.py
@@ -76,8 +76,8 @@
         seed: int = 1,
         watch_options: WatchOptions = DEFAULT_WATCH_OPTIONS,
     ) -> None:
-        self.settings, self.now, self.stalled_at = settings, 1000.0, 0.0
-        self.module = DecisionEngine(settings, seed, watch_options)
+        self.settings, self.now, self.paused_until = settings, 1000.0, 0.0
+        self.engine = DecisionEngine(settings, seed, watch_options)
         self.timers: list[tuple[float, int]] = []
         self.classes: dict[int, int] = {}
         self.expires: dict[int, float] = {}
@@ -86,38 +86,38 @@
         self.weight: dict[int, float] = {}
         self.shard: dict[int, int] = {}
         self.ended: dict[int, api.Action] = {}
-        self.steps: dict[int, int] = defaultdict(lambda: 1)
+        self.current_step: dict[int, int] = defaultdict(lambda: 1)
         self.first_step_complete: dict[int, bool] = {}
-        self.ok: set[int] = set()
+        self.received_parts: set[int] = set()
         self.sends: dict[int, list[tuple[float, int]]] = defaultdict(list)
         self.results: dict[tuple[int, int], api.AttemptOutcome] = {}
-        self.out: dict[tuple[int, int], int] = {}
+        self.open_attempts: dict[tuple[int, int], int] = {}
         self.cancelled: list[tuple[int, int]] = []
-        self.extras: list[float] = []
+        self.further_attempt_times: list[float] = []
         self.arrival_times: list[float] = []
-        self.states: dict[int, api.Replica] = {}
+        self.listed_replicas: dict[int, api.Replica] = {}
         self.log: list[api.Action] = []
         self.next_id, self.next_query = 1, 0
         rows = tuple(replica(10 + i, cell=i % settings.cell_count, zone=i) for i in range(replicas))
-        self.members(api.MembershipUpdateKind.CACHED, *rows)
+        self.update_membership(api.MembershipUpdateKind.CACHED, *rows)
 
     # ---- feeding
 
     def feed(self, *events: api.Event) -> list[api.Action]:
-        actions = self.module.handle(self.now, events)
+        actions = self.engine.handle(self.now, events)
         for action in actions:
             self._check(action)
         self.log += actions
         return actions
 
-    def members(self, kind: api.MembershipUpdateKind, *rows: api.Replica) -> list[api.Action]:
+    def update_membership(self, kind: api.MembershipUpdateKind, *rows: api.Replica) -> list[api.Action]:
         if kind in (api.MembershipUpdateKind.FULL, api.MembershipUpdateKind.CACHED):
-            named = {row.id for row in rows}
-            for number, row in self.states.items():
-                if number not in named:
-                    self.states[number] = row._replace(state=api.ReplicaState.GONE)
+            listed_ids = {row.id for row in rows}
+            for number, row in self.listed_replicas.items():
+                if number not in listed_ids:
+                    self.listed_replicas[number] = row._replace(state=api.ReplicaState.GONE)
         for row in rows:
-            self.states[row.id] = row
+            self.listed_replicas[row.id] = row
         return self.feed(api.MembershipChanged(kind, rows))
 
     def query(self, *shards: int, query_class: int = 0, time: float | None = None, tenant: int = 0) -> int:
@@ -128,8 +128,8 @@
         self.expires[query] = self.now + (kind.deadline if time is None else time)
         self.arrival_times.append(self.now)
         count, expires = len(shards), self.expires[query]
-        arrived = api.QueryArrived(query, number, query_class, tenant, count, expires, False, 0.0)
-        self.feed(arrived, *self.make_parts(query, number, shards))
+        arrival = api.QueryArrived(query, number, query_class, tenant, count, expires, False, 0.0)
+        self.feed(arrival, *self.make_parts(query, number, shards))
         return query
 
     def make_parts(self, query: int, number: int, shards: tuple[int, ...]) -> list[api.PartArrived]:
@@ -143,32 +143,32 @@
         return events
 
     def finish(self, part: int, outcome: api.AttemptOutcome = OK, attempt: int = 0) -> list[api.Action]:
-        replica_id = self.out.pop((part, attempt))
+        replica_id = self.open_attempts.pop((part, attempt))
         self.results[part, attempt] = outcome
         if outcome is OK:
-            self.ok.add(part)
+            self.received_parts.add(part)
         latency = self.now - self.sends[part][attempt][0]
         return self.feed(api.AttemptEnded(part, attempt, replica_id, outcome, latency))
 
     def wait(self, seconds: float) -> list[api.Action]:
         """Advance time and fire due timers, one per batch; cancelled attempts end in the next batch."""
-        until, seen = self.now + seconds, list[api.Action]()
+        until, fired_actions = self.now + seconds, list[api.Action]()
         while True:
-            for key in [k for k in self.cancelled if k in self.out]:
-                seen += self.finish(key[0], api.AttemptOutcome.CANCELLED, key[1])
+            for key in [k for k in self.cancelled if k in self.open_attempts]:
+                fired_actions += self.finish(key[0], api.AttemptOutcome.CANCELLED, key[1])
             due = min((t for t in self.timers if t[0] <= until), default=None)
             if due is None:
                 break
             self.timers.remove(due)
             self.now = max(self.now, due[0])
-            seen += self.feed(api.TimerFired(due[1]))
+            fired_actions += self.feed(api.TimerFired(due[1]))
         self.now = until
-        return seen
+        return fired_actions
 
-    def stall(self, seconds: float) -> list[api.Action]:
+    def pause_process(self, seconds: float) -> list[api.Action]:
         """Pause the co-ordinator; all timers that became due meanwhile then fire in one batch."""
         self.now += seconds
-        self.stalled_at = self.now
+        self.paused_until = self.now
         due = sorted(t for t in self.timers if t[0] <= self.now)
         self.timers = [t for t in self.timers if t[0] > self.now]
         return self.feed(*(api.TimerFired(label) for _, label in due))
@@ -207,7 +207,7 @@
     def _end(self, query: int, action: api.Action) -> None:
         if query in self.ended:
             raise RuleViolationError(f"query {query} completed twice")
-        if self.now > self.expires[query] + ANSWER_GRACE and self.now != self.stalled_at:
+        if self.now > self.expires[query] + ANSWER_GRACE and self.now != self.paused_until:
             raise RuleViolationError(f"query {query} completed after its deadline")
         self.ended[query] = action
 
@@ -235,14 +235,14 @@
     def _check_send(self, part: int, replica_id: int, expires_at: float) -> None:
         query, now = self.query_of[part], self.now
         kind = self.settings.query_classes[self.classes[query]]
-        if query in self.ended or part in self.ok or part not in self.step_parts[query]:
+        if query in self.ended or part in self.received_parts or part not in self.step_parts[query]:
             raise RuleViolationError("sent a part that is already completed")
-        if self.states[replica_id].state is not READY:
+        if self.listed_replicas[replica_id].state is not READY:
             raise RuleViolationError("sent to a replica that is draining or gone")
         candidate_cells = {
             (self.shard[part] + j) % self.settings.cell_count for j in range(self.settings.cells_per_replica)
         }
-        if self.states[replica_id].cell not in candidate_cells:
+        if self.listed_replicas[replica_id].cell not in candidate_cells:
             raise RuleViolationError("sent to a replica that does not hold the shard")
         run_times = self.possible_run_times(part)
         if kind.retry_safety is api.RetrySafety.NOT_IDEMPOTENT and run_times:
@@ -253,7 +253,7 @@
             and now > run_times[0] + (kind.idempotency_window or 0.0)
         ):
             raise RuleViolationError("sent a keyed part again after its idempotency window")
-        if not self.settings.hedging_allowed and any(key[0] == part for key in self.out):
+        if not self.settings.hedging_allowed and any(key[0] == part for key in self.open_attempts):
             raise RuleViolationError("sent a hedged request although hedging is not allowed")
         if (
             self.attempts_possibly_sent(part) >= self.settings.max_attempts
@@ -261,30 +261,34 @@
         ):
             raise RuleViolationError("too many attempts, or a timeout after the query's deadline")
         if self.sends[part]:
-            self.extras.append(now)
+            self.further_attempt_times.append(now)
             window = self.settings.retry_budget_window
             if window is not None:
-                sent = sum(at > now - window for at in self.extras)
-                arrived = sum(at > now - window for at in self.arrival_times)
+                sent = sum(at > now - window for at in self.further_attempt_times)
+                requests_received = sum(at > now - window for at in self.arrival_times)
                 if (
                     sent
                     > (self.settings.retry_budget_free or 0)
-                    + (self.settings.retry_budget_share or 0) * arrived
+                    + (self.settings.retry_budget_share or 0) * requests_received
                 ):
                     raise RuleViolationError("exceeded the retry budget")
-        self.out[part, len(self.sends[part])] = replica_id
+        self.open_attempts[part, len(self.sends[part])] = replica_id
         self.sends[part].append((now, replica_id))
 
     def _check_answer(self, query: int, complete: bool) -> None:
         kind, parts = self.settings.query_classes[self.classes[query]], self.step_parts[query]
-        weight = sum(self.weight[p] for p in parts if p in self.ok)
-        step = self.steps[query]
+        weight = sum(self.weight[p] for p in parts if p in self.received_parts)
+        step = self.current_step[query]
         if weight < min(kind.required_coverage, kind.complete_coverage) - 1e-4 and step == 1:
             raise RuleViolationError("answered below the required coverage")
         required = kind.complete_coverage if step == 1 else 1.0
         if complete and (weight < required - 1e-4 or not self.first_step_complete.get(query, True)):
             raise RuleViolationError("marked an incomplete answer as complete")
         if kind.second_step_parts and step == 1:
-            self.steps[query], self.first_step_complete[query], self.step_parts[query] = 2, complete, []
+            self.current_step[query], self.first_step_complete[query], self.step_parts[query] = (
+                2,
+                complete,
+                [],
+            )
         else:
             self._end(query, api.Answer(query, complete))
--- a/tests/recordings/driver_codec.py
+++ b/tests/recordings/driver_codec.py
@@ -296,8 +296,8 @@
             effects = self.driver.step(now, items)
         except Exception:  # of any type: after it, the driver's state may be inconsistent
             return [], [[RAISED]], self._state(), self._take_observed()
-        forms = [self._encode_effect(effect) for effect in effects]
-        return effects, forms, self._state(), self._take_observed()
+        encoded_effects = [self._encode_effect(effect) for effect in effects]
+        return effects, encoded_effects, self._state(), self._take_observed()
 
     def _state(self) -> list[Any]:
         driver = self.driver
@@ -387,15 +387,15 @@
         if any(known is batch for known in self.batch_requests):
             return self.batch_number(batch)
         self.batch_requests.append(batch)
-        attempt_forms = []
+        encoded_attempts = []
         for request in batch.attempts:
             self.attempt_requests.append(request)
             encoded = [encode(request.content), encode(request.retry_safety), request.expires_at]
-            attempt_forms.append([type_index(t.AttemptRequest), request.part, request.attempt, *encoded])
+            encoded_attempts.append([type_index(t.AttemptRequest), request.part, request.attempt, *encoded])
         assert isinstance(batch.codec, RecordedCodec)
         head = [batch.id, batch.replica, encode(batch.address), batch.codec.number]
         times = [batch.expires_at, batch.open_attempts, batch.decided_at]
-        return [type_index(t.BatchRequest), *head, attempt_forms, *times]
+        return [type_index(t.BatchRequest), *head, encoded_attempts, *times]
 
 
 def encode_input(item: t.Input, second_parts: int | None = None) -> list[Any]:
--- a/tests/recordings/driver_host.py
+++ b/tests/recordings/driver_host.py
@@ -76,7 +76,7 @@
     stop_after: float = inf  # seconds after which the run ends, with queries open
 
 
-def listed(kind: api.MembershipUpdateKind, *rows: api.Replica) -> t.EndpointsUpdated:
+def endpoint_update(kind: api.MembershipUpdateKind, *rows: api.Replica) -> t.EndpointsUpdated:
     """An endpoint update whose replicas have addresses."""
     addresses = {row.id: (f"~{row.id}", 1000 + row.id) for row in rows if row.state is not GONE}
     return t.EndpointsUpdated(api.MembershipChanged(kind, rows), addresses)
@@ -127,7 +127,7 @@
                 self.scenario.lists_with_deferred_events
             ):
                 state = self.random.choice((READY, DRAINING, GONE))
-                self.put(listed(DELTA, *in_state(state, self.random.randrange(len(ROWS)))))
+                self.put(endpoint_update(DELTA, *in_state(state, self.random.randrange(len(ROWS)))))
             self._turn()
         return [self.settings, self.scenario.seed, None, self.batches, self.session.closing()]
 
@@ -138,7 +138,7 @@
 
     def _schedule_scenario(self) -> None:
         scenario = self.scenario
-        for first in scenario.first_list or (listed(FULL, *ROWS),):
+        for first in scenario.first_list or (endpoint_update(FULL, *ROWS),):
             self.put(first)
         self._turn()
         for after, items in scenario.timed:
@@ -193,8 +193,8 @@
         inputs, self._inputs = self._inputs, []
         operations, self._operations = self._operations, []
         results, self._results = self._results, []
-        effects, forms, state, observed = self.session.step(self.now, inputs)
-        self.batches.append([operations, results, self.now, inputs, forms, state, observed])
+        effects, encoded_effects, state, observed = self.session.step(self.now, inputs)
+        self.batches.append([operations, results, self.now, inputs, encoded_effects, state, observed])
         for effect in effects:
             match effect:
                 case t.StartRequest(batch):
@@ -204,7 +204,7 @@
                 case t.AbandonAttempt(_, request, _, True):
                     self._cancelled.add(self.session.request_number(request))
                 case t.WatchMembership():
-                    answer = listed(FAILED) if self.chance(0.7) else listed(FULL, *ROWS)
+                    answer = endpoint_update(FAILED) if self.chance(0.7) else endpoint_update(FULL, *ROWS)
                     self.schedule(self.now + 0.02, lambda answer=answer: self.put(answer))  # type: ignore[misc]
 
     def _start(self, number: int, batch: t.BatchRequest) -> None:
--- a/tests/recordings/driver_tools.py
+++ b/tests/recordings/driver_tools.py
@@ -183,11 +183,11 @@
 class _Recorder:
     def __init__(self, tool: int, *arguments: Any) -> None:
         self.use = ToolUse(tool, [encode(argument) for argument in arguments])
-        self.form: list[Any] = [tool, [encode(argument) for argument in arguments], []]
+        self.recorded_use: list[Any] = [tool, [encode(argument) for argument in arguments], []]
 
     def __call__(self, index: int, *arguments: Any) -> None:
         encoded = [encode(argument) for argument in arguments]
-        self.form[2].append([index, encoded, self.use.call(index, encoded)])
+        self.recorded_use[2].append([index, encoded, self.use.call(index, encoded)])
 
 
 def record_tools() -> list[Any]:
@@ -225,14 +225,14 @@
             started = draw.choice((now - 0.5, now - 2.0, now - 100.0, now + 5.0))
             known[draw.randrange(6)] = round(unix + started, 3)
         use(1, dict(known) if draw.random() < 0.8 else {}, draw.random() < 0.2)
-    return use.form
+    return use.recorded_use
 
 
 def _send_deadline() -> list[Any]:
     use = _Recorder(SEND_DEADLINE, 0.0)
     for now in (-1.0, 0.0, t.MAX_SEND_DELAY - 1e-9, t.MAX_SEND_DELAY, t.MAX_SEND_DELAY + 1e-9, 1.0):
         use(0, now)
-    return use.form
+    return use.recorded_use
 
 
 def _attempt_outcomes() -> list[Any]:
@@ -241,7 +241,7 @@
         use(0, phase, bytes_written, timed_out)
     for retry_safety, proven, overloaded in product(api.RetrySafety, (False, True), (False, True)):
         use(1, retry_safety, proven, overloaded)
-    return use.form
+    return use.recorded_use
 
 
 def _reserve() -> list[Any]:
@@ -250,7 +250,7 @@
     for _ in range(150):
         use(0, draw.randint(0, 6), round(draw.expovariate(50.0), 5))
         use(1, draw.randint(0, 6), draw.choice((0.01, 0.2, 2.0)))
-    return use.form
+    return use.recorded_use
 
 
 def _timers(tool: int, *tick: float) -> list[Any]:
@@ -264,7 +264,7 @@
         use(3)
     use(2, now + 10.0)
     use(1)
-    return use.form
+    return use.recorded_use
 
 
 def _shard_placement() -> list[Any]:
@@ -278,17 +278,17 @@
         for shard in range(6):
             use(1, shard)
         use(2, draw.randrange(8))
-    return use.form
+    return use.recorded_use
 
 
 def _process_pauses() -> list[Any]:
     use, draw, now = _Recorder(PROCESS_PAUSE, 100.0), random.Random(7), 100.0
     for _ in range(120):
         now = round(now + draw.choice((0.05, 0.05, 0.05, 0.16, 1.0)), 4)
-        before = draw.random()
-        if before < 0.2:
+        arrival_draw = draw.random()
+        if arrival_draw < 0.2:
             use(3, now)
-        if before < 0.1:
+        if arrival_draw < 0.1:
             use(3, now, now - 0.3)
         match draw.randrange(12):
             case 0:
@@ -300,7 +300,7 @@
         use(3, round(now + draw.choice((0.0, 0.04, 0.2)), 4))
         use(3, now, round(now - draw.choice((0.0, 0.1, 2.0)), 4))
         use(4)
-    return use.form
+    return use.recorded_use
 
 
 def _retry_after() -> list[Any]:
@@ -314,7 +314,7 @@
             round(now + draw.choice((0.0, 1.0, 3.0)), 4) if draw.random() < 0.1 else now,
             draw.randint(1, 60),
         )
-    return use.form
+    return use.recorded_use
 
 
 def _admission() -> list[Any]:
@@ -334,11 +334,11 @@
             case _:
                 size = draw.randint(2, 5)
                 use(1, size, draw.choice((0, 0, 120)))
-                if use.form[2][-1][2][1] is True:
+                if use.recorded_use[2][-1][2][1] is True:
                     in_use.append((size, 0))
         if turn in (60, 110):
             use(4, "~closed")
         if turn in (70, 80):
             use(5, "~closed" if turn == 80 else "~other")
         use(6)
-    return use.form
+    return use.recorded_use
--- a/tests/recordings/record_decisions.py
+++ b/tests/recordings/record_decisions.py
@@ -20,9 +20,9 @@
 
 def main(chosen: list[str]) -> None:
     """Record the named scenarios, or all of them and then delete recordings that have no scenario any more."""
-    made = set[str]()
+    scenario_names = set[str]()
     for name, scenario in scenarios():
-        made.add(name)
+        scenario_names.add(name)
         if chosen and name not in chosen:
             continue
         recording = Simulator(scenario).run()
@@ -30,7 +30,7 @@
         size = (DIRECTORY / f"{PREFIX}{name}{SUFFIX}").stat().st_size
         actions = sum(len(batch.actions) for batch in recording.batches)
         print(f"{name}: {len(recording.batches)} batches, {actions} actions, {size} bytes")
-    for name in set(names()) - made if not chosen else ():
+    for name in set(names()) - scenario_names if not chosen else ():
         (DIRECTORY / f"{PREFIX}{name}{SUFFIX}").unlink()
 
 
--- a/tests/recordings/record_driver.py
+++ b/tests/recordings/record_driver.py
@@ -39,8 +39,8 @@
     START,
     Host,
     Scenario,
+    endpoint_update,
     in_state,
-    listed,
 )
 from recordings.driver_tools import record_tools
 from recordings.untaken import untaken_lines
@@ -197,14 +197,20 @@
 
 def _membership() -> list[Scenario]:
     churn = (
-        (0.2, (listed(DELTA, *in_state(DRAINING, 0, 1)),)),
-        (0.4, (listed(DELTA, *in_state(GONE, 0)),)),
-        (0.5, (listed(DELTA, replica(8, 0, started=START + 0.4)), listed(DELTA, *in_state(READY, 1)))),
-        (0.8, (listed(FULL, *ROWS[2:]),)),
-        (1.0, (listed(FULL, *(row._replace(started_at=START + 0.9) for row in ROWS)),)),
-        (1.4, (listed(CACHED, *ROWS[1:5]), t.ClientDisconnected(20))),
-        (1.6, (listed(DELTA, *in_state(GONE, 1, 2, 3, 4)),)),
-        (1.8, (listed(FULL, *ROWS),)),
+        (0.2, (endpoint_update(DELTA, *in_state(DRAINING, 0, 1)),)),
+        (0.4, (endpoint_update(DELTA, *in_state(GONE, 0)),)),
+        (
+            0.5,
+            (
+                endpoint_update(DELTA, replica(8, 0, started=START + 0.4)),
+                endpoint_update(DELTA, *in_state(READY, 1)),
+            ),
+        ),
+        (0.8, (endpoint_update(FULL, *ROWS[2:]),)),
+        (1.0, (endpoint_update(FULL, *(row._replace(started_at=START + 0.9) for row in ROWS)),)),
+        (1.4, (endpoint_update(CACHED, *ROWS[1:5]), t.ClientDisconnected(20))),
+        (1.6, (endpoint_update(DELTA, *in_state(GONE, 1, 2, 3, 4)),)),
+        (1.8, (endpoint_update(FULL, *ROWS),)),
     )
     polled = SETTINGS._replace(membership_polled=True, drain_grace=2.0)
     cold = tuple(row._replace(started_at=START - 2.0 * row.id) for row in ROWS)
@@ -226,7 +232,12 @@
             "membership", SETTINGS, 21, queries=50, gap=0.035, slow_share=0.2, sender_waits=0.4, timed=churn
         ),
         Scenario(
-            "membership-asked", polled, 22, timed=churn, first_list=(listed(FAILED),), failures=FAILURES
+            "membership-asked",
+            polled,
+            22,
+            timed=churn,
+            first_list=(endpoint_update(FAILED),),
+            failures=FAILURES,
         ),
         Scenario(
             "membership-no-cancel",
@@ -235,14 +246,18 @@
             timed=churn,
             slow_share=0.3,
         ),
-        Scenario("cold", SETTINGS, 24, first_list=(listed(FULL, *cold),), queries=60, latency=0.05),
+        Scenario("cold", SETTINGS, 24, first_list=(endpoint_update(FULL, *cold),), queries=60, latency=0.05),
         Scenario("peers", peers, 25, queries=60, broken_replicas=broken, timed=messages),
         Scenario(
             "ejections", SETTINGS, 26, queries=60, gap=0.1, broken_replicas=broken, slow_replicas={1: 9.0}
         ),
         Scenario("silence", peers, 27, queries=60, gap=0.15, unresponsive_replicas=frozenset({0, 3})),
         Scenario(
-            "no-replica", SETTINGS, 28, queries=5, first_list=(listed(FULL, *in_state(DRAINING, 0, 1)),)
+            "no-replica",
+            SETTINGS,
+            28,
+            queries=5,
+            first_list=(endpoint_update(FULL, *in_state(DRAINING, 0, 1)),),
         ),
     ]
 
@@ -350,7 +365,7 @@
     never = codec.encode_input(t.AttemptFinished(2, 0, api.AttemptOutcome.NEVER_SENT, 1000.4, None, "~1"))
     again = codec.encode_input(t.AttemptFinished(3, 0, api.AttemptOutcome.OK, 1000.55, 103))
     turns: list[tuple[float, list[Any]]] = [
-        (1000.0, [codec.encode_input(listed(FULL, *ROWS))]),
+        (1000.0, [codec.encode_input(endpoint_update(FULL, *ROWS))]),
         (1000.1, [arrived]),
         (1000.4, [good, good]),
         (1000.5, [codec.encode_input(t.PeerMessageReceived(3, b"\7"))]),
@@ -360,9 +375,9 @@
     ]
     batches = []
     for now, inputs in turns:
-        _, forms, state, observed = session.step(now, inputs)
-        batches.append([[], [], now, inputs, forms, state, observed])
-        if forms and forms[0] == [codec.RAISED]:
+        _, encoded_effects, state, observed = session.step(now, inputs)
+        batches.append([[], [], now, inputs, encoded_effects, state, observed])
+        if encoded_effects and encoded_effects[0] == [codec.RAISED]:
             break
     return [encoded, 0, script, batches, session.closing()]
 
--- a/tests/recordings/scenarios.py
+++ b/tests/recordings/scenarios.py
@@ -167,7 +167,7 @@
     settings = drawn_settings(draw)
     rows = fleet(settings.cell_count * draw.choice((2, 3, 4)), settings.cell_count, draw.choice((1, 2)))
     every = tuple(range(len(settings.query_classes)))
-    common = {"classes": every, "tenants": 3, "repeat_share": 0.1, "leaving_share": 0.03}
+    common = {"classes": every, "tenants": 3, "client_retry_share": 0.1, "disconnect_share": 0.03}
     even = draw.random() < 0.5
     burst_at = round(draw.uniform(4.0, 14.0), 1)
     return Scenario(
@@ -182,7 +182,7 @@
         other_events=tuple(drawn_others(draw, rows)),
         pauses=((round(draw.uniform(2.0, 16.0), 2), draw.choice((0.05, 0.4, 1.5))),),
         capacity=draw.choice((2.0, 6.0, inf)),
-        failed_subscriptions=draw.choice((0, 2, 6)),
+        failed_watch_calls=draw.choice((0, 2, 6)),
         seed=seed,
     )
 
@@ -273,7 +273,7 @@
         "cold-fleet",
         Scenario(
             SETTINGS._replace(cell_count=2),
-            (Load(0.1, 14.0, 8.0, 1, 2, repeat_share=0.4),),
+            (Load(0.1, 14.0, 8.0, 1, 2, client_retry_share=0.4),),
             (listed(0.0, FULL, *(replica(i, i % 2, 0, START - 1.0) for i in range(4))),),
             duration=15.0,
         ),
@@ -382,7 +382,7 @@
             SETTINGS._replace(drain_grace=0.8),
             (steady(2.0, 9.0),),
             (listed(0.0, FULL, *three), listed(1.0, FAILED), listed(6.0, FAILED)),
-            failed_subscriptions=8,
+            failed_watch_calls=8,
             duration=10.0,
         ),
     )
@@ -392,7 +392,7 @@
             SETTINGS._replace(membership_polled=True, drain_grace=0.8),
             (steady(1.0, 19.0),),
             (listed(0.0, CACHED, *three),),
-            failed_subscriptions=12,
+            failed_watch_calls=12,
         ),
     )
     yield (
@@ -404,7 +404,7 @@
             (Fault(FaultKind.FULL, 6.0, 28.0, replicas=frozenset({10})),),
             other_events=((5.0, api.WatchInterrupted(2.5)), (20.0, api.WatchInterrupted(0.0))),
             duration=30.0,
-            failed_subscriptions=24,
+            failed_watch_calls=24,
         ),
     )
     yield (
--- a/tests/recordings/simulator.py
+++ b/tests/recordings/simulator.py
@@ -68,8 +68,8 @@
     max_parts: int = 3
     classes: tuple[int, ...] = (0,)
     tenants: int = 1
-    repeat_share: float = 0.0
-    leaving_share: float = 0.0  # share of clients that disconnect before they have an answer
+    client_retry_share: float = 0.0
+    disconnect_share: float = 0.0  # share of clients that disconnect before they have an answer
     even_weights: bool = True
     shards: tuple[int, ...] = ()  # all, if none is named
     deadline_factor: float = 1.0  # a query's deadline as a multiple of its class's
@@ -89,7 +89,7 @@
     duration: float = 20.0
     latency: float = 0.08  # mean, in seconds
     capacity: float = inf  # attempts in flight at a replica at which its latency is doubled
-    failed_subscriptions: int = 0
+    failed_watch_calls: int = 0
     late_cancels: float = 0.2  # share of cancelled attempts that end as if they had not been cancelled
     lost_second_steps: float = 0.05  # share of second steps that never begin
     seed: int = 1
@@ -97,7 +97,7 @@
 
 @dataclass
 class _Query:
-    arrived: api.QueryArrived
+    arrival: api.QueryArrived
     kind: api.QueryClass
     step: int = 1
     ended: bool = False
@@ -125,12 +125,12 @@
         self.attempts_made, self.in_flight = Counter[int](), Counter[int]()
         self.next_id, self.next_number = 1, 0
         self.listed_replicas: dict[int, api.Replica] = {}
-        self.failed_subscriptions = scenario.failed_subscriptions
+        self.failed_watch_calls = scenario.failed_watch_calls
 
     def run(self) -> Recording:
         """Run the scenario to its end and return the recording."""
         for at, change in self.scenario.lists:
-            self._at(START + at, lambda change=change: self._listed(change))  # type: ignore[misc]
+            self._at(START + at, lambda change=change: self._change_list(change))  # type: ignore[misc]
         for at, event in self.scenario.other_events:
             self._at(START + at, lambda event=event: [event])  # type: ignore[misc]
         for load in self.scenario.loads:
@@ -161,7 +161,7 @@
 
     # ---- events
 
-    def _listed(self, change: api.MembershipChanged) -> list[api.Event]:
+    def _change_list(self, change: api.MembershipChanged) -> list[api.Event]:
         if change.kind is not api.MembershipUpdateKind.FAILED:
             if change.kind is not api.MembershipUpdateKind.DELTA:
                 self.listed_replicas = {}
@@ -170,27 +170,27 @@
 
     def _arrive(self, load: Load) -> list[api.Event]:
         """Schedule the next query, and return the arrival of a query with its parts."""
-        following = self.now + self.draw.expovariate(load.rate)
-        if following < START + load.ends:
-            self._at(following, lambda: self._arrive(load))
+        next_arrival = self.now + self.draw.expovariate(load.rate)
+        if next_arrival < START + load.ends:
+            self._at(next_arrival, lambda: self._arrive(load))
         index = self.draw.choice(load.classes)
         kind, count = self.settings.query_classes[index], self.draw.randint(load.min_parts, load.max_parts)
         query, number = self._id(), self.next_number
         self.next_number += 1
         expires = round(self.now + kind.deadline * load.deadline_factor, DIGITS)
-        repeat = self.draw.random() < load.repeat_share
+        repeat = self.draw.random() < load.client_retry_share
         cost = round(self.draw.random(), 3) if kind.objective_stretch is not None else 0.0
         tenant = self.draw.randrange(load.tenants)
-        arrived = api.QueryArrived(query, number, index, tenant, count, expires, repeat, cost)
-        self.queries[query] = _Query(arrived, kind)
-        if self.draw.random() < load.leaving_share:
+        arrival = api.QueryArrived(query, number, index, tenant, count, expires, repeat, cost)
+        self.queries[query] = _Query(arrival, kind)
+        if self.draw.random() < load.disconnect_share:
             self._at(self.now + self.draw.random() * kind.latency_objective, lambda: self._disconnect(query))
         self._at(expires + ABANDONED_AFTER, lambda: self._disconnect(query))
         weights = [1.0 if load.even_weights else self.draw.choice((1.0, 1.0, 3.0)) for _ in range(count)]
         shards = load.shards or range(self.settings.cell_count)
         first = self.draw.randrange(len(shards))
         return [
-            arrived,
+            arrival,
             *(
                 api.PartArrived(
                     self._id(), number, shards[(first + i) % len(shards)], round(w / sum(weights), 6)
@@ -202,7 +202,7 @@
     def _second_step(self, query: _Query) -> list[api.Event]:
         if query.ended:
             return []
-        count, number = query.kind.second_step_parts, query.arrived.number
+        count, number = query.kind.second_step_parts, query.arrival.number
         return [
             api.PartArrived(
                 self._id(), number, self.draw.randrange(self.settings.cell_count), round(1 / count, 6)
@@ -244,7 +244,7 @@
             case api.Reject(number) | api.Fail(number):
                 self.queries[number].ended = True
             case api.WatchMembership():
-                self._at(self.now + TICK, self._subscribed)
+                self._at(self.now + TICK, self._answer_watch)
 
     def _answered(self, query: _Query) -> None:
         if query.step == 2 or not query.kind.second_step_parts:
@@ -254,9 +254,9 @@
         if self.draw.random() >= self.scenario.lost_second_steps:
             self._at(self.now + self.draw.choice((0.0, 0.01)), lambda: self._second_step(query))
 
-    def _subscribed(self) -> list[api.Event]:
-        if self.failed_subscriptions > 0:
-            self.failed_subscriptions -= 1
+    def _answer_watch(self) -> list[api.Event]:
+        if self.failed_watch_calls > 0:
+            self.failed_watch_calls -= 1
             return [api.MembershipChanged(api.MembershipUpdateKind.FAILED, ())]
         return [api.MembershipChanged(api.MembershipUpdateKind.FULL, tuple(self.listed_replicas.values()))]
 
--- a/tests/test_decisions_admission.py
+++ b/tests/test_decisions_admission.py
@@ -53,7 +53,7 @@
 def test_an_idle_coordinator_does_not_keep_rejecting() -> None:
     """After a load spike every query was rejected although no request was open: the mean did not decay."""
     host = Host(replicas=3)
-    host.module.latency.mean, host.module.latency.mean_at = 3.0, host.now
+    host.engine.latency.mean_latency, host.engine.latency.mean_latency_at = 3.0, host.now
     assert isinstance(host.ended[host.query(0)], api.Reject)
     host.wait(7.0)
     assert host.query(0) not in host.ended
@@ -65,7 +65,7 @@
     host.warm_up()
     for _ in range(200):
         part = part_of(host, host.query(0))
-        if (part, 0) in host.out:
+        if (part, 0) in host.open_attempts:
             host.finish(part, AttemptOutcome.REJECTED)
         host.wait(0.01)
     query = host.query(0)
@@ -80,6 +80,9 @@
         for _ in range(count):
             query = host.query(0)
             host.finish(part_of(host, query))
-        host.module.latency.mean, host.module.latency.mean_at = 1.5, host.now  # between the two limits
+        host.engine.latency.mean_latency, host.engine.latency.mean_latency_at = (
+            1.5,
+            host.now,
+        )  # between the two limits
         rejected.append(host.query(0) in host.ended)
     assert rejected == [False, True]
--- a/tests/test_decisions_completion.py
+++ b/tests/test_decisions_completion.py
@@ -55,7 +55,7 @@
 def test_a_part_without_a_holder_ends_only_what_needs_it(least: float, whole: float, answered: int) -> None:
     """One lost part ended its query, although the other parts were enough for an answer."""
     host = host_with_single_holders(least, whole)
-    host.members(MembershipUpdateKind.DELTA, replica(13, cell=3, state=ReplicaState.GONE))
+    host.update_membership(MembershipUpdateKind.DELTA, replica(13, cell=3, state=ReplicaState.GONE))
     query = host.query(0, 1, 2, 3)
     for part in host.step_parts[query]:
         if host.sends[part]:
@@ -67,9 +67,9 @@
     host = host_with_single_holders(0.75, 1.0)
     query = host.query(0, 1, 2, 3)
     host.finish(part_of(host, query, 3), AttemptOutcome.ERROR)
-    host.members(MembershipUpdateKind.DELTA, replica(13, cell=3, state=ReplicaState.GONE))
+    host.update_membership(MembershipUpdateKind.DELTA, replica(13, cell=3, state=ReplicaState.GONE))
     part = part_of(host, query, 3)
-    if (part, 1) in host.out:
+    if (part, 1) in host.open_attempts:
         host.finish(part, AttemptOutcome.ERROR, 1)
     for index in range(3):
         host.finish(part_of(host, query, index))
@@ -103,13 +103,13 @@
     try:
         answered, unanswered = host.query(0), host.query(0)
         references = [
-            weakref.ref(host.module.completion.queries[number]) for number in (answered, unanswered)
+            weakref.ref(host.engine.completion.queries[number]) for number in (answered, unanswered)
         ]
         host.wait(0.1)
         host.finish(part_of(host, answered))
         host.wait(20.0)
         assert set(host.ended) >= {answered, unanswered}
-        for part, attempt in list(host.out):
+        for part, attempt in list(host.open_attempts):
             host.finish(part, AttemptOutcome.TIMED_OUT, attempt)
         assert [ref() for ref in references] == [None, None]
     finally:
--- a/tests/test_decisions_drain_reports.py
+++ b/tests/test_decisions_drain_reports.py
@@ -7,12 +7,17 @@
 from hosts import BASE, Host, replica
 
 from gingervane import interface as api
-from gingervane.decisions.drain_reports import GONE_REPORT_DURATION, MAX_IDS, MEAN_REPORTERS, REPORT_DRAINING
+from gingervane.decisions.drain_reports import (
+    GONE_REPORT_DURATION,
+    MAX_IDS,
+    REPORT_DRAINING,
+    REPORTERS_PER_CHANGE,
+)
 from gingervane.decisions.membership_watch import REPORT_LIFETIME, WatchOptions
 from gingervane.interface import MembershipUpdateKind, ReplicaState
 from gingervane.node.service import NOTIFIED_WITHIN, PARALLEL_WATCH_CALLS
 
-SETTINGS = BASE._replace(membership_polled=True, gossip_allowed=True, coordinator_count=MEAN_REPORTERS)
+SETTINGS = BASE._replace(membership_polled=True, gossip_allowed=True, coordinator_count=REPORTERS_PER_CHANGE)
 NODE_WATCH = WatchOptions(PARALLEL_WATCH_CALLS, NOTIFIED_WITHIN)
 
 
@@ -28,14 +33,18 @@
 
 def test_draining_and_removed_replicas_are_reported_repeatedly() -> None:
     host = Host(SETTINGS, watch_options=NODE_WATCH)
-    host.members(MembershipUpdateKind.DELTA)
-    reports = sent_reports(host.members(MembershipUpdateKind.DELTA, replica(10, state=ReplicaState.DRAINING)))
+    host.update_membership(MembershipUpdateKind.DELTA)
+    reports = sent_reports(
+        host.update_membership(MembershipUpdateKind.DELTA, replica(10, state=ReplicaState.DRAINING))
+    )
     assert reports == [drain_report(10).payload]
     assert sent_reports(host.wait(GONE_REPORT_DURATION)) == reports * 6, "every two seconds while it drains"
-    reports = sent_reports(host.members(MembershipUpdateKind.DELTA, replica(11, state=ReplicaState.GONE)))
+    reports = sent_reports(
+        host.update_membership(MembershipUpdateKind.DELTA, replica(11, state=ReplicaState.GONE))
+    )
     assert reports == [drain_report(11).payload]
     assert sent_reports(host.wait(2.1)) == [drain_report(10, 11).payload]
-    host.members(MembershipUpdateKind.DELTA, replica(10))
+    host.update_membership(MembershipUpdateKind.DELTA, replica(10))
     assert not any(
         payload == drain_report(10, 11).payload for payload in sent_reports(host.wait(5.0))
     ), "it serves again"
@@ -46,7 +55,7 @@
 
 def test_nothing_is_reported_while_the_watch_is_down() -> None:
     host = Host(SETTINGS, watch_options=NODE_WATCH)
-    host.members(MembershipUpdateKind.DELTA, replica(10, state=ReplicaState.DRAINING))
+    host.update_membership(MembershipUpdateKind.DELTA, replica(10, state=ReplicaState.DRAINING))
     host.feed(api.WatchInterrupted(0.0))
     assert not sent_reports(host.wait(10.0))
 
@@ -55,18 +64,20 @@
     count = 0
     for seed in range(200):
         host = Host(SETTINGS._replace(coordinator_count=60), seed=seed, watch_options=NODE_WATCH)
-        host.members(MembershipUpdateKind.DELTA)
+        host.update_membership(MembershipUpdateKind.DELTA)
         count += len(
-            sent_reports(host.members(MembershipUpdateKind.DELTA, replica(10, state=ReplicaState.DRAINING)))
+            sent_reports(
+                host.update_membership(MembershipUpdateKind.DELTA, replica(10, state=ReplicaState.DRAINING))
+            )
         )
     assert 2 <= count <= 25, "3 of 60 in the mean"
 
 
 def test_reports_of_many_replicas_are_split_into_messages_of_bounded_size() -> None:
     host = Host(SETTINGS, replicas=80, watch_options=NODE_WATCH)
-    host.members(MembershipUpdateKind.DELTA)
+    host.update_membership(MembershipUpdateKind.DELTA)
     rows = [replica(10 + n, cell=n % SETTINGS.cell_count, state=ReplicaState.DRAINING) for n in range(70)]
-    reports = sent_reports(host.members(MembershipUpdateKind.DELTA, *rows))
+    reports = sent_reports(host.update_membership(MembershipUpdateKind.DELTA, *rows))
     assert [len(payload) for payload in reports] == [8 * MAX_IDS + 1, 8 * MAX_IDS + 1, 8 * 8 + 1]
     assert max(map(len, reports)) <= 256
 
@@ -79,16 +90,16 @@
     host.feed(drain_report(excluded, 999))
     sent = {host.where(part_of(host, host.query(0))) for _ in range(20)}
     assert sent and excluded not in sent
-    known, watch = host.module.membership.replicas[excluded], host.module.membership.watch
-    assert watch.is_excluded(known)
+    known_replica, watch = host.engine.membership.replicas[excluded], host.engine.membership.watch
+    assert watch.is_excluded(known_replica)
     host.wait(REPORT_LIFETIME + 0.1)
     host.feed()
-    assert not watch.is_excluded(known)
+    assert not watch.is_excluded(known_replica)
 
 
 def test_a_report_is_ignored_where_the_watch_is_up() -> None:
     host = Host(SETTINGS, watch_options=NODE_WATCH)
-    host.members(MembershipUpdateKind.DELTA)
+    host.update_membership(MembershipUpdateKind.DELTA)
     host.feed(drain_report(10, 11, 12))
     assert host.sends[part_of(host, host.query(0))]
 
@@ -105,9 +116,9 @@
     settings: api.Settings, terms: WatchOptions
 ) -> None:
     host = Host(settings, watch_options=terms)
-    host.members(MembershipUpdateKind.DELTA)
+    host.update_membership(MembershipUpdateKind.DELTA)
     assert not sent_reports(
-        host.members(MembershipUpdateKind.DELTA, replica(10, state=ReplicaState.DRAINING))
+        host.update_membership(MembershipUpdateKind.DELTA, replica(10, state=ReplicaState.DRAINING))
     )
     assert not sent_reports(host.wait(5.0))
 
@@ -116,5 +127,5 @@
 def test_other_and_malformed_messages_are_not_taken_for_reports(payload: bytes) -> None:
     host = Host(SETTINGS, watch_options=NODE_WATCH)
     host.feed(api.MembershipChanged(MembershipUpdateKind.FAILED, ()), api.PeerMessageReceived(1, payload))
-    watch, replicas = host.module.membership.watch, host.module.membership.replicas
-    assert not any(watch.is_excluded(known) for known in replicas.values())
+    watch, replicas = host.engine.membership.watch, host.engine.membership.replicas
+    assert not any(watch.is_excluded(known_replica) for known_replica in replicas.values())
--- a/tests/test_decisions_engine.py
+++ b/tests/test_decisions_engine.py
@@ -22,17 +22,17 @@
     host.warm_up()
     host.wait(15.0)
     part = part_of(host, host.query(0))
-    where, known_samples = host.where(part), list(host.module.latency.samples[0])
+    where, known_samples = host.where(part), list(host.engine.latency.samples[0])
     due = [label for _, label in sorted(host.timers)]
     host.now += 1.0
-    del host.out[part, 0]
+    del host.open_attempts[part, 0]
     host.results[part, 0] = OK
-    host.ok.add(part)
+    host.received_parts.add(part)
     fired = [api.TimerFired(label) for label in due]
     actions = host.feed(*fired, api.AttemptEnded(part, 0, where, OK, 1.0))
     assert not sends(actions) and any(isinstance(a, api.Answer) for a in actions)
-    assert not host.module.membership.replicas[where].ejected_for
-    assert list(host.module.latency.samples[0]) == known_samples
+    assert not host.engine.membership.replicas[where].ejected_for
+    assert list(host.engine.latency.samples[0]) == known_samples
 
 
 def test_events_about_completed_or_unknown_items_are_ignored() -> None:
--- a/tests/test_decisions_failed_parts.py
+++ b/tests/test_decisions_failed_parts.py
@@ -53,16 +53,18 @@
         self.host = Host(settings, replicas=6)
         self.unresponsive: tuple[int, ...] = ()
         rows = [replica(10 + i, cell=i, zone=i % 3) for i in range(6)]
-        self.host.members(api.MembershipUpdateKind.FULL, *rows)
+        self.host.update_membership(api.MembershipUpdateKind.FULL, *rows)
 
     def run(self, seconds: float) -> None:
         host = self.host
         until = host.now + seconds
         while host.now < until - 1e-9:
             host.wait(0.005)
-            for part, attempt in [key for key, at in host.out.items() if at not in self.unresponsive]:
+            for part, attempt in [
+                key for key, at in host.open_attempts.items() if at not in self.unresponsive
+            ]:
                 age = host.now - host.sends[part][attempt][0]
-                if (part, attempt) in host.out and age >= SERVICE_TIME - 1e-9:
+                if (part, attempt) in host.open_attempts and age >= SERVICE_TIME - 1e-9:
                     host.finish(part, attempt=attempt)
 
     def warm_up(self) -> None:
@@ -85,8 +87,8 @@
     fleet.unresponsive = UNRESPONSIVE
     query = fleet.host.query(*range(PARTS))
     assert {fleet.host.where(part) for part in fleet.host.step_parts[query]} == set(UNRESPONSIVE)
-    end, took = fleet.run_to_end(query)
-    assert isinstance(end, api.Answer) and took < OBJECTIVE, (end, took)
+    end, elapsed = fleet.run_to_end(query)
+    assert isinstance(end, api.Answer) and elapsed < OBJECTIVE, (end, elapsed)
 
 
 @pytest.mark.parametrize("semantics", [RetrySafety.IDEMPOTENT, RetrySafety.IDEMPOTENCY_KEY])
@@ -94,8 +96,8 @@
     """A new process has no latency samples: it detects unresponsive replicas only at the objective."""
     fleet = Fleet(settings_with_class(semantics=semantics, window=3.0))
     fleet.unresponsive = UNRESPONSIVE
-    end, took = fleet.run_to_end(fleet.host.query(*range(PARTS)))
-    assert isinstance(end, api.Answer) and OBJECTIVE < took < DEADLINE - OBJECTIVE, (end, took)
+    end, elapsed = fleet.run_to_end(fleet.host.query(*range(PARTS)))
+    assert isinstance(end, api.Answer) and OBJECTIVE < elapsed < DEADLINE - OBJECTIVE, (end, elapsed)
 
 
 @pytest.mark.parametrize(
@@ -110,8 +112,8 @@
     fleet.unresponsive = UNRESPONSIVE
     query = fleet.host.query(*range(PARTS))
     parts = list(fleet.host.step_parts[query])
-    end, took = fleet.run_to_end(query)
-    assert not isinstance(end, api.Answer) and took > DEADLINE - 0.1
+    end, elapsed = fleet.run_to_end(query)
+    assert not isinstance(end, api.Answer) and elapsed > DEADLINE - 0.1
     assert all(len(fleet.host.sends[part]) == 1 for part in parts)
 
 
@@ -140,8 +142,8 @@
     fleet.unresponsive = tuple(range(10, 16))
     host.feed(*host.make_parts(query, host.next_query - 1, (0, 3)))
     fleet.unresponsive = tuple({host.where(part) for part in host.step_parts[query]})
-    end, took = fleet.run_to_end(query)
-    assert isinstance(end, api.Answer) and took < OBJECTIVE, (end, took)
+    end, elapsed = fleet.run_to_end(query)
+    assert isinstance(end, api.Answer) and elapsed < OBJECTIVE, (end, elapsed)
 
 
 def test_parts_at_a_removed_replica_are_retried() -> None:
@@ -150,10 +152,10 @@
     host = fleet.host
     fleet.unresponsive = UNRESPONSIVE
     query = host.query(*range(PARTS))
-    gone = [host.states[number]._replace(state=api.ReplicaState.GONE) for number in UNRESPONSIVE]
-    host.members(api.MembershipUpdateKind.DELTA, *gone)
-    end, took = fleet.run_to_end(query)
-    assert isinstance(end, api.Answer) and took < OBJECTIVE, (end, took)
+    gone = [host.listed_replicas[number]._replace(state=api.ReplicaState.GONE) for number in UNRESPONSIVE]
+    host.update_membership(api.MembershipUpdateKind.DELTA, *gone)
+    end, elapsed = fleet.run_to_end(query)
+    assert isinstance(end, api.Answer) and elapsed < OBJECTIVE, (end, elapsed)
 
 
 def test_the_retry_budget_bounds_the_retries_of_failed_parts() -> None:
@@ -163,7 +165,7 @@
     fleet.unresponsive = UNRESPONSIVE
     query = fleet.host.query(*range(PARTS))
     fleet.run(1.0)
-    assert query not in fleet.host.ended and len(fleet.host.extras) == 2
+    assert query not in fleet.host.ended and len(fleet.host.further_attempt_times) == 2
 
 
 def test_after_the_objective_a_failed_part_goes_to_a_healthy_replica() -> None:
@@ -173,10 +175,10 @@
         host.warm_up()
         part = part_of(host, host.query(0))
         first = host.where(part)
-        ejected, _ = sorted(number for number in host.states if number != first)
-        known = host.module.membership.replicas[ejected]
-        known.ejected_for, known.ejected_until = 8.0, host.now + 8.0
-        host.stalled_at = host.now
+        ejected, _ = sorted(number for number in host.listed_replicas if number != first)
+        known_replica = host.engine.membership.replicas[ejected]
+        known_replica.ejected_for, known_replica.ejected_until = 8.0, host.now + 8.0
+        host.paused_until = host.now
         host.now += OBJECTIVE + 0.5
         host.finish(part, AttemptOutcome.ERROR)
         assert host.where(part, 1) != ejected
@@ -250,7 +252,7 @@
     part = failed_part_with_a_retry(host, fleet)
     began, number = host.now, 1
     while host.now < began + 2.0:
-        if (part, number) in host.out:
+        if (part, number) in host.open_attempts:
             host.finish(part, AttemptOutcome.NEVER_SENT, attempt=number)
             number += 1
         fleet.run(0.005)
--- a/tests/test_decisions_hedging.py
+++ b/tests/test_decisions_hedging.py
@@ -41,7 +41,7 @@
     host = Host(BASE._replace(query_classes=(query_class(aim=1.0),)), replicas=6)
     host.warm_up(60, latency=0.3)
     host.wait(15.0)
-    host.module.latency.mean, host.module.latency.mean_at = 0.25, host.now
+    host.engine.latency.mean_latency, host.engine.latency.mean_latency_at = 0.25, host.now
     part = part_of(host, host.query(0))
     host.wait(0.32)
     assert len(host.sends[part]) == 2
@@ -51,13 +51,13 @@
     """With wide queries a percentile of the last 200 parts, those of two queries, rises with the queue."""
     host = Host(replicas=6)
     host.warm_up(60)
-    baseline_before = host.module.latency.baseline[0]
-    host.module.latency.samples[0].extend([0.6] * 200)
-    host.module.latency.mean, host.module.latency.mean_at = 0.5, host.now
+    baseline_before = host.engine.latency.baseline[0]
+    host.engine.latency.samples[0].extend([0.6] * 200)
+    host.engine.latency.mean_latency, host.engine.latency.mean_latency_at = 0.5, host.now
     part = part_of(host, host.query(0))
     host.wait(0.62)
     assert len(host.sends[part]) == 1
-    assert baseline_before < host.module.latency.baseline[0] < 0.2
+    assert baseline_before < host.engine.latency.baseline[0] < 0.2
 
 
 def test_a_part_gets_one_hedge_only() -> None:
@@ -69,7 +69,7 @@
 
 def test_no_hedge_is_sent_that_would_be_answered_after_the_objective() -> None:
     host = Host(BASE._replace(query_classes=(query_class(aim=2.0, deadline=9.0),)), replicas=3)
-    host.module.latency.samples[0].extend([1.2] * 20)  # the median is then 1.2 s
+    host.engine.latency.samples[0].extend([1.2] * 20)  # the median is then 1.2 s
     part = part_of(host, host.query(0))
     host.wait(2.3)
     assert len(host.sends[part]) == 1
@@ -81,7 +81,7 @@
     part = part_of(host, host.query(0))
     assert not sends(host.wait(2.0))  # later, ejections may lead to retries of a keyed part, one at a time
     host.wait(3.0)
-    assert sum(key[0] == part for key in host.out) <= 1
+    assert sum(key[0] == part for key in host.open_attempts) <= 1
 
 
 def test_no_hedges_where_the_site_forbids_them() -> None:
@@ -132,11 +132,11 @@
     host.wait(10.0)
     late_part = part_of(host, host.query(0))
     for _ in range(100):
-        host.module.hedging.failures.add(host.now)
+        host.engine.hedging.failure_breaker.add(host.now)
     host.wait(0.12)
     assert len(host.sends[late_part]) == 1
-    known = host.module.membership.replicas[host.where(late_part)]
-    known.ejected_for, known.ejected_until = 2.0, host.now + 2.0
+    known_replica = host.engine.membership.replicas[host.where(late_part)]
+    known_replica.ejected_for, known_replica.ejected_until = 2.0, host.now + 2.0
     host.wait(0.12)
     assert len(host.sends[late_part]) == 2
 
@@ -151,9 +151,9 @@
     host.wait(0.12)
     assert len(host.sends[part]) == 2
     for attempt in range(ejected):
-        known = host.module.membership.replicas[host.where(part, attempt)]
-        known.ejected_for, known.ejected_until = 4.0, host.now + 4.0
-    host.module.membership.replicas[host.where(part, 1)].last_answered_send_at = host.now
+        known_replica = host.engine.membership.replicas[host.where(part, attempt)]
+        known_replica.ejected_for, known_replica.ejected_until = 4.0, host.now + 4.0
+    host.engine.membership.replicas[host.where(part, 1)].last_answered_send_at = host.now
     for _ in range(8):  # leaves room under the cap on hedges
         host.query(0)
     host.wait(0.09)
@@ -165,7 +165,7 @@
     query = host.query(*range(parts))
     for part in host.step_parts[query][missing:]:
         host.finish(part)
-    host.module.latency.mean, host.module.latency.mean_at = 2.2, host.now
+    host.engine.latency.mean_latency, host.engine.latency.mean_latency_at = 2.2, host.now
     return host.step_parts[query][:missing]
 
 
--- a/tests/test_decisions_idle_connections.py
+++ b/tests/test_decisions_idle_connections.py
@@ -50,8 +50,8 @@
     """With little traffic, any missing response led to closing nearly every connection before each send."""
     host = Host(BASE._replace(query_classes=(query_class(aim=4.0, deadline=9.0),)), replicas=3)
     host.warm_up()
-    for known in host.module.membership.replicas.values():
-        known.last_sent_at = host.now - 0.3
+    for known_replica in host.engine.membership.replicas.values():
+        known_replica.last_sent_at = host.now - 0.3
     host.query(0)
     host.wait(0.5)  # no response
     log_length = len(host.log)
--- a/tests/test_decisions_latency.py
+++ b/tests/test_decisions_latency.py
@@ -10,13 +10,13 @@
     """A successful hedge must not make the class look fast: the cancelled attempt belongs to the tail."""
     host = Host()
     host.warm_up()
-    before = max(host.module.latency.samples[0])
+    before = max(host.engine.latency.samples[0])
     for _ in range(20):
         part = part_of(host, host.query(0))
         host.wait(0.15)
         host.finish(part, attempt=len(host.sends[part]) - 1)
         host.wait(2.0)
-    assert max(host.module.latency.samples[0]) >= 0.15 > before
+    assert max(host.engine.latency.samples[0]) >= 0.15 > before
 
 
 def test_rescued_parts_do_not_raise_the_hedge_delay() -> None:
@@ -30,6 +30,6 @@
             host.wait(0.1)
             host.finish(part, attempt=1)
         host.wait(3.0)
-    kind = host.module.settings.query_classes[0]
-    ranked = sorted(host.module.latency.samples[0])
+    kind = host.engine.settings.query_classes[0]
+    ranked = sorted(host.engine.latency.samples[0])
     assert ranked[int(0.95 * (len(ranked) - 1))] <= 0.31 < kind.latency_objective
--- a/tests/test_decisions_membership.py
+++ b/tests/test_decisions_membership.py
@@ -20,16 +20,16 @@
 @pytest.mark.parametrize("state", [ReplicaState.DRAINING, ReplicaState.GONE])
 def test_nothing_is_sent_to_a_draining_or_removed_replica(state: ReplicaState) -> None:
     host = Host()
-    host.members(MembershipUpdateKind.DELTA, replica(10, state=state))
+    host.update_membership(MembershipUpdateKind.DELTA, replica(10, state=state))
     for _ in range(9):
         host.query(0)
     host.wait(5.0)  # time for hedges and retries; the host raises if a rule is broken
-    assert all(where != 10 for made in host.sends.values() for _, where in made)
+    assert all(where != 10 for part_sends in host.sends.values() for _, where in part_sends)
 
 
 def test_a_replica_missing_from_a_full_list_is_removed() -> None:
     host = Host()
-    host.members(MembershipUpdateKind.FULL, replica(11))
+    host.update_membership(MembershipUpdateKind.FULL, replica(11))
     assert host.where(part_of(host, host.query(0))) == 11
 
 
@@ -42,7 +42,7 @@
     """Seconds from each of `count` consecutive failures to the next request of the watch."""
     measured = []
     for _ in range(count):
-        host.members(MembershipUpdateKind.FAILED)
+        host.update_membership(MembershipUpdateKind.FAILED)
         before = host.now
         while not any(isinstance(a, api.WatchMembership) for a in host.wait(0.01)):
             assert host.now < before + 6
@@ -76,9 +76,9 @@
     for number in range(12):
         times = [row[number] for row in measured]
         assert max(times) > 1.5 * min(times), "jitter"
-    for rows in ((), tuple(host.states.values())):
+    for rows in ((), tuple(host.listed_replicas.values())):
         backoffs(host, 9)
-        host.members(MembershipUpdateKind.DELTA, *rows)
+        host.update_membership(MembershipUpdateKind.DELTA, *rows)
         assert backoffs(host, 1)[0] <= 0.17, "an update, even an empty one, resets the backoff"
 
 
@@ -104,12 +104,12 @@
     counts = []
     for seconds_without_data in (0.0, 5.0):
         host = Host(BASE._replace(membership_polled=True, coordinator_count=1), watch_options=NODE_WATCH)
-        host.members(MembershipUpdateKind.DELTA)
+        host.update_membership(MembershipUpdateKind.DELTA)
         host.feed(api.WatchInterrupted(seconds_without_data))
         count = 0
         for _ in range(300):
             if any(isinstance(action, api.WatchMembership) for action in host.wait(0.01)):
-                host.members(MembershipUpdateKind.FAILED)
+                host.update_membership(MembershipUpdateKind.FAILED)
                 count += 1
         counts.append(count)
     assert counts[1] >= 2 * counts[0]
@@ -122,7 +122,7 @@
         host = Host(
             BASE._replace(membership_polled=True, coordinator_count=coordinators), watch_options=NODE_WATCH
         )
-        host.members(MembershipUpdateKind.DELTA)
+        host.update_membership(MembershipUpdateKind.DELTA)
         host.feed(api.WatchInterrupted(0.0))
         measured = backoffs(host, 12)
         assert measured[0] <= 0.17, "the first backoff is short: discovery may not be overloaded"
@@ -142,18 +142,18 @@
 def test_an_unanswered_call_gets_further_calls_beside_it_before_its_deadline() -> None:
     """Two consecutive calls that were not answered took all of the 6 s."""
     host = Host(BASE._replace(membership_polled=True), watch_options=NODE_WATCH)
-    host.members(MembershipUpdateKind.DELTA)
+    host.update_membership(MembershipUpdateKind.DELTA)
     host.feed(api.WatchInterrupted(2.5))
     times = watch_request_times(host, NOTIFIED_WITHIN - 2.5)
     assert len(times) >= 3, "two may stall"
     assert all(later - earlier > 1.2 for earlier, later in pairwise(times))
-    host.members(MembershipUpdateKind.DELTA)
+    host.update_membership(MembershipUpdateKind.DELTA)
     assert not watch_request_times(host, 5.0), "no call while the watch is up"
 
 
 def test_without_parallel_calls_an_unanswered_call_gets_no_further_one() -> None:
     host = Host(BASE._replace(membership_polled=True), watch_options=WatchOptions(1, NOTIFIED_WITHIN))
-    host.members(MembershipUpdateKind.DELTA)
+    host.update_membership(MembershipUpdateKind.DELTA)
     host.feed(api.WatchInterrupted(2.5))
     assert len(watch_request_times(host, 10.0)) == 1
 
@@ -170,33 +170,37 @@
 def test_while_the_watch_is_down_a_replica_is_trusted_until_its_lease_expires() -> None:
     """A list of any age was used as if it were current."""
     host = Host(BASE._replace(membership_polled=True), watch_options=NODE_WATCH)
-    host.members(MembershipUpdateKind.FULL, *(replica(number, zone=0) for number in (10, 11, 12)))
+    host.update_membership(MembershipUpdateKind.FULL, *(replica(number, zone=0) for number in (10, 11, 12)))
     host.wait(20.0)
-    watch, replicas = host.module.membership.watch, host.module.membership.replicas
+    watch, replicas = host.engine.membership.watch, host.engine.membership.replicas
     served = part_of(host, host.query(0))
-    assert not any(watch.is_lease_expired(known) for known in replicas.values()), "the watch is up"
+    assert not any(
+        watch.is_lease_expired(known_replica) for known_replica in replicas.values()
+    ), "the watch is up"
     host.feed(api.WatchInterrupted(2.0))
     host.wait(1.0)
     host.finish(served)  # it did not drain when this part was sent, 1 s ago and 2 s after the last data
     host.wait(NOTIFIED_WITHIN - 3.0 - 0.1)
     host.feed()
-    assert not any(watch.is_lease_expired(known) for known in replicas.values())
+    assert not any(watch.is_lease_expired(known_replica) for known_replica in replicas.values())
     host.wait(0.2)
     host.feed()
-    expired = {number for number, known in replicas.items() if watch.is_lease_expired(known)}
+    expired = {number for number, known_replica in replicas.items() if watch.is_lease_expired(known_replica)}
     assert expired == {10, 11, 12} - {host.where(served)}
     assert host.where(part_of(host, host.query(0))) == host.where(served)
     host.wait(2.0)
     host.feed()
     assert watch.is_lease_expired(replicas[host.where(served)])
-    host.members(MembershipUpdateKind.DELTA)
-    assert not any(watch.is_lease_expired(known) for known in replicas.values()), "it is up again"
+    host.update_membership(MembershipUpdateKind.DELTA)
+    assert not any(
+        watch.is_lease_expired(known_replica) for known_replica in replicas.values()
+    ), "it is up again"
 
 
 def test_a_rejecting_replica_is_used_until_its_lease_expires() -> None:
     """Under overload all replicas reject parts; excluding them at once cost 0.03 of the answers' value."""
     host = Host(BASE._replace(membership_polled=True), watch_options=NODE_WATCH)
-    host.members(MembershipUpdateKind.DELTA)
+    host.update_membership(MembershipUpdateKind.DELTA)
     host.feed(api.WatchInterrupted(0.0))
     rejected = part_of(host, host.query(0))
     where = host.where(rejected)
@@ -207,13 +211,13 @@
 def test_a_rejecting_replica_is_excluded_after_its_lease_and_tried_again_much_later() -> None:
     """Where all holders of a shard rejected parts, the retries went to those that drained."""
     host = Host(BASE._replace(membership_polled=True), replicas=1, watch_options=NODE_WATCH)
-    host.members(MembershipUpdateKind.DELTA)
+    host.update_membership(MembershipUpdateKind.DELTA)
     host.feed(api.WatchInterrupted(0.0))
-    watch, known = host.module.membership.watch, host.module.membership.replicas[10]
+    watch, known_replica = host.engine.membership.watch, host.engine.membership.replicas[10]
     host.finish(part_of(host, host.query(0)), api.AttemptOutcome.REJECTED)
     host.wait(NOTIFIED_WITHIN - 0.1)
     host.feed()
-    assert not watch.is_excluded(known), "a drain cannot count as notified yet"
+    assert not watch.is_excluded(known_replica), "a drain cannot count as notified yet"
     host.wait(0.2)
     query = host.query(0)
     assert not host.sends[part_of(host, query)]
@@ -221,28 +225,28 @@
     assert isinstance(ended, api.Reject) and ended.reason is api.QueryEndReason.NO_REPLICA
     host.wait(EXCLUSION_DURATION)
     host.feed()
-    assert not watch.is_excluded(known), "its queue may have been full"
+    assert not watch.is_excluded(known_replica), "its queue may have been full"
 
 
 def test_a_replica_that_served_nothing_is_excluded_only_if_there_was_enough_traffic() -> None:
     """With little traffic a replica may not have been sent any part: whole shards were rejected."""
     for parts, excluded in ((2, False), (9, True)):
         host = Host(BASE._replace(membership_polled=True), watch_options=NODE_WATCH)
-        host.members(MembershipUpdateKind.DELTA)
+        host.update_membership(MembershipUpdateKind.DELTA)
         host.feed(api.WatchInterrupted(0.0))
         for _ in range(parts):
             host.finish(part_of(host, host.query(0)))
         host.wait(NOTIFIED_WITHIN + 0.1)
         host.feed()
-        watch, replicas = host.module.membership.watch, host.module.membership.replicas
-        assert all(watch.is_lease_expired(known) for known in replicas.values())
-        assert all(watch.is_excluded(known) is excluded for known in replicas.values())
+        watch, replicas = host.engine.membership.watch, host.engine.membership.replicas
+        assert all(watch.is_lease_expired(known_replica) for known_replica in replicas.values())
+        assert all(watch.is_excluded(known_replica) is excluded for known_replica in replicas.values())
 
 
 def test_parts_are_sent_although_the_leases_of_all_holders_have_expired() -> None:
     """Discovery may be unavailable for long; a replica that is sent nothing cannot prove that it serves."""
     host = Host(BASE._replace(membership_polled=True), watch_options=NODE_WATCH)
-    host.members(MembershipUpdateKind.DELTA)
+    host.update_membership(MembershipUpdateKind.DELTA)
     host.feed(api.WatchInterrupted(0.0))
     host.wait(30.0)
     assert host.sends[part_of(host, host.query(0))]
@@ -250,7 +254,7 @@
 
 def test_a_failed_call_keeps_the_old_list() -> None:
     host = Host()
-    host.members(MembershipUpdateKind.FAILED)
+    host.update_membership(MembershipUpdateKind.FAILED)
     assert host.sends[part_of(host, host.query(0))]
 
 
@@ -271,9 +275,9 @@
 
 def test_holders_are_computed_once_per_list() -> None:
     host = Host(BASE._replace(cell_count=6, cells_per_replica=3), replicas=12)
-    before = host.module.membership.holders_by_cell
+    before = host.engine.membership.holders_by_cell
     for i in range(20):
         host.query(i % 6)
-    assert host.module.membership.holders_by_cell is before
-    host.members(MembershipUpdateKind.DELTA, replica(10, state=ReplicaState.GONE))
-    assert host.module.membership.holders_by_cell is not before
+    assert host.engine.membership.holders_by_cell is before
+    host.update_membership(MembershipUpdateKind.DELTA, replica(10, state=ReplicaState.GONE))
+    assert host.engine.membership.holders_by_cell is not before
--- a/tests/test_decisions_replica_selection.py
+++ b/tests/test_decisions_replica_selection.py
@@ -60,12 +60,12 @@
     host = Host(replicas=3)
     host.warm_up(60)
     (
-        host.module.membership.replicas[10].relative_latency,
-        host.module.membership.replicas[10].relative_latency_at,
+        host.engine.membership.replicas[10].relative_latency,
+        host.engine.membership.replicas[10].relative_latency_at,
     ) = 4.0, host.now
     placed = [host.where(part_of(host, host.query(0))) for _ in range(4)]
     assert 10 not in placed
-    for part in list(host.out):
+    for part in list(host.open_attempts):
         host.finish(*part[:1])
     host.wait(30.0)
     assert 10 in [host.where(part_of(host, host.query(0))) for _ in range(8)]
@@ -74,8 +74,8 @@
 def test_equally_slow_replicas_keep_their_positions() -> None:
     host = Host(replicas=3)
     host.warm_up(60)
-    for known in host.module.membership.replicas.values():
-        known.relative_latency, known.relative_latency_at = 5.0, host.now
+    for known_replica in host.engine.membership.replicas.values():
+        known_replica.relative_latency, known_replica.relative_latency_at = 5.0, host.now
     assert {host.where(part_of(host, host.query(0))) for _ in range(9)} == {10, 11, 12}
 
 
@@ -91,9 +91,11 @@
 def test_the_own_zone_is_preferred_until_it_is_loaded() -> None:
     """Positions mix zones; the zone cost is avoided while the own zone's replicas have few open requests."""
     host = Host(BASE._replace(zone=1, cell_count=6, cells_per_replica=3), replicas=0)
-    host.members(MembershipUpdateKind.FULL, *(replica(10 + i, cell=i, zone=i % 3) for i in range(6)))
+    host.update_membership(
+        MembershipUpdateKind.FULL, *(replica(10 + i, cell=i, zone=i % 3) for i in range(6))
+    )
     zones = list[list[int]]()
     for _ in range(4):
         parts = host.step_parts[host.query(0, 1, 2)]
-        zones.append([host.states[host.where(p)].zone for p in parts])
+        zones.append([host.listed_replicas[host.where(p)].zone for p in parts])
     assert zones[0] == [1, 1, 1] and zones[3] != [1, 1, 1]
--- a/tests/test_decisions_retries.py
+++ b/tests/test_decisions_retries.py
@@ -43,10 +43,10 @@
     )
     for _ in range(40):
         part = part_of(host, host.query(0))
-        if (part, 0) in host.out:
+        if (part, 0) in host.open_attempts:
             host.finish(part, AttemptOutcome.RESET)
         host.wait(0.2)
-    assert host.extras and len(host.ended) > 5
+    assert host.further_attempt_times and len(host.ended) > 5
 
 
 def test_a_retry_after_a_full_queue_is_delayed() -> None:
--- a/tests/test_decisions_slow_start.py
+++ b/tests/test_decisions_slow_start.py
@@ -15,7 +15,7 @@
 def test_a_cold_replica_is_sent_a_limited_share() -> None:
     host = Host(replicas=3)
     host.warm_up(100)
-    host.members(MembershipUpdateKind.DELTA, replica(10, started=host.now))
+    host.update_membership(MembershipUpdateKind.DELTA, replica(10, started=host.now))
     to_cold, to_warm = 0, 0
     for _ in range(40):
         part = part_of(host, host.query(0))
@@ -31,14 +31,14 @@
 def test_a_new_replica_is_cold_too() -> None:
     host = Host(replicas=2)
     host.warm_up(100)
-    host.members(MembershipUpdateKind.DELTA, replica(12, started=host.now))
+    host.update_membership(MembershipUpdateKind.DELTA, replica(12, started=host.now))
     placed = [host.where(part_of(host, host.query(0))) for _ in range(12)]
     assert placed.count(12) <= 1
 
 
 def test_queries_are_shed_while_all_holders_are_cold() -> None:
     host = Host()
-    host.members(MembershipUpdateKind.FULL, *(replica(i, started=host.now) for i in (10, 11, 12)))
+    host.update_membership(MembershipUpdateKind.FULL, *(replica(i, started=host.now) for i in (10, 11, 12)))
     for _ in range(30):
         host.query(0)
     # Half of what overloads them: twice a fifth of the thirty, plus one part in advance at each.
@@ -49,13 +49,13 @@
 def test_a_storm_of_rejections_does_not_earn_a_cold_replica_more() -> None:
     """Tokens were earned by sends: sends to full replicas raised them until a cold one was overloaded."""
     host = Host()
-    host.members(MembershipUpdateKind.DELTA, replica(10, started=host.now))
+    host.update_membership(MembershipUpdateKind.DELTA, replica(10, started=host.now))
     for _ in range(300):
         part = part_of(host, host.query(0))
-        while part in host.sends and (part, len(host.sends[part]) - 1) in host.out:
+        while part in host.sends and (part, len(host.sends[part]) - 1) in host.open_attempts:
             host.finish(part, AttemptOutcome.REJECTED, len(host.sends[part]) - 1)
         host.wait(0.01)
-    assert sum(where == 10 for made in host.sends.values() for _, where in made) <= 4
+    assert sum(where == 10 for part_sends in host.sends.values() for _, where in part_sends) <= 4
 
 
 @pytest.mark.parametrize("coordinators", [3, 60])
@@ -64,16 +64,16 @@
     settings = BASE._replace(coordinator_count=coordinators, zone=9)
     hosts = [Host(settings, replicas=3, seed=i) for i in range(coordinators)]
     for host in hosts:
-        host.members(MembershipUpdateKind.DELTA, replica(10, started=host.now))
+        host.update_membership(MembershipUpdateKind.DELTA, replica(10, started=host.now))
     sent = sum(bool(h.sends[p]) and h.where(p) == 10 for h in hosts for p in h.step_parts[h.query(0, 0)])
     ready_share = coordinators * 2 / 3
     assert sent <= 1 + 1.5 * ready_share * settings.slow_start_capacity
-    before = sum(h.module.membership.replicas[10].slow_start_tokens for h in hosts)
+    before = sum(h.engine.membership.replicas[10].slow_start_tokens for h in hosts)
     for host in hosts:  # ten seconds of the ramp; only the floors earn tokens, as nothing is answered
         for _ in range(20):
-            host.module.context.now += 0.5
-            host.module.slow_start.may_send(host.module.membership.replicas[10])
-    earned = sum(h.module.membership.replicas[10].slow_start_tokens for h in hosts) - before
+            host.engine.context.now += 0.5
+            host.engine.slow_start.may_send(host.engine.membership.replicas[10])
+    earned = sum(h.engine.membership.replicas[10].slow_start_tokens for h in hosts) - before
     # Half a part per overload window of 2 s, times the capacity by then, times half of what overloads it.
     assert 0.2 < earned <= 4
 
@@ -93,8 +93,8 @@
             host.wait(arrivals.expovariate(0.5))  # one query in two seconds, in the mean
             if host.now >= start_time + ramp:
                 break
-            if host.now >= start_time and host.states[10].started_at < start_time:
-                host.members(MembershipUpdateKind.DELTA, replica(10, started=start_time))
+            if host.now >= start_time and host.listed_replicas[10].started_at < start_time:
+                host.update_membership(MembershipUpdateKind.DELTA, replica(10, started=start_time))
             query = host.query(0)
             (part,) = host.step_parts[query]
             if host.now >= start_time:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -64,21 +64,23 @@
                 query_class=value % 2,
                 time=1.0 + value % 3,
             )
-        elif kind == "end" and host.out:
-            part, attempt = sorted(host.out)[value % len(host.out)]
+        elif kind == "end" and host.open_attempts:
+            part, attempt = sorted(host.open_attempts)[value % len(host.open_attempts)]
             if outcome is not api.AttemptOutcome.CANCELLED or (part, attempt) in host.cancelled:
                 host.finish(part, outcome, attempt)
         elif kind == "wait":
             host.wait(value % 50 / 20)
         elif kind == "stall":
-            host.stall(value % 60 / 20)
+            host.pause_process(value % 60 / 20)
         elif kind == "member":
             number = 10 + value % (2 * settings.cell_count)
             state = list(api.ReplicaState)[value % 3]
-            row = replica(number, host.states[number].cell, number, state, host.now if value % 2 else 0.0)
-            host.members(api.MembershipUpdateKind.DELTA, row)
+            row = replica(
+                number, host.listed_replicas[number].cell, number, state, host.now if value % 2 else 0.0
+            )
+            host.update_membership(api.MembershipUpdateKind.DELTA, row)
         elif kind == "fail list" and settings.membership_polled:
-            host.members(api.MembershipUpdateKind.FAILED)
+            host.update_membership(api.MembershipUpdateKind.FAILED)
         feed_second_steps(host)
     host.wait(20.0)
     return host
@@ -87,7 +89,7 @@
 def feed_second_steps(host: Host) -> None:
     """Deliver the parts of the second step, in the batch after the answer to the first step."""
     for query in sorted(host.step_parts):
-        if host.steps[query] == 2 and not host.step_parts[query] and query not in host.ended:
+        if host.current_step[query] == 2 and not host.step_parts[query] and query not in host.ended:
             number = next(i for i, q in enumerate(sorted(host.classes)) if q == query)
             host.feed(*host.make_parts(query, number, (0,)))
 
