--- a/gingervane/decisions/admission.py
+++ b/gingervane/decisions/admission.py
@@ -91,6 +91,7 @@
         quota = self._quotas.get(tenant)
         if not quota:
             return False
+        # The count less its likely random variation.
         queries = self._queries_by_tenant[tenant].count(self._context.now)
         min_query_count = queries - QUOTA_TOLERANCE * sqrt(queries)
         return min_query_count * self._coordinator_count > TRAFFIC_WINDOW * quota
--- a/gingervane/decisions/batch_context.py
+++ b/gingervane/decisions/batch_context.py
@@ -43,8 +43,10 @@
         self.actions = []
         self.batch += 1
         self.started_at = min(self.started_at, now)
-        due = [self._due(e.label) for e in events if isinstance(e, api.TimerFired)]
-        self.process_paused = now - min(due, default=now) > PAUSE_GRANULARITIES * self._timer_granularity
+        due_times = [self._due(e.label) for e in events if isinstance(e, api.TimerFired)]
+        self.process_paused = (
+            now - min(due_times, default=now) > PAUSE_GRANULARITIES * self._timer_granularity
+        )
 
     def _due(self, label: int) -> float:
         timer = self._timers.get(label)
--- a/gingervane/decisions/engine.py
+++ b/gingervane/decisions/engine.py
@@ -221,7 +221,8 @@
         replica = attempt.replica
         if outcome is api.AttemptOutcome.OK:
             self.slow_start.record_answer()
-            # An answer as late as a missing response would reinstate an overloaded replica, also at all peers.
+            # An answer after the attempt has counted as without response is no evidence of health: it would
+            # reinstate an overloaded replica, here and at all peers.
             if attempt.hedge_delays < NO_RESPONSE_DELAYS:
                 self._outlier_detector.record_outcome(replica, 0.0)
             if attempt.hedged and not attempt.part.done and not self.context.process_paused:
--- a/gingervane/decisions/hedging.py
+++ b/gingervane/decisions/hedging.py
@@ -19,8 +19,8 @@
 
 # Percentile of the class's part latencies that is the hedge delay (docs/design.md).
 HEDGE_PERCENTILE = 0.95
-# Hedge delays after which an attempt counts as without response, unless the replica has answered one sent as late or
-# later (docs/design.md).
+# Hedge delays after which an attempt counts as without response, unless the replica has answered a part that was
+# sent at the same time or later (docs/design.md).
 NO_RESPONSE_DELAYS = 2
 # Largest share of the open attempts that may be hedges (docs/design.md, circuit breaker).
 MAX_HEDGED_SHARE = 0.25
@@ -89,7 +89,7 @@
             self._retry_overdue(attempt.replica)
 
     def _check_response(self, attempt: Attempt) -> bool:
-        """Record a missing response, unless the replica has answered a part that was sent as late or later.
+        """Record a missing response, unless the replica has answered a part sent at the same time or later.
 
         Return True if this ejects a replica that was not ejected before.
         """
--- a/gingervane/decisions/idle_connections.py
+++ b/gingervane/decisions/idle_connections.py
@@ -1,7 +1,8 @@
 """Learns after what idle time connections are dropped by the network, and closes them before they are used.
 
 Where the network drops idle connections silently, the first part after an idle time gets no response although the
-replica is healthy. A missing response after an idle time shows that it was too long, an answer that it was safe.
+replica is healthy. A missing response shows that the idle time before it was too long; an answer shows that the
+time was safe.
 """
 
 from __future__ import annotations
--- a/gingervane/decisions/membership_watch.py
+++ b/gingervane/decisions/membership_watch.py
@@ -43,11 +43,12 @@
 LARGE_FLEET_BACKOFFS_IN_REMAINING_TIME = 2
 # Limit per co-ordinator, in seconds, up to which the backoff is lengthened in a large fleet.
 LARGE_FLEET_BACKOFF_PER_COORDINATOR = 0.07
-# Upper limit of the backoff when no time remains, in a small fleet, seconds.
+# Longest backoff in seconds when no time remains, in the smallest fleets. This limit grows with the number of
+# co-ordinators.
 MIN_URGENT_BACKOFF = 0.05
 # Largest mean rate of calls of the whole fleet when no co-ordinator has time remaining, calls per second.
 MAX_FLEET_CALL_RATE = 6.0
-# Upper limit of the backoff when no time remains, in a large fleet, seconds.
+# Longest backoff in seconds when no time remains, in the largest fleets.
 MAX_URGENT_BACKOFF = 4 / 3
 # Upper bound for the remaining time in the computation of a call's timeout, seconds.
 MAX_REMAINING_TIME = 6.0
--- a/gingervane/decisions/outlier_ejection.py
+++ b/gingervane/decisions/outlier_ejection.py
@@ -148,7 +148,8 @@
     def _first_ejection_duration(self) -> float:
         """Seconds of a first ejection.
 
-        It lasts at least as long as the next part for the replica takes to reach a co-ordinator that reports on it.
+        It lasts at least the mean time between two parts for the replica. These parts come from this co-ordinator
+        and, where gossip is allowed, from its peers, which report what they observe.
         """
         observers = self._coordinator_count if self._gossip_allowed else 1
         return max(MIN_EJECTION, self._membership.ready_count / self._send_rate(1) / observers)
@@ -164,10 +165,10 @@
         replica.ejected_for = min(duration, MAX_EJECTION)
         replica.ejected_until = now + min(duration, MAX_EJECTION)
         replica.failure_score = 0.0
-        ejected = api.ReplicaEjected(
+        ejection = api.ReplicaEjected(
             replica.endpoint.id, replica.ejected_for, reason or api.EjectionReason.ERROR
         )
-        self._context.actions.append(ejected)
+        self._context.actions.append(ejection)
         if failure_weight == FAILURE_WEIGHT:  # an ejection caused by peers' reports is not reported again
             unresponsive = replica.last_unresponsive_at == now
             self._send_report(replica, REPORT_UNRESPONSIVE if unresponsive else REPORT_FAILING)
--- a/gingervane/decisions/query_state.py
+++ b/gingervane/decisions/query_state.py
@@ -29,7 +29,7 @@
 class Part:
     """One part of a query."""
 
-    arrival: api.PartArrived
+    arrival: api.PartArrived  # the event with which it arrived
     query: Query
     first_sent_at: float
     attempts_made: int = 0
@@ -38,7 +38,7 @@
     tried_replicas: list[KnownReplica] = field(default_factory=list)
     # By attempt number: send times of the attempts that are not proved to have had no effect.
     may_have_run: dict[int, float] = field(default_factory=dict)
-    done: bool = False
+    done: bool = False  # received, or no longer needed by its query
     lost: bool = False  # no further attempt is possible
 
     @property
@@ -51,10 +51,10 @@
 class Query:
     """A query and the state of its present step."""
 
-    arrival: api.QueryArrived
+    arrival: api.QueryArrived  # the event with which it arrived
     query_class: api.QueryClass
-    objective_at: float
-    answer_by: float
+    objective_at: float  # time at which its latency objective ends
+    answer_by: float  # its deadline, less a margin for timers that fire late
     parts: list[Part] = field(default_factory=list)  # of the present step
     parts_received: int = 0
     weight_requested: float = 0.0
--- a/gingervane/interface.py
+++ b/gingervane/interface.py
@@ -104,7 +104,7 @@
     second_step_parts: int
     required_coverage: float
     complete_coverage: float
-    objective_stretch: float | None
+    objective_stretch: float | None  # added to the latency objective per unit of a query's predicted cost
     late_answer_value: float  # of a complete answer after the latency objective, as a share of one in time
     partial_answer_value: float  # value of a partial answer: this times its share of the complete coverage
 
@@ -127,12 +127,12 @@
     retry_after_allowed: bool
     max_retry_after: float
     membership_polled: bool
-    slow_start_capacity: float
+    slow_start_capacity: float  # capacity of a replica at its start, as a share of its full capacity
     slow_start_duration: float
     overload_window: float
     overload_multiple: float  # multiple of a cold replica's capacity that overloads it in `overload_window`
-    retry_budget_free: float | None
-    retry_budget_share: float | None
+    retry_budget_free: float | None  # further attempts per window that are permitted without any traffic
+    retry_budget_share: float | None  # further attempts permitted for each query or part in the window
     retry_budget_window: float | None
     max_send_delay: float = 0.0  # longest delay in seconds between the decision and the send of an attempt
     drain_grace: float = inf  # seconds after the notification of a drain in which sends are permitted
@@ -170,7 +170,7 @@
     """A query; `part_count` parts follow in the same batch."""
 
     id: int
-    number: int
+    number: int  # `query_number` of its parts
     query_class: int
     tenant: int
     part_count: int
--- a/tests/hosts.py
+++ b/tests/hosts.py
@@ -23,6 +23,12 @@
     late: float = 0.0,
     short: float = 1.0,
 ) -> api.QueryClass:
+    """A query class from short names for its fields.
+
+    `aim`: latency objective in seconds. `semantics`: retry safety. `window`: idempotency window in seconds.
+    `second`: parts of the second step. `least` and `whole`: required and complete coverage. `late` and
+    `short`: values of a late and of a partial answer.
+    """
     return api.QueryClass(aim, deadline, semantics, window, second, least, whole, None, late, short)
 
 
@@ -78,21 +84,25 @@
     ) -> None:
         self.settings, self.now, self.paused_until = settings, 1000.0, 0.0
         self.engine = DecisionEngine(settings, seed, watch_options)
-        self.timers: list[tuple[float, int]] = []
+        self.timers: list[tuple[float, int]] = []  # due time and label
+        # By query id: its class, its deadline, the parts of its current step, and the action that ended it.
         self.classes: dict[int, int] = {}
         self.expires: dict[int, float] = {}
-        self.query_of: dict[int, int] = {}
+        self.query_of: dict[int, int] = {}  # by part id
         self.step_parts: dict[int, list[int]] = {}
-        self.weight: dict[int, float] = {}
-        self.shard: dict[int, int] = {}
+        self.weight: dict[int, float] = {}  # by part id
+        self.shard: dict[int, int] = {}  # by part id
         self.ended: dict[int, api.Action] = {}
-        self.current_step: dict[int, int] = defaultdict(lambda: 1)
+        self.current_step: dict[int, int] = defaultdict(lambda: 1)  # by query id
         self.first_step_complete: dict[int, bool] = {}
         self.received_parts: set[int] = set()
-        self.sends: dict[int, list[tuple[float, int]]] = defaultdict(list)
+        self.sends: dict[int, list[tuple[float, int]]] = defaultdict(
+            list
+        )  # by part id: times and replica ids
+        # By part id and attempt number: outcomes, and the replica ids of attempts that have not ended.
         self.results: dict[tuple[int, int], api.AttemptOutcome] = {}
         self.open_attempts: dict[tuple[int, int], int] = {}
-        self.cancelled: list[tuple[int, int]] = []
+        self.cancelled: list[tuple[int, int]] = []  # part ids and attempt numbers
         self.further_attempt_times: list[float] = []
         self.arrival_times: list[float] = []
         self.listed_replicas: dict[int, api.Replica] = {}
@@ -183,6 +193,7 @@
             self.wait(0.05)
 
     def where(self, part: int, attempt: int = 0) -> int:
+        """The id of the replica to which an attempt was sent."""
         return self.sends[part][attempt][1]
 
     # ---- the rules
--- a/tests/recordings/codec.py
+++ b/tests/recordings/codec.py
@@ -62,8 +62,9 @@
 )
 WITHOUT_FIELDS = (api.LogMessage,)  # its text is for people and may be reworded
 
-# What a JSON list begins with, where it is no record, and what a string begins with.
+# First items of JSON lists that are not records.
 TUPLE, MEMBER = -1, -2
+# First characters of JSON strings: hexadecimal bytes, or a float that JSON cannot represent.
 BYTES, NOT_FINITE = "b", "f"
 
 JsonValue = Any
@@ -111,11 +112,11 @@
     now: float
     events: list[JsonValue]
     actions: list[JsonValue]
-    random_position: int  # of the generator within its block of numbers: tells how many were drawn
+    random_position: int  # of the generator within its block of numbers; shows how many numbers were drawn
 
 
 class Recording(NamedTuple):
-    """What one co-ordinator was given, and what it decided, encoded."""
+    """The settings, events and actions of one co-ordinator, encoded."""
 
     settings: JsonValue
     seed: int
@@ -132,7 +133,7 @@
         self.batches = list[Batch]()
 
     def handle(self, now: float, events: Sequence[api.Event]) -> list[api.Action]:
-        """Pass one batch to the co-ordinator and keep what came of it."""
+        """Pass one batch to the co-ordinator, record it with the resulting actions, and return these."""
         actions = self.coordinator.handle(now, events)
         position = random_generator(self.coordinator).getstate()[1][-1]
         self.batches.append(Batch(now, [encode(e) for e in events], [encode(a) for a in actions], position))
@@ -159,19 +160,19 @@
 
 
 def write(name: str, recording: Recording) -> None:
-    """Keep a recording as a fixture; the same recording always gives the same file."""
+    """Write a recording as a fixture; the same recording always gives the same file."""
     text = json.dumps(recording, separators=(",", ":"))
     (DIRECTORY / f"{PREFIX}{name}{SUFFIX}").write_bytes(gzip.compress(text.encode(), 9, mtime=0))
 
 
 def names() -> list[str]:
-    """The recordings that there are."""
+    """Names of the recordings in the directory."""
     files = DIRECTORY.glob(f"{PREFIX}*{SUFFIX}")
     return sorted(file.name.removeprefix(PREFIX).removesuffix(SUFFIX) for file in files)
 
 
 def read(name: str) -> Recording:
-    """A recording that was written."""
+    """Read the recording of that name."""
     text = gzip.decompress((DIRECTORY / f"{PREFIX}{name}{SUFFIX}").read_bytes())
     settings, seed, batches, digest = json.loads(text)
     return Recording(settings, seed, [Batch(*batch) for batch in batches], digest)
--- a/tests/recordings/driver_codec.py
+++ b/tests/recordings/driver_codec.py
@@ -286,7 +286,7 @@
     # ---- turns
 
     def step(self, now: float, inputs: list[Any]) -> tuple[list[t.Effect], list[Any], list[Any], list[Any]]:
-        """Run one turn; return the effects, and the forms of the effects, of the driver's state and of its calls.
+        """Run one turn; return the effects, and encoded the effects, the driver's state and its calls.
 
         The calls are those to the observer of attempts, to the second steps of queries, and to a scripted module.
         """
--- a/tests/recordings/record_decisions.py
+++ b/tests/recordings/record_decisions.py
@@ -1,6 +1,6 @@
 """Writes the recordings: `python -m tests.recordings.record_decisions [NAME ...]`, from the root of the repository.
 
-To be run only after decisions were changed on purpose; never by a test. It prints what it wrote.
+Run it only after an intended change of the decisions, and never from a test. It prints the size of each file.
 """
 
 from __future__ import annotations
--- a/tests/recordings/simulator.py
+++ b/tests/recordings/simulator.py
@@ -228,7 +228,7 @@
         self.next_id += 1
         return self.next_id
 
-    # ---- actions of the module
+    # ---- actions of the decision engine
 
     def _execute(self, action: api.Action) -> None:
         match action:
@@ -276,7 +276,7 @@
                     outcome, latency = FAST_OUTCOMES[fault.kind], min(latency, 0.01)
         ends_at = self.now + round(latency, DIGITS) if latency < inf else inf
         if ends_at >= expires_at:
-            # Sometimes the module's own timer of a query fires before the timeouts of its parts.
+            # Sometimes the engine's timer for a query's deadline fires before the timeouts of its parts.
             ends_at, outcome = expires_at + TICK * self.draw.randrange(3), api.AttemptOutcome.TIMED_OUT
         self.open_attempts[key] = _Attempt(replica, self.now, outcome)
         self.in_flight[replica] += 1
--- a/tests/test_decisions_slow_start.py
+++ b/tests/test_decisions_slow_start.py
@@ -41,7 +41,8 @@
     host.update_membership(MembershipUpdateKind.FULL, *(replica(i, started=host.now) for i in (10, 11, 12)))
     for _ in range(30):
         host.query(0)
-    # Half of what overloads them: twice a fifth of the thirty, plus one part in advance at each.
+    # Half of the load that overloads them is twice their capacity, a fifth of the thirty parts. Each of the
+    # three may also be sent one part before it is earned.
     assert 3 <= sum(len(s) for s in host.sends.values()) <= 12 + 3
     assert all(isinstance(a, api.Reject) for a in host.ended.values())
 
@@ -60,7 +61,7 @@
 
 @pytest.mark.parametrize("coordinators", [3, 60])
 def test_many_coordinators_together_do_not_overload_a_cold_replica(coordinators: int) -> None:
-    """Each had a whole part to send at once and a floor of its own: sixty of them can overload a replica."""
+    """Each co-ordinator began with a whole token and had its own floor: sixty can overload a replica."""
     settings = BASE._replace(coordinator_count=coordinators, zone=9)
     hosts = [Host(settings, replicas=3, seed=i) for i in range(coordinators)]
     for host in hosts:
@@ -79,8 +80,8 @@
 
 
 def test_a_cold_replica_gets_its_share_from_many_coordinators_with_little_traffic() -> None:
-    """With 186 co-ordinators each saved up a whole token and then waited for a query that could use it: cold
-    replicas got a third of what they could serve, and the ready ones were overloaded."""
+    """Each of 186 co-ordinators saved up a whole token and then waited for a query that could use it: cold
+    replicas got a third of the parts that they could serve, and the ready ones were overloaded."""
     coordinators, ramp = 60, BASE.slow_start_duration
     settings = BASE._replace(coordinator_count=coordinators, zone=9)
     hosts = [Host(settings, replicas=3, seed=i) for i in range(coordinators)]
