--- a/gingervane/decisions/membership_watch.py
+++ b/gingervane/decisions/membership_watch.py
@@ -43,11 +43,12 @@
 LARGE_FLEET_BACKOFFS_IN_REMAINING_TIME = 2
 # Limit per co-ordinator, in seconds, up to which the backoff is lengthened in a large fleet.
 LARGE_FLEET_BACKOFF_PER_COORDINATOR = 0.07
-# Upper limit of the backoff when no time remains, in a small fleet, seconds.
+# Longest backoff in seconds when no time remains, in the smallest fleets. This limit grows with the number of
+# co-ordinators.
 MIN_URGENT_BACKOFF = 0.05
 # Largest mean rate of calls of the whole fleet when no co-ordinator has time remaining, calls per second.
 MAX_FLEET_CALL_RATE = 6.0
-# Upper limit of the backoff when no time remains, in a large fleet, seconds.
+# Longest backoff in seconds when no time remains, in the largest fleets.
 MAX_URGENT_BACKOFF = 4 / 3
 # Upper bound for the remaining time in the computation of a call's timeout, seconds.
 MAX_REMAINING_TIME = 6.0
@@ -104,7 +105,7 @@
         self._notified_within = watch_options.notified_within
         self._pushed_grace = min(max(settings.drain_grace, settings.timer_granularity), MAX_PUSHED_GRACE)
         coordinators = settings.coordinator_count
-        self._min_backoff = min(
+        self._urgent_backoff = min(
             max(MIN_URGENT_BACKOFF, coordinators / MAX_FLEET_CALL_RATE), MAX_URGENT_BACKOFF
         )
         self._fleet_backoff = LARGE_FLEET_BACKOFF_PER_COORDINATOR * coordinators
@@ -208,7 +209,7 @@
             return self._pushed_grace / PUSHED_BACKOFFS_PER_GRACE
         remaining = self._remaining_time()
         large_fleet_backoff = min(remaining / LARGE_FLEET_BACKOFFS_IN_REMAINING_TIME, self._fleet_backoff)
-        return max(remaining / BACKOFFS_IN_REMAINING_TIME, large_fleet_backoff, self._min_backoff)
+        return max(remaining / BACKOFFS_IN_REMAINING_TIME, large_fleet_backoff, self._urgent_backoff)
 
     def _call_timeout(self) -> float:
         if not self._polled:
