--- a/gingervane/writes/replicated_shards.py
+++ b/gingervane/writes/replicated_shards.py
@@ -117,7 +117,7 @@
         update_for_writes = self.placement.endpoints_updated(update)
         self._read_coordinator.endpoints_updated(update)
         self._write_coordinator.endpoints_updated(update_for_writes)
-        for replica in self.placement.returned:
+        for replica in self.placement.recovered_replicas:
             shards = set(self.placement.shards_of(replica))
             self.repairer.replica_recovered([shard for shard in self._shards if shard.shard in shards])
 
--- a/gingervane/writes/shard_placement.py
+++ b/gingervane/writes/shard_placement.py
@@ -37,7 +37,7 @@
         self._addresses: dict[int, tuple[str, int]] = {}
         self._by_shard: dict[int, tuple[ShardReplica, ...]] = {}
         self._gone: set[int] = set()
-        self.returned: set[int] = set()  # replicas that were gone before the last list and no longer are
+        self.recovered_replicas: set[int] = set()  # replicas that were gone before the last list and no longer are
 
     def endpoints_updated(self, update: EndpointsUpdated) -> EndpointsUpdated:
         """Apply an endpoint list, and return it with the cells that the engine of writes uses."""
@@ -71,8 +71,8 @@
         gone = {
             number for number, replica in self._replicas.items() if replica.state is api.ReplicaState.GONE
         }
-        self.returned = self._gone & (set(self._replicas) - gone)
-        self._gone = (self._gone | gone) - self.returned
+        self.recovered_replicas = self._gone & (set(self._replicas) - gone)
+        self._gone = (self._gone | gone) - self.recovered_replicas
 
     def _place(self) -> dict[int, tuple[ShardReplica, ...]]:
         by_shard: dict[int, list[ShardReplica]] = {shard: [] for shard in range(self._cell_count)}
