--- a/gingervane/fronts/connection_poller.py
+++ b/gingervane/fronts/connection_poller.py
@@ -48,7 +48,7 @@
             connection.registered = True
         except OSError as error:
             self.count_failure("epoll", error)
-            self.arm_later(connection)  # an event that occurs before then is reported then
+            self.arm_later(connection)  # an event that occurs in the meantime is reported afterwards
 
     def arm_later(self, connection: ClientConnection) -> None:
         """Add the connection to those that the next `take_unarmed` returns."""
--- a/gingervane/telemetry/events.py
+++ b/gingervane/telemetry/events.py
@@ -4,8 +4,8 @@
 
 - `replica`, `coordinator`, `core`, `address`, `discovery`: the component concerned. A replica is identified
   by its host's name in the node and by its number in the daemon.
-- `query`, `request`, `query_class`: this process's number of the query, the client's identifier of it, its
-  class.
+- `query`, `request`, `query_class`: this process's number for the query, the client's identifier for it, and
+  its class.
 - `status`, `outcome`, `reason`: how a query, an attempt or anything else ended; values of `QueryStatus`,
   `AttemptOutcome` and of the enumeration of reasons that belongs to the event.
 - `detail`: further text for human readers; programs should not match it.
--- a/gingervane/telemetry/node_telemetry.py
+++ b/gingervane/telemetry/node_telemetry.py
@@ -50,7 +50,7 @@
         self._handler.setFormatter(KeyValueFormatter(node))
 
     def add_source(self, name: str, totals: Callable[[], Mapping[str, int]]) -> None:
-        """Add counters by reason that another object maintains; a value read may lag by one change."""
+        """Add counters by reason that another object maintains; a value read may be stale by one change."""
         self._sources.append((name, totals))
 
     def start(self) -> None:
--- a/gingervane/tree/attempt_quota.py
+++ b/gingervane/tree/attempt_quota.py
@@ -1,11 +1,11 @@
 """Quota of attempts for each leaf of a wide query, over all paths of the tree that lead to it. Free of I/O.
 
 Three attempts at each of three levels would multiply to 27. So each co-ordinator is granted a number of
-attempts for each leaf below it, and grants each subtree a part of them. The first child gets all but one, so
-that it can hedge its own requests; the last one is held back for a path that avoids the child: a hedged
-request to its sibling, or a direct query of the leaves. A child that answers reports the most attempts it
-used for any leaf; if it does not answer, the whole grant counts as used, unless the transport proves that its
-query was never executed.
+attempts for each leaf below it, and grants each subtree a part of them. The first child gets all attempts but
+one, so that it can hedge its own requests; the remaining attempt is held back for a path that avoids the
+child: a hedged request to its sibling, or a direct query of the leaves. A child that answers reports the most
+attempts it used for any leaf. If a child does not answer, its whole grant counts as used, unless the
+transport proves that its query was never executed.
 """
 
 from __future__ import annotations
--- a/gingervane/tree/plan.py
+++ b/gingervane/tree/plan.py
@@ -178,8 +178,8 @@
 def split_time(seconds_left: float, largest_subtree: int, costs: CostModels) -> TimeSplit:
     """Reserve enough of the remaining time to query the leaves of the largest subtree directly if it fails.
 
-    If that takes at least half of the time, the subtree still gets three quarters, as an answer that is too
-    late because its leaves were queried again is worth no more than none.
+    If that takes at least half of the remaining time, the subtree still gets three quarters of it: an answer
+    that is too late because its leaves were queried again is worth no more than no answer.
     """
     if costs.flat.is_reliable:
         needed = costs.flat.likely_seconds(largest_subtree)
--- a/gingervane/vectors/requests.py
+++ b/gingervane/vectors/requests.py
@@ -85,7 +85,10 @@
 def read_search(
     body: dict[str, Any], collection: Collection, limits: RequestLimits, where: str = ""
 ) -> SearchRequest:
-    """Read a search, or a query for the nearest points. Raises RequestError; `where` prefixes its place."""
+    """Read a search, or a query for the nearest points. Raises RequestError.
+
+    `where` is put before the name of the invalid field in the message of an error.
+    """
     for key in body:
         if key not in _SEARCH_KEYS:
             raise RequestError(f"{where}{key}: not served here")
--- a/gingervane/wire/remote_read_encoder.py
+++ b/gingervane/wire/remote_read_encoder.py
@@ -68,6 +68,7 @@
         length = len(pb.encode_varint(high))
         # Protobuf encoders omit a value whose bits are all zero, as the loop below does.
         if len(pb.encode_varint(low)) == length and values.view(np.int64).all():
+            # Each row is 12 bytes and the varint of the timestamp; `sample_decoder` describes the layout.
             rows = np.empty((len(times), 14 + length - 2), np.uint8)
             rows[:, (0, 1, 2, 11)] = (0x12, 10 + length, 0x09, 0x10)
             rows[:, 3:11] = values.astype("<f8").view(np.uint8).reshape(-1, 8)
--- a/gingervane/wire/socket_recorder.py
+++ b/gingervane/wire/socket_recorder.py
@@ -1,8 +1,8 @@
 """A recorder of the traffic on this process's sockets, for audits and traces. Disabled by default.
 
 Each line is a JSON object: `t` (monotonic clock), `kind`, and the local and remote port of the connection
-(`near`, `far`), by which the records of both ends can be matched. It records below all decisions and metrics,
-so that an audit relies on the traffic itself and not on what the program reports about it.
+(`near`, `far`), by which the records of both ends can be matched. The recorder works below all decisions and
+metrics, so that an audit relies on the traffic itself and not on what the program reports about it.
 """
 
 from __future__ import annotations
--- a/tests/test_telemetry.py
+++ b/tests/test_telemetry.py
@@ -136,7 +136,7 @@
 
 
 def test_a_node_logs_its_settings_and_its_shutdown(tmp_path: Path) -> None:
-    """In an incident, no line told the time, the settings in force, or why a query had ended as it did."""
+    """In an incident, no line gave the time, the settings in force, or the reason why a query had ended."""
     platform = Platform(tmp_path)
     program = start_node(platform.path)
     assert program.stderr is not None
