--- a/gingervane/tree/attempt_quota.py
+++ b/gingervane/tree/attempt_quota.py
@@ -1,11 +1,11 @@
 """Quota of attempts for each leaf of a wide query, over all paths of the tree that lead to it. Free of I/O.
 
 Three attempts at each of three levels would multiply to 27. So each co-ordinator is granted a number of
-attempts for each leaf below it, and grants each subtree a part of them. The first child gets all but one, so
-that it can hedge its own requests; the last one is held back for a path that avoids the child: a hedged
-request to its sibling, or a direct query of the leaves. A child that answers reports the most attempts it
-used for any leaf; if it does not answer, the whole grant counts as used, unless the transport proves that its
-query was never executed.
+attempts for each leaf below it, and grants each subtree a part of them. The first child gets all attempts but
+one, so that it can hedge its own requests; the remaining attempt is held back for a path that avoids the
+child: a hedged request to its sibling, or a direct query of the leaves. A child that answers reports the most
+attempts it used for any leaf. If a child does not answer, its whole grant counts as used, unless the
+transport proves that its query was never executed.
 """
 
 from __future__ import annotations
@@ -23,13 +23,13 @@
         """Return the remaining attempts of a leaf; those reserved by subqueries in flight count as used."""
         return self.max_attempts - self._used[leaf]
 
-    def offer(self, leaves: tuple[str, ...], last: bool) -> int:
+    def offer(self, leaves: tuple[str, ...], is_last: bool) -> int:
         """Return how many attempts for each leaf a subquery may be granted; if 0, it must not be sent.
 
-        `last`: no further subquery for these leaves will follow, so that no attempt is held back.
+        `is_last`: no further subquery for these leaves will follow, so that no attempt is held back.
         """
         remaining = min((self.remaining(leaf) for leaf in leaves), default=0)
-        return remaining if last or remaining <= 1 else remaining - 1
+        return remaining if is_last or remaining <= 1 else remaining - 1
 
     def reserve(self, subquery_id: int, leaves: tuple[str, ...], attempts: int) -> None:
         """Reserve attempts for each leaf of a subquery. Raises ValueError if fewer remain."""
