--- a/benchmarks/cold_sum.py
+++ b/benchmarks/cold_sum.py
@@ -231,14 +231,14 @@
         return max((self.highest_share(sent_at) for sent_at in self.sent.values()), default=0.0)
 
     def highest_share(self, sent_at: list[float]) -> float:
-        span, shares = deque[float](), 0.0
+        window, highest = deque[float](), 0.0
         for at in sent_at:
-            span.append(at)
-            while span[0] <= at - self.rules.fall_time:
-                span.popleft()
-            allowed = self.rules.fall_multiple * self.capacity(span[0]) * self.rules.fall_time
-            shares = max(shares, len(span) / (allowed + 2 * math.sqrt(allowed) + 2))
-        return shares
+            window.append(at)
+            while window[0] <= at - self.rules.fall_time:
+                window.popleft()
+            allowed = self.rules.fall_multiple * self.capacity(window[0]) * self.rules.fall_time
+            highest = max(highest, len(window) / (allowed + 2 * math.sqrt(allowed) + 2))
+        return highest
 
 
 def play(job: tuple[str, str, int, int]) -> float:
@@ -258,10 +258,10 @@
     with ProcessPoolExecutor(arguments.processes) as pool:
         results = iter(list(pool.map(play, jobs)))
     for deployment, scenario, size in cells:
-        most = [next(results) for _ in range(arguments.seeds)]
-        over_limit = sum(share > 1.0 for share in most)
+        highest_shares = [next(results) for _ in range(arguments.seeds)]
+        over_limit = sum(share > 1.0 for share in highest_shares)
         print(
-            f"{deployment:10}  {scenario:30}  {size:4}  {over_limit} of {len(most)} past, most {max(most):.2f}"
+            f"{deployment:10}  {scenario:30}  {size:4}  {over_limit} of {len(highest_shares)} past, most {max(highest_shares):.2f}"
         )
 
 
--- a/benchmarks/latency.py
+++ b/benchmarks/latency.py
@@ -59,11 +59,11 @@
         for name, histogram in histograms.items():
             print(f"{name:8} {histogram.get_total_count():5} queries: {quantiles(histogram)}")
         through_us, direct_us = histograms["through"], histograms["direct"]
-        extra = [
+        added_us = [
             through_us.get_value_at_percentile(q) - direct_us.get_value_at_percentile(q) for q in (50, 99)
         ]
         print(
-            f"added: {extra[0] / 1000:.2f} ms at the median, {extra[1] / 1000:.2f} ms at p99; errors {errors}"
+            f"added: {added_us[0] / 1000:.2f} ms at the median, {added_us[1] / 1000:.2f} ms at p99; errors {errors}"
         )
 
 
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -80,14 +80,16 @@
     lock = threading.Lock()
     all_sources = []
     for number in range(count):
-        seen: dict[int, api.ReplicaState] = {}
+        last_states: dict[int, api.ReplicaState] = {}
 
         def on_update(
-            listed: EndpointsUpdated, number: int = number, seen: dict[int, api.ReplicaState] = seen
+            update: EndpointsUpdated,
+            number: int = number,
+            last_states: dict[int, api.ReplicaState] = last_states,
         ) -> None:
             now = time.monotonic()
-            for replica in listed.membership.replicas:
-                previous_state, seen[replica.id] = seen.get(replica.id), replica.state
+            for replica in update.membership.replicas:
+                previous_state, last_states[replica.id] = last_states.get(replica.id), replica.state
                 if replica.state is api.ReplicaState.DRAINING and previous_state is not replica.state:
                     with lock:
                         print("told", now, number, replica.id, flush=True)
@@ -99,10 +101,10 @@
             members: tuple[Member, ...],
             age: float,
             index: int,
-            sure: bool,
+            is_confirmed: bool,
             to: EndpointSources = sources,
         ) -> None:
-            to.report("consul", members, age, index, sure)
+            to.report("consul", members, age, index, is_confirmed)
 
         for watcher in create_watchers(
             service, ZONES, NODES, 0.0, report, lambda what: None, random.Random()
@@ -118,8 +120,10 @@
 def call_rates(calls: list[float], start: float, end: float) -> str:
     """Return the average and the greatest rate of calls between `start` and `end`, as text."""
     call_times = np.array([t for t in calls if start <= t < end])
-    most = max((int(np.searchsorted(call_times, t + 1.0) - i) for i, t in enumerate(call_times)), default=0)
-    return f"{len(call_times) / (end - start):.1f}/s on average, {most} in the busiest second"
+    busiest_second = max(
+        (int(np.searchsorted(call_times, t + 1.0) - i) for i, t in enumerate(call_times)), default=0
+    )
+    return f"{len(call_times) / (end - start):.1f}/s on average, {busiest_second} in the busiest second"
 
 
 class WatcherFleet:
@@ -227,9 +231,9 @@
 ) -> None:
     """Print the times from the changes of some nodes to the events of the co-ordinators' decision engines."""
     times = [(at - nodes.changed_at[node]) * 1000 for at, _, node in fleet.notified if node in changed]
-    p50, p99, most = np.percentile(times, [50, 99, 100])
+    p50, p99, maximum = np.percentile(times, [50, 99, 100])
     notified = f"{len(times)} of {len(changed) * count} notified"
-    print(f"  {name}: {notified}; p50 {p50:.1f} ms, p99 {p99:.1f}, max {most:.1f}")
+    print(f"  {name}: {notified}; p50 {p50:.1f} ms, p99 {p99:.1f}, max {maximum:.1f}")
 
 
 class RestartedCoordinator:
--- a/benchmarks/throughput.py
+++ b/benchmarks/throughput.py
@@ -58,15 +58,15 @@
         for job in jobs:
             job.start()
         results = [out.get() for _ in jobs]
-        took, used = time.monotonic() - before, cpu_of(fleet.coordinator.pid) - cpu
+        elapsed, cpu_seconds = time.monotonic() - before, cpu_of(fleet.coordinator.pid) - cpu
         for job in jobs:
             job.join()
         queries = sum(f[0] for f in results)
         print(
-            f"{tiles:3} parts a query, {processes * clients:3} clients: {queries * tiles / took:7.0f} parts/s, "
-            f"{queries / took:6.0f} queries/s, p50 {max(f[1] for f in results) / 1000:6.1f} ms, "
+            f"{tiles:3} parts a query, {processes * clients:3} clients: {queries * tiles / elapsed:7.0f} parts/s, "
+            f"{queries / elapsed:6.0f} queries/s, p50 {max(f[1] for f in results) / 1000:6.1f} ms, "
             f"p99 {max(f[2] for f in results) / 1000:6.1f} ms, errors {sum(f[3] for f in results)}, "
-            f"{used / took:.2f} cores, {used / max(queries * tiles, 1) * 1e6:.0f} us of CPU a part"
+            f"{cpu_seconds / elapsed:.2f} cores, {cpu_seconds / max(queries * tiles, 1) * 1e6:.0f} us of CPU a part"
         )
 
 
--- a/gingervane/audit/effects.py
+++ b/gingervane/audit/effects.py
@@ -109,9 +109,12 @@
     for e in effects:
         if e["key"] and not e["repeat"]:
             done[e["node"], e["key"], e["shard"]].append(e)
-    for (node, key, _), runs in done.items():
-        apart = runs[-1]["t"] - runs[0]["t"]
-        finding.check(len(runs) == 1, f"{key}: done {len(runs)} times at node {node}, {apart:.2f} s apart")
+    for (node, key, _), executions in done.items():
+        seconds_apart = executions[-1]["t"] - executions[0]["t"]
+        finding.check(
+            len(executions) == 1,
+            f"{key}: done {len(executions)} times at node {node}, {seconds_apart:.2f} s apart",
+        )
     return finding
 
 
@@ -144,7 +147,7 @@
             continue
         for point in r["points"]:
             shard = shard_of(point, day.nodes)
-            replicas = [(shard + back) % day.nodes for back in range(day.width)]
+            replicas = [(shard + offset) % day.nodes for offset in range(day.width)]
             stored = sum(str(point) in final["marks"][str(n)][str(shard)] for n in replicas)
             finding.check(
                 stored == day.width, f"point {point} of {_describe(r)}: at {stored} of {day.width} holders"
--- a/gingervane/audit/linking.py
+++ b/gingervane/audit/linking.py
@@ -45,18 +45,18 @@
         if "peer" in record:
             sent = by_connection.get((record["node"], record["peer"]), [])
             at = bisect.bisect_right(sent, record["t"], key=lambda s: s.t) - 1
-            if at >= 0 and sent[at].took is None:
-                sent[at].took = record
+            if at >= 0 and sent[at].node_record is None:
+                sent[at].node_record = record
 
 
 def link_replies(day: Day, front_records: dict[str, list[Record]]) -> None:
     """Add to each attempt the times at which the co-ordinator read it and replied, and the tap."""
     by_connection = _by_client_connection(day, front_records)
     for record in day.tries:
-        passed = by_connection.get((record["coordinator"], record.get("port", -1)), [])
-        at = bisect.bisect_left(passed, record["sent"], key=lambda r: r["t"])
+        connection_records = by_connection.get((record["coordinator"], record.get("port", -1)), [])
+        at = bisect.bisect_left(connection_records, record["sent"], key=lambda r: r["t"])
         record["replies"] = []
-        for later in passed[at:]:
+        for later in connection_records[at:]:
             if later["kind"] == "request":
                 if "read" in record:
                     break
@@ -74,6 +74,6 @@
     for tap, records in front_records.items():
         for record in records:
             out[coordinator_of[tap], record["far"]].append(record | {"tap": tap})
-    for passed in out.values():
-        passed.sort(key=lambda r: r["t"])
+    for connection_records in out.values():
+        connection_records.sort(key=lambda r: r["t"])
     return out
--- a/gingervane/audit/records.py
+++ b/gingervane/audit/records.py
@@ -28,7 +28,7 @@
     node: int
     near: int
     parts: list[Part]
-    took: Record | None = None  # the node's record of it, if the node read it
+    node_record: Record | None = None  # the node's record of it, if the node read it
 
 
 class SubtreeRequest(NamedTuple):
--- a/gingervane/audit/retry_budget.py
+++ b/gingervane/audit/retry_budget.py
@@ -17,7 +17,7 @@
 def judge(day: Day) -> Verdict:
     """Judge every retry and hedged request."""
     verdict = Verdict()
-    received = _received(day)
+    received = _first_attempts_received(day)
     for tap, times in _retries(day).items():
         times.sort()
         _judge_coordinator(day, tap, times, sorted(received[tap]), verdict)
@@ -41,7 +41,7 @@
     return retries
 
 
-def _received(day: Day) -> dict[str, list[tuple[float, int]]]:
+def _first_attempts_received(day: Day) -> dict[str, list[tuple[float, int]]]:
     """Return when each tap's co-ordinator read queries and subtrees, with their numbers of first attempts."""
     received: dict[str, list[tuple[float, int]]] = defaultdict(list)
     for subtree in day.subtree_requests:
@@ -58,16 +58,16 @@
 ) -> None:
     """Judge the window of time that ends with each retry; both lists are in order of time."""
     budget = day.facts["budget"]
-    sums = [0]
+    cumulative_attempts = [0]
     for _, size in received:
-        sums.append(sums[-1] + size)
+        cumulative_attempts.append(cumulative_attempts[-1] + size)
     read_times = [at for at, _ in received]
     first = 0
     for index, at in enumerate(retries):
         while retries[first] <= at - budget["span"]:
             first += 1
         low = bisect.bisect_right(read_times, at - budget["span"] - _MAX_SEND_DELAY)
-        first_attempts = sums[bisect.bisect_right(read_times, at)] - sums[low]
+        first_attempts = cumulative_attempts[bisect.bisect_right(read_times, at)] - cumulative_attempts[low]
         allowed = budget["free"] + budget["share"] * first_attempts
         used = index - first + 1
         verdict.count_test(
--- a/gingervane/audit/served_weight.py
+++ b/gingervane/audit/served_weight.py
@@ -23,7 +23,7 @@
         query_class = day.facts["classes"][demand["query_class"]]
         requested += query_class["worth"]
         by_class[demand["query_class"]][0] += query_class["worth"]
-        bound += _most_weight(day, demand, query_class, demand["t"] - began)
+        bound += _highest_weight(day, demand, query_class, demand["t"] - began)
         answer = next((r for r in attempts[demand["demand"]] if r.get("status") == 200), None)
         if answer:
             weight = _answer_weight(query_class, answer["ended"] - demand["t"], float(answer["coverage"]))
@@ -39,7 +39,7 @@
     }
 
 
-def _most_weight(day: Day, demand: Record, query_class: Record, at: float) -> float:
+def _highest_weight(day: Day, demand: Record, query_class: Record, at: float) -> float:
     """Return the highest weight that any co-ordinator could have earned (`at`: seconds into the day)."""
     is_up = [_is_reachable(day, tile, at, at + query_class["aim"]) for tile in demand["names"]]
     share = sum(is_up) / len(is_up)
@@ -51,11 +51,13 @@
 def _answer_weight(query_class: Record, latency: float, coverage: float) -> float:
     """Return the weight of an answer with a latency in seconds and a coverage."""
     if latency <= query_class["aim"]:
-        late = 1.0
+        lateness_factor = 1.0
     else:
-        late = query_class["late_worth"] if latency <= query_class["deadline"] else 0.0
+        lateness_factor = query_class["late_worth"] if latency <= query_class["deadline"] else 0.0
     return float(
-        query_class["worth"] * late * (1.0 if coverage == 1.0 else query_class["short_worth"] * coverage)
+        query_class["worth"]
+        * lateness_factor
+        * (1.0 if coverage == 1.0 else query_class["short_worth"] * coverage)
     )
 
 
--- a/gingervane/audit/slow_start.py
+++ b/gingervane/audit/slow_start.py
@@ -12,7 +12,7 @@
     for record in day.nodes:
         if record["kind"] == "up":
             up, node = record["t"], record["node"]
-            worst = _worst_load(day.facts["model"], up, _received(day, node, up))
+            worst = _worst_load(day.facts["model"], up, _requests_in_slow_start(day, node, up))
             verdict.count_test(
                 worst,
                 f"node {node}: sent {worst:.2f} of what pushes it over, {up - day.began():.1f} s in",
@@ -23,7 +23,7 @@
     return verdict
 
 
-def _received(day: Day, node: int, up: float) -> list[tuple[float, float]]:
+def _requests_in_slow_start(day: Day, node: int, up: float) -> list[tuple[float, float]]:
     """List the requests that a node received in its slow start: time and work in core seconds."""
     model = day.facts["model"]
     return [
--- a/gingervane/emulator/clients.py
+++ b/gingervane/emulator/clients.py
@@ -121,8 +121,8 @@
             self._clients.class_number(self._demand),
             tuple(t.PartPlan(int(tile[1:]), weight, [tile, start, end]) for tile in self._demand.tiles),
             self._record["timeout"],
-            self._answered,
-            self._request_read,
+            self._on_answer_sent,
+            self._on_request_read,
         )
         clock = self._clients.clock
         clock.after(self._clients.net.delay, lambda: self._arrive(request))
@@ -132,15 +132,15 @@
         if self._coordinator.alive:
             self._disconnect = self._coordinator.request_arrived(request)
 
-    def _request_read(self, at: float) -> None:
+    def _on_request_read(self, at: float) -> None:
         self._record["read"] = at
         self._record["tap"] = self._clients.tap_of(self._coordinator)
 
-    def _answered(self, result: t.QueryResult | None, at: float) -> None:
+    def _on_answer_sent(self, result: t.QueryResult | None, at: float) -> None:
         self._record["replies"] = [at] if result else []
-        self._clients.clock.after(self._clients.net.delay, lambda: self._answer_arrived(result))
+        self._clients.clock.after(self._clients.net.delay, lambda: self._on_answer_arrived(result))
 
-    def _answer_arrived(self, result: t.QueryResult | None) -> None:
+    def _on_answer_arrived(self, result: t.QueryResult | None) -> None:
         if result is None:
             self._finish("closed", 0.0)
             return
--- a/gingervane/emulator/senders.py
+++ b/gingervane/emulator/senders.py
@@ -93,11 +93,11 @@
             self._idle_connections[node] -= 1
             write()
         elif self._nodes[node].down() == "crash":
-            self._clock.after(round_trip, lambda: self._connection_refused(request))
+            self._clock.after(round_trip, lambda: self._on_connection_refused(request))
         else:
             self._clock.after(round_trip, write)
 
-    def _connection_refused(self, request: t.BatchRequest) -> None:
+    def _on_connection_refused(self, request: t.BatchRequest) -> None:
         if self._processor.alive:
             outcome = attempt_outcome.outcome_of_transport_error(ExchangePhase.CONNECTING, 1, False)
             self._finish(request, request.attempts, outcome)
@@ -129,7 +129,7 @@
         node_call = 0  # the node's call number of the request, once it has arrived
 
         def reply(node_reply: Reply) -> None:
-            self._clock.after(self._net.delay, lambda: self._replied(request, attempts, node_reply))
+            self._clock.after(self._net.delay, lambda: self._on_reply(request, attempts, node_reply))
 
         def arrive() -> None:
             nonlocal node_call
@@ -155,7 +155,7 @@
             outcome = attempt_outcome.outcome_of_transport_error(ExchangePhase.READING, 1, True)
             self._finish(request, attempts, outcome)
 
-    def _replied(self, request: t.BatchRequest, attempts: list[t.AttemptRequest], reply: Reply) -> None:
+    def _on_reply(self, request: t.BatchRequest, attempts: list[t.AttemptRequest], reply: Reply) -> None:
         if not self._processor.alive or request.id not in self._on_cancel:
             return
         if reply is Reply.CUT:
--- a/gingervane/emulator/world.py
+++ b/gingervane/emulator/world.py
@@ -203,7 +203,7 @@
             self._sends_by_part.setdefault(part, []).append(send)
 
         def record_arrival(record: Record) -> None:
-            send.took = record
+            send.node_record = record
 
         return record_arrival
 
--- a/gingervane/experiments/experiment.py
+++ b/gingervane/experiments/experiment.py
@@ -157,11 +157,11 @@
             _run_in_emulator(scenario, assumed) if job.world == "emulator" else _run_on_sockets(scenario, job)
         )
     except Exception as error:  # noqa: BLE001 - stored with the run, so that the other runs continue
-        return _run_of(job, started_at, f"{type(error).__name__}: {error}"[:_MAX_ERROR], {}, {})
-    return _run_of(job, started_at, "", report, histograms)
+        return _build_run(job, started_at, f"{type(error).__name__}: {error}"[:_MAX_ERROR], {}, {})
+    return _build_run(job, started_at, "", report, histograms)
 
 
-def _run_of(
+def _build_run(
     job: Job, started_at: float, error: str, report: dict[str, Any], histograms: dict[str, str]
 ) -> Run:
     """Build the record of a run; `report` is empty for one that failed."""
--- a/gingervane/fake_servers/capacity.py
+++ b/gingervane/fake_servers/capacity.py
@@ -39,13 +39,13 @@
 
     model: Model
     slow_start_from: float
-    free: list[float] = field(default_factory=list)
+    free_at: list[float] = field(default_factory=list)
     sent: deque[tuple[float, float]] = field(default_factory=deque)  # when, core seconds
     is_overloaded: bool = False  # permanently down after an overload
     _sent_work: float = 0.0  # core seconds in `sent`
 
     def __post_init__(self) -> None:
-        self.free = [0.0] * self.model.cores
+        self.free_at = [0.0] * self.model.cores
 
     def speed(self, now: float) -> float:
         """Return the server's present share of full speed."""
@@ -56,18 +56,18 @@
         """Queue a request; return None if the queue is full. A rejected request also counts as sent."""
         work = parts * self.model.work + self.model.call_work
         self._count_sent(now, work)
-        waiting = sum(max(free - now, 0.0) for free in self.free) / max(self.model.work, 1e-9)
+        waiting = sum(max(free_at - now, 0.0) for free_at in self.free_at) / max(self.model.work, 1e-9)
         if waiting > self.model.queue:
             return None
-        core = min(range(len(self.free)), key=self.free.__getitem__)
-        start = max(now, self.free[core])
+        core = min(range(len(self.free_at)), key=self.free_at.__getitem__)
+        start = max(now, self.free_at[core])
         end = start + work * slowness / self.speed(start)
-        self.free[core] = end
+        self.free_at[core] = end
         return Job(core, start, end)
 
     def drop(self, job: Job, now: float) -> None:
         """Release the core time that a cancelled job has not used."""
-        self.free[job.core] -= max(job.end - max(now, job.start), 0.0)
+        self.free_at[job.core] -= max(job.end - max(now, job.start), 0.0)
 
     def _count_sent(self, now: float, work: float) -> None:
         """Detect an overload: compare the work sent in the last `fall_time` with the capacity for it."""
--- a/gingervane/fake_servers/faults.py
+++ b/gingervane/fake_servers/faults.py
@@ -33,7 +33,7 @@
     "flapping": "seconds of a period, 0.4 of it down",
     "zone_loss": "unused; crash of a whole zone, whose nodes the scenario lists",
 }
-DOWN = {"crash", "vanish", "zone_loss"}
+DOWN_KINDS = {"crash", "vanish", "zone_loss"}
 FLAP_DOWN_SHARE = 0.4  # share of a flapping period in which the server is down
 AGEING_CRASH_SECONDS = 2.0  # downtime at the end of the fault `ageing`
 
@@ -69,7 +69,7 @@
 
     def down_spans(self) -> list[tuple[float, float, str]]:
         """Return the periods in which the server is down: start, end, and `crash` or `vanish`."""
-        if self.kind in DOWN:
+        if self.kind in DOWN_KINDS:
             return [(self.start, self.end, "vanish" if self.kind == "vanish" else "crash")]
         if self.kind == "flapping" and self.how != "hang":
             spans, at = [], self.start
--- a/tests/faults/judge.py
+++ b/tests/faults/judge.py
@@ -55,7 +55,7 @@
                 self._skipped_at[answer.id].append(answer.at)
 
     def check(self) -> list[Violation]:
-        known = {request.id for request in self._ledger.requests}
+        known_ids = {request.id for request in self._ledger.requests}
         for request in self._ledger.requests:
             class_plan = self._plan.classes[request.query_class]
             self._check_outcome(request)
@@ -64,7 +64,7 @@
             if request.status == 200:
                 self._check_answer(request, class_plan)
         for received in self._ledger.parts:
-            if received.id.partition(".")[0] not in known:
+            if received.id.partition(".")[0] not in known_ids:
                 self._add("void", f"part {received.id} that no client asked for")
         self._check_drains()
         return self.violations
@@ -196,8 +196,8 @@
         run = self._ledger.run_of(node, at)
         if run.known_version >= change.version:
             return run.started_at
-        second = self._plan.discovery.reachable_from(change.at - self._ledger.discovery_began_at)
-        reachable_at = self._ledger.discovery_began_at + second
+        reachable_offset = self._plan.discovery.reachable_from(change.at - self._ledger.discovery_began_at)
+        reachable_at = self._ledger.discovery_began_at + reachable_offset
         latest = max(reachable_at, run.started_at) + NOTIFIED_WITHIN_SECONDS
         written = [
             item.at
--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -73,7 +73,7 @@
     return number in module.membership.replicas and not module.membership.replicas[number].ready
 
 
-WRONG = (
+FAULTS_OF_ONE_REPLICA = (
     "pause_mid_reply",
     "reset_mid_body",
     "wrong_tile",
@@ -87,7 +87,7 @@
 )
 
 
-@pytest.mark.parametrize("kind", WRONG)
+@pytest.mark.parametrize("kind", FAULTS_OF_ONE_REPLICA)
 def test_one_replica_of_three_misbehaves(fleet: EmbeddedFleet, kind: str) -> None:
     for _ in range(4):  # the hedging delay is learned from these
         assert ask(fleet).status == 200
@@ -213,7 +213,7 @@
             client.close()
         wait_until(lambda: fleet.app.core.admission.open == 0)
         wait_until(lambda: fleet.app.core.requests_in_flight == 0)
-        wait_until(lambda: all(sum(n._capacity.free) < time.monotonic() * 2 + 1 for n in fleet.grid.nodes))
+        wait_until(lambda: all(sum(n._capacity.free_at) < time.monotonic() * 2 + 1 for n in fleet.grid.nodes))
     finally:
         fleet.close()
 
@@ -370,7 +370,7 @@
             target=lambda: got.append(client.read([ALL], {}, WAIT_TIMEOUT_SECONDS).status)
         )
         thread.start()
-        wait_until(lambda: any(sum(n._capacity.free) for n in fleet.grid.nodes))
+        wait_until(lambda: any(sum(n._capacity.free_at) for n in fleet.grid.nodes))
         child.send_signal(signal.SIGTERM)
         thread.join(WAIT_TIMEOUT_SECONDS)
         assert set(got) == statuses and child.wait(WAIT_TIMEOUT_SECONDS) == 0
