--- a/benchmarks/cold_sum.py
+++ b/benchmarks/cold_sum.py
@@ -28,7 +28,8 @@
 from gingervane import interface as api
 from gingervane.decisions.engine import DecisionEngine
 
-# Seconds of a part and parts a second at a ready replica; load as a share of that capacity; parts of a query.
+# At a ready replica: mean seconds that a part takes, and capacity in parts per second. `LOAD` is the traffic
+# as a share of that capacity, `PARTS` the number of parts of each query.
 PART_SECONDS, CAPACITY, LOAD, PARTS = 0.1, 10.0, 0.6, 4
 WARM_UP_SECONDS, MAX_RETRIES = 12.0, 3  # time before the replicas start; retries of a client
 
@@ -258,10 +259,10 @@
     with ProcessPoolExecutor(arguments.processes) as pool:
         results = iter(list(pool.map(play, jobs)))
     for deployment, scenario, size in cells:
-        highest_shares = [next(results) for _ in range(arguments.seeds)]
-        over_limit = sum(share > 1.0 for share in highest_shares)
+        shares = [next(results) for _ in range(arguments.seeds)]
+        over_limit = sum(share > 1.0 for share in shares)
         print(
-            f"{deployment:10}  {scenario:30}  {size:4}  {over_limit} of {len(highest_shares)} past, most {max(highest_shares):.2f}"
+            f"{deployment:10}  {scenario:30}  {size:4}  {over_limit} of {len(shares)} past, most {max(shares):.2f}"
         )
 
 
--- a/benchmarks/latency.py
+++ b/benchmarks/latency.py
@@ -1,6 +1,7 @@
 """Latency that the co-ordinator adds to direct requests, and the effect of hedged requests with a slow node.
 
-The sides of the first comparison alternate within one run, at half of the nodes' capacity.
+To measure the added latency, direct requests and requests through the co-ordinator alternate within one run,
+at half of the nodes' capacity.
 Run: python benchmarks/latency.py
 """
 
@@ -18,7 +19,7 @@
 from gingervane.fronts.client import Client
 from gingervane.wire.remote_read import Match, Matcher, Query
 
-END = 1_764_600_000_000
+END = 1_764_600_000_000  # end of the requested time range, in Unix milliseconds
 MODEL = Model(cores=2, work=0.02, call_work=0.002)
 RATE, SECONDS = 60.0, 20.0
 
--- a/benchmarks/throughput.py
+++ b/benchmarks/throughput.py
@@ -18,9 +18,9 @@
 from gingervane.fronts.client import Client
 from gingervane.wire.remote_read import Match, Matcher, Query
 
-END = 1_764_600_000_000
+END = 1_764_600_000_000  # end of the requested time range, in Unix milliseconds
 SECONDS = 8.0
-FREE_NODES = Model(cores=64, work=1e-6, call_work=1e-6, queue=100_000)
+FREE_NODES = Model(cores=64, work=1e-6, call_work=1e-6, queue=100_000)  # with little work per part
 
 
 def load(address: tuple[str, int], tiles: int, clients: int, seconds: float, out: Any) -> None:
--- a/benchmarks/timers.py
+++ b/benchmarks/timers.py
@@ -1,4 +1,4 @@
-"""Cost of the timer implementations with the engine's mix: a hedge timer a part, a time-out a send; all fire.
+"""Cost of the timer implementations, with one hedge timer and one time-out per part, all of which expire.
 
 Run: python benchmarks/timers.py
 """
--- a/gingervane/audit/attempts.py
+++ b/gingervane/audit/attempts.py
@@ -24,4 +24,4 @@
 
 def was_executed(send: Send) -> bool:
     """Whether the node began to execute the request."""
-    return send.node_record is not None and send.node_record["kind"] == "taken"
+    return send.took is not None and send.took["kind"] == "taken"
--- a/gingervane/audit/figures.py
+++ b/gingervane/audit/figures.py
@@ -43,7 +43,7 @@
 
 def _was_open(day: Day, send: Send, at: float) -> bool:
     """Whether a request was still open at its node at a time."""
-    end = day.ends.get((send.node, send.node_record["call"])) if send.node_record else None
+    end = day.ends.get((send.node, send.took["call"])) if send.took else None
     return end is None or end["t"] > at
 
 
@@ -62,10 +62,10 @@
             continue
         total_sends += 1
         sends_after_answer += send.t > max(answers)
-        end = day.ends.get((send.node, send.node_record["call"])) if send.node_record else None
-        if send.node_record and end and attempts.was_executed(send):
-            total_work += end["t"] - send.node_record["t"]
-            work_after_answer += max(end["t"] - max(send.node_record["t"], *answers), 0.0)
+        end = day.ends.get((send.node, send.took["call"])) if send.took else None
+        if send.took and end and attempts.was_executed(send):
+            total_work += end["t"] - send.took["t"]
+            work_after_answer += max(end["t"] - max(send.took["t"], *answers), 0.0)
     return {
         "sends": sends_after_answer,
         "share_of_sends": round(sends_after_answer / max(total_sends, 1), 5),
--- a/gingervane/audit/linking.py
+++ b/gingervane/audit/linking.py
@@ -45,8 +45,8 @@
         if "peer" in record:
             sent = by_connection.get((record["node"], record["peer"]), [])
             at = bisect.bisect_right(sent, record["t"], key=lambda s: s.t) - 1
-            if at >= 0 and sent[at].node_record is None:
-                sent[at].node_record = record
+            if at >= 0 and sent[at].took is None:
+                sent[at].took = record
 
 
 def link_replies(day: Day, front_records: dict[str, list[Record]]) -> None:
--- a/gingervane/audit/records.py
+++ b/gingervane/audit/records.py
@@ -28,11 +28,11 @@
     node: int
     near: int
     parts: list[Part]
-    node_record: Record | None = None  # the node's record of it, if the node read it
+    took: Record | None = None  # the node's record of this request, if the node read it
 
 
 class SubtreeRequest(NamedTuple):
-    """One subtree request that a co-ordinator sent to a child co-ordinator."""
+    """A subtree request to a child co-ordinator. `near` is the sender's port, `far` the child's."""
 
     t: float
     tap: str
--- a/gingervane/audit/served_weight.py
+++ b/gingervane/audit/served_weight.py
@@ -1,4 +1,4 @@
-"""Priority weight: that of all demands, the share served, and an upper bound for any co-ordinator."""
+"""Sums the priority weights of all demands and of those served, with an upper bound for any co-ordinator."""
 
 from __future__ import annotations
 
--- a/gingervane/audit/slow_start.py
+++ b/gingervane/audit/slow_start.py
@@ -1,4 +1,4 @@
-"""The rule on slow start: the load on a node that has just started stays below the one that overloads it."""
+"""The rule on slow start: a node that has just started is not sent enough load to overload it."""
 
 from __future__ import annotations
 
--- a/gingervane/emulator/world.py
+++ b/gingervane/emulator/world.py
@@ -203,7 +203,7 @@
             self._sends_by_part.setdefault(part, []).append(send)
 
         def record_arrival(record: Record) -> None:
-            send.node_record = record
+            send.took = record
 
         return record_arrival
 
--- a/gingervane/experiments/child_process.py
+++ b/gingervane/experiments/child_process.py
@@ -54,12 +54,12 @@
                 raise ScenarioRunError(f"{self._name}: ended; see {self._log.name}")
 
     def close_stdin(self) -> None:
-        """Close its standard input; fake servers then write their records and exit."""
+        """Close the standard input of the process; fake servers then write their records and exit."""
         if self.child.stdin:
             self.child.stdin.close()
 
     def wait_or_terminate(self, timeout: float = _EXIT_TIMEOUT) -> None:
-        """Wait up to `timeout` seconds for it to exit by itself, then terminate it."""
+        """Wait up to `timeout` seconds for the process to exit by itself, then terminate it."""
         with contextlib.suppress(subprocess.TimeoutExpired):
             self.child.wait(timeout)
         self.terminate()
--- a/gingervane/experiments/coordinator_processes.py
+++ b/gingervane/experiments/coordinator_processes.py
@@ -29,7 +29,8 @@
         self._lock = threading.Lock()
         self._processes: dict[int, ChildProcess] = {}
         self._addresses: dict[int, Address] = {}
-        self._targeted_until: dict[int, float] = {}  # of a killed one: when clients stop sending to it
+        # For each killed co-ordinator: when clients stop sending to it.
+        self._targeted_until: dict[int, float] = {}
         self._launches = 0
 
     def launch(self, number: int, settings: dict[str, Any]) -> Address:
@@ -74,7 +75,7 @@
             self._director.put("signal", coordinator=number, signal=signal_to_send.name)
 
     def resume_all(self) -> None:
-        """Send SIGCONT to all; it is not recorded."""
+        """Send SIGCONT to all co-ordinators, without recording the signals."""
         for number in list(self._processes):
             self._send_signal(number, signal.SIGCONT)
 
--- a/gingervane/fake_servers/consul.py
+++ b/gingervane/fake_servers/consul.py
@@ -29,8 +29,8 @@
 from gingervane.wire import http1
 from gingervane.wire.http1 import Request
 
-# Two faults freeze an agent's data at the beginning of the fault. With `stale` the headers say so by the
-# missing leader and the time since the last contact; with `lag` they do not.
+# The faults `stale` and `lag` freeze an agent's data when the fault begins. With `stale`, the response
+# headers report that there is no leader and how old the data is; with `lag`, they do not.
 FAULTS = ("", "hang", "late", "500", "429", "empty", "garbage", "half", "cut", "no_leader", "stale", "lag")
 _FILTER = re.compile(r'Service\.Meta\.([\w-]+) == "([^"]*)"')
 # Canonical spelling of the keys of a registration, by the key in lower case.
--- a/tests/faults/judge.py
+++ b/tests/faults/judge.py
@@ -15,12 +15,12 @@
 LATE_ANSWER_TOLERANCE_SECONDS = 0.5
 # A part may still arrive this long after the answer, or after the client closed.
 PART_AFTER_END_TOLERANCE_SECONDS = 0.1
-DEADLINE_TOLERANCE_SECONDS = 0.15  # by which a part's timeout may exceed the client's remaining time
+DEADLINE_TOLERANCE_SECONDS = 0.15  # a part's timeout may exceed the client's remaining time by this much
 # Seconds in which parts may still be sent after a node was notified that a replica drains or is gone.
 DRAIN_GRACE_SECONDS = 0.5 + 0.05 + 0.15
 # Seconds after which a node counts as notified of a change, provided that discovery can be reached.
 NOTIFIED_WITHIN_SECONDS = 6.0
-WAKE_UP_SECONDS = 0.005  # that a thread of the rig takes to wake up, in addition to its longest stall
+WAKE_UP_SECONDS = 0.005  # time that a thread of the rig takes to wake up, in addition to its longest stall
 # A client may see its connection end this long before the kill is recorded.
 KILL_RECORDING_TOLERANCE_SECONDS = 0.05
 
@@ -89,8 +89,8 @@
     def _should_have_been_answered(self, request: Request, run: NodeRun) -> bool:
         """Return whether a request that got no answer should have had one.
 
-        A request that the node has not read is sent again elsewhere; a request had been read if parts of it were
-        sent. Requests open at SIGKILL must have been answered only if SIGTERM preceded it.
+        A request that the node has not read is sent again to another node. A node that sent parts of a request
+        has read it. A request that was open at SIGKILL needs an answer only if SIGTERM came first.
         """
         if (
             request.answered_at > run.killed_at - KILL_RECORDING_TOLERANCE_SECONDS
@@ -188,10 +188,10 @@
     def _notified_at(self, node: int, at: float, change: EndpointChange) -> float:
         """Return when the process that a node had at `at` counts as notified of a change.
 
-        It is notified once discovery has written the change to it, and at the latest `NOTIFIED_WITHIN_SECONDS` after
-        discovery had the change and could be reached, whether it arrived or not. For a process that was started
-        later, that time counts from its start; if the list in its configuration had the change, it was notified at
-        its start.
+        The process is notified once discovery has written the change to it. It counts as notified at the
+        latest `NOTIFIED_WITHIN_SECONDS` after discovery had the change and could be reached, even if the
+        change did not arrive. For a process that was started later, this period begins at its start. If the
+        list in its configuration had the change, the process was notified at its start.
         """
         run = self._ledger.run_of(node, at)
         if run.known_version >= change.version:
@@ -241,11 +241,11 @@
 
     def _check_answer(self, request: Request, class_plan: ClassPlan) -> None:
         suffix = ".b" if class_plan.second_step_parts else ""
-        for shard, cell in request.pieces.items():
+        for shard, value in request.pieces.items():
             part = f"{request.id}.{shard}{suffix}"
             lateness = self._served_at.get(part, float("inf")) - request.answered_at
-            if cell != value_of(part) or lateness > 0:
-                correctness = "the right" if cell == value_of(part) else "a wrong"
+            if value != value_of(part) or lateness > 0:
+                correctness = "the right" if value == value_of(part) else "a wrong"
                 description = (
                     f"{part}: served with {correctness} value, "
                     f"which came from a replica {lateness:.6f} s after the answer"
--- a/tests/faults/ledger.py
+++ b/tests/faults/ledger.py
@@ -14,7 +14,7 @@
 | `Request.sent_at` | after the last byte was handed to the kernel | an answer late or a timeout long, by less |
 | `Request.answered_at` | by the kernel | nothing |
 | `Request.disconnected_at` | after the close | parts sent within the stall |
-| `pauses` | before SIGSTOP and after SIGCONT | what came within the stall, as it counts as paused |
+| `pauses` | before SIGSTOP and after SIGCONT | parts sent in the stall, which counts as part of the pause |
 | `NodeRun` | before the start and before the signal | a request that ends within 0.05 s of a kill |
 """
 
--- a/tests/test_fault_rig.py
+++ b/tests/test_fault_rig.py
@@ -3,20 +3,20 @@
 The tests guard against four faults of the rig:
 
 - A proxy that reset a connection sent the last bytes of an answer before it recorded them. If its thread
-  stalled in between, the client had the answer 19 to 81 ms before its cause was recorded. With a delay of 50
-  ms between the two, three of four runs reported it; with the order reversed, and the same 50 ms, none of
-  four did.
-- Discovery wrote a drain to a watch that the node had closed, as the first write to a connection that the
-  peer has closed succeeds. The node counted as notified of what it could not read, and a part to the drained
+  stalled in between, the client received its answer 19 to 81 ms before the replica's answer was recorded.
+  With a delay of 50 ms between sending and recording, three of four runs reported a violation; with the
+  order reversed and the same delay, none of four did.
+- Discovery wrote a drain to a watch that the node had closed, which succeeds for the first write after the
+  peer's close. The node counted as notified of a drain that it could not read, and a part sent to the drained
   replica, 0.11 s past the grace, counted as a violation. The node had been moved to another address of
-  discovery, and its new calls were refused for 2 s, as were seven in ten. In its log, `discovery_call_ended
-  reason=moved` came at 8.18 s and the next list at 10.6 s; the drain was written to the closed watch at 9.61
-  s, and the part came at 10.39 s. With refusals that took 0.1 s each, so that fewer calls fitted in, four of
-  fourteen runs reported it.
-- Of several parts that are read at once the kernel gives the time of the last only: of two sends 0.3 s apart,
-  both had the later time. So parts seemed to come after the end of their request.
-- A call to discovery was dated by when it was read, so that a process that had just started counted as
-  notified of what its predecessor had received.
+  discovery, which refused seven in ten calls, and those of the node for 2 s. In the log of the node,
+  `discovery_call_ended reason=moved` came at 8.18 s and the next list at 10.6 s; the drain was written to the
+  closed watch at 9.61 s, and the part came at 10.39 s. With refusals that took 0.1 s each, so that the node
+  made fewer calls in that time, four of fourteen runs reported a violation.
+- Of several parts that are read at once, the kernel gives the time of the last only: two parts sent 0.3 s
+  apart both had the later time. So parts seemed to be sent after the end of their request.
+- The time of a call to discovery was that of reading the call, not of its arrival, so that a process that had
+  just started counted as notified of the list that its predecessor had received.
 """
 
 from __future__ import annotations
@@ -176,7 +176,7 @@
 
 
 def test_a_call_is_dated_by_its_arrival(ledger: Ledger) -> None:
-    """Not by when it was read: a process that has started since did not make the call."""
+    """If the time of reading counted, a process that started in between would seem to have made the call."""
     discovery = LateDiscovery(ledger)
     (address, _) = discovery.add_node(0, ["127.0.0.1:1"])
     caller = Caller(address)
--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -27,7 +27,7 @@
 from gingervane.wire import http1, remote_read, snappy
 from gingervane.wire.remote_read import Match, Matcher, Query
 
-END = 1_764_600_000_000
+END = 1_764_600_000_000  # end of the requested time range, in Unix milliseconds
 ALL = Query(END - 600_000, END, (Matcher(Match.EQUAL, "__name__", "wind_speed"),))
 WAIT_TIMEOUT_SECONDS = 30.0
 
