--- a/benchmarks/cold_sum.py
+++ b/benchmarks/cold_sum.py
@@ -28,7 +28,8 @@
 from gingervane import interface as api
 from gingervane.decisions.engine import DecisionEngine
 
-# Seconds of a part and parts a second at a ready replica; load as a share of that capacity; parts of a query.
+# At a ready replica: mean seconds that a part takes, and capacity in parts per second. `LOAD` is the traffic
+# as a share of that capacity, `PARTS` the number of parts of each query.
 PART_SECONDS, CAPACITY, LOAD, PARTS = 0.1, 10.0, 0.6, 4
 WARM_UP_SECONDS, MAX_RETRIES = 12.0, 3  # time before the replicas start; retries of a client
 
@@ -231,14 +232,14 @@
         return max((self.highest_share(sent_at) for sent_at in self.sent.values()), default=0.0)
 
     def highest_share(self, sent_at: list[float]) -> float:
-        span, shares = deque[float](), 0.0
+        window, highest = deque[float](), 0.0
         for at in sent_at:
-            span.append(at)
-            while span[0] <= at - self.rules.fall_time:
-                span.popleft()
-            allowed = self.rules.fall_multiple * self.capacity(span[0]) * self.rules.fall_time
-            shares = max(shares, len(span) / (allowed + 2 * math.sqrt(allowed) + 2))
-        return shares
+            window.append(at)
+            while window[0] <= at - self.rules.fall_time:
+                window.popleft()
+            allowed = self.rules.fall_multiple * self.capacity(window[0]) * self.rules.fall_time
+            highest = max(highest, len(window) / (allowed + 2 * math.sqrt(allowed) + 2))
+        return highest
 
 
 def play(job: tuple[str, str, int, int]) -> float:
@@ -258,10 +259,10 @@
     with ProcessPoolExecutor(arguments.processes) as pool:
         results = iter(list(pool.map(play, jobs)))
     for deployment, scenario, size in cells:
-        most = [next(results) for _ in range(arguments.seeds)]
-        over_limit = sum(share > 1.0 for share in most)
+        shares = [next(results) for _ in range(arguments.seeds)]
+        over_limit = sum(share > 1.0 for share in shares)
         print(
-            f"{deployment:10}  {scenario:30}  {size:4}  {over_limit} of {len(most)} past, most {max(most):.2f}"
+            f"{deployment:10}  {scenario:30}  {size:4}  {over_limit} of {len(shares)} past, most {max(shares):.2f}"
         )
 
 
