--- a/gingervane/writes/shard_placement.py
+++ b/gingervane/writes/shard_placement.py
@@ -37,7 +37,9 @@
         self._addresses: dict[int, tuple[str, int]] = {}
         self._by_shard: dict[int, tuple[ShardReplica, ...]] = {}
         self._gone: set[int] = set()
-        self.recovered_replicas: set[int] = set()  # replicas that were gone before the last list and no longer are
+        self.recovered_replicas: set[int] = (
+            set()
+        )  # replicas that were gone before the last list and no longer are
 
     def endpoints_updated(self, update: EndpointsUpdated) -> EndpointsUpdated:
         """Apply an endpoint list, and return it with the cells that the engine of writes uses."""
--- a/tests/test_reconciliation_model.py
+++ b/tests/test_reconciliation_model.py
@@ -163,8 +163,8 @@
 
 
 def labels(state: State) -> set[str]:
-    """Return the labels for the formulas of `check`: "unnamed" if the view has a server that was never listed,
-    "undone" if a server with a drain in force is ready, "settled" if all servers are ready."""
+    """Return the labels for the formulas of `check`: "unnamed" if the view has a server that was never
+    listed, "undone" if a server with a drain in force is ready, "settled" if all servers are ready."""
     reconciled = state.reconciliation.latest_view(state.now).servers
     ready = {n for n, reconciled_server in reconciled.items() if reconciled_server.member.state is READY}
     out = set()
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -43,7 +43,8 @@
 
 
 class ObservedDisk(Disk):
-    """Calls `before_operation` before each operation, with its number, its name and the bytes to be written."""
+    """Calls `before_operation` before each operation, with its number, its name and the bytes to be
+    written."""
 
     def __init__(self, before_operation: Callable[[int, str, bytes], None]) -> None:
         self.before_operation, self.done = before_operation, list[str]()
