--- a/gingervane/wire/frames.py
+++ b/gingervane/wire/frames.py
@@ -73,7 +73,7 @@
     end = payload.find(b"\n")
     match = _REPLY_LINE.match(payload[:end]) if end >= 0 else None
     if match is None:
-        raise FrameError("reply: first line is not ID OUTCOME SCORE REPORT")
+        raise FrameError("answer: its line is not ID END SCORE REPORT")
     part_id, outcome, score, report = match.groups()
     number = None if score == b"-" else int(score)
     return SubqueryReply(
@@ -104,7 +104,7 @@
             return None
         (length,) = _LENGTH.unpack_from(buffer)
         if not 1 <= length <= self._max_bytes:
-            raise FrameError(f"frame: invalid length of {length} bytes")
+            raise FrameError(f"frame: a length of {length} bytes")
         if buffer[4:5] not in (b"a", b"p", b"l", b"e"):
             raise FrameError(f"frame: unknown letter {bytes(buffer[4:5])!r}")
         if len(buffer) < 4 + length:
