--- a/gingervane/__init__.py
+++ b/gingervane/__init__.py
@@ -1,4 +1,4 @@
-"""The decision engine of a co-ordinator that sends queries to replicated shards."""
+"""Decision engine of a co-ordinator that sends queries to replicated shards."""
 
 from gingervane.decisions.engine import DecisionEngine
 
--- a/gingervane/decisions/__init__.py
+++ b/gingervane/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions of a co-ordinator, a module a concern: standard library only, no I/O."""
+"""Decision logic of a co-ordinator, one module per concern: no I/O, standard library only."""
--- a/gingervane/decisions/admission.py
+++ b/gingervane/decisions/admission.py
@@ -1,4 +1,4 @@
-"""Admission: queries that would miss their latency objective at the present load are rejected at once."""
+"""Admission control: rejects queries that would miss their latency objective at the present load."""
 
 from __future__ import annotations
 
@@ -15,24 +15,24 @@
 from gingervane.decisions.replica_state import KnownReplica
 from gingervane.decisions.sliding_window import TRAFFIC_WINDOW, SlidingWindowCount
 
-# Share of the time to the objective that the slowest part may be expected to take (docs/design.md,
-# admission).
+# Largest expected latency of the slowest part that is admitted, as a share of the time to the objective
+# (docs/design.md, admission).
 ADMISSION_LIMIT = 0.9
-# The same for a tenant that is over its quota (docs/design.md, admission).
+# The same for a tenant that exceeds its quota (docs/design.md, admission).
 ADMISSION_LIMIT_OVER_QUOTA = 0.65
-# Standard deviations by which what a tenant has sent must be over its quota: a few queries by chance, times
-# many co-ordinators, are no excess (docs/design.md, tenant over its quota).
+# Standard deviations by which a tenant's query count must exceed its quota. The count of each of many co-ordinators
+# is small and scaled up to the fleet, so that random variation alone would exceed the quota (docs/design.md, tenant
+# over its quota).
 QUOTA_TOLERANCE = 1.5
-# Added to a number of replicas so that its logarithm approximates the harmonic number, and that number for 0
-# replicas: minus Euler's constant.
+# The harmonic number of n is approximated by log(n + HARMONIC_OFFSET); at n = 0, by minus Euler's constant.
 HARMONIC_OFFSET = 0.5
 HARMONIC_CONSTANT = -0.58
-# Error of a sum of weights as the wire rounds them.
+# Largest rounding error of a sum of weights received from a client.
 WEIGHT_ERROR = 1e-6
 
 
 class AdmissionControl:
-    """Estimates latency at the present load, counts tenants' queries, and finds what is over capacity."""
+    """Estimates the latency at the present load and decides which queries exceed capacity."""
 
     def __init__(
         self,
@@ -59,19 +59,20 @@
         self._queries_by_tenant[tenant].add(self._context.now)
 
     def expected_latency(self) -> float:
-        """Mean latency of a part anywhere, at the present load."""
+        """Mean latency in seconds of a part at the present load, over all ready replicas."""
         open_requests = len(self._dispatcher.open_attempts) / max(self._membership.ready_count, 1)
         return self._latency.expected(open_requests, self._context.now)
 
     def _expected_latency_at(self, replicas: list[KnownReplica]) -> float:
-        """Mean latency of a part at these replicas, one at least, at the present load."""
+        """Mean latency in seconds of a part at these replicas (at least one) at their present load."""
         open_requests = sum(len(replica.requests) for replica in replicas) / len(replicas)
         return self._latency.expected(open_requests, self._context.now)
 
     def is_over_capacity(self, query: Query, parts: list[Part], replicas: list[KnownReplica]) -> bool:
-        """Whether the query would miss its objective if its parts, one at least, went to these replicas.
+        """Whether the query would miss its objective if its parts (at least one) went to these replicas.
 
-        So it would if its slowest part is expected too late, or it needs a part at a blocked replica.
+        True if its slowest part is expected to exceed the limit, or if it cannot be answered without a part at a
+        head-of-line blocked replica.
         """
         now = self._context.now
         limit = ADMISSION_LIMIT_OVER_QUOTA if self._is_over_quota(query.arrived.tenant) else ADMISSION_LIMIT
@@ -96,10 +97,11 @@
 
     @staticmethod
     def _slowest_over_mean(query: Query, replicas: list[KnownReplica]) -> float:
-        """Latency of the slowest replica that the query needs, in means, for exponential latencies.
+        """Expected latency of the slowest replica that the query needs, as a multiple of the mean latency.
 
-        It is the harmonic number of the replicas less that of those that it can do without. The parts of one
-        request end together, so that replicas count and not parts.
+        Latencies are taken to be exponentially distributed. The result is the harmonic number of the replicas less
+        that of the replicas whose parts the query does not need. The parts of one request complete together, so
+        that replicas are counted and not parts.
         """
         count = len(set(replicas))
         needed = min(query.query_class.complete_coverage, query.query_class.required_coverage)
--- a/gingervane/decisions/attempt_dispatch.py
+++ b/gingervane/decisions/attempt_dispatch.py
@@ -1,4 +1,4 @@
-"""Sends attempts as the rules permit, and keeps those that have not ended."""
+"""Sends attempts within the rules, and tracks open attempts."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 from gingervane.decisions.sliding_window import SlidingWindowCount
 from gingervane.decisions.slow_start import SlowStart
 
-# Attempts at a part, also such as never leave, as a multiple of the attempt cap: a process that can send nothing must
-# not be kept busy by trying.
+# Largest number of attempts at a part, including those that are never sent, as a multiple of the attempt cap. Without
+# this limit a process that cannot send would keep trying.
 MAX_TRIES_PER_CAP = 2
 
 
 class AttemptDispatcher:
-    """All sends pass `send`; all endings pass `close`."""
+    """Sends and closes every attempt."""
 
     def __init__(
         self,
@@ -45,15 +45,15 @@
         self._first_sends = first_sends
         self._time_margin = time_margin(settings)
         self._start_hedge_timer = start_hedge_timer
-        self.open_attempts = dict[tuple[int, int], Attempt]()  # by part and number
-        self._parts_sent = Counter[KnownReplica]()  # in this batch
+        self.open_attempts = dict[tuple[int, int], Attempt]()  # by part id and attempt number
+        self._parts_sent = Counter[KnownReplica]()  # number of parts sent to each replica in this batch
 
     def begin_batch(self) -> None:
-        """Parts of different batches never share a request."""
+        """Reset the counts of the last batch: parts of different batches never share a request."""
         self._parts_sent.clear()
 
     def send(self, part: Part, replica: KnownReplica, hedged: bool = False) -> bool:
-        """Send a part to a replica if all rules permit it, and say whether it was sent."""
+        """Send a part to a replica if all rules permit it. Return whether it was sent."""
         if not self._may_send(part, replica, hedged):
             return False
         now = self._context.now
@@ -70,7 +70,7 @@
         return True
 
     def _open(self, part: Part, replica: KnownReplica, hedged: bool) -> Attempt:
-        """Make the attempt and record it with its part and its replica."""
+        """Create the attempt and record it with its part and its replica."""
         now = self._context.now
         batch = self._context.batch
         request = RequestKey(now, batch, self._parts_sent[replica] // self._settings.max_parts_per_request)
@@ -86,7 +86,7 @@
         return attempt
 
     def _may_send(self, part: Part, replica: KnownReplica, hedged: bool) -> bool:
-        """Check the rules: time left, attempts left, the replica, copies allowed, effects and the budget."""
+        """Whether deadline, attempt cap, replica, hedging, retry safety and retry budget permit an attempt."""
         query = part.query
         if query.settled or part.done or self._context.now >= query.answer_by:
             return False
@@ -100,13 +100,16 @@
         return not part.attempts_made or self._retry_budget.allows_further_attempt(not is_retry)
 
     def _is_at_cap(self, part: Part) -> bool:
-        """Whether a part has had all its attempts. One that never left is none: no replica has seen it."""
+        """Whether a part has reached its attempt cap.
+
+        Attempts that were never sent do not count for the cap, as no replica has received them.
+        """
         cap = self._settings.max_attempts
         sent = part.attempts_made - part.attempts_not_sent
         return sent >= cap or part.attempts_made >= MAX_TRIES_PER_CAP * cap
 
     def _may_run_again(self, part: Part) -> bool:
-        """No effect twice: what may have run goes again if idempotent, or within the window of its key."""
+        """Whether a repeated execution is safe: the part is idempotent, or still within its idempotency window."""
         query_class = part.query.query_class
         if query_class.retry_safety is api.RetrySafety.IDEMPOTENT:
             window = inf
@@ -118,7 +121,7 @@
         return self._context.now < first_run_at + window - self._time_margin
 
     def close(self, event: api.AttemptEnded) -> Attempt | None:
-        """Remove an attempt that has ended, and return it; none if it is not known."""
+        """Remove an attempt that has ended and return it; return None if it is unknown."""
         attempt = self.open_attempts.pop((event.part, event.attempt), None)
         if attempt is None:
             return None
@@ -134,7 +137,7 @@
         return attempt
 
     def cancel(self, part: Part) -> None:
-        """Be done with a part, and cancel what is still out of it."""
+        """Mark a part as done and cancel its open attempts, if the site permits cancellation."""
         part.done = True
         if not self._settings.cancellation_allowed:
             return
--- a/gingervane/decisions/batch_context.py
+++ b/gingervane/decisions/batch_context.py
@@ -1,4 +1,4 @@
-"""What all decisions of one batch share: the time, the actions so far, the timers and the random numbers."""
+"""State shared by all decisions of one batch: the time, the actions, the timers and the random numbers."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 
 from gingervane import interface as api
 
-# Timer granularities by which a timer may come late before a pause of this process is assumed
-# (docs/design.md, process pause).
+# Delay of a timer, in timer granularities, above which a pause of this process is assumed (docs/design.md, process
+# pause).
 PAUSE_GRANULARITIES = 4
 
 
@@ -20,15 +20,15 @@
 
 
 class BatchContext:
-    """The batch that is being decided, and the timers that outlive it."""
+    """The batch in progress, and the timers that outlive it."""
 
     def __init__(self, timer_granularity: float, seed: int) -> None:
         self.now = 0.0
-        self.batch = 0  # number of the batch, from 1 on
+        self.batch = 0  # number of the current batch, from 1
         self.actions = list[api.Action]()
         self.random = random.Random(seed)
         self.started_at = inf  # time of the first batch
-        self.process_paused = False  # this process has just stood still
+        self.process_paused = False  # a pause of this process ended just before this batch
         self._timer_granularity = timer_granularity
         self._timers = dict[int, _Timer]()
         self._last_label = 0
@@ -36,8 +36,8 @@
     def begin(self, now: float, events: Sequence[api.Event]) -> None:
         """Start a batch.
 
-        A timer that comes late tells of a pause of this process. The times of what came meanwhile hold that
-        pause, so that neither silence nor latency may be concluded from them.
+        A delayed timer indicates a pause of this process. Events received meanwhile carry latencies that include
+        the pause, so that no missing response and no latency may be inferred from them.
         """
         self.now = now
         self.actions = []
@@ -51,14 +51,14 @@
         return self.now if timer is None else timer.due
 
     def set_timer(self, delay: float, callback: Callable[[], None]) -> None:
-        """Ask the host for a timer, and remember what to do when it fires."""
+        """Request a timer from the host, and call `callback` when it fires."""
         delay = max(delay, 0.0)
         self._last_label += 1
         self._timers[self._last_label] = _Timer(self.now + delay, callback)
         self.actions.append(api.SetTimer(delay, self._last_label))
 
     def fire(self, event: api.TimerFired) -> None:
-        """Run what a timer was set for; an unknown timer is ignored."""
+        """Call the callback of a timer; an unknown timer is ignored."""
         timer = self._timers.pop(event.label, None)
         if timer is not None:
             timer.callback()
--- a/gingervane/decisions/drain_reports.py
+++ b/gingervane/decisions/drain_reports.py
@@ -1,9 +1,10 @@
-"""Co-ordinators tell each other which replicas drain or are gone, for those whose watch is down.
+"""Reports between co-ordinators of draining and removed replicas, for those whose watch is down.
 
-Discovery gives out few lists a second, and a fleet whose watches all end at once takes longer to be served than a
-change takes to count as notified. Whoever has a list tells the others; a report bars the replica at who has none, and
-nothing at who has one. A few co-ordinators tell each change, and again every two seconds, for those that are started
-later.
+Discovery serves only a few lists per second. If all watches of a fleet end at once, serving all co-ordinators takes
+longer than the time after which a change counts as notified. A co-ordinator with a current list reports draining and
+removed replicas to its peers. Peers whose watch is down exclude these replicas from selection; the others ignore the
+report. Only a few co-ordinators report each change. They repeat the report every two seconds for co-ordinators that
+start later.
 """
 
 from __future__ import annotations
@@ -16,17 +17,17 @@
 from gingervane.decisions.membership import Membership
 from gingervane.decisions.membership_watch import WatchTerms
 
-REPORT_DRAINING = b"D"  # ends a message; before it stand the replicas' ids
+REPORT_DRAINING = b"D"  # last byte of a report, after the ids of the replicas
 ID_BYTES = 8
-MAX_IDS = 31  # in one message, which holds 256 bytes at most
-# Co-ordinators that tell the others of one change, in the mean.
+MAX_IDS = 31  # in one message, which is limited to 256 bytes
+# Mean number of co-ordinators that report one change.
 REPORTERS = 3
-REPEAT_INTERVAL = 2.0  # seconds
-REPORTED_FOR = 12.0  # seconds for which one that is gone, or has no line any more, is told of
+REPEAT_INTERVAL = 2.0  # seconds between repetitions of a report
+REPORTED_FOR = 12.0  # seconds for which a removed or no longer listed replica is reported
 
 
 class DrainReports:
-    """What this co-ordinator tells the others, and has been told, of replicas that drain or are gone."""
+    """Sends and receives reports of draining and removed replicas."""
 
     def __init__(
         self, settings: api.Settings, context: BatchContext, membership: Membership, terms: WatchTerms
@@ -35,11 +36,11 @@
         self._membership = membership
         self._is_on = settings.gossip_allowed and settings.membership_polled and terms.notified_within < inf
         self._chance = min(REPORTERS / settings.coordinator_count, 1.0)
-        self._until = dict[int, float]()  # until when a replica is told of, by id
-        self._repeats = False  # a timer is set
+        self._until = dict[int, float]()  # by replica id: time until which it is reported
+        self._repeats = False  # whether the timer of the next repetition is set
 
     def on_membership(self, event: api.MembershipChanged) -> None:
-        """Take a membership event, and tell of what it says has begun to drain or is gone."""
+        """Update the endpoint list, and report replicas that have begun to drain or were removed."""
         self._membership.update(event)
         if not self._is_on or not self._membership.watch.is_up:
             return
@@ -53,7 +54,7 @@
             self._context.set_timer(REPEAT_INTERVAL, self._repeat)
 
     def take(self, event: api.PeerMessageReceived) -> bool:
-        """Take a message if it is such a report; return whether it is."""
+        """Process a peer message if it is a drain report. Return whether it is one."""
         ids, kind = event.payload[:-1], event.payload[-1:]
         if kind != REPORT_DRAINING or not ids or len(ids) % ID_BYTES:
             return False
@@ -68,11 +69,11 @@
             self._until[replica] = self._context.now + REPORTED_FOR
 
     def _repeat(self) -> None:
-        """Tell again of what drains or has lately gone, for those that are started later."""
+        """Repeat the report of draining and recently removed replicas, for co-ordinators that start later."""
         now = self._context.now
         self._repeats = False
         if not self._membership.watch.is_up:
-            return  # what is known here is no news any more; the next list begins anew
+            return  # this co-ordinator's list may be stale; the next list starts the reports again
         self._extend()
         self._until = {replica: until for replica, until in self._until.items() if until > now}
         if self._until:
@@ -81,7 +82,7 @@
             self._tell(self._until)
 
     def _tell(self, replicas: Iterable[int]) -> None:
-        """Send a report, by chance: a few of all co-ordinators do."""
+        """Send a report, with a probability such that only a few of all co-ordinators do."""
         ids = sorted(replicas)
         if not ids or self._context.random.random() >= self._chance:
             return
--- a/gingervane/decisions/engine.py
+++ b/gingervane/decisions/engine.py
@@ -1,12 +1,11 @@
-"""Every decision of a gingervane co-ordinator. Types, events and actions: `gingervane/interface.py`.
+"""The decision engine of a gingervane co-ordinator. Types, events and actions: `gingervane/interface.py`.
 
-Ordinary path: a query takes the replica position with the fewest open requests; an idempotent part late by
-its class's 95th percentile gets one hedge; the first good answer wins and the other attempt is cancelled; a
-circuit breaker on the share of hedges pauses hedging. All else is an exception: docs/design.md says when it
-acts.
+In the normal case a query goes to the replica position with the fewest open requests. An idempotent part that exceeds
+the 95th percentile of its class's latency gets one hedge; the first good answer wins and the other attempt is
+cancelled. A circuit breaker on the share of hedges suspends hedging. docs/design.md describes all other cases.
 
-The engine passes each event to what owns the state that it changes. The rules are in the other modules of
-this package, one concern each, with their tuned values.
+The engine passes each event to the object that owns the state which it changes. The rules and their constants are in
+the other modules of this package, one concern per module.
 """
 
 from __future__ import annotations
@@ -34,14 +33,14 @@
 from gingervane.decisions.sliding_window import TRAFFIC_WINDOW, SlidingWindowCount
 from gingervane.decisions.slow_start import SlowStart
 
-# Outcomes by which a replica shows that it responds.
+# Outcomes that prove that the replica responds.
 RESPONSES = (api.AttemptOutcome.OK, api.AttemptOutcome.ERROR, api.AttemptOutcome.REJECTED)
-# Outcomes that say nothing of a replica.
+# Outcomes that are no evidence of a replica's health.
 OWN_ENDINGS = (api.AttemptOutcome.CANCELLED, api.AttemptOutcome.NEVER_SENT)
 
 
 class DecisionEngine:
-    """One co-ordinator's decisions, from its own settings and its own events alone."""
+    """Takes the decisions of one co-ordinator, from its settings and its events only."""
 
     def __init__(
         self, settings: api.Settings, seed: int, watch_terms: WatchTerms = DEFAULT_WATCH_TERMS
@@ -83,11 +82,11 @@
         self.completion = QueryCompletion(
             settings, self.context, admission=self._admission, dispatcher=self._dispatcher
         )
-        self._changed_queries = dict[int, Query]()  # that have parts which came in this batch
+        self._changed_queries = dict[int, Query]()  # by id: queries with parts that arrived in this batch
         self._handlers = self._event_handlers()
 
     def _event_handlers(self) -> dict[type, Callable[..., None]]:
-        """What takes each event. Health checks are not asked for."""
+        """Handlers by event type. Health checks have none, as the engine does not request them."""
         return {
             api.AttemptEnded: self._on_attempt_ended,
             api.MembershipChanged: self._drain_reports.on_membership,
@@ -100,14 +99,14 @@
         }
 
     def handle(self, now: float, events: Sequence[api.Event]) -> list[api.Action]:
-        """Take one batch of events in order and say what to do."""
+        """Process one batch of events in order and return the resulting actions."""
         self.context.begin(now, events)
         self._selector.begin_batch()
         self._dispatcher.begin_batch()
         if self.context.batch == 1 and self.settings.membership_polled:
             self.membership.watch.ask()
-        # What came during a pause of this process is read before any timer, or replicas that have answered
-        # would be taken for silent.
+        # Events received during a pause of this process are handled before any timer. Otherwise replicas that have
+        # answered would count as unresponsive.
         for event in sorted(events, key=_is_timer):
             handler = self._handlers.get(type(event))
             if handler is not None:
@@ -169,14 +168,14 @@
         self.completion.update(query)
 
     def _is_over_capacity(self, query: Query, parts: list[Part], replicas: list[KnownReplica]) -> bool:
-        """Whether to shed a query; not one whose first step has been answered."""
+        """Whether to shed a query. A query whose first step has been answered is never shed."""
         if query.state is QueryState.SECOND_STEP:
             return False
         return self._admission.is_over_capacity(query, parts, replicas)
 
     def _send_parts(self, query: Query, parts: list[Part], replicas: list[KnownReplica]) -> None:
         for part, replica in zip(parts, replicas, strict=True):
-            # Two parts of one query can use up a cold replica's tokens: the second goes elsewhere.
+            # Two parts of one query can use up a cold replica's tokens: the second goes to another replica.
             preferred = self._selector.is_preferred(replica, query)
             target = replica if preferred else self._selector.substitute(part)
             part.lost = target is None or not self._dispatcher.send(part, target)
@@ -184,7 +183,7 @@
     def _reject(self, query: Query, reason: api.QueryEndReason) -> None:
         """End a query of which no part was sent.
 
-        If that is for want of replicas its parts earn slow-start tokens, but not those of client retries.
+        If the reason is a lack of replicas, its parts earn slow-start tokens, except those of client retries.
         """
         if query.is_unanswerable() and not query.arrived.is_client_retry:
             self.slow_start.record_unservable(len(query.parts))
@@ -205,9 +204,10 @@
             self._retry(part)
 
     def _retry_delay(self, part: Part, outcome: api.AttemptOutcome) -> float:
-        """Seconds for which a failed part waits for its next attempt.
+        """Seconds before the next attempt at a failed part.
 
-        Retries at once would storm full queues, and keep a process busy that can send nothing.
+        Immediate retries would overload replicas whose queues are full, and would keep a process busy that cannot
+        send.
         """
         waits = 0
         if outcome is api.AttemptOutcome.REJECTED and part.attempts_made < self.settings.max_attempts:
@@ -217,11 +217,11 @@
         return waits * self.latency.percentile(part.query.arrived.query_class, 0.5)
 
     def _record_health(self, attempt: Attempt, outcome: api.AttemptOutcome) -> None:
-        """Let an ending count for or against the replicas concerned."""
+        """Record an outcome as evidence for or against the health of the replicas concerned."""
         replica = attempt.replica
         if outcome is api.AttemptOutcome.OK:
             self.slow_start.record_answer()
-            # An answer as late as a missing response would let a jammed replica back in, for all peers.
+            # An answer as late as a missing response would reinstate an overloaded replica, also at all peers.
             if attempt.hedge_delays < NO_RESPONSE_DELAYS:
                 self._outlier_detector.record_outcome(replica, 0.0)
             if attempt.hedged and not attempt.part.done and not self.context.process_paused:
@@ -230,20 +230,20 @@
             self.hedging.record_failure()
             if outcome not in RESPONSES:
                 replica.last_unresponsive_at = self.context.now
-            # To eject what is only full would send its load to the next holder.
+            # Ejecting a replica whose queue is merely full would move its load to the next holder.
             rejected = outcome is api.AttemptOutcome.REJECTED
             weight = REJECTION_WEIGHT if rejected else FAILURE_WEIGHT
             self._outlier_detector.record_outcome(replica, weight, api.EjectionReason(outcome.value))
 
     def _record_lost_to_hedge(self, part: Part) -> None:
-        """What a hedge overtook in spite of its later start is slow, whatever the fleet does."""
+        """Record that a later hedge was faster: evidence against the replica even when the whole fleet is slow."""
         for attempt in part.attempts:
             self._outlier_detector.record_outcome(
                 attempt.replica, FAILURE_WEIGHT, api.EjectionReason.LOST_TO_HEDGE
             )
 
     def _record_response(self, attempt: Attempt, event: api.AttemptEnded) -> None:
-        """Learn from a replica's response, whatever it was: it is there, and it took so long."""
+        """Update the replica's state and the latency estimates from a response of any kind."""
         if event.outcome not in RESPONSES:
             return
         replica = attempt.replica
@@ -258,7 +258,8 @@
         if self.context.process_paused:
             return
         query = attempt.part.query
-        # Full queues respond fast and tell no delay; counted as they are, a jam would outlive its cause.
+        # A full queue rejects at once, which says nothing about the queueing delay. Recording these short
+        # latencies would hide an overload and prolong it.
         rejected = event.outcome is api.AttemptOutcome.REJECTED
         latency = query.query_class.latency_objective if rejected else event.latency
         self.latency.record_outcome(
@@ -266,11 +267,11 @@
         )
 
     def _receive_part(self, part: Part, latency: float) -> None:
-        """Take a part's first good answer."""
+        """Process the first good answer to a part."""
         query = part.query
         if not self.context.process_paused:
-            # A part that a hedge rescued counts as the hedge delay. With the hedge's own time added, rescues
-            # would raise the percentile to the objective where over 5% of parts get no response.
+            # A part rescued by a hedge counts as the hedge delay only. With the latency of the hedge added, rescued
+            # parts would raise the percentile to the objective where over 5% of parts get no response.
             hedge_delay = part.may_have_run.get(1, 0.0) - part.first_sent_at
             self.latency.samples[query.arrived.query_class].append(max(latency, hedge_delay))
         self._dispatcher.cancel(part)
@@ -278,9 +279,10 @@
         self.completion.update(query)
 
     def _retry(self, part: Part) -> None:
-        """Try a failed part again at another replica, which is no hedge; with no way left it is lost.
+        """Retry a failed part at another replica; if no attempt is possible, the part is lost.
 
-        An attempt that is still open at an ejected replica has failed too, but may yet be answered.
+        Such a retry does not count as a hedge. An open attempt at an ejected replica has failed too, but may still be
+        answered.
         """
         if part.done or (part.attempts and not part.has_failed):
             return
--- a/gingervane/decisions/hedging.py
+++ b/gingervane/decisions/hedging.py
@@ -1,4 +1,4 @@
-"""Hedged requests: a part that is late goes to a second replica, and the first good answer wins."""
+"""Hedged requests: a late part is also sent to a second replica, and the first good answer wins."""
 
 from __future__ import annotations
 
@@ -17,27 +17,26 @@
 from gingervane.decisions.replica_state import KnownReplica
 from gingervane.decisions.sliding_window import TRAFFIC_WINDOW, SlidingWindowCount
 
-# Share of the class's parts that end within the hedge delay (docs/design.md).
+# Percentile of the class's part latencies that is the hedge delay (docs/design.md).
 HEDGE_PERCENTILE = 0.95
-# Hedge delays after which an attempt that nothing has overtaken counts as without response
-# (docs/design.md).
+# Hedge delays after which an attempt counts as without response, unless the replica has answered one sent as late or
+# later (docs/design.md).
 NO_RESPONSE_DELAYS = 2
 # Largest share of the open attempts that may be hedges (docs/design.md, circuit breaker).
 MAX_HEDGED_SHARE = 0.25
-# Hedges that a query may have in any case, as a share of its parts (docs/design.md, circuit breaker).
+# Hedges that a query may always have, as a share of its parts (docs/design.md, circuit breaker).
 MIN_HEDGED_SHARE_OF_QUERY = 0.10
-# Expected latency, as a multiple of the class's baseline, above which replicas are taken to queue
+# Expected latency, as a multiple of the class's baseline, above which requests are assumed to queue at the replicas
 # (docs/design.md, no hedge under queueing).
 QUEUEING_LATENCY = 2.0
-# Weight of a query that is missing at most where its late parts are stragglers and not queued
-# (docs/design.md).
+# Largest missing weight of a query whose late parts count as stragglers and not as queued (docs/design.md).
 MAX_STRAGGLER_WEIGHT = 0.10
-# Seconds for which a replica that does not respond is next reached over a new connection.
+# Seconds after a missing response during which the next send to the replica opens a new connection.
 RECONNECT_PERIOD = 2 * MAX_EJECTION
 
 
 class Hedging:
-    """Watches over open attempts, and sends one hedge for a part that is late."""
+    """Monitors open attempts, and sends one hedge for a late part."""
 
     def __init__(
         self,
@@ -63,16 +62,16 @@
         self.failures = CircuitBreaker(TRAFFIC_WINDOW)
 
     def record_failure(self) -> None:
-        """Count an attempt that failed: many failures stop hedges."""
+        """Count a failed attempt: many failures suspend hedging."""
         self.failures.add(self._context.now)
 
     def start_timer(self, attempt: Attempt) -> None:
-        """Come back to an attempt after the hedge delay."""
+        """Schedule a check of the attempt after the hedge delay."""
         delay = self._latency.percentile(attempt.part.query.arrived.query_class, HEDGE_PERCENTILE)
         self._context.set_timer(delay, partial(self._on_timer, attempt))
 
     def _on_timer(self, attempt: Attempt) -> None:
-        """Record a missing response, and send a hedge if the attempt is still open and that can be of use."""
+        """Record a missing response, and send a hedge or a retry if the attempt is still open and one is useful."""
         if not attempt.open:
             return
         self.start_timer(attempt)
@@ -90,9 +89,9 @@
             self._retry_overdue(attempt.replica)
 
     def _check_response(self, attempt: Attempt) -> bool:
-        """Take an attempt for unanswered if no part sent as late or later has been answered there.
+        """Record a missing response, unless the replica has answered a part that was sent as late or later.
 
-        Return whether that ejects the replica, which was not ejected before.
+        Return True if this ejects a replica that was not ejected before.
         """
         replica = attempt.replica
         if replica.last_answered_send_at >= attempt.request.sent_at:
@@ -105,11 +104,11 @@
         return replica.ejected_for > 0 and not was_ejected
 
     def _retry_overdue(self, replica: KnownReplica) -> None:
-        """Send those parts again that had no response at a replica before it was ejected for that.
+        """Retry the parts that were already without response at a replica when it was ejected for that.
 
-        Each of them was evidence, and would have gone with a later check. Their next delay is long where rescued
-        parts have raised the percentile. What is out there for a shorter time waits for its own delay: to send
-        everything again at an ejection doubled the load.
+        Otherwise each of them would wait for its next check, whose delay is long where rescued parts have raised the
+        percentile. Parts that were sent more recently wait for their own hedge delay: to resend all parts at an
+        ejection doubled the load.
         """
         attempts = list(self._dispatcher.open_attempts.values())
         for attempt in attempts:
@@ -118,7 +117,7 @@
                 self._retry_failed(attempt.part)
 
     def _breakers_open(self) -> bool:
-        """Ask both breakers, as each changes its state only when asked."""
+        """Update both breakers, as each changes its state only when read, and return whether either is open."""
         now = self._context.now
         parts = self._first_sends.count(now)
         hedges_open = self._hedges.is_open(now, parts)
@@ -126,9 +125,9 @@
         return hedges_open or failures_open
 
     def _is_queueing(self, part: Part) -> bool:
-        """Whether the replicas queue, so that a hedge would only lengthen the queues.
+        """Whether requests queue at the replicas, so that a hedge would only lengthen the queues.
 
-        With nearly all of its query received, a part is late by itself.
+        A part of a query that is nearly complete is a straggler: its lateness does not indicate queueing.
         """
         query = part.query
         usual = self._latency.baseline[query.arrived.query_class]
@@ -136,11 +135,11 @@
         return queueing and query.weight_received < 1 - MAX_STRAGGLER_WEIGHT
 
     def _retry_failed(self, part: Part) -> None:
-        """Make another attempt at a part that is out at ejected replicas alone, if it can come in with any value.
+        """Make another attempt at a part that is open at ejected replicas only, if its answer can still have value.
 
-        Such a part has failed. What bounds it is what bounds a retry: the attempt cap, the retry budget and the
-        effects of its class. The cap on open hedges held such parts back round after round, up to the objective;
-        past it none was sent, although a late answer was of value.
+        Such a part has failed, so that the limits of a retry apply: the attempt cap, the retry budget and the retry
+        safety of its class. The cap on open hedges does not apply: it would delay such parts check after check up to
+        the objective, after which nothing would be sent although a late answer has value.
         """
         query = part.query
         has_late_value = query.query_class.late_weight > 0.0
@@ -148,26 +147,26 @@
             self._send_hedge(part)
 
     def _is_hedge_useful(self, part: Part) -> bool:
-        """Whether a hedge is safe, is the only one, can come in before the objective and lengthens no queues."""
+        """Whether a hedge is safe, does not lengthen queues, is the only one and can answer before the objective."""
         query = part.query
         if query.query_class.retry_safety is not api.RetrySafety.IDEMPOTENT or self._is_queueing(part):
             return False
         return len(part.attempts) == 1 and self._can_answer_by(query, query.objective_at)
 
     def _can_answer_by(self, query: Query, due: float) -> bool:
-        """Whether an attempt that is sent now is likely to be answered by then."""
+        """Whether an attempt that is sent now would be answered by `due`, at the median latency of the class."""
         median = self._latency.percentile(query.arrived.query_class, 0.5)
         return self._context.now + median <= due
 
     def _is_below_cap(self, part: Part) -> bool:
-        """Whether there are few enough hedges open."""
+        """Whether the number of open hedges is below the cap."""
         attempts = self._dispatcher.open_attempts
         hedges = sum(attempt.hedged for attempt in attempts.values())
         cap = max(MAX_HEDGED_SHARE * len(attempts), MIN_HEDGED_SHARE_OF_QUERY * len(part.query.parts))
         return hedges < cap
 
     def _send_hedge(self, part: Part) -> None:
-        """Send a part to a preferred replica beside those that it is out at."""
+        """Send a part to a preferred replica at which it is not open."""
         replica = self._selector.substitute(part)
         if replica is None or not self._selector.is_preferred(replica, part.query):
             return
--- a/gingervane/decisions/latency.py
+++ b/gingervane/decisions/latency.py
@@ -1,4 +1,4 @@
-"""Latency estimates: of the parts of a class, of the fleet at present, and of one replica against others."""
+"""Latency estimates: percentiles of each class, the mean of the fleet, and replicas relative to one another."""
 
 from __future__ import annotations
 
@@ -6,64 +6,66 @@
 from gingervane.decisions.replica_state import KnownReplica
 from gingervane.decisions.sliding_window import RankedSamples
 
-# Latencies of a class from which its percentiles are taken from the samples (docs/design.md).
+# Number of samples of a class from which on its percentiles are computed from them (docs/design.md).
 MIN_SAMPLES = 20
-# Share of the latency objective that stands for every percentile before that (docs/design.md).
+# Percentile assumed before that, as a share of the latency objective (docs/design.md).
 INITIAL_PERCENTILE = 0.5
 # Factor by which the baseline median may grow with each query of the class (docs/design.md).
 BASELINE_GROWTH = 1.02
-# Outcomes over which the moving means run (docs/design.md, admission).
+# Number of outcomes over which the moving means are taken (docs/design.md, admission).
 MEAN_OUTCOMES = 40
-# Seconds in which the expected latency halves while nothing ends (docs/design.md, admission).
+# Half-life in seconds of the expected latency while no attempt ends (docs/design.md, admission).
 MEAN_HALF_LIFE = 2.0
-# Parts over which a replica's relative latency is averaged (docs/design.md, relative latency).
+# Number of parts over which a replica's relative latency is averaged (docs/design.md, relative latency).
 RELATIVE_LATENCY_PARTS = 3
-# Seconds in which a replica's relative latency halves its distance to 1 (docs/design.md, relative latency).
+# Half-life in seconds of a replica's relative latency, which decays to 1 (docs/design.md, relative latency).
 RELATIVE_LATENCY_HALF_LIFE = 8.0
-# Seconds that a median counts as at least, so that it can be divided by.
+# Lower bound in seconds for a median that is divided by.
 MIN_MEDIAN = 1e-6
 
 
 def relative_latency(replica: KnownReplica, now: float) -> float:
-    """How slow the replica's last parts were against the median, fading to 1.
+    """Latency of the replica's last parts as a multiple of the median, decaying to 1.
 
-    Replicas that are slow and still answer would otherwise go unnoticed: a hedge that overtakes them is too
-    rare where a co-ordinator sends to each of them once in some seconds.
+    It detects replicas that are slow but still answer. Lost hedges alone are too rare for that where a co-ordinator
+    sends to each replica once in several seconds.
     """
     faded = float(0.5 ** ((now - replica.relative_latency_at) / RELATIVE_LATENCY_HALF_LIFE))
     return 1.0 + (replica.relative_latency - 1.0) * faded
 
 
 class LatencyEstimator:
-    """The latencies of this co-ordinator's own parts.
+    """Estimates latencies from the parts of this co-ordinator.
 
-    Samples are of parts, not of attempts: attempts that were cancelled for their hedge would hide the tail.
+    Samples are of parts, not of attempts: attempts cancelled after a successful hedge would be missing from the tail.
     """
 
     def __init__(self, query_classes: tuple[api.QueryClass, ...]) -> None:
         self.samples = [RankedSamples() for _ in query_classes]
         self._initial = [c.latency_objective * INITIAL_PERCENTILE for c in query_classes]
-        self.baseline = list(self._initial)  # median of each class on good days
-        self.mean = 0.0  # moving mean of the latest outcomes
-        self.mean_at = 0.0  # when the last of them came
-        self.mean_requests_ahead = 0.0  # requests that these outcomes found open at their replica
+        self.baseline = list(self._initial)  # usual median of each class, without queueing
+        self.mean = 0.0  # moving mean of the latest outcomes, seconds
+        self.mean_at = 0.0  # time of the latest outcome
+        self.mean_requests_ahead = (
+            0.0  # moving mean of the requests that were open at the replica before these
+        )
 
     def percentile(self, query_class: int, share: float) -> float:
-        """The latency within which this share of the class's last parts ended."""
+        """The latency in seconds within which this share of the class's last parts was answered."""
         ranked = self.samples[query_class].ranked
         if len(ranked) >= MIN_SAMPLES:
             return ranked[int(share * (len(ranked) - 1))]
         return self._initial[query_class]
 
     def update_baseline(self, query_class: int) -> None:
-        """Follow the median of the class down at once and up only slowly, with each query."""
+        """Lower the baseline to the class's median at once, or raise it slowly, once for each query."""
         grown = self.baseline[query_class] * BASELINE_GROWTH
         self.baseline[query_class] = min(grown, self.percentile(query_class, 0.5))
 
     def expected(self, requests_per_replica: float, now: float) -> float:
-        """Mean latency at this load: the last mean, scaled by the requests open now over those open then.
+        """Mean latency in seconds at this load: the last mean, scaled by the open requests now and at that time.
 
-        It fades while no outcomes come, or a co-ordinator that rejects everything would do so for ever.
+        It decays while no outcomes are recorded; otherwise a co-ordinator that rejects everything would never stop.
         """
         silence = max(now - self.mean_at - self.mean, 0.0)
         scaled = self.mean * (1 + requests_per_replica) / (1 + self.mean_requests_ahead)
@@ -72,7 +74,7 @@
     def record_outcome(
         self, replica: KnownReplica, query_class: int, latency: float, requests_ahead: int, now: float
     ) -> None:
-        """Learn from an attempt that the replica has answered, in whatever way."""
+        """Update the estimates from an attempt that the replica answered with any response."""
         self.mean += (latency - self.mean) / MEAN_OUTCOMES
         self.mean_at = now
         relative = relative_latency(replica, now)
--- a/gingervane/decisions/membership.py
+++ b/gingervane/decisions/membership.py
@@ -1,4 +1,4 @@
-"""The endpoint list: the replicas, and which of them hold each shard."""
+"""The endpoint list: the replicas, and the holders of each shard."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
         self.watch = MembershipWatch(settings, context, watch_terms)
         self.replicas = dict[int, KnownReplica]()
         self.ready_count = 0
-        self.unavailable = frozenset[int]()  # ids of those that drain or are gone, by the last event
+        self.unavailable = frozenset[int]()  # ids of the draining and removed replicas in the last event
         # By cell: the replicas that hold its shards, in order of their ids.
         self.holders_by_cell = defaultdict[int, list[KnownReplica]](list)
 
@@ -27,11 +27,11 @@
         return self.holders_by_cell[shard % self._settings.cell_count]
 
     def ready_ids(self) -> frozenset[int]:
-        """Ids of the replicas in service."""
+        """Ids of the ready replicas."""
         return frozenset(number for number, known in self.replicas.items() if known.ready)
 
     def update(self, event: api.MembershipChanged) -> None:
-        """Take a membership event."""
+        """Apply a membership event."""
         if event.kind is api.MembershipUpdateKind.FAILED:
             self.watch.record_failure()
             return
@@ -50,7 +50,7 @@
         self.watch.ready_replicas = self.ready_count
 
     def _update_replica(self, endpoint: api.Replica) -> None:
-        """Take one line of the list; a replica that has restarted is no outlier, but in slow start."""
+        """Apply one entry of the list; a restarted replica is no longer ejected and enters slow start."""
         known = self.replicas.setdefault(endpoint.id, KnownReplica(endpoint))
         if endpoint.started_at > known.endpoint.started_at:
             known.failure_score = 0.0
@@ -60,7 +60,7 @@
         known.ready = endpoint.state is api.ReplicaState.READY
 
     def _index_holders(self) -> None:
-        """Work out the holders of each cell once a list, as doing so for each part would cost much CPU."""
+        """Compute the holders of each cell once per list; doing so for each part would cost too much CPU."""
         cell_count = self._settings.cell_count
         width = min(self._settings.cells_per_replica, cell_count)
         holders = defaultdict[int, list[KnownReplica]](list)
@@ -71,7 +71,7 @@
         self.holders_by_cell = holders
 
     def _forget_gone_replicas(self) -> None:
-        """Drop replicas that are gone and idle: memory would grow where replicas are replaced all day."""
+        """Drop removed replicas without open requests: memory would grow where replicas are replaced continually."""
         gone = [
             number
             for number, known in self.replicas.items()
--- a/gingervane/decisions/membership_watch.py
+++ b/gingervane/decisions/membership_watch.py
@@ -1,13 +1,13 @@
-"""How old the knowledge of the endpoint list is, and when discovery is asked for it again.
+"""Tracks the staleness of the endpoint list, and decides when to request it again from discovery.
 
-Where the host says so, a change counts as notified some seconds after discovery had it, arrived or not. So the pause
-between two calls, and the wait for an answer before a further call is made beside it, are measured by the time that
-is left: calls come closer as it runs out, and co-ordinators whose knowledge is fresh leave the places in discovery's
-queue to those whose knowledge is old.
+Where the host sets a limit (`WatchTerms.notified_within`), a change counts as notified that many seconds after
+discovery had it, received or not. The backoff between two calls, and the time after which a further call is made
+while the first is unanswered, therefore depend on the time that remains: calls become more frequent as it runs out,
+and co-ordinators with a fresh list leave capacity in discovery's queue to those with a stale one.
 
-While no watch is up, a replica holds a lease: what it has served proves that it did not drain when that was sent.
-One whose lease has run out is doubtful: others go first. If it has only turned parts away since, or should have
-served something meanwhile, it is sent nothing for a while.
+While no watch is up, each replica holds a lease: a part that it served proves that it did not drain when that part
+was sent. A replica whose lease has expired is used only after all others. If it has only rejected parts since, or
+should have served some meanwhile, it is excluded from selection for a while.
 """
 
 from __future__ import annotations
@@ -21,62 +21,62 @@
 from gingervane.decisions.batch_context import BatchContext
 from gingervane.decisions.replica_state import KnownReplica
 
-# Seconds that the list which a process finds at its start is taken to be old: nobody says how old it is.
+# Assumed age in seconds of the list with which a process starts, as its real age is unknown.
 CACHED_LIST_AGE = 3.0
-# Seconds before a failed watch is asked for again at first. It is short and grows little: what an ended
-# watch missed counts as notified soon, and of many co-ordinators that ask some are rejected.
+# First backoff in seconds after a failed watch. It is short and grows slowly: changes that the watch missed count as
+# notified soon, and with many co-ordinators calling some calls are rejected.
 INITIAL_BACKOFF = 0.1
-# Growth of the backoff with each failure in a row.
+# Growth factor of the backoff with each consecutive failure.
 BACKOFF_GROWTH = 1.5
 # Longest backoff, seconds.
 MAX_BACKOFF = 2.0
-# From the second failure in a row on discovery is crowded: the backoff is at least so many seconds for each
-# co-ordinator, up to the longest. Calls that are refused take its time too: a fleet that asks again faster than they
-# are worked off keeps it crowded for good.
+# Minimum backoff per co-ordinator in seconds from the second consecutive failure on, when discovery is taken to be
+# overloaded; limited by the longest backoff. Rejected calls take discovery's time too, so that a fleet that calls
+# faster than they are processed would keep it overloaded.
 CROWDED_BACKOFF_PER_COORDINATOR = 0.05
-# Random spread of the backoff as factors, so that co-ordinators do not ask in step.
+# Jitter factors of the backoff, so that co-ordinators do not call in step.
 MIN_JITTER = 0.5
 MAX_JITTER = 1.5
-# The backoff is at most the time that is left over this: with its spread, several calls still fit in. ...
+# The remaining time is divided by this to limit the backoff, so that several calls fit into it despite the jitter.
 BACKOFFS_IN_TIME_LEFT = 8
-# ... In a large fleet two do, as long as there is much time: so places in discovery's queue are left to those ...
+# The same in a large fleet while much time remains, which leaves capacity of discovery to co-ordinators with less.
 CROWDED_BACKOFFS_IN_TIME_LEFT = 2
-# ... that have little of it. Seconds for each co-ordinator up to which that lengthens the backoff.
+# Limit per co-ordinator, in seconds, up to which the backoff is lengthened in a large fleet.
 LARGE_FLEET_BACKOFF_PER_COORDINATOR = 0.07
-# Shortest backoff for want of time, seconds.
+# Shortest backoff that the remaining time can lead to, seconds.
 MIN_URGENT_BACKOFF = 0.05
-# Calls a second that all co-ordinators together make at most, in the mean, if none of them has any time left.
+# Largest mean rate of calls of the whole fleet when no co-ordinator has time remaining, calls per second.
 MAX_FLEET_CALL_RATE = 6.0
-# Longest backoff for want of time, seconds.
+# Longest backoff when no time remains, seconds.
 MAX_URGENT_BACKOFF = 4 / 3
-# Time left that counts for a wait at most, seconds.
+# Upper bound for the remaining time in the computation of a call's timeout, seconds.
 MAX_TIME_LEFT = 6.0
-# A call that has not been answered gets another beside it after the time that is left over this ...
+# A call without an answer gets a further call beside it after the remaining time divided by this.
 WAITS_IN_TIME_LEFT = 3
-# ... but not sooner than this many seconds, as a place in discovery's queue is worth waiting for.
+# Shortest time in seconds before that further call, as a place in discovery's queue is worth waiting for.
 MIN_WAIT = 1.25
-# Where lists are pushed the backoff is at most the drain grace over this, as all changes count as notified
-# at once when discovery is back, ...
+# Where lists are pushed, the backoff is at most the drain grace divided by this, as all changes count as notified as
+# soon as discovery has recovered.
 PUSHED_BACKOFFS_PER_GRACE = 4
-# ... and a call waits for the grace over this before there is another beside it.
+# Where lists are pushed, a call without an answer gets a further call after the drain grace divided by this.
 PUSHED_WAITS_PER_GRACE = 2
-# Longest drain grace that counts for that, seconds.
+# Upper bound for the drain grace in both cases, seconds.
 MAX_PUSHED_GRACE = 6.0
-# Seconds after its lease ran out, or it last turned a part away, for which a replica is not sent to at all. Then it
-# is tried again, if there is no other: it may serve all the same, and discovery may be away for long.
+# Seconds for which a replica is excluded after the end of its lease or its last rejection. It is then tried again if
+# there is no other holder: it may still serve, and discovery may be unavailable for long.
 BAR_DURATION = 12.0
-# Seconds for which a peer's report that a replica drains or is gone holds; it is told again every 2 s.
+# Seconds for which a peer's drain report is valid; peers repeat it every 2 s.
 REPORT_LIFETIME = 6.0
-# Parts that a ready replica has served in the mean while the watch is down, from which on one that has shown nothing
-# is barred: where traffic is thinner, that it was not asked says nothing, and to bar it would cost whole shards.
+# Mean number of parts that each ready replica must have served while the watch is down before one that served none is
+# excluded. With less traffic a replica may not have been sent any part, and excluding it would lose whole shards.
 EXPECTED_PARTS_SERVED = 3.0
 
 
 class WatchTerms(NamedTuple):
-    """What the host of the decisions can do, and what it owes, in the watch of the endpoint list.
+    """Properties of the host's watch of the endpoint list.
 
-    `parallel_calls`: how many calls to discovery it can have waiting at once. `notified_within`: seconds after
-    discovery had a change, and could be reached, by when it counts as notified, arrived or not.
+    `parallel_calls`: number of calls to discovery that can be waiting at once. `notified_within`: seconds after which
+    a change counts as notified, received or not, from when discovery had it and could be reached.
     """
 
     parallel_calls: int = 1
@@ -87,15 +87,15 @@
 
 
 class WatchPhase(Enum):
-    """What has been heard of the watch."""
+    """State of the watch."""
 
-    PENDING = "pending"  # nothing yet, or nobody has asked
-    UP = "up"  # a list
-    DOWN = "down"  # since the last list: a failure, or no answer for too long
+    PENDING = "pending"  # nothing received yet, or not requested
+    UP = "up"  # a list has been received
+    DOWN = "down"  # since the last list a call failed or was not answered in time
 
 
 class MembershipWatch:
-    """The watch of the endpoint list, as far as it is decided upon."""
+    """Decides on the watch of the endpoint list, and whether replicas may be used while it is down."""
 
     def __init__(self, settings: api.Settings, context: BatchContext, terms: WatchTerms) -> None:
         self._context = context
@@ -111,14 +111,14 @@
         self._crowded_backoff = min(CROWDED_BACKOFF_PER_COORDINATOR * coordinators, MAX_BACKOFF)
         self._backoff = INITIAL_BACKOFF
         self._phase = WatchPhase.PENDING
-        self._known_at = -inf  # while it is not up: when all was known that discovery had then
-        self._served_parts = 0  # by all replicas, while it is not up
-        self.ready_replicas = 0  # in the endpoint list
-        self._calls = 0  # that have been asked for
+        self._known_at = -inf  # time up to which the list is known to be current, while the watch is not up
+        self._served_parts = 0  # parts served by all replicas while the watch is not up
+        self.ready_replicas = 0  # number of ready replicas in the endpoint list
+        self._calls = 0  # number of calls requested
         self._retry_pending = False
 
     def ask(self) -> None:
-        """Ask for the endpoint list and its changes; once more beside that, if no answer comes in time."""
+        """Request the endpoint list and its changes, and a further call if no answer comes in time."""
         self._retry_pending = False
         self._calls += 1
         self._context.actions.append(api.WatchMembership())
@@ -126,17 +126,17 @@
             self._context.set_timer(self._longest_wait(), partial(self._hedge, self._calls))
 
     def record_list(self) -> None:
-        """Note that a list has come, or a change, or word that there is none."""
+        """Record that a list, a change or a confirmation without changes was received."""
         self._backoff = INITIAL_BACKOFF
         self._phase = WatchPhase.UP
         self._served_parts = 0
 
     def on_interruption(self, event: api.WatchInterrupted) -> None:
-        """Take word that the watch has ended or fallen silent."""
+        """Process the end of a watch, or that no data was received on it."""
         self.record_failure(event.silent_for)
 
     def record_failure(self, silent_for: float = 0.0) -> None:
-        """Note that a call has failed, or that the watch last spoke so many seconds ago: ask again soon."""
+        """Record a failed call, or a watch on which the last data came `silent_for` seconds ago, and call again."""
         if self._phase is WatchPhase.UP:
             self._known_at = self._context.now - silent_for
         self._phase = WatchPhase.DOWN
@@ -151,7 +151,7 @@
 
     @property
     def is_up(self) -> bool:
-        """Whether a list has come on the watch since it last failed."""
+        """Whether a list has been received since the watch last failed."""
         return self._phase is WatchPhase.UP
 
     def record_served(self) -> None:
@@ -159,11 +159,11 @@
         self._served_parts += 1
 
     def is_doubtful(self, replica: KnownReplica) -> bool:
-        """Whether a replica may have begun to drain, or have gone, without this being known in time."""
+        """Whether a replica may be draining or removed while this co-ordinator cannot know of it."""
         return self._phase is WatchPhase.DOWN and self._has_lease_expired(replica)
 
     def is_barred(self, replica: KnownReplica) -> bool:
-        """Whether a replica is to be sent nothing: it drains, or what it may have begun counts as notified by now."""
+        """Whether a replica must not be sent to: reported as draining, or its lease has expired without service."""
         if not self.is_up and self._context.now < replica.reported_draining_at + REPORT_LIFETIME:
             return True
         if not self.is_doubtful(replica):
@@ -174,18 +174,18 @@
         return self._context.now < since + BAR_DURATION
 
     def _should_have_served(self) -> bool:
-        """Whether traffic is dense enough that each replica in service would have served something by now."""
+        """Whether there is enough traffic that each ready replica should have served a part by now."""
         return self._served_parts >= EXPECTED_PARTS_SERVED * max(self.ready_replicas, 1)
 
     def _has_lease_expired(self, replica: KnownReplica) -> bool:
         return self._polled and self._context.now > self._lease_end(replica)
 
     def _lease_end(self, replica: KnownReplica) -> float:
-        """Until when no change that is not known can count as notified."""
+        """Time until which no unknown change of the replica can count as notified."""
         return max(self._known_since(), replica.last_served_send_at) + self._notified_within
 
     def _hedge(self, call: int) -> None:
-        """Ask once more if the last call asked for is still without an answer."""
+        """Make a further call if the last one is still without an answer."""
         if call == self._calls and self._phase is not WatchPhase.UP and not self._retry_pending:
             self._phase = WatchPhase.DOWN
             self.ask()
@@ -194,7 +194,7 @@
         return max(self._known_at, self._context.started_at - CACHED_LIST_AGE)
 
     def _time_left(self) -> float:
-        """Seconds until what is not known yet may count as notified."""
+        """Seconds until a change that is still unknown may count as notified."""
         return self._known_since() + self._notified_within - self._context.now
 
     def _max_backoff(self) -> float:
@@ -212,5 +212,5 @@
 
 
 def _only_turns_away(replica: KnownReplica) -> bool:
-    """Whether a replica has turned parts away and served none that was sent later: one that drains does so."""
+    """Whether a replica has rejected parts and served none that was sent later, as a draining one does."""
     return replica.last_rejected_send_at > replica.last_served_send_at
--- a/gingervane/decisions/outlier_ejection.py
+++ b/gingervane/decisions/outlier_ejection.py
@@ -1,7 +1,7 @@
-"""Outlier ejection: replicas whose parts fail or are late are left out of selection for a while.
+"""Outlier ejection: excludes replicas whose parts fail or are late from selection for a while.
 
-Evidence is a failure score for each replica. Bad parts raise it, good ones lower it, and it fades. Peers'
-reports make up for thin evidence of one's own.
+The evidence is a failure score per replica: failed parts raise it, successful parts lower it, and it decays over
+time. Peers' reports supplement a co-ordinator's own evidence where that is scarce.
 """
 
 from __future__ import annotations
@@ -13,44 +13,44 @@
 from gingervane.decisions.replica_state import KnownReplica
 from gingervane.decisions.sliding_window import TRAFFIC_WINDOW, SlidingWindowCount
 
-# Seconds in which a failure score halves (docs/design.md, outlier ejection).
+# Half-life of a failure score, seconds (docs/design.md, outlier ejection).
 SCORE_HALF_LIFE = 2.0
-# Failure score above which a replica is ejected: one bad part is enough unless good ones vouch for it.
+# Failure score above which a replica is ejected: one failed part suffices unless successful parts outweigh it.
 EJECTION_SCORE = 0.6
-# Lowest failure score, so that no replica has more than one good part to its credit.
+# Lowest failure score, so that a replica is never credited with more than one successful part.
 MIN_SCORE = -1.0
 # Largest share of the ready replicas that may be ejected (docs/design.md).
 MAX_EJECTED_SHARE = 0.5
-# Shortest ejection, seconds; doubled at each failed trial (docs/design.md).
+# Shortest ejection in seconds; the duration doubles with each failed trial (docs/design.md).
 MIN_EJECTION = 2.0
 # Longest ejection, seconds (docs/design.md).
 MAX_EJECTION = 16.0
-# Weight of a bad part of one's own.
+# Weight of a failed part of this co-ordinator.
 FAILURE_WEIGHT = 1.0
-# Weight of a part rejected for a full queue, as a share of a bad part (docs/design.md).
+# Weight of a part rejected because of a full queue, relative to a failed part (docs/design.md).
 REJECTION_WEIGHT = 0.34
-# Largest weight of one peer's report, as a share of a bad part (docs/design.md).
+# Largest weight of one peer's report, relative to a failed part (docs/design.md).
 MAX_REPORT_WEIGHT = 0.34
-# Parts that the fleet is taken to send to a replica at least, so that they can be divided by.
+# Lower bound for the estimated number of parts that the fleet sends to a replica, as it is divided by.
 MIN_FLEET_PARTS = 1e-6
-# Parts that the rate of parts counts at least where reports are weighed: a new process would take the little
-# that it has sent for little that is sent, and two reports ejected a replica there, for long.
+# Lower bound for the number of sent parts in the rate that weighs reports. A new process has sent little; without the
+# bound it would underestimate the fleet's traffic, and eject a replica for a long time after only two reports.
 MIN_PARTS_FOR_REPORTS = 20
-# Shortest time over which the rate of parts is taken, seconds.
+# Shortest time over which the rate of parts is computed, seconds.
 MIN_RATE_SPAN = 1 / TRAFFIC_WINDOW
 
-# A report is the replica's id in this many bytes, most significant first, and one of the words below.
+# A report is the replica's id in this many bytes (big-endian), followed by one of the report kinds below.
 REPORT_ID_BYTES = 8
-# It was ejected for other reasons than that it does not respond.
+# The replica was ejected for a reason other than a missing response.
 REPORT_FAILING = b""
-# It was ejected because it does not respond.
+# The replica was ejected because it does not respond.
 REPORT_UNRESPONSIVE = b"\1"
-# A trial there went well.
+# A trial at the replica succeeded.
 REPORT_RECOVERED = b"\2"
 
 
 class OutlierDetector:
-    """Ejects and reinstates replicas, and tells peers of both."""
+    """Ejects and reinstates replicas, and reports both to peers."""
 
     def __init__(
         self,
@@ -68,11 +68,11 @@
     def record_outcome(
         self, replica: KnownReplica, failure_weight: float, reason: api.EjectionReason | None = None
     ) -> None:
-        """Learn from a part: a bad one may eject, a good one reinstates.
+        """Update the failure score from the outcome of a part; a failure may eject, a success reinstates.
 
-        A part is bad if it failed, got no response or was overtaken by a hedge. `failure_weight` is 0 for a
-        good one. Nothing is concluded during an ejection but from a good part;
-        after it one bad trial ejects for twice as long.
+        A part counts as failed if it failed, got no response or lost to a hedge; `failure_weight` is 0 for a
+        successful one. During an ejection only a success counts; after its end, one failed trial ejects the replica
+        again for twice as long.
         """
         if replica.ejected_for and not failure_weight:
             self._reinstate(replica)
@@ -87,7 +87,7 @@
             self._eject(replica, self._first_ejection_duration(), failure_weight, reason)
 
     def on_peer_message(self, event: api.PeerMessageReceived) -> None:
-        """Take a peer's report that a replica is an outlier, or has recovered."""
+        """Process a peer's report that a replica is an outlier or has recovered."""
         replica = self._membership.replicas.get(int.from_bytes(event.payload[:REPORT_ID_BYTES], "big"))
         report = event.payload[REPORT_ID_BYTES:]
         if not replica:
@@ -103,18 +103,18 @@
     def _report_weight(self) -> float:
         """Weight of one report.
 
-        A bad part of one of many peers is little among all that the fleet sends to the replica. Reports weigh
-        as failures do for the circuit breaker, as a share of parts.
+        A failed part at one of many peers is little evidence compared with all the parts that the fleet sends to the
+        replica. As in the circuit breaker, failures count relative to the number of parts.
         """
         fleet_rate = self._rate(MIN_PARTS_FOR_REPORTS) * self._coordinator_count
         sent = fleet_rate * SCORE_HALF_LIFE / max(self._membership.ready_count, 1)
         return min(MAX_REPORT_WEIGHT, EJECTION_SCORE / max(OPEN_RATIO * sent, MIN_FLEET_PARTS))
 
     def _adjust_ejection(self, replica: KnownReplica, weight: float) -> None:
-        """Let reports prolong or end an ejection, as trials by each co-ordinator alone add up.
+        """Prolong or end an ejection by peers' reports, which combine the trials of all co-ordinators.
 
-        As much evidence as ejects a replica keeps it out for another shortest ejection, without doubling,
-        which is for own trials; as much to the contrary reinstates it.
+        Evidence that would eject a replica prolongs the ejection by the shortest ejection, without doubling it, as
+        doubling is for this co-ordinator's own trials. As much evidence to the contrary reinstates the replica.
         """
         self._add_evidence(replica, weight)
         if not replica.ejected_for:
@@ -126,27 +126,30 @@
             replica.failure_score = 0.0
 
     def _rate(self, min_parts: int) -> float:
-        """Parts a second that this co-ordinator has sent of late, counted as `min_parts` at least."""
+        """Parts per second that this co-ordinator has recently sent, computed from at least `min_parts`."""
         now = self._context.now
         parts = max(self._first_sends.count(now), min_parts)
         return parts / min(max(now - self._context.started_at, MIN_RATE_SPAN), TRAFFIC_WINDOW)
 
     def _add_evidence(self, replica: KnownReplica, weight: float) -> None:
-        """Add to a failure score what has been learned; good parts vouch for a replica only for a while."""
+        """Add a weight to a failure score after its decay; the credit of successful parts decays too."""
         now = self._context.now
         replica.failure_score *= 0.5 ** ((now - replica.failure_score_at) / SCORE_HALF_LIFE)
         replica.failure_score = max(replica.failure_score + weight, MIN_SCORE)
         replica.failure_score_at = now
 
     def _may_eject(self, reason: api.EjectionReason | None) -> bool:
-        """Whether one more may be ejected: always if unreachable, as it is then of no use to anybody."""
+        """Whether one more replica may be ejected; always if it is unreachable, as it cannot serve in any case."""
         if reason is api.EjectionReason.CONNECT_FAILED:
             return True
         ejected = sum(r.ready and r.ejected_for > 0 for r in self._membership.replicas.values())
         return ejected + 1 <= MAX_EJECTED_SHARE * self._membership.ready_count
 
     def _first_ejection_duration(self) -> float:
-        """Seconds, at least as many as the next part for it takes to come to those who would report on it."""
+        """Seconds of a first ejection.
+
+        It lasts at least as long as the next part for the replica takes to reach a co-ordinator that reports on it.
+        """
         observers = self._coordinator_count if self._gossip_allowed else 1
         return max(MIN_EJECTION, self._membership.ready_count / self._rate(1) / observers)
 
@@ -165,16 +168,16 @@
             replica.endpoint.id, replica.ejected_for, reason or api.EjectionReason.ERROR
         )
         self._context.actions.append(ejected)
-        if failure_weight == FAILURE_WEIGHT:  # reports of peers are not passed on
+        if failure_weight == FAILURE_WEIGHT:  # an ejection caused by peers' reports is not reported again
             unresponsive = replica.last_unresponsive_at == now
             self._send_report(replica, REPORT_UNRESPONSIVE if unresponsive else REPORT_FAILING)
 
     def _reinstate(self, replica: KnownReplica) -> None:
         """End an ejection.
 
-        What did not respond for long may have restarted before the list says so: it is spared where another
-        holder is left. Without the comparison, what was slow, or is ejected for long as parts for it are
-        rare, would be taken for cold.
+        A replica that was unresponsive for long may have restarted before the endpoint list shows it, so it is spared
+        where another holder is available. The condition on that duration keeps replicas that were merely slow, or are
+        ejected for long because their traffic is thin, from being treated as cold.
         """
         if replica.last_unresponsive_at - replica.ejected_at > MIN_EJECTION:
             replica.suspected_restart_at = self._context.now
--- a/gingervane/decisions/query_completion.py
+++ b/gingervane/decisions/query_completion.py
@@ -1,4 +1,4 @@
-"""Ends queries, and steps of queries, as soon as their end is known."""
+"""Completes queries and their steps as soon as the outcome is known."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from gingervane.decisions.completeness import QueryState, is_complete, may_answer
 from gingervane.decisions.query_state import Query
 
-# Timer granularities before a moment at which to act, so that the action is in time though a timer is late.
+# Number of timer granularities by which a timer is set early, so that the action is in time even if it fires late.
 TIMER_MARGIN = 2
 
 
 class QueryCompletion:
-    """The queries that are not settled yet, and what settles them."""
+    """The open queries, and the rules by which they complete."""
 
     def __init__(
         self,
@@ -29,19 +29,20 @@
         self._admission = admission
         self._dispatcher = dispatcher
         self._margin = TIMER_MARGIN * settings.timer_granularity
-        self.queries = dict[int, Query]()  # by id
+        self.queries = dict[int, Query]()  # open queries by id
         self.queries_by_number = dict[int, Query]()
 
     def open(self, query: Query) -> None:
-        """Keep a query until it is settled."""
+        """Keep a query until it completes."""
         self.queries[query.arrived.id] = query
         self.queries_by_number[query.arrived.number] = query
 
     def update(self, query: Query) -> None:
-        """End what can be: with enough for a complete answer, with all there is to come, or for want of it.
+        """Answer the query's step or end the query if its outcome is known.
 
-        Between its steps a query has no parts, which says nothing of what was received: a timer that came
-        just then once took no open part for all parts received, and answered without any.
+        It is known if the parts suffice for a complete answer, if a partial answer is due or no further part can
+        come, or if no answer is possible. Between its steps a query has no parts, which does not mean that all parts
+        were received: without the check a timer that fires then would give an answer without any part.
         """
         if not query.state.has_parts:
             return
@@ -60,7 +61,7 @@
                 self._answer(query, False, api.QueryEndReason.PARTIAL_NO_MORE_PARTS)
 
     def _partial_answer_pays(self, query: Query) -> bool:
-        """Whether a partial answer now is worth more than a complete one that misses the objective."""
+        """Whether a partial answer now is worth more than a complete answer after the objective."""
         if self._context.now < query.objective_at - self._margin:
             return False
         query_class = query.query_class
@@ -68,7 +69,7 @@
         return value > query_class.late_weight
 
     def on_deadline(self, query: Query) -> None:
-        """Time is nearly up: a partial answer where the class permits one, else none."""
+        """Shortly before the deadline, give a partial answer if the class permits one, else none."""
         if may_answer(query.query_class, query.state, query.coverage):
             self._answer(query, False, api.QueryEndReason.PARTIAL_AT_DEADLINE)
         elif not query.settled:
@@ -84,7 +85,7 @@
             self.close(query)
 
     def reject_or_fail(self, query: Query, reason: api.QueryEndReason) -> None:
-        """End a query without an answer: rejected where to try again is harmless, else failed."""
+        """End a query without an answer: rejected if a retry is harmless, failed otherwise."""
         harmless = query.query_class.retry_safety is api.RetrySafety.IDEMPOTENT or not any(
             part.may_have_run for part in query.parts
         )
@@ -95,20 +96,20 @@
         self.close(query)
 
     def _retry_after(self) -> float:
-        """Seconds after which to try again; 0 where advice is not allowed."""
+        """Advised seconds before a client retry; 0 if advice is not allowed."""
         if not self._settings.retry_after_allowed:
             return 0.0
         expected = max(self._admission.expected_latency(), self._settings.timer_granularity)
         return min(self._settings.max_retry_after, expected)
 
     def abandon(self, query_id: int) -> None:
-        """Let go of a query whose client waits no longer."""
+        """Close a query whose client has disconnected."""
         query = self.queries.get(query_id)
         if query is not None:
             self.close(query)
 
     def close(self, query: Query) -> None:
-        """Settle a query and cancel what is still out of it."""
+        """Remove a query and cancel its open attempts."""
         del self.queries[query.arrived.id]
         del self.queries_by_number[query.arrived.number]
         self._cancel_parts(query)
--- a/gingervane/decisions/query_state.py
+++ b/gingervane/decisions/query_state.py
@@ -1,4 +1,4 @@
-"""The records of queries, their parts and the attempts at each part, and the states of a query."""
+"""Records of queries, their parts and the attempts at each part."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 
 @dataclass(eq=False, slots=True)
 class Attempt:
-    """One sending of a part to a replica."""
+    """One attempt to get a part from a replica."""
 
     part: Part
     number: int
     replica: KnownReplica
     request: RequestKey
     hedged: bool
-    idle_before: float  # seconds for which nothing had been sent to the replica
-    requests_ahead: int  # requests of earlier batches open there when it was sent
+    idle_before: float  # idle time in seconds of the replica's connections before this send
+    requests_ahead: int  # requests of earlier batches that were open at the replica at this send
     open: bool = True  # neither ended nor cancelled
-    hedge_delays: int = 0  # how many have passed since it was sent
+    hedge_delays: int = 0  # number of hedge delays that have passed since the send
 
 
 @dataclass(eq=False, slots=True)
@@ -33,23 +33,23 @@
     query: Query
     first_sent_at: float
     attempts_made: int = 0
-    attempts_not_sent: int = 0  # of them, those that ended before they left
-    attempts: list[Attempt] = field(default_factory=list)  # not ended yet
+    attempts_not_sent: int = 0  # number of those that ended before they were sent
+    attempts: list[Attempt] = field(default_factory=list)  # attempts that have not ended
     tried_replicas: list[KnownReplica] = field(default_factory=list)
-    # Send times by number of the attempts that are not proved to have had no effect.
+    # By attempt number: send times of the attempts that are not proved to have had no effect.
     may_have_run: dict[int, float] = field(default_factory=dict)
     done: bool = False
-    lost: bool = False  # no way left to have it
+    lost: bool = False  # no further attempt is possible
 
     @property
     def has_failed(self) -> bool:
-        """Whether it is out, and at ejected replicas alone: what they hold counts as failed, not as late."""
+        """Whether all its attempts are at ejected replicas, and there is one at least: these count as failed."""
         return bool(self.attempts) and all(attempt.replica.ejected_for for attempt in self.attempts)
 
 
 @dataclass(eq=False, slots=True, weakref_slot=True)
 class Query:
-    """A query and what has come of its present step."""
+    """A query and the state of its present step."""
 
     arrived: api.QueryArrived
     query_class: api.QueryClass
@@ -64,24 +64,24 @@
 
     @property
     def settled(self) -> bool:
-        """Whether the query has had its end."""
+        """Whether the query has completed."""
         return self.state is QueryState.SETTLED
 
     def wanted_by(self, now: float) -> float:
-        """Time by which a part sent now should be answered: the objective, or past it the deadline."""
+        """Time by which a part sent now should be answered: the objective, or after it the deadline."""
         return self.objective_at if now < self.objective_at else self.answer_by
 
     @property
     def coverage(self) -> Coverage:
-        """What has been received of the present step."""
+        """Coverage of the present step so far."""
         return Coverage(len(self.parts), self.parts_received, self.weight_requested, self.weight_received)
 
     def is_unanswerable(self) -> bool:
-        """Whether no answer is possible any more without the parts that are lost."""
+        """Whether no answer is possible without the parts that are lost."""
         return self._needs([p.arrived.weight for p in self.parts if p.lost and not p.done])
 
     def is_unanswerable_without(self, is_missing: Callable[[Part], bool]) -> bool:
-        """Whether no answer is possible without the parts that `is_missing` names."""
+        """Whether no answer is possible without the parts for which `is_missing` returns true."""
         return self._needs([p.arrived.weight for p in self.parts if is_missing(p) and not p.done])
 
     def _needs(self, missing: list[float]) -> bool:
@@ -94,7 +94,7 @@
         return not may_answer(self.query_class, self.state, best_case)
 
     def close_first_step(self, complete: bool) -> None:
-        """Answer the first step; the parts of the second come with a later batch."""
+        """Close the first step; the parts of the second step arrive in a later batch."""
         self.state = QueryState.BETWEEN_STEPS
         self.first_step_complete = complete
         self.parts = []
@@ -103,21 +103,21 @@
         self.weight_received = 0.0
 
     def add_part(self, part: Part) -> None:
-        """Add a part to the present step; the first one after a closed step begins the second step."""
+        """Add a part to the present step; the first part after a closed first step begins the second step."""
         if self.state is QueryState.BETWEEN_STEPS:
             self.state = QueryState.SECOND_STEP
         self.parts.append(part)
         self.weight_requested += part.arrived.weight
 
     def receive(self, part: Part) -> None:
-        """Count the result of a part."""
+        """Add a part to the received coverage."""
         self.parts_received += 1
         self.weight_received += part.arrived.weight
 
     def settle(self) -> None:
-        """End the query.
+        """Mark the query as completed.
 
-        The parts refer to the query; letting go of them frees both without the cycle collector.
+        Its parts refer to the query: dropping them here frees both without the cycle collector.
         """
         self.state = QueryState.SETTLED
         self.parts = []
--- a/gingervane/decisions/replica_selection.py
+++ b/gingervane/decisions/replica_selection.py
@@ -1,7 +1,7 @@
-"""Which replica gets a part.
+"""Selects the replica for each part.
 
-The holders of each shard in order of their ids are its positions. A query takes the position with the fewest
-open requests for all its parts, and a part leaves it only if its replica there should not be sent to.
+A shard's holders in order of their ids are its positions. A query uses the position with the fewest open requests for
+all its parts; a part uses another one only if its replica at that position should not be sent to.
 """
 
 from __future__ import annotations
@@ -16,23 +16,23 @@
 from gingervane.decisions.replica_state import KnownReplica
 from gingervane.decisions.slow_start import SlowStart
 
-# Age of a replica's oldest request, as a share of the time to the objective (past it: to the deadline), from
-# which on a new part behind it would be late (docs/design.md, head-of-line blocking).
+# Age of a replica's oldest request above which a new part queued behind it would be late, as a share of the time to
+# the objective or, after it, to the deadline (docs/design.md, head-of-line blocking).
 MAX_REQUEST_AGE = 0.35
-# Open requests that sending to another zone counts as (docs/design.md, own-zone candidate).
+# Cost of sending to another zone, in open requests (docs/design.md, own-zone candidate).
 ZONE_CROSSING_COST = 0.5
-# Relative latency, as a multiple of the best holder's, above which a replica is left for it
+# Relative latency, as a multiple of the best holder's, above which a replica is not used if it has a substitute
 # (docs/design.md, relative latency).
 MAX_RELATIVE_LATENCY = 2.5
-# Share of a query's parts, one at least, that may be sent to ejected replicas as trials (docs/design.md,
-# probation).
+# Share of a query's parts that may be sent to ejected replicas as trials; one part is always permitted
+# (docs/design.md, probation).
 MAX_TRIAL_SHARE = 0.10
 
 
 def is_head_of_line_blocked(replica: KnownReplica, query: Query, now: float) -> bool:
-    """Whether the replica's oldest request is old, against the time in which a part of the query is wanted.
+    """Whether the replica's oldest request is too old, relative to the time in which a part should be answered.
 
-    Requests that later ones have overtaken do not count: their parts are lost, not queued.
+    Requests older than an answered one do not count: their parts are lost and not queued.
     """
     answered = replica.last_answered_send_at
     oldest = next((key.sent_at for key in replica.requests if key.sent_at > answered), now)
@@ -49,10 +49,10 @@
         self._context = context
         self._membership = membership
         self._slow_start = slow_start
-        self._trials = 0  # parts sent to ejected replicas in this batch
+        self._trials = 0  # number of parts sent to ejected replicas in this batch
 
     def begin_batch(self) -> None:
-        """Forget the trials of the last batch."""
+        """Reset the count of trials."""
         self._trials = 0
 
     def record_send(self, replica: KnownReplica) -> None:
@@ -60,15 +60,15 @@
         self._trials += replica.ejected_for > 0
 
     def has_holder(self, part: Part) -> bool:
-        """Whether some holder of the part may be sent to."""
+        """Whether the part has a holder that may be sent to."""
         may_send = self._slow_start.may_send
         return any(may_send(replica) for replica in self._membership.holders(part.arrived.shard))
 
     def is_preferred(self, replica: KnownReplica, query: Query) -> bool:
-        """Whether a part of the query should go to the replica if it is its turn.
+        """Whether the replica may be sent a part of the query without reservations.
 
-        It must surely serve, be healthy or due for a trial, not blocked and not cold. A query of many parts that
-        tried all ejected replicas at once would wait for each, so trials are few.
+        Its lease must be valid, and it must be healthy or due for a trial, not blocked and not cold. Trials are
+        limited, as a query with parts at all ejected replicas would wait for each of them.
         """
         now = self._context.now
         if self._membership.watch.is_doubtful(replica):
@@ -82,10 +82,10 @@
         return self._slow_start.may_send(replica, conservative=True)
 
     def substitute(self, part: Part) -> KnownReplica | None:
-        """Another holder than those that the part is out at.
+        """Another holder of the part, at which it is not open; None if there is none.
 
-        One that is preferred and untried comes first, then any preferred one, then any that may be sent to, and last
-        those that may drain: a part sent to one of them is turned away at best.
+        Preferred and untried replicas come first, then other preferred ones, then any that may be sent to, and last
+        those with an expired lease: a draining one would reject the part at best.
         """
         occupied = [attempt.replica for attempt in part.attempts]
         others = [
@@ -111,22 +111,22 @@
         holders = [self._usable_holders(part) for part in parts]
         positions = max(map(len, holders), default=1)
         candidates = [[row[index % len(row)] for row in holders] for index in range(positions)]
-        # One candidate more, of the holders in the own zone where there are any, saves the price of crossing.
+        # A further candidate consists of holders in the own zone where there are any: it avoids the zone cost.
         own_zone = [[r for r in row if r.endpoint.zone == self._zone] or row for row in holders]
         if own_zone != holders:
             candidates.append([row[self._context.batch % len(row)] for row in own_zone])
         loads = [sum(map(self._load, candidate)) for candidate in candidates]
-        # At random among equals: many idle co-ordinators must not all take the same position.
+        # Ties are broken at random, so that many idle co-ordinators do not all choose the same position.
         random = self._context.random.random
         best = min(range(len(candidates)), key=lambda index: (loads[index], random()))
         return candidates[best]
 
     def _load(self, replica: KnownReplica) -> float:
-        """Open requests of a replica, and the price of crossing to its zone."""
+        """Open requests of a replica plus the cost of sending to its zone."""
         return len(replica.requests) + ZONE_CROSSING_COST * (replica.endpoint.zone != self._zone)
 
     def _usable_holders(self, part: Part) -> list[KnownReplica]:
-        """The part's holders by position, with a substitute in place of each that should not be sent to."""
+        """The part's holders by position, with a substitute for each one that should not be sent to."""
         query = part.query
         now = self._context.now
         holders = self._membership.holders(part.arrived.shard)
--- a/gingervane/decisions/retry_budget.py
+++ b/gingervane/decisions/retry_budget.py
@@ -1,4 +1,4 @@
-"""The budget of further attempts: retries and hedges, bounded by the parts and queries that came."""
+"""The retry budget: bounds further attempts (retries and hedges) by the parts and queries received."""
 
 from __future__ import annotations
 
@@ -6,23 +6,22 @@
 from gingervane.decisions.batch_context import BatchContext
 from gingervane.decisions.sliding_window import SlidingWindowCount
 
-# Share of the budget's free attempts that hedges must leave to retries (docs/design.md, retries before
-# hedges).
+# Share of the budget's free attempts that is reserved for retries (docs/design.md, retries before hedges).
 RESERVED_FOR_RETRIES = 1 / 2
 
 
 def time_margin(settings: api.Settings) -> float:
-    """Seconds by which to stay on the safe side of a stated window.
+    """Safety margin, in seconds, for a time window that the platform checks.
 
-    An attempt may leave later than it was decided, and the host's timers have a granularity.
+    It covers the delay between the decision and the send of an attempt, and the granularity of the host's timers.
     """
     return settings.timer_granularity + settings.max_send_delay
 
 
 class RetryBudget:
-    """Counts requests and further attempts, each on the safe side of the stated window.
+    """Counts requests and further attempts, both conservatively.
 
-    Attempts count for longer than the window by the time margin, requests for that much less.
+    Further attempts count for the window plus the time margin, requests for the window less the margin.
     """
 
     def __init__(self, settings: api.Settings, context: BatchContext) -> None:
@@ -35,15 +34,15 @@
         self._requests = SlidingWindowCount(window - margin)
 
     def record_request(self) -> None:
-        """Count a query or a part that came."""
+        """Count a query or a part that arrived."""
         self._requests.add(self._context.now)
 
     def record_further_attempt(self) -> None:
-        """Count an attempt at a part that is not its first."""
+        """Count an attempt at a part other than its first."""
         self._further_attempts.add(self._context.now)
 
     def allows_further_attempt(self, hedged: bool) -> bool:
-        """Whether the budget has room for a retry, or with more to spare for a hedge."""
+        """Whether the budget permits a retry, or, with the reserve for retries kept, a hedge."""
         now = self._context.now
         if self._free is None:
             return True
--- a/gingervane/decisions/sliding_window.py
+++ b/gingervane/decisions/sliding_window.py
@@ -1,4 +1,4 @@
-"""Counts and samples of what happened lately."""
+"""Counts and samples over a sliding window."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 from collections import deque
 from collections.abc import Iterable
 
-# Seconds over which traffic, hedges and failures are counted (docs/design.md).
+# Window in seconds over which traffic, hedges and failures are counted (docs/design.md).
 TRAFFIC_WINDOW = 10.0
-# Number of latencies that a ranking holds (docs/design.md).
+# Largest number of latency samples in a ranking (docs/design.md).
 MAX_SAMPLES = 200
 
 
 class SlidingWindowCount:
-    """How many things happened in the last `span` seconds."""
+    """Number of events in the last `span` seconds."""
 
     __slots__ = ("_span", "_times")
 
@@ -22,14 +22,14 @@
         self._times = deque[float]()
 
     def add(self, now: float) -> None:
-        """Count one thing that happened at `now`."""
+        """Count an event at `now`."""
         self._times.append(now)
-        # A window that is added to and seldom read would otherwise grow without bound.
+        # Expired times are removed here too: a window that is seldom read would otherwise grow without bound.
         if self._times[0] < now - self._span:
             self.count(now)
 
     def count(self, now: float) -> int:
-        """Forget what is older than the window, and return how many things are left."""
+        """Remove events older than the window and return the number of the others."""
         while self._times and self._times[0] < now - self._span:
             self._times.popleft()
         return len(self._times)
@@ -38,7 +38,7 @@
 class RankedSamples(deque[float]):
     """The last `MAX_SAMPLES` values in order of arrival, and the same values sorted in `ranked`.
 
-    The sorted list is kept up with each value, because sorting at each look would cost the most CPU of all.
+    The sorted list is updated with each value, because sorting at each read would dominate the CPU time.
     """
 
     def __init__(self) -> None:
@@ -46,7 +46,7 @@
         self.ranked = list[float]()
 
     def append(self, value: float) -> None:
-        """Add a value; the oldest one goes if there are too many."""
+        """Add a value; if the samples are full, the oldest one is removed."""
         if len(self) == MAX_SAMPLES:
             del self.ranked[bisect_left(self.ranked, self[0])]
         super().append(value)
--- a/gingervane/decisions/slow_start.py
+++ b/gingervane/decisions/slow_start.py
@@ -1,9 +1,9 @@
-"""Slow start: how much a replica that has just started may be sent.
+"""Slow start: limits what a recently started replica is sent.
 
-In each batch a cold replica is drawn at random: the chance that it may be sent a part is the share of its
-capacity that it surely has by the stated ramp. Tokens bound that. Drawing alone would not do against clients
-that come again and again, and saving up tokens alone comes late where parts for a replica are rare: what it
-leaves falls on the others.
+In each batch a random number is drawn for each cold replica. The probability that it may be sent a part is the share
+of its capacity that it is sure to have by the stated ramp. Tokens bound the result. Drawing alone would not hold
+against clients that retry repeatedly. Tokens alone would be saved up too slowly where parts for a replica are rare,
+and the load that it does not take would fall on the other replicas.
 """
 
 from __future__ import annotations
@@ -14,18 +14,18 @@
 from gingervane.decisions.replica_state import KnownReplica
 from gingervane.decisions.sliding_window import TRAFFIC_WINDOW, SlidingWindowCount
 
-# Parts that a cold replica may be sent before they are earned, as the draw comes unevenly (docs/design.md).
+# Parts that a cold replica may be sent before they are earned, as the random draws are uneven (docs/design.md).
 MAX_TOKEN_DEBT = 1.0
-# Tokens that can be saved up, in parts (docs/design.md).
+# Largest number of tokens that can be saved up, in parts (docs/design.md).
 MAX_TOKENS = 1.0
-# Parts that all co-ordinators together may send in the overload window though nothing is answered.
+# Parts that all co-ordinators together may send per overload window even if nothing is answered.
 MIN_PARTS_PER_OVERLOAD_WINDOW = 0.5
-# Parts that are added to both sides of the ratio of answers, so that few parts tell little.
+# Parts added to both sides of the answer ratio, so that a few parts change it little.
 ANSWER_RATIO_PRIOR = 20
 
 
 class SlowStart:
-    """Says whether a replica may be sent a part, and how much a ready replica has been sent."""
+    """Decides whether a replica may be sent a part, and tracks how many parts a ready replica has answered."""
 
     def __init__(self, settings: api.Settings, context: BatchContext, membership: Membership) -> None:
         self._context = context
@@ -33,35 +33,35 @@
         self._initial_capacity = settings.slow_start_capacity
         self._duration = settings.slow_start_duration
         self._overload_window = settings.overload_window
-        # Half of what pushes it over; the other half is for uneven shards and late lists.
+        # Half of the multiple that overloads a replica; the other half is a margin for uneven shards and stale lists.
         self._safe_multiple = settings.overload_multiple / 2
         self._coordinator_count = settings.coordinator_count
-        # Parts of this co-ordinator that a ready replica has answered, in the mean.
+        # Mean number of this co-ordinator's parts that a ready replica has answered.
         self.answered_per_replica = 0.0
         self._requested = SlidingWindowCount(TRAFFIC_WINDOW)
         self._answered = SlidingWindowCount(TRAFFIC_WINDOW)
 
     def record_request(self) -> None:
-        """Count a part that a query asks for."""
+        """Count a part that a query requests."""
         self._requested.add(self._context.now)
 
     def record_answer(self) -> None:
-        """Count a part that was answered. Answers alone buy tokens, so that a storm of retries buys none."""
+        """Count an answered part. Only answers earn tokens, so that a storm of retries earns none."""
         self.answered_per_replica += 1 / max(self._membership.ready_count, 1)
         self._answered.add(self._context.now)
 
     def record_unservable(self, parts: int) -> None:
         """Count parts that no replica may be sent.
 
-        They buy tokens too: where all holders of a shard are cold nothing is answered, and it stayed so.
+        They earn tokens too: where all holders of a shard are cold, nothing would ever be answered otherwise.
         """
         self.answered_per_replica += parts / max(self._membership.ready_count, 1)
 
     def may_send(self, replica: KnownReplica, conservative: bool = False) -> bool:
-        """Whether a replica is ready, as far as is known, and, if cold, not near what would push it over.
+        """Whether a replica is ready, is not excluded and, if cold, is not close to overload.
 
-        `conservative`: nor may it be sent more than its share of what a ready replica gets, nor anything if
-        it is suspected of having restarted.
+        If `conservative`, a cold replica is also limited to its share of what a ready replica gets, and one that is
+        suspected of a restart is refused.
         """
         now = self._context.now
         if self._membership.watch.is_barred(replica):
@@ -79,8 +79,8 @@
             replica.slow_start_sample_batch = self._context.batch
             replica.slow_start_sample = self._context.random.random()
         self._refill_tokens(replica, capacity)
-        # Each client retry is one more draw, at all co-ordinators, and answers none of them: no more is drawn
-        # than half of what pushes the replica over, as answers come.
+        # Each client retry leads to one more draw, at all co-ordinators, without an answer. The probability is
+        # therefore limited to half of the multiple that overloads the replica, in relation to the answers.
         now = self._context.now
         answered = self._answered.count(now) + ANSWER_RATIO_PRIOR
         answer_ratio = answered / (self._requested.count(now) + ANSWER_RATIO_PRIOR)
@@ -89,11 +89,11 @@
         return drawn or (replica.slow_start_tokens >= MAX_TOKENS and not conservative)
 
     def _refill_tokens(self, replica: KnownReplica, capacity: float) -> None:
-        """Add what the replica has earned since the last time.
+        """Add the tokens that the replica has earned since the last refill.
 
-        Parts are counted one by one, as a rate over seconds is nought to a co-ordinator that has a query in
-        seconds. Each of many co-ordinators has its own share of the sum whatever its rate: their floors
-        together allow half a part in the overload window, and each starts with a random number of tokens.
+        Answered parts are counted individually, because a rate per second is zero at a co-ordinator that has a query
+        only every few seconds. Each co-ordinator also has an equal share of a fleet-wide floor whatever its rate: all
+        floors together allow half a part per overload window. Each starts with a random number of tokens.
         """
         now = self._context.now
         floor = (
--- a/gingervane/interface.py
+++ b/gingervane/interface.py
@@ -1,8 +1,7 @@
-"""Types that the decision engine deals in: its settings, its events and its actions.
+"""Types of the decision engine: its settings, its events and its actions.
 
-Nothing here decides anything, and what is tuned has no default here: a host fills in every field, and the
-tuned values stand in the modules of the package `decisions` that use them. Times are seconds of the host's
-clock.
+This module contains no decisions and no tuned defaults: the host sets every field, and the tuned constants
+are in the modules of the package `decisions` that use them. Times are seconds of the host's clock.
 """
 
 from __future__ import annotations
@@ -14,7 +13,7 @@
 
 
 class RetrySafety(Enum):
-    """Whether a part that may have run may be sent again: always, within the window of its key, or never."""
+    """Whether a part that may have run may be sent again: always, within its idempotency window, or never."""
 
     IDEMPOTENT = "safe"
     IDEMPOTENCY_KEY = "keyed"
@@ -22,7 +21,7 @@
 
 
 class ReplicaState(Enum):
-    """State of a replica in the endpoint list: in service, in graceful shutdown, or removed."""
+    """State of a replica in the endpoint list: ready, in graceful shutdown, or removed."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -30,9 +29,9 @@
 
 
 class MembershipUpdateKind(Enum):
-    """How a membership event relates to the endpoint list held so far.
+    """How a membership event changes the endpoint list.
 
-    It changes some lines, replaces the list, replaces it by a cached one, or says that a call failed.
+    It updates some entries, replaces the list, replaces it by a cached one, or reports a failed call.
     """
 
     DELTA = "delta"
@@ -42,7 +41,7 @@
 
 
 class AttemptOutcome(Enum):
-    """How one attempt ended."""
+    """How an attempt ended."""
 
     OK = "ok"
     ERROR = "error"
@@ -55,12 +54,12 @@
 
     @property
     def never_ran(self) -> bool:
-        """Whether this outcome proves that the part had no effect: a fact of the protocol, not a choice."""
+        """Whether this outcome proves that the part had no effect. This follows from the protocol."""
         return self in (AttemptOutcome.REJECTED, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.NEVER_SENT)
 
 
 class EjectionReason(Enum):
-    """Why a replica was ejected from selection for a while."""
+    """Why a replica was ejected from selection."""
 
     ERROR = AttemptOutcome.ERROR.value
     REJECTED = AttemptOutcome.REJECTED.value
@@ -73,9 +72,9 @@
 
 
 class QueryEndReason(Enum):
-    """Why a query ended as it did: the closed set that logs and counters use.
+    """Why a query ended as it did: the closed set of reasons in logs and counters.
 
-    The decision engine gives the first group, its host the second.
+    The decision engine sets the first group, its host the second.
     """
 
     UNSTATED = "unstated"
@@ -96,7 +95,7 @@
 
 
 class QueryClass(NamedTuple):
-    """What the site states for one class of queries. Coverage is a share of the weight of a step's parts."""
+    """The site's requirements for a query class. Coverage is a share of the weight of a step's parts."""
 
     latency_objective: float
     deadline: float
@@ -111,7 +110,7 @@
 
 
 class Settings(NamedTuple):
-    """What a co-ordinator is given once, when it starts. `None`: the site does not have it."""
+    """Settings that a co-ordinator receives at its start. `None`: the site does not have the feature."""
 
     coordinator_count: int
     zone: int
@@ -131,18 +130,18 @@
     slow_start_capacity: float
     slow_start_duration: float
     overload_window: float
-    overload_multiple: float  # of a cold replica's capacity: sent more for `overload_window`, it falls over
+    overload_multiple: float  # multiple of a cold replica's capacity that overloads it in `overload_window`
     retry_budget_free: float | None
     retry_budget_share: float | None
     retry_budget_window: float | None
-    max_send_delay: float = 0.0  # seconds by which an attempt may leave later than it was decided, at most
+    max_send_delay: float = 0.0  # longest delay in seconds between the decision and the send of an attempt
     drain_grace: float = (
-        inf  # seconds after the notice that a replica drains in which it may still be sent to
+        inf  # seconds after the notification of a drain in which the replica may still be sent to
     )
 
 
 class Replica(NamedTuple):
-    """One line of the endpoint list."""
+    """One entry of the endpoint list."""
 
     id: int
     cell: int
@@ -153,16 +152,17 @@
 
 
 class MembershipChanged(NamedTuple):
-    """News of the endpoint list, or of the failure of its watch."""
+    """An update of the endpoint list, or the failure of its watch."""
 
     kind: MembershipUpdateKind
     replicas: tuple[Replica, ...]
 
 
 class WatchInterrupted(NamedTuple):
-    """A watch that has brought a list ended or fell silent: its last line came `silent_for` seconds ago.
+    """A watch that had delivered a list ended or stalled; its last data came `silent_for` seconds ago.
 
-    One that fell silent may stay open. If it speaks again, `MembershipChanged` says so, maybe with no lines.
+    A stalled watch may stay open. If data is received again, `MembershipChanged` follows, possibly without
+    entries.
     """
 
     silent_for: float
@@ -182,7 +182,7 @@
 
 
 class PartArrived(NamedTuple):
-    """A part of a query: of its first step with the query, of its second with a later batch."""
+    """A part of a query: one of the first step comes with the query, one of the second in a later batch."""
 
     id: int
     query_number: int
@@ -191,7 +191,7 @@
 
 
 class AttemptEnded(NamedTuple):
-    """The outcome of an attempt. Attempts at a part are numbered from 0 in order of their sends."""
+    """The outcome of an attempt. The attempts at a part are numbered from 0 in the order of their sends."""
 
     part: int
     attempt: int
@@ -210,19 +210,19 @@
 
 
 class QueryAbandoned(NamedTuple):
-    """The client waits for a query no longer: it needs no end."""
+    """The client no longer waits for a query, which needs no answer."""
 
     id: int
 
 
 class TimerFired(NamedTuple):
-    """A timer that the engine set has fired."""
+    """A timer set by the engine has fired."""
 
     label: int
 
 
 class PeerMessageReceived(NamedTuple):
-    """A message of another co-ordinator."""
+    """A message from another co-ordinator."""
 
     sender: int
     payload: bytes
@@ -257,14 +257,14 @@
 
 
 class CloseIdle(NamedTuple):
-    """Close the idle connections to a replica; what is sent next opens a new one."""
+    """Close the idle connections to a replica; the next send opens a new one."""
 
     replica: int
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """End the present step with the parts received. `reason` takes no part in comparisons."""
+    """Answer the present step with the parts received. `reason` is not compared."""
 
     query: int
     complete: bool
@@ -273,7 +273,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """End the query without an answer; a retry is harmless. `retry_after` (seconds) of 0 gives no advice."""
+    """End the query without an answer; a retry is harmless. `retry_after` is in seconds, 0 for no advice."""
 
     query: int
     retry_after: float
@@ -289,17 +289,17 @@
 
 
 class SetTimer(NamedTuple):
-    """Ask for `TimerFired` with this label after `delay` seconds."""
+    """Request `TimerFired` with this label after `delay` seconds."""
 
     delay: float
     label: int
 
 
 class WatchMembership(NamedTuple):
-    """Watch the endpoint list: ask for membership changes from now on.
+    """Watch the endpoint list: request membership changes from now on.
 
-    Of a host that can have several calls waiting it may be asked for while earlier ones still wait: those
-    wait on, as far as there is room for them, and the first that is answered stays.
+    A host that supports parallel calls may receive this action while earlier calls are still waiting. These
+    continue as far as the host's limit permits, and the first call that is answered becomes the watch.
     """
 
 
@@ -310,13 +310,13 @@
 
 
 class LogMessage(NamedTuple):
-    """A line for the operators' log."""
+    """A message for the operators' log."""
 
     text: str
 
 
 class ReplicaEjected(NamedTuple):
-    """A replica's health change, for the log: out of selection for `seconds`."""
+    """Log entry: a replica was ejected from selection for `seconds`."""
 
     replica: int
     seconds: float
@@ -324,7 +324,7 @@
 
 
 class ReplicaReinstated(NamedTuple):
-    """A replica's health change, for the log: back in selection."""
+    """Log entry: a replica was reinstated."""
 
     replica: int
 
--- a/gingervane/startup.py
+++ b/gingervane/startup.py
@@ -1,7 +1,7 @@
-"""What a co-ordinator is given once, at its start, as the platform names it: read into `interface.Settings`.
+"""Start-up settings of a co-ordinator in the platform's names, read into `interface.Settings`.
 
-The simulator sends lines `Key=value`, the platform nested JSON with the same names and units (seconds);
-`flatten` makes the second into the first, so that one reader serves both. Standard library only.
+The simulator sends lines `Key=value`, the platform sends nested JSON with the same names and units (seconds).
+`flatten` converts the JSON to such keys, so that one reader serves both. Standard library only.
 """
 
 from __future__ import annotations
@@ -16,11 +16,14 @@
 
 
 class SettingsError(Exception):
-    """A key that the decision engine needs is missing or malformed."""
+    """A required setting is missing or malformed."""
 
 
 def flatten(nested: Mapping[str, Any], prefix: str = "") -> dict[str, str]:
-    """Nested settings as dotted keys; a list of objects becomes `Key.count` and `Key.0.x`, others `a,b`."""
+    """Flatten nested settings to dotted keys.
+
+    A list of objects becomes `Key.count` and `Key.0.x`, any other list `a,b`.
+    """
     pairs: dict[str, str] = {}
     for name, value in nested.items():
         key = prefix + name
@@ -44,7 +47,7 @@
 
 
 class _Pairs:
-    """The settings by key; a needed key that is absent or bad raises a `SettingsError` that names it."""
+    """Typed access to settings by key; a missing or malformed key raises a `SettingsError` that names it."""
 
     def __init__(self, pairs: Mapping[str, str]) -> None:
         self._pairs = pairs
@@ -53,7 +56,7 @@
         return key in self._pairs
 
     def need(self, key: str, read: Callable[[str], T]) -> T:
-        """The value of a key that must be there."""
+        """The value of a required key."""
         if key not in self._pairs:
             raise SettingsError(f"settings: key {key} is missing")
         try:
@@ -62,20 +65,20 @@
             raise SettingsError(f"settings: key {key} has the bad value {self._pairs[key]!r}") from None
 
     def maybe(self, key: str, read: Callable[[str], T]) -> T | None:
-        """The value of a key that may be absent or empty."""
+        """The value of an optional key; None if it is absent or empty."""
         return self.need(key, read) if self._pairs.get(key) else None
 
     def need_item(self, key: str, read: Callable[[str], T], index: int) -> T:
-        """One of several values that commas separate."""
+        """One value of a required comma-separated list."""
         return self.need(key, lambda value: read(value.split(",")[index]))
 
 
-# The readers refuse values that would break the decisions long after the start, or let them wait for ever.
+# These parsers reject values that would make decisions fail long after the start, or wait without end.
 
 
 def _number(value: str) -> float:
     number = float(value)
-    if not 0.0 <= number < inf:  # nor NaN
+    if not 0.0 <= number < inf:  # also rejects NaN
         raise ValueError
     return number
 
@@ -103,7 +106,7 @@
 
 
 def read_settings(pairs: Mapping[str, str]) -> api.Settings:
-    """Unknown keys are skipped; a needed key that is absent or bad is named in a SettingsError."""
+    """Read the settings. Unknown keys are ignored; a `SettingsError` names a missing or bad key."""
     found = _Pairs(pairs)
     drain_grace = found.maybe("Rules.StopSendingWithinS", _number)
     tenants = range(found.need("Tenants.count", int) if "Tenants.count" in found else 0)
