--- a/benchmarks/sampler.py
+++ b/benchmarks/sampler.py
@@ -1,4 +1,4 @@
-"""Runs a command line of gingervane with a sampler of all threads' stacks; writes raw stacks with counts.
+"""Runs a gingervane command and samples the stacks of all its threads; writes each stack with its count.
 
 Run: python benchmarks/sampler.py OUT -m gingervane.cli.main serve --config FILE
 """
--- a/benchmarks/throughput.py
+++ b/benchmarks/throughput.py
@@ -1,7 +1,7 @@
-"""Parts a second through one co-ordinator process, and what its time goes to.
+"""Throughput of one co-ordinator process in parts a second, and with --profile where its time is spent.
 
-Nodes answer at once and cost little, so that the co-ordinator is what is measured; clients and nodes run in other
-processes. Run: python benchmarks/throughput.py [--profile]
+Nodes answer at once and use little CPU, so that the co-ordinator is the bottleneck; clients and nodes run in
+other processes. Run: python benchmarks/throughput.py [--profile]
 """
 
 from __future__ import annotations
@@ -71,7 +71,7 @@
 
 
 def cpu_of(pid: int) -> float:
-    """CPU seconds of a process."""
+    """Return the CPU seconds of a process."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / 100
 
--- a/benchmarks/tree.py
+++ b/benchmarks/tree.py
@@ -1,4 +1,4 @@
-"""Flat against two and three levels: the same wide queries over all tiles, at 12, 60 and 150 nodes, one root.
+"""Trees of one (flat), two and three levels: queries over all tiles, with 12, 60 and 150 nodes and one root.
 
 Run: python benchmarks/tree.py [OUT]
 """
@@ -19,7 +19,7 @@
 
 
 def scenario_table(nodes: int, levels: int) -> dict[str, Any]:
-    """`levels` of co-ordinators: 1 is flat. Fan-outs are set so that each level is used."""
+    """Build a scenario with 1 (flat) to 3 levels of co-ordinators; the fan-out makes all levels used."""
     tiles = nodes
     fan_out = {1: tiles, 2: max(-(-tiles // 5), 2), 3: max(round((tiles / 4) ** 0.5) + 1, 2)}[levels]
     tree = {} if levels == 1 else {"fan_out": fan_out, "levels": levels - 1, "width": 3}
--- a/gingervane/cli/main.py
+++ b/gingervane/cli/main.py
@@ -1,4 +1,4 @@
-"""`gingervane`: the command line. Each sub-command is thin; what it does is elsewhere."""
+"""The `gingervane` command line. The sub-commands only parse arguments and call other modules."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from gingervane.wire.socket_recorder import SOCKET_RECORDER
 
 EXIT_INVALID_INPUT = 2
-_DEFAULT_RANGE = 3600  # seconds of a query that states no start
+_DEFAULT_RANGE = 3600  # seconds of a query without a start
 _SETTINGS_FILE = click.Path(path_type=Path, dir_okay=False)
 _RUNS_OPTION = click.option(
     "--out", type=click.Path(path_type=Path, file_okay=False), required=True, help="Where runs are kept."
@@ -31,14 +31,14 @@
 
 
 def _exit_invalid(message: str) -> NoReturn:
-    """End the process, as it was given something that makes no sense."""
+    """Print an error message and exit with the status of invalid input."""
     click.echo(message, err=True)
     sys.exit(EXIT_INVALID_INPUT)
 
 
 @contextmanager
 def _exit_on_error(*errors: type[Exception]) -> Iterator[None]:
-    """Let these errors end the process with their text."""
+    """Turn these errors into the exit of `_exit_invalid`, with the error's text."""
     try:
         yield
     except errors as error:
@@ -163,7 +163,7 @@
 def _run_scenario(
     scenario: str | None, from_day: Path | None, out: Path, notice: str | None = None
 ) -> NoReturn:
-    """Play a scenario; `notice` is written once the scenario has been read: bad input gets its error alone."""
+    """Run a scenario; `notice` is printed after it is read, so that bad input gives its error alone."""
     from gingervane.experiments import bench_day_import, report
     from gingervane.experiments.scenario_runner import ScenarioRun, ScenarioRunError
     from gingervane.scenarios import scenario as scenarios
--- a/gingervane/experiments/__init__.py
+++ b/gingervane/experiments/__init__.py
@@ -1,1 +1,1 @@
-"""Scenarios played on sockets, experiments, and the figures of them."""
+"""Scenario runs on sockets, experiments over several runs, and reports of their results."""
--- a/gingervane/experiments/report.py
+++ b/gingervane/experiments/report.py
@@ -1,4 +1,4 @@
-"""A rehearsal's report as tables on the terminal."""
+"""Prints the report of a scenario run as tables."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def show(report: dict[str, Any]) -> None:
-    """Print rules, priority weight, outcomes and latencies."""
+    """Print the rules' verdicts, the priority weight served, outcomes, costs and latencies."""
     console = Console()
     console.print(_rules(report))
     weight = report["worth"]
--- a/gingervane/experiments/toml_text.py
+++ b/gingervane/experiments/toml_text.py
@@ -1,4 +1,4 @@
-"""Settings written as TOML text, which the standard library only reads."""
+"""Writes settings as TOML; the standard library can only read it."""
 
 from __future__ import annotations
 
@@ -7,7 +7,10 @@
 
 
 def toml(table: dict[str, Any], under: str = "") -> str:
-    """Settings as TOML text: plain values, tables of any depth, and arrays of flat tables."""
+    """Return a table as TOML: scalars, arrays, nested tables, and arrays of tables without sub-tables.
+
+    `under` is the dotted prefix of nested table headers.
+    """
     out = [f"{key} = {json.dumps(value)}" for key, value in table.items() if not _nested(value)]
     for key, value in table.items():
         if isinstance(value, dict):
--- a/gingervane/scenarios/__init__.py
+++ b/gingervane/scenarios/__init__.py
@@ -1,1 +1,1 @@
-"""What is known of a rehearsal before it is played: its scenario, its clients' demands and its fixed data."""
+"""Inputs of a scenario run: the scenario, its clients' demands and its fixed data."""
